--- a/crates/durable/tests/support/cluster.rs
+++ b/crates/durable/tests/support/cluster.rs
@@ -4,7 +4,7 @@
 
 use dahlia_replication::group::{GroupMessage, Members};
 use dahlia_replication::maintenance::{
-    BalancePace, ClusterView, DaemonView, Liveness, Maintenance, MaintenanceSettings,
+    BalanceRateLimit, ClusterView, DaemonView, Liveness, Maintenance, MaintenanceSettings,
     MaintenanceStep,
 };
 use dahlia_types::{DaemonId, Duration, LogIndex, Region, Timestamp, Zone};
@@ -170,7 +170,7 @@
                 incarnation: machine.identity.incarnation,
                 zone: Zone::new(format!("zone-{}", machine.daemon)),
                 region: Region::new("region"),
-                liveness: if is_up { Liveness::Live } else { Liveness::Doubtful },
+                liveness: if is_up { Liveness::Live } else { Liveness::NotReady },
                 holds_groups: true,
                 replicas: 0,
                 leaderships: 0,
@@ -182,10 +182,10 @@
             let settings = MaintenanceSettings::default();
             let daemon = machine.daemon;
             let Some(replica) = machine.replica() else { continue };
-            let mut pace = BalancePace::new(&settings, now);
+            let mut pace = BalanceRateLimit::new(&settings, now);
             let maintenance =
                 self.maintenance.entry(daemon).or_insert_with(|| Maintenance::new(settings));
-            let step = maintenance.next(&replica.status(), &view, &mut pace, now);
+            let step = maintenance.next_step(&replica.status(), &view, &mut pace, now);
             if let Some(MaintenanceStep::Change(change)) = step {
                 let _ = replica.change_members(change);
             }
--- a/crates/durable/tests/support/machine.rs
+++ b/crates/durable/tests/support/machine.rs
@@ -182,7 +182,7 @@
     }
 
     fn take(&mut self, batch: &mut Batch, left: &mut Left) {
-        batch.changes.extend(self.replica.take_durable());
+        batch.changes.extend(self.replica.take_durable_change());
         let outputs = self.replica.take_outputs();
         let mut is_changed = false;
         for output in outputs {
@@ -200,7 +200,7 @@
                 Output::SnapshotWanted => {
                     let applied = self.replica.applied();
                     let snapshot = bincode::serde::encode_to_vec(&self.state, CONFIG).unwrap();
-                    self.replica.compact(applied, snapshot);
+                    self.replica.provide_snapshot(applied, snapshot);
                     is_changed = true;
                 }
                 Output::Removed { .. } => {
--- a/crates/node/src/bootstrap.rs
+++ b/crates/node/src/bootstrap.rs
@@ -6,7 +6,7 @@
 //! loses the race reads the winner's. A daemon bootstraps a replica only if the layout names it in
 //! exactly its present incarnation.
 
-use dahlia_replication::directory::{GroupDescription, layout_at_home};
+use dahlia_replication::directory::{GroupDescription, initial_layout_with_homes};
 use dahlia_replication::group::Replica;
 use dahlia_replication::maintenance::Maintenance;
 use dahlia_replication::membership::MemberInfo;
@@ -106,7 +106,7 @@
     voters: usize,
     homes: &GroupHomes,
 ) -> Vec<u8> {
-    let layout = layout_at_home(live, groups, voters, homes);
+    let layout = initial_layout_with_homes(live, groups, voters, homes);
     let encoded = bincode::serde::encode_to_vec(&layout, bincode::config::standard());
     encoded.expect("a layout has only plain fields")
 }
@@ -192,7 +192,7 @@
             }
             if let Some(group) = self.groups.get_mut(&id) {
                 // A first voter that was elected already has sent a message before.
-                group.replica.adopt_layout(voters, now);
+                group.replica.set_initial_voters(voters, now);
                 self.dirty.insert(id);
                 continue;
             }
--- a/crates/node/src/group.rs
+++ b/crates/node/src/group.rs
@@ -116,7 +116,7 @@
 
     /// What must be durable before anything that the replica put out since the last call.
     pub(crate) fn take_durable(&mut self) -> Option<Action> {
-        self.replica.take_durable().map(|change| Action::Persist(Box::new(change)))
+        self.replica.take_durable_change().map(|change| Action::Persist(Box::new(change)))
     }
 
     /// Whether this node may act as the owner of the group's programs.
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -73,7 +73,7 @@
 mod zone_choice;
 pub mod zone_liveness;
 
-pub use dahlia_replication::membership::FIRST_KEPT_DOCUMENT;
+pub use dahlia_replication::membership::FIRST_HOLDER_DOCUMENT;
 
 pub use answer::{AnswerReader, Followed, StartPosition, Taken};
 pub use bootstrap::{LAYOUT_KEY, LayoutStep};
--- a/crates/node/src/limits.rs
+++ b/crates/node/src/limits.rs
@@ -57,7 +57,7 @@
             match member.record.health {
                 // A zone falls silent before its members are suspected.
                 Health::Alive => self.is_silent_zone(&member.record.info.zone),
-                Health::Suspect | Health::Dead => now.since(member.since) < LEFT_FOR,
+                Health::Suspect | Health::Dead => now.since(member.health_since) < LEFT_FOR,
             }
         };
         let unheard = members.iter().filter(is_gateway).filter(is_unheard).count();
--- a/crates/node/src/members.rs
+++ b/crates/node/src/members.rs
@@ -70,7 +70,7 @@
     /// Keeps a document that others have by the same way.
     pub(crate) fn hold_document(&mut self, document: SharedDocument) {
         let SharedDocument { number, version, bytes } = document;
-        self.membership.hold(FactKey::Document(number), version, bytes);
+        self.membership.publish_without_spreading(FactKey::Document(number), version, bytes);
     }
 
     /// Tells others of attempts at a back end that failed here.
@@ -89,7 +89,7 @@
     /// regular look, and one that can be reached now is asked for its vote.
     fn note_life(&mut self, info: &MemberInfo, now: Timestamp) {
         for group in self.groups.values_mut() {
-            group.replica.peer_found(info.replica(), now);
+            group.replica.peer_address_found(info.replica(), now);
         }
         let is_earlier = |replica: ReplicaId| {
             replica.daemon == info.daemon && replica.incarnation < info.incarnation
@@ -180,7 +180,7 @@
         self.membership_event(MembershipEvent::ConnectionLost(peer.daemon), now);
         self.router.drop_hints_to(peer.daemon);
         for group in self.groups.values_mut() {
-            group.replica.peer_lost(peer, now);
+            group.replica.peer_disconnected(peer, now);
             self.dirty.insert(group.id());
         }
     }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -7,7 +7,7 @@
 use dahlia_program::GroupState;
 use dahlia_replication::directory::Directory;
 use dahlia_replication::group::{Coalescer, PeerBatch, Replica, Role};
-use dahlia_replication::maintenance::{BalancePace, Maintenance};
+use dahlia_replication::maintenance::{BalanceRateLimit, Maintenance};
 use dahlia_replication::membership::{
     Event as MembershipEvent, Member, MemberInfo, MemberState, Membership,
 };
@@ -57,7 +57,7 @@
     pub(crate) dirty: BTreeSet<GroupId>,
     pub(crate) next_upkeep: Timestamp,
     /// Hand-overs for balance, over all groups owned here.
-    pub(crate) balance_pace: BalancePace,
+    pub(crate) balance_pace: BalanceRateLimit,
     /// Voters that each group should have, as worked out at the last upkeep.
     pub(crate) voter_target: VoterTarget,
     pub(crate) bootstrap: Bootstrap,
@@ -147,11 +147,11 @@
             settings.seed,
             now,
         );
-        membership.begin_life(settings.life);
+        membership.set_start_count(settings.life);
         let voters = settings.tolerance.wanted_voters();
         let voter_target = VoterTarget { voters, shortfalls: Vec::new() };
         let scheduler = Scheduler::new(settings.placement.clone(), settings.policy, settings.seed);
-        let balance_pace = BalancePace::new(&settings.maintenance, now);
+        let balance_pace = BalanceRateLimit::new(&settings.maintenance, now);
         let feed = settings.feed.clone();
         let feed = feed.map(|feed| Feed::new(feed, settings.own.daemon, settings.address));
         let loads = settings.load_sharing.clone();
@@ -224,11 +224,11 @@
             Event::Layout(step) => self.layout(step, now),
             Event::StoreEnded(result) => self.store_ended(*result),
             Event::Seeds(addresses) => self.membership.add_seeds(addresses),
-            Event::Recalled(addresses) => self.membership.recall(addresses),
+            Event::Recalled(addresses) => self.membership.contact_previous_peers(addresses),
             Event::Tolerance(tolerance) => self.change_tolerance(tolerance, now),
             Event::Share(document) => self.share(document),
             Event::Hold(document) => self.hold_document(document),
-            Event::DocumentsWanted => self.membership.want_kept(),
+            Event::DocumentsWanted => self.membership.request_holder_documents(),
             Event::SourceRead(report) => self.source_read(report, now),
             Event::BackendFailed(failure) => self.report_backend_failure(&failure),
             Event::OwnLoads(own) => self.own_loads(&own, now),
--- a/crates/node/src/outputs.rs
+++ b/crates/node/src/outputs.rs
@@ -146,7 +146,7 @@
         if let Some(group) = self.groups.get_mut(&id) {
             let applied = group.replica.applied();
             let snapshot = group.state.snapshot();
-            group.replica.compact(applied, snapshot);
+            group.replica.provide_snapshot(applied, snapshot);
             self.dirty.insert(id);
         }
     }
--- a/crates/node/src/reach.rs
+++ b/crates/node/src/reach.rs
@@ -42,7 +42,7 @@
         self.doubt_owners(now);
         let Some(zone_liveness) = &mut self.zone_liveness else { return };
         for daemon in zone_liveness.tick(&self.zone_lists.zones, now) {
-            self.membership_event(MembershipEvent::SignWanted(daemon), now);
+            self.membership_event(MembershipEvent::PingRequested(daemon), now);
         }
         let groups = self.count_groups();
         let Some(zone_liveness) = &mut self.zone_liveness else { return };
@@ -91,7 +91,7 @@
                     group:% = group.id(), leader:% = leader;
                     "The zone of a group's leader is silent."
                 );
-                group.replica.peer_lost(leader, now);
+                group.replica.peer_disconnected(leader, now);
                 self.dirty.insert(group.id());
             }
         }
--- a/crates/node/src/upkeep.rs
+++ b/crates/node/src/upkeep.rs
@@ -40,7 +40,7 @@
             if status.members.voters.len() < voters || is_exchanging {
                 self.next_upkeep = now + REPAIR_INTERVAL;
             }
-            let step = group.maintenance.next(&status, &view, &mut self.balance_pace, now);
+            let step = group.maintenance.next_step(&status, &view, &mut self.balance_pace, now);
             if matches!(step, Some(MaintenanceStep::Change(_))) {
                 self.next_upkeep = now + REPAIR_INTERVAL;
             }
--- a/crates/node/tests/wire_forms.rs
+++ b/crates/node/tests/wire_forms.rs
@@ -26,8 +26,8 @@
 use dahlia_node::wire::{Carriage, Hello, PROTOCOL_VERSION, PeerMessage, Purpose};
 use dahlia_program::Command;
 use dahlia_replication::group::{
-    Append, AppendResponse, AppendResult, Beat, BeatRun, EntryData, GroupBody, GroupMessage,
-    LogEntry, Members, PeerBatch, SnapshotChunk, SnapshotResponse, VoteRequest,
+    Append, AppendResponse, AppendResult, EntryData, GroupBody, GroupHeartbeat, GroupMessage,
+    HeartbeatBatch, LogEntry, Members, PeerBatch, SnapshotChunk, SnapshotResponse, VoteRequest,
 };
 use dahlia_replication::membership::{
     Envelope, Fact, FactKey, Health, MemberInfo, MemberMessage, MemberRecord, MemberState,
@@ -157,14 +157,14 @@
 fn groups(body: GroupBody) -> PeerMessage {
     let (from, to) = (replica(7), replica(8));
     let message = GroupMessage { group: GroupId(5), from, to, term: Term(9), body };
-    let beat = Beat {
+    let heartbeat = GroupHeartbeat {
         group: GroupId(6),
         term: Term(4),
         session: LogIndex(2),
         committed: Some(LogIndex(300)),
     };
-    let run = BeatRun { from, to, sent: Timestamp(5_000_000), beats: vec![beat] };
-    PeerMessage::Groups(PeerBatch { runs: vec![run], messages: vec![message] })
+    let batch = HeartbeatBatch { from, to, sent: Timestamp(5_000_000), groups: vec![heartbeat] };
+    PeerMessage::Groups(PeerBatch { heartbeats: vec![batch], messages: vec![message] })
 }
 
 fn members() -> Members {
--- a/crates/replication/examples/measure/fail_over.rs
+++ b/crates/replication/examples/measure/fail_over.rs
@@ -35,7 +35,7 @@
         let others: Vec<DaemonId> =
             cluster.nodes.keys().copied().filter(|d| *d != leader).collect();
         for daemon in others {
-            cluster.replica_mut(daemon).peer_lost(lost, start);
+            cluster.replica_mut(daemon).peer_disconnected(lost, start);
         }
     }
     assert!(cluster.run_until_holds(MOST, |cluster| cluster.leader().is_some()), "seed {seed}");
--- a/crates/replication/src/directory.rs
+++ b/crates/replication/src/directory.rs
@@ -9,7 +9,7 @@
 
 mod layout;
 
-pub use layout::{initial_layout, layout_at_home};
+pub use layout::{initial_layout, initial_layout_with_homes};
 
 /// Bits of a description's version that hold the entry's index; the term is above them.
 const INDEX_BITS: u32 = 40;
--- a/crates/replication/src/directory/layout.rs
+++ b/crates/replication/src/directory/layout.rs
@@ -25,12 +25,12 @@
     group_count: u32,
     replicas_per_group: usize,
 ) -> Vec<GroupDescription> {
-    layout_at_home(members, group_count, replicas_per_group, &GroupHomes::default())
+    initial_layout_with_homes(members, group_count, replicas_per_group, &GroupHomes::default())
 }
 
 /// The same, with each group in its home region where that has members enough for a majority: as many
 /// of its voters as it has members, and the leader.
-pub fn layout_at_home(
+pub fn initial_layout_with_homes(
     members: &[MemberInfo],
     group_count: u32,
     replicas_per_group: usize,
--- a/crates/replication/src/group/coalescer.rs
+++ b/crates/replication/src/group/coalescer.rs
@@ -12,7 +12,7 @@
 
 /// One group's part of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Beat {
+pub struct GroupHeartbeat {
     /// The group.
     pub group: GroupId,
     /// The sender's term in it.
@@ -25,7 +25,7 @@
 
 /// Heartbeats, or answers to them, that share sender, receiver and time.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct BeatRun {
+pub struct HeartbeatBatch {
     /// The sender.
     pub from: ReplicaId,
     /// The receiver.
@@ -33,14 +33,14 @@
     /// The leader's time.
     pub sent: Timestamp,
     /// One part for each group.
-    pub beats: Vec<Beat>,
+    pub groups: Vec<GroupHeartbeat>,
 }
 
 /// Everything that goes to one daemon at one time.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct PeerBatch {
     /// Merged heartbeats and answers.
-    pub runs: Vec<BeatRun>,
+    pub heartbeats: Vec<HeartbeatBatch>,
     /// All other messages, in order.
     pub messages: Vec<GroupMessage>,
 }
@@ -49,16 +49,17 @@
     /// The messages it was made of; heartbeats come first.
     pub fn into_messages(self) -> Vec<GroupMessage> {
         let mut messages = Vec::new();
-        for run in self.runs {
-            let BeatRun { from, to, sent, beats } = run;
-            messages.extend(beats.into_iter().map(|beat| beat.into_message(from, to, sent)));
+        for batch in self.heartbeats {
+            let HeartbeatBatch { from, to, sent, groups } = batch;
+            messages
+                .extend(groups.into_iter().map(|heartbeat| heartbeat.into_message(from, to, sent)));
         }
         messages.extend(self.messages);
         messages
     }
 }
 
-impl Beat {
+impl GroupHeartbeat {
     fn into_message(self, from: ReplicaId, to: ReplicaId, sent: Timestamp) -> GroupMessage {
         let Self { group, term, session, committed } = self;
         let body = match committed {
@@ -69,11 +70,11 @@
     }
 }
 
-type RunKey = (ReplicaId, ReplicaId, Timestamp);
+type BatchKey = (ReplicaId, ReplicaId, Timestamp);
 
 #[derive(Debug, Default)]
 struct Pending {
-    runs: BTreeMap<RunKey, Vec<Beat>>,
+    heartbeats: BTreeMap<BatchKey, Vec<GroupHeartbeat>>,
     messages: Vec<GroupMessage>,
 }
 
@@ -101,8 +102,8 @@
                 return;
             }
         };
-        let beat = Beat { group, term, session, committed };
-        pending.runs.entry((from, to, sent)).or_default().push(beat);
+        let heartbeat = GroupHeartbeat { group, term, session, committed };
+        pending.heartbeats.entry((from, to, sent)).or_default().push(heartbeat);
     }
 
     /// Takes everything collected, one batch for each destination.
@@ -114,9 +115,10 @@
 
 impl Pending {
     fn into_batch(self) -> PeerBatch {
-        let runs = self.runs.into_iter();
-        let runs =
-            runs.map(|((from, to, sent), beats)| BeatRun { from, to, sent, beats }).collect();
-        PeerBatch { runs, messages: self.messages }
+        let heartbeats = self.heartbeats.into_iter();
+        let heartbeats = heartbeats
+            .map(|((from, to, sent), groups)| HeartbeatBatch { from, to, sent, groups })
+            .collect();
+        PeerBatch { heartbeats, messages: self.messages }
     }
 }
--- a/crates/replication/src/group/durable.rs
+++ b/crates/replication/src/group/durable.rs
@@ -1,7 +1,7 @@
 //! What a replica must find again after its machine lost power, as changes and as a whole.
 //!
 //! The replica notes what changed and the driver takes it out with
-//! [`Replica::take_durable`](super::Replica::take_durable). A change must be on the disk before
+//! [`Replica::take_durable_change`](super::Replica::take_durable_change). A change must be on the disk before
 //! anything leaves that was put into the outputs since the change before it, except for what
 //! [`Replica::may_send_unsynced`](super::Replica::may_send_unsynced) names.
 
@@ -20,7 +20,7 @@
     /// The vote in that term.
     pub voted_for: Option<ReplicaId>,
     /// Term and index of the last entry before the replica was emptied.
-    pub retired_last: (Term, LogIndex),
+    pub last_before_retirement: (Term, LogIndex),
     /// Latest configuration by which a leader treated this replica as a member.
     pub member_as_of: LogIndex,
 }
@@ -42,7 +42,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct DurableUpdate {
     /// The first voters, where none were known.
-    pub first_members: Option<Members>,
+    pub initial_members: Option<Members>,
     /// What it promised, when that changed.
     pub hard_state: Option<HardState>,
     /// Entries at and after this index are replaced by `entries`.
@@ -91,7 +91,7 @@
     /// # Errors
     /// [`GapError`] when entries are missing between the two; nothing was changed.
     pub fn apply(&mut self, update: DurableUpdate) -> Result<(), GapError> {
-        let DurableUpdate { first_members, hard_state, entries_from, entries } = update;
+        let DurableUpdate { initial_members, hard_state, entries_from, entries } = update;
         if let Some(from) = entries_from {
             let (base, last) = (self.base.index, self.last_index());
             let follows = from > base && from <= last.next();
@@ -99,7 +99,7 @@
             self.entries.truncate((from.0 - base.0 - 1) as usize);
             self.entries.extend(entries);
         }
-        if let Some(members) = first_members
+        if let Some(members) = initial_members
             && self.base.members == Members::default()
         {
             self.base.members = members;
@@ -126,7 +126,7 @@
     /// The first entry that is new or was replaced.
     pub entries_from: Option<LogIndex>,
     /// The first voters, when they were learnt late.
-    pub first_members: Option<Members>,
+    pub initial_members: Option<Members>,
     /// The log was replaced, or is new: the next change is an image on this base.
     pub base: Option<Snapshot>,
 }
@@ -145,16 +145,16 @@
         if self.is_on {
             self.base = Some(base);
             self.entries_from = None;
-            self.first_members = None;
+            self.initial_members = None;
         }
     }
 
     /// Notes first voters that a replica learnt after it came into being.
-    pub fn note_first_members(&mut self, members: &Members) {
+    pub fn note_initial_members(&mut self, members: &Members) {
         match &mut self.base {
             Some(base) if base.members == Members::default() => base.members = members.clone(),
             Some(_) => {}
-            None if self.is_on => self.first_members = Some(members.clone()),
+            None if self.is_on => self.initial_members = Some(members.clone()),
             None => {}
         }
     }
--- a/crates/replication/src/group/election.rs
+++ b/crates/replication/src/group/election.rs
@@ -19,7 +19,7 @@
             return true;
         }
         // An earlier incarnation's promises are forgotten; answering for it would break them.
-        if self.settings.faults.any_incarnation && message.to.daemon == self.id.daemon {
+        if self.settings.faults.accept_any_incarnation && message.to.daemon == self.id.daemon {
             self.id = message.to;
             return true;
         }
@@ -224,7 +224,7 @@
 
     /// Term and index that a candidate's last entry must reach.
     pub(super) fn last_for_votes(&self) -> (Term, LogIndex) {
-        (self.log.last_term(), self.log.last_index()).max(self.retired_last)
+        (self.log.last_term(), self.log.last_index()).max(self.last_before_retirement)
     }
 
     fn handle_pre_vote(&mut self, from: ReplicaId, term: Term, request: VoteRequest) {
--- a/crates/replication/src/group/faults.rs
+++ b/crates/replication/src/group/faults.rs
@@ -7,7 +7,7 @@
     /// A quorum is one voter less than a majority.
     pub short_quorum: bool,
     /// Messages to another incarnation of the same daemon are taken as its own.
-    pub any_incarnation: bool,
+    pub accept_any_incarnation: bool,
     /// Appends are accepted without comparing the term of the entry before them.
     pub no_previous_check: bool,
     /// A leader without contact to a quorum stays leader.
@@ -19,5 +19,5 @@
     /// Entries of earlier terms are committed by counting copies.
     pub commit_earlier_terms: bool,
     /// Acknowledgements of an earlier session with a peer are counted.
-    pub any_session: bool,
+    pub accept_any_session: bool,
 }
--- a/crates/replication/src/group/leader.rs
+++ b/crates/replication/src/group/leader.rs
@@ -206,9 +206,9 @@
         session: LogIndex,
         sent: Timestamp,
     ) -> Option<&mut Peer> {
-        let any_session = self.settings.faults.any_session;
+        let accept_any_session = self.settings.faults.accept_any_session;
         let peer = self.leading.peers.get_mut(&from)?;
-        if peer.session != session && !any_session {
+        if peer.session != session && !accept_any_session {
             return None;
         }
         // The own sending time, not the time of arrival: an answer that waited in a buffer while
--- a/crates/replication/src/group/mod.rs
+++ b/crates/replication/src/group/mod.rs
@@ -4,7 +4,7 @@
 //! changes and leadership transfer. What a replica promised (term, vote, log) lives exactly as
 //! long as its identifier. On a daemon without a disk that is the life of the process: one that
 //! restarts is a new [`ReplicaId`](dahlia_types::ReplicaId) and starts as an empty learner. With
-//! a disk, [`Replica::take_durable`] gives out what must be synced, and [`Replica::recover`]
+//! a disk, [`Replica::take_durable_change`] gives out what must be synced, and [`Replica::recover`]
 //! goes on with the same identifier.
 
 mod coalescer;
@@ -25,7 +25,7 @@
 mod snapshot;
 mod status;
 
-pub use coalescer::{Beat, BeatRun, Coalescer, PeerBatch};
+pub use coalescer::{Coalescer, GroupHeartbeat, HeartbeatBatch, PeerBatch};
 pub use durable::{DurableChange, DurableReplica, DurableUpdate, GapError, HardState};
 #[doc(hidden)]
 pub use faults::Faults;
--- a/crates/replication/src/group/output.rs
+++ b/crates/replication/src/group/output.rs
@@ -73,7 +73,7 @@
         members: Members,
     },
     /// A peer needs older entries than the log keeps. Answer with
-    /// [`Replica::compact`](super::Replica::compact) when convenient.
+    /// [`Replica::provide_snapshot`](super::Replica::provide_snapshot) when convenient.
     SnapshotWanted,
     /// This replica was removed by a committed configuration. The driver drops the state
     /// machine and calls [`Replica::retire`](super::Replica::retire); it keeps the replica
--- a/crates/replication/src/group/recovery.rs
+++ b/crates/replication/src/group/recovery.rs
@@ -27,7 +27,7 @@
         let mut replica = Self::join(id, group, settings, seed, now);
         replica.term = hard_state.term;
         replica.voted_for = hard_state.voted_for;
-        replica.retired_last = hard_state.retired_last;
+        replica.last_before_retirement = hard_state.last_before_retirement;
         replica.member_as_of = hard_state.member_as_of;
         replica.log.reset(base.index, base.term);
         replica.committed = base.index;
@@ -53,7 +53,7 @@
     /// What must be durable before the outputs leave that were made since the last call. Call it
     /// before [`take_outputs`](Self::take_outputs). Always none unless the settings turn
     /// recording on.
-    pub fn take_durable(&mut self) -> Option<DurableChange> {
+    pub fn take_durable_change(&mut self) -> Option<DurableChange> {
         if !self.journal.is_on {
             return None;
         }
@@ -65,7 +65,7 @@
         self.journal.taken = hard_state;
         let entries_from = self.journal.entries_from.take();
         let update = DurableUpdate {
-            first_members: self.journal.first_members.take(),
+            initial_members: self.journal.initial_members.take(),
             hard_state: is_changed.then_some(hard_state),
             entries_from,
             entries: entries_from.map_or_else(Vec::new, |from| self.entries_since(from)),
@@ -120,7 +120,7 @@
         self.journal.taken = hard_state;
         self.journal.base = None;
         self.journal.entries_from = None;
-        self.journal.first_members = None;
+        self.journal.initial_members = None;
         let entries = self.entries_since(base.index.next());
         let image = DurableReplica { group: self.group, hard_state, base, entries };
         DurableChange::Image(Box::new(image))
@@ -135,7 +135,7 @@
         HardState {
             term: self.term,
             voted_for: self.voted_for,
-            retired_last: self.retired_last,
+            last_before_retirement: self.last_before_retirement,
             member_as_of: self.member_as_of,
         }
     }
--- a/crates/replication/src/group/replica.rs
+++ b/crates/replication/src/group/replica.rs
@@ -69,7 +69,7 @@
     /// Members by the entry that set them; the first is the one in force at the log's base.
     pub(super) configurations: Vec<(LogIndex, Members)>,
     /// Term and index of the last entry before it was emptied; see [`Self::retire`].
-    pub(super) retired_last: (Term, LogIndex),
+    pub(super) last_before_retirement: (Term, LogIndex),
     /// Latest configuration by which a leader treated this replica as a member.
     pub(super) member_as_of: LogIndex,
     /// Set when a member said that this replica was removed; cleared when it is added again.
@@ -143,7 +143,7 @@
             delivered: LogIndex(0),
             applied: LogIndex(0),
             configurations: vec![(LogIndex(0), Members::default())],
-            retired_last: (Term(0), LogIndex(0)),
+            last_before_retirement: (Term(0), LogIndex(0)),
             member_as_of: LogIndex(0),
             is_removed: false,
             leading: Leading::default(),
@@ -166,7 +166,7 @@
     ///
     /// The first layout stands in no entry of the log: a first voter that never learns it would
     /// follow and acknowledge, and never stand for election.
-    pub fn adopt_layout(&mut self, voters: Vec<ReplicaId>, now: Timestamp) {
+    pub fn set_initial_voters(&mut self, voters: Vec<ReplicaId>, now: Timestamp) {
         self.advance(now);
         let Some((LogIndex(0), members)) = self.configurations.first_mut() else {
             return;
@@ -175,7 +175,7 @@
             return;
         }
         *members = Members::of_voters(voters);
-        self.journal.note_first_members(members);
+        self.journal.note_initial_members(members);
         if self.role == Role::Learner {
             self.role = self.resting_role();
             self.announce();
@@ -194,7 +194,7 @@
         empty.voted_for = self.voted_for;
         empty.member_as_of = self.member_as_of;
         if !self.settings.faults.forget_retired_log {
-            empty.retired_last = self.last_for_votes();
+            empty.last_before_retirement = self.last_for_votes();
         }
         empty.announced.1 = self.term;
         // The new beginning is recorded as an image, which holds the promises kept.
@@ -273,7 +273,7 @@
     /// The connection to a daemon broke: its process has most likely ended.
     ///
     /// Only a hint that shortens the wait for an election; a wrong one costs no safety.
-    pub fn peer_lost(&mut self, peer: ReplicaId, now: Timestamp) {
+    pub fn peer_disconnected(&mut self, peer: ReplicaId, now: Timestamp) {
         self.advance(now);
         if let Some(progress) = self.leading.peers.get_mut(&peer) {
             progress.probe();
@@ -288,7 +288,7 @@
 
     /// The address of a voter has become known. A recovered replica that asked before could not
     /// reach it, so it asks again soon instead of waiting out the pause.
-    pub fn peer_found(&mut self, peer: ReplicaId, now: Timestamp) {
+    pub fn peer_address_found(&mut self, peer: ReplicaId, now: Timestamp) {
         self.advance(now);
         let is_asking = self.is_recovering && self.leader.is_none();
         if is_asking && self.members().voters.contains(&peer) {
--- a/crates/replication/src/group/snapshot.rs
+++ b/crates/replication/src/group/snapshot.rs
@@ -38,7 +38,7 @@
     /// Takes the state machine's encoding after applying `index`, the driver's last one.
     ///
     /// Returns whether it is of use; it is not when the log has moved on past it.
-    pub fn compact(&mut self, index: LogIndex, data: Vec<u8>) -> bool {
+    pub fn provide_snapshot(&mut self, index: LogIndex, data: Vec<u8>) -> bool {
         self.is_snapshot_asked = false;
         if index < self.log.base_index() || index > self.delivered {
             return false;
--- a/crates/replication/src/maintenance.rs
+++ b/crates/replication/src/maintenance.rs
@@ -30,7 +30,7 @@
 
 use crate::group::{GroupStatus, MemberChange};
 
-pub use balance::BalancePace;
+pub use balance::BalanceRateLimit;
 pub use view::{ClusterView, DaemonView, Liveness};
 
 /// Settings of the maintenance of groups.
@@ -134,11 +134,11 @@
 
     /// The next step, if any. The replica may refuse it; it is then asked for again. `pace` is
     /// shared by all groups that the daemon leads.
-    pub fn next(
+    pub fn next_step(
         &mut self,
         status: &GroupStatus,
         view: &ClusterView,
-        pace: &mut BalancePace,
+        pace: &mut BalanceRateLimit,
         now: Timestamp,
     ) -> Option<MaintenanceStep> {
         if !status.ready || status.change_in_progress || status.transferring {
--- a/crates/replication/src/maintenance/balance.rs
+++ b/crates/replication/src/maintenance/balance.rs
@@ -11,12 +11,12 @@
 
 /// The pace of one daemon's hand-overs, over all groups that it leads.
 #[derive(Debug, Clone)]
-pub struct BalancePace {
+pub struct BalanceRateLimit {
     interval: Duration,
     handed_over_at: Timestamp,
 }
 
-impl BalancePace {
+impl BalanceRateLimit {
     /// `now` starts the first interval without a hand-over.
     pub fn new(settings: &MaintenanceSettings, now: Timestamp) -> Self {
         let interval = Duration::from_millis(settings.balance_interval_ms);
--- a/crates/replication/src/maintenance/view.rs
+++ b/crates/replication/src/maintenance/view.rs
@@ -13,7 +13,7 @@
     /// It answers and takes work.
     Live,
     /// It answers and takes no new work, or does not answer of late.
-    Doubtful,
+    NotReady,
     /// It, or the platform's list of machines, says that it leaves.
     Leaving,
     /// Membership holds it for dead.
@@ -116,6 +116,6 @@
         (Health::Dead, _) => Liveness::Dead,
         (_, MemberState::Leaving) => Liveness::Leaving,
         (Health::Alive, MemberState::Live) => Liveness::Live,
-        (Health::Suspect, _) | (Health::Alive, MemberState::Joining) => Liveness::Doubtful,
+        (Health::Suspect, _) | (Health::Alive, MemberState::Joining) => Liveness::NotReady,
     }
 }
--- a/crates/replication/src/membership/documents.rs
+++ b/crates/replication/src/membership/documents.rs
@@ -22,13 +22,13 @@
 
 impl Membership {
     /// Asks for the documents that only daemons with groups keep, as soon as one of these is known.
-    pub fn want_kept(&mut self) {
+    pub fn request_holder_documents(&mut self) {
         self.wants_kept = true;
     }
 
     /// Takes in a document that others get by the same way as this daemon: it is there for comparisons,
     /// and nobody is told at once.
-    pub fn hold(&mut self, key: FactKey, version: u64, bytes: Vec<u8>) {
+    pub fn publish_without_spreading(&mut self, key: FactKey, version: u64, bytes: Vec<u8>) {
         let has_document_news = self.has_document_news;
         self.publish(key, version, bytes);
         self.has_document_news = has_document_news;
@@ -60,7 +60,7 @@
         if matches!(fact.key, FactKey::Document(_)) && held > Some(fact.version) {
             // Who makes kept documents reads them elsewhere, and will be as far in a moment.
             let keeps = |member: &Member| member.record.info.holds_groups;
-            if !fact.key.is_kept() || self.members.get(from).is_some_and(keeps) {
+            if !fact.key.is_holder_document() || self.members.get(from).is_some_and(keeps) {
                 self.answer_old_document(from, &fact.key);
             }
         } else if self.merge_fact(fact.clone()) {
--- a/crates/replication/src/membership/facts.rs
+++ b/crates/replication/src/membership/facts.rs
@@ -37,12 +37,12 @@
 
 /// Documents with a number from here on are kept by daemons that hold groups only: they are long, they
 /// change often, and others get them by a better way. Whoever lacks them asks.
-pub const FIRST_KEPT_DOCUMENT: u32 = 1 << 16;
+pub const FIRST_HOLDER_DOCUMENT: u32 = 1 << 16;
 
 impl FactKey {
     /// Whether it is a document that only daemons with groups keep.
-    pub fn is_kept(&self) -> bool {
-        matches!(self, Self::Document(number) if *number >= FIRST_KEPT_DOCUMENT)
+    pub fn is_holder_document(&self) -> bool {
+        matches!(self, Self::Document(number) if *number >= FIRST_HOLDER_DOCUMENT)
     }
 
     /// Whether the fact is soon replaced: such facts spread by gossip only.
@@ -107,7 +107,7 @@
             return false;
         }
         if !fact.key.is_load() {
-            let is_kept = fact.key.is_kept();
+            let is_kept = fact.key.is_holder_document();
             let hashes = if is_kept { &mut self.kept_hashes } else { &mut self.hashes };
             if let Some(held) = known {
                 hashes.toggle_fact(&held.fact);
@@ -137,7 +137,9 @@
 
     /// Facts that are compared: with every member, or among daemons that hold groups.
     pub fn lasting(&self, with_kept: bool) -> impl Iterator<Item = &Fact> {
-        self.iter().filter(move |fact| !fact.key.is_load() && (with_kept || !fact.key.is_kept()))
+        self.iter().filter(move |fact| {
+            !fact.key.is_load() && (with_kept || !fact.key.is_holder_document())
+        })
     }
 
     /// Drops load facts that were not renewed.
--- a/crates/replication/src/membership/members.rs
+++ b/crates/replication/src/membership/members.rs
@@ -63,26 +63,26 @@
             member.record.health == record.health
                 && member.record.info.incarnation == record.info.incarnation
         });
-        let since = same_health.map_or(now, |member| member.since);
+        let health_since = same_health.map_or(now, |member| member.health_since);
         if let Some(member) = known {
             self.hashes.toggle_member(&member.record);
         }
         self.hashes.toggle_member(record);
-        self.table.insert(record.info.daemon, Member { record: record.clone(), since });
+        self.table.insert(record.info.daemon, Member { record: record.clone(), health_since });
         true
     }
 
     /// Drops the dead of long ago.
     pub fn forget_dead(&mut self, after: Duration, now: Timestamp) {
         self.table.retain(|_, member| {
-            member.record.health != Health::Dead || now.since(member.since) < after
+            member.record.health != Health::Dead || now.since(member.health_since) < after
         });
     }
 
     /// Suspects whose time to object is over.
     pub fn overdue_suspects(&self, timeout: Duration, now: Timestamp) -> Vec<MemberRecord> {
         let overdue = self.table.values().filter(|member| {
-            member.record.health == Health::Suspect && now.since(member.since) >= timeout
+            member.record.health == Health::Suspect && now.since(member.health_since) >= timeout
         });
         overdue.map(|member| member.record.clone()).collect()
     }
@@ -91,7 +91,7 @@
     pub fn extend_suspicions(&mut self, pause: Duration) {
         for member in self.table.values_mut() {
             if member.record.health == Health::Suspect {
-                member.since = member.since + pause;
+                member.health_since = member.health_since + pause;
             }
         }
     }
--- a/crates/replication/src/membership/mod.rs
+++ b/crates/replication/src/membership/mod.rs
@@ -15,13 +15,13 @@
 mod gossip;
 mod members;
 mod message;
-mod recall;
+mod previous_peers;
 mod settings;
 mod state;
 mod sync;
 mod types;
 
-pub use facts::{FIRST_KEPT_DOCUMENT, Fact, FactKey};
+pub use facts::{FIRST_HOLDER_DOCUMENT, Fact, FactKey};
 pub use message::{Envelope, MemberMessage, SyncChunk, SyncDigest};
 pub use settings::MembershipSettings;
 pub use state::{Action, Event, Membership};
--- a/crates/replication/src/membership/recall.rs
+++ b/crates/replication/src/membership/previous_peers.rs
@@ -21,13 +21,13 @@
 
 /// Addresses that were not heard from yet.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Recalled {
+pub(super) struct PreviousPeers {
     waiting: BTreeSet<SocketAddr>,
     rounds: u32,
     next: Timestamp,
 }
 
-impl Recalled {
+impl PreviousPeers {
     /// When the next round is due; none when nobody is left to be greeted.
     pub fn next_round(&self) -> Option<Timestamp> {
         (!self.waiting.is_empty()).then_some(self.next)
@@ -55,16 +55,17 @@
 
 impl Membership {
     /// Makes this daemon known at addresses that an earlier life of it knew.
-    pub fn recall(&mut self, addresses: impl IntoIterator<Item = SocketAddr>) {
+    pub fn contact_previous_peers(&mut self, addresses: impl IntoIterator<Item = SocketAddr>) {
         let own = self.own.info.address;
         let others = addresses.into_iter().filter(|address| *address != own);
-        self.recalled = Recalled { waiting: others.collect(), rounds: 0, next: self.now };
+        self.previous_peers =
+            PreviousPeers { waiting: others.collect(), rounds: 0, next: self.now };
     }
 
     /// Greets those that are due. A greeting is small and needs no answer: a daemon to which it is
     /// news compares of its own accord, see [`Self::greet`].
-    pub(super) fn greet_recalled(&mut self) {
-        for address in self.recalled.take_round(self.now) {
+    pub(super) fn contact_due_previous_peers(&mut self) {
+        for address in self.previous_peers.take_round(self.now) {
             let own: Vec<MemberRecord> = vec![self.own.clone()];
             self.send_to_address(address, MemberMessage::Gossip, own, Vec::new());
         }
--- a/crates/replication/src/membership/state.rs
+++ b/crates/replication/src/membership/state.rs
@@ -12,7 +12,7 @@
 use super::facts::Facts;
 use super::gossip::{Budget, Known, Limits, News, Queue, Subject};
 use super::members::Members;
-use super::recall::Recalled;
+use super::previous_peers::PreviousPeers;
 use super::sync::MANY_NEWS;
 use super::{
     Envelope, Fact, FactKey, Health, Member, MemberInfo, MemberMessage, MemberRecord, MemberState,
@@ -29,7 +29,7 @@
     /// A connection to a daemon broke: probe it at once.
     ConnectionLost(DaemonId),
     /// Ask a daemon for a sign of life. Nothing is made of its silence.
-    SignWanted(DaemonId),
+    PingRequested(DaemonId),
 }
 
 /// What the driver must do or may want to know.
@@ -81,7 +81,7 @@
     /// Of answers to comparisons.
     pub(super) sync_budget: Budget,
     pub(super) probe: Option<Probe>,
-    pub(super) recalled: Recalled,
+    pub(super) previous_peers: PreviousPeers,
     pub(super) next_sequence: u32,
     pub(super) next_probe: Timestamp,
     pub(super) next_gossip: Timestamp,
@@ -126,7 +126,7 @@
             budget,
             sync_budget,
             probe: None,
-            recalled: Recalled::default(),
+            previous_peers: PreviousPeers::default(),
             next_sequence: 0,
             next_probe: now,
             next_gossip: now,
@@ -148,7 +148,7 @@
     ///
     /// A daemon that kept its disk kept its replicas, and so their incarnation. Its process
     /// begins anew; what others hold of the earlier one, a death included, must not stand.
-    pub fn begin_life(&mut self, life: u32) {
+    pub fn set_start_count(&mut self, life: u32) {
         self.own.version = life.min(MOST_LIVES) << LIFE_BITS;
     }
 
@@ -159,7 +159,7 @@
             Event::Tick => self.tick(),
             Event::Received(envelope) => self.receive(envelope),
             Event::ConnectionLost(daemon) => self.connection_lost(daemon),
-            Event::SignWanted(daemon) => self.ask_for_sign(daemon),
+            Event::PingRequested(daemon) => self.ask_for_sign(daemon),
         }
         std::mem::take(&mut self.actions)
     }
@@ -168,7 +168,7 @@
     pub fn next_deadline(&self) -> Timestamp {
         let mut next = self.next_probe.min(self.next_sync);
         let indirect_at = self.probe.as_ref().and_then(|probe| probe.indirect_at);
-        for at in indirect_at.into_iter().chain(self.recalled.next_round()) {
+        for at in indirect_at.into_iter().chain(self.previous_peers.next_round()) {
             next = next.min(at);
         }
         let has_kept_news = self.has_kept_news || self.wants_kept || !self.kept_news.is_empty();
@@ -185,7 +185,7 @@
     /// All daemons known: the own one, the present and the dead of late.
     pub fn members(&self) -> Vec<Member> {
         let mut members: Vec<Member> = self.members.iter().cloned().collect();
-        members.push(Member { record: self.own.clone(), since: Timestamp::ZERO });
+        members.push(Member { record: self.own.clone(), health_since: Timestamp::ZERO });
         members.sort_by_key(|member| member.record.info.daemon);
         members
     }
@@ -231,7 +231,7 @@
         let is_news = self.merge_fact(fact);
         if let FactKey::Document(number) = key
             && is_news
-            && key.is_kept()
+            && key.is_holder_document()
             && !self.own.info.holds_groups
         {
             self.kept_news.insert(number);
@@ -254,7 +254,7 @@
             self.end_probe_interval();
         }
         self.probe_indirectly();
-        self.greet_recalled();
+        self.contact_due_previous_peers();
         if self.now >= self.next_gossip {
             self.next_gossip = self.now + self.settings.gossip_interval();
             self.gossip();
@@ -351,7 +351,7 @@
 
     fn receive(&mut self, envelope: Envelope) {
         let Envelope { from, address, body, members, facts } = envelope;
-        self.recalled.heard_from(&address);
+        self.previous_peers.heard_from(&address);
         // A table of others is known to others: only what changes an entry spreads on.
         let is_table = matches!(body, MemberMessage::SyncChunk(_));
         let known_before = self.members.len();
@@ -395,7 +395,7 @@
 
     pub(super) fn merge_fact(&mut self, fact: Fact) -> bool {
         let key = fact.key.clone();
-        let (is_gossiped, is_kept) = (key.is_gossiped(), key.is_kept());
+        let (is_gossiped, is_kept) = (key.is_gossiped(), key.is_holder_document());
         let settings = &self.settings;
         let limit = if is_gossiped { settings.max_fact_bytes } else { settings.max_document_bytes };
         if fact.bytes.len() > limit {
--- a/crates/replication/src/membership/sync.rs
+++ b/crates/replication/src/membership/sync.rs
@@ -197,7 +197,9 @@
         }
         self.sync_budget.spend(chunks.sent);
         // Few ask for these, and who holds groups has the link for them.
-        for fact in self.facts.lasting(wanted.with_kept).filter(|fact| fact.key.is_kept()) {
+        for fact in
+            self.facts.lasting(wanted.with_kept).filter(|fact| fact.key.is_holder_document())
+        {
             if has_bit(wanted.documents, fact_bucket(&fact.key)) {
                 chunks.with_room(fact.wire_bytes()).1.push(fact.clone());
             }
--- a/crates/replication/src/membership/types.rs
+++ b/crates/replication/src/membership/types.rs
@@ -88,7 +88,7 @@
     /// Its latest statement.
     pub record: MemberRecord,
     /// Since when, by the local clock, it has this health.
-    pub since: Timestamp,
+    pub health_since: Timestamp,
 }
 
 impl Member {
--- a/crates/replication/src/tolerance.rs
+++ b/crates/replication/src/tolerance.rs
@@ -15,7 +15,7 @@
 
 /// Most voters of a group. Each further one costs a copy of everything, and an answer that a commit
 /// waits for.
-pub const MOST_VOTERS: usize = 9;
+pub const MAX_VOTERS: usize = 9;
 /// Largest number that a setting may say; what cannot be borne is reported, not refused.
 const MOST_LOSSES: u32 = 1_000;
 
@@ -53,17 +53,17 @@
     /// The field of the settings.
     pub field: &'static str,
     /// What it says.
-    pub wanted: u32,
+    pub requested: u32,
     /// What is borne instead.
-    pub borne: u32,
+    pub tolerated: u32,
     /// What would be needed.
-    pub needed: String,
+    pub requirement: String,
 }
 
 impl fmt::Display for Shortfall {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Self { field, wanted, borne, needed } = self;
-        write!(f, "{field} = {wanted} cannot be borne, {borne} can: {needed}")
+        let Self { field, requested, tolerated, requirement } = self;
+        write!(f, "{field} = {requested} cannot be borne, {tolerated} can: {requirement}")
     }
 }
 
@@ -86,14 +86,14 @@
     /// Voters that each group needs where machines and zones are plenty.
     pub fn wanted_voters(&self) -> usize {
         let losses = self.machines.max(self.zones);
-        (2 * losses as usize + 1).min(MOST_VOTERS)
+        (2 * losses as usize + 1).min(MAX_VOTERS)
     }
 
     /// Voters that each group should have with these machines that may hold groups, by zone.
     pub fn target(&self, holders: &HolderCounts) -> VoterTarget {
-        let most = odd_at_most(holders.total().clamp(1, MOST_VOTERS));
+        let most = odd_at_most(holders.total().clamp(1, MAX_VOTERS));
         let wanted = self.wanted_voters().min(most);
-        let bears_zones = |voters: &usize| holders.zones_borne(*voters) >= self.zones;
+        let bears_zones = |voters: &usize| holders.tolerated_zones(*voters) >= self.zones;
         // More voters than machines need can make a spread over zones even.
         let spread = (wanted..=most).step_by(2).find(bears_zones);
         let voters = spread.unwrap_or(wanted);
@@ -102,24 +102,29 @@
 
     fn shortfalls(&self, voters: usize, holders: &HolderCounts) -> Vec<Shortfall> {
         let machines = (voters / 2) as u32;
-        let zones = holders.zones_borne(voters);
-        let note = |field, wanted: u32, borne: u32, needed: String| {
-            (wanted > borne).then_some(Shortfall { field, wanted, borne, needed })
+        let zones = holders.tolerated_zones(voters);
+        let shortfall = |field, requested: u32, tolerated: u32, requirement: String| {
+            (requested > tolerated).then_some(Shortfall {
+                field,
+                requested,
+                tolerated,
+                requirement,
+            })
         };
         let machines_needed = 2 * u64::from(self.machines) + 1;
         let zones_needed = 2 * u64::from(self.zones) + 1;
-        let notes = [
-            note(
+        let shortfalls = [
+            shortfall(
                 "tolerance.machines",
                 self.machines,
                 machines,
                 format!(
-                    "{machines_needed} machines that hold groups are needed (at most {MOST_VOTERS} \
+                    "{machines_needed} machines that hold groups are needed (at most {MAX_VOTERS} \
                      are used by a group), {} are there",
                     holders.total()
                 ),
             ),
-            note(
+            shortfall(
                 "tolerance.zones",
                 self.zones,
                 zones,
@@ -128,14 +133,14 @@
                     holders.zones()
                 ),
             ),
-            note(
+            shortfall(
                 "tolerance.regions",
                 self.regions,
                 0,
                 "a group keeps its majority in one region".to_owned(),
             ),
         ];
-        notes.into_iter().flatten().collect()
+        shortfalls.into_iter().flatten().collect()
     }
 }
 
@@ -173,7 +178,7 @@
     }
 
     /// Zones that a group of so many voters can lose, spread as evenly as the machines allow.
-    fn zones_borne(&self, voters: usize) -> u32 {
+    fn tolerated_zones(&self, voters: usize) -> u32 {
         let mut used = self.spread(voters);
         used.sort_unstable_by(|a, b| b.cmp(a));
         let mut lost = 0;
--- a/crates/replication/tests/durable.rs
+++ b/crates/replication/tests/durable.rs
@@ -48,7 +48,7 @@
 
 impl Kept {
     fn take(&mut self, replica: &mut Replica) -> Vec<Output> {
-        match replica.take_durable() {
+        match replica.take_durable_change() {
             None => {}
             Some(DurableChange::Image(image)) => self.0 = Some(*image),
             Some(DurableChange::Update { update, .. }) => {
@@ -98,7 +98,7 @@
     assert_eq!(entries(&again), entries(&replica));
     assert_eq!((again.term(), again.role(), again.id()), (Term(6), Role::Follower, id(1)));
     assert_eq!(again.members(), replica.members());
-    assert_eq!(again.take_durable(), None, "nothing is new");
+    assert_eq!(again.take_durable_change(), None, "nothing is new");
     again.step(message(3, 6, GroupBody::Vote(vote)), at(5_001));
     assert!(!again.take_outputs().iter().any(is_granted), "it has voted in this term");
 }
@@ -109,7 +109,7 @@
     let mut replica = Replica::bootstrap(id(1), GROUP, members, GroupSettings::default(), 5, at(0));
     replica.campaign(at(1));
     replica.propose(b"one".to_vec(), at(2)).expect("it leads");
-    assert_eq!(replica.take_durable(), None);
+    assert_eq!(replica.take_durable_change(), None);
     replica.take_outputs();
     assert_eq!(replica.durable_image(Vec::new()), None);
 }
@@ -145,7 +145,7 @@
     let mut replica = Replica::join(id(1), GROUP, settings(), 5, at(0));
     replica.step(message(2, 4, append(4, 0, 0, &[b"one"])), at(10));
     kept.take(&mut replica);
-    replica.adopt_layout(vec![id(1), id(2)], at(20));
+    replica.set_initial_voters(vec![id(1), id(2)], at(20));
     kept.take(&mut replica);
     let again = kept.recover();
     assert_eq!(*again.members(), Members::of_voters([id(1), id(2)]));
@@ -155,7 +155,7 @@
     kept.take(&mut replica);
     let durable = kept.0.clone().expect("recorded");
     assert_eq!(durable.hard_state.term, Term(4));
-    assert_eq!(durable.hard_state.retired_last, (Term(4), LogIndex(1)));
+    assert_eq!(durable.hard_state.last_before_retirement, (Term(4), LogIndex(1)));
     assert_eq!(kept.recover().last_index(), LogIndex(0));
 }
 
@@ -203,7 +203,7 @@
 fn exchange(nodes: &mut [Replica; 2], now: u64) {
     for place in 0..nodes.len() {
         nodes[place].tick(at(now));
-        let _ = nodes[place].take_durable();
+        let _ = nodes[place].take_durable_change();
         let outputs = nodes[place].take_outputs();
         deliver(outputs, nodes, now);
     }
@@ -246,7 +246,7 @@
             for (_, message) in due.extract_if(.., |(_, message)| message.to == own) {
                 replica.step(message, at(now));
             }
-            replica.take_durable();
+            replica.take_durable_change();
             for output in replica.take_outputs() {
                 if let Output::Send(message) = output {
                     on_way.push((now + LATENCY, message));
@@ -320,7 +320,7 @@
     assert!(!sent(std::slice::from_mut(&mut replica)).is_empty(), "the first requests");
     let found = first + Duration::from_millis(5);
     if is_told {
-        replica.peer_found(id(2), found);
+        replica.peer_address_found(id(2), found);
     }
     replica.next_deadline().since(found).as_millis()
 }
@@ -340,6 +340,6 @@
     let mut replica = Replica::recover(id(1), kept_by_a_voter(), settings(), 1, at(0));
     replica.step(message(2, 4, append(4, 0, 0, &[])), at(1));
     let before = replica.next_deadline();
-    replica.peer_found(id(3), at(2));
+    replica.peer_address_found(id(3), at(2));
     assert_eq!(replica.next_deadline(), before);
 }
--- a/crates/replication/tests/group_basics.rs
+++ b/crates/replication/tests/group_basics.rs
@@ -84,7 +84,7 @@
     let others: Vec<DaemonId> = cluster.nodes.keys().copied().filter(|d| *d != leader).collect();
     let now = cluster.now;
     for daemon in others {
-        cluster.replica_mut(daemon).peer_lost(lost, now);
+        cluster.replica_mut(daemon).peer_disconnected(lost, now);
     }
     let within = GroupSettings::default().election_timeout();
     assert!(cluster.run_until_holds(within, |cluster| cluster.leader().is_some()));
--- a/crates/replication/tests/group_by_hand.rs
+++ b/crates/replication/tests/group_by_hand.rs
@@ -218,7 +218,7 @@
 
 #[test]
 fn counting_a_late_acknowledgement_would_give_an_empty_replica_a_vote() {
-    let faults = Faults { any_session: true, ..Faults::default() };
+    let faults = Faults { accept_any_session: true, ..Faults::default() };
     let promoted = promote_after_late_acknowledgement(faults);
     assert!(promoted.is_ok(), "{promoted:?}");
 }
--- a/crates/replication/tests/group_schedules.rs
+++ b/crates/replication/tests/group_schedules.rs
@@ -121,7 +121,7 @@
 #[test]
 fn a_restarted_replica_must_not_answer_as_its_former_self() {
     let expected = ["former self", "votes twice", "lacks", "votes but is no more"];
-    assert_missed(Faults { any_incarnation: true, ..Faults::default() }, &expected);
+    assert_missed(Faults { accept_any_incarnation: true, ..Faults::default() }, &expected);
 }
 
 #[test]
--- a/crates/replication/tests/homes.rs
+++ b/crates/replication/tests/homes.rs
@@ -2,10 +2,10 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use dahlia_replication::directory::{GroupDescription, initial_layout, layout_at_home};
+use dahlia_replication::directory::{GroupDescription, initial_layout, initial_layout_with_homes};
 use dahlia_replication::group::{GroupStatus, MemberChange, Members, PeerStatus, Role};
 use dahlia_replication::maintenance::{
-    BalancePace, ClusterView, DaemonView, Liveness, Maintenance, MaintenanceSettings,
+    BalanceRateLimit, ClusterView, DaemonView, Liveness, Maintenance, MaintenanceSettings,
     MaintenanceStep,
 };
 use dahlia_replication::membership::{MemberInfo, MemberState};
@@ -76,7 +76,7 @@
         Case { name: "nowhere", counts: [2, 2, 1], home_voters: [None; 3] },
     ] {
         let members = members(counts);
-        let layout = layout_at_home(&members, GROUPS, VOTERS, &homes());
+        let layout = initial_layout_with_homes(&members, GROUPS, VOTERS, &homes());
         assert_eq!(layout.len(), GROUPS as usize, "{name}");
         let mut leaders: BTreeMap<DaemonId, u32> = BTreeMap::new();
         for GroupDescription { group, members, leader, .. } in &layout {
@@ -99,7 +99,7 @@
 fn nothing_changes_where_there_are_no_two_regions() {
     for homes in [GroupHomes::default(), GroupHomes::new([Region::new("east")])] {
         let members = members([4, 4, 3]);
-        let layout = layout_at_home(&members, GROUPS, VOTERS, &homes);
+        let layout = initial_layout_with_homes(&members, GROUPS, VOTERS, &homes);
         assert_eq!(layout, initial_layout(&members, GROUPS, VOTERS));
     }
 }
@@ -170,8 +170,8 @@
     fn next(&self) -> Option<MaintenanceStep> {
         let homes = self.homes.clone();
         let settings = MaintenanceSettings { voters: VOTERS, homes, ..Default::default() };
-        let mut pace = BalancePace::new(&settings, Timestamp::ZERO);
-        Maintenance::new(settings).next(&self.status(), &self.view, &mut pace, NOW)
+        let mut pace = BalanceRateLimit::new(&settings, Timestamp::ZERO);
+        Maintenance::new(settings).next_step(&self.status(), &self.view, &mut pace, NOW)
     }
 
     /// Takes steps until there are none; how many there were.
@@ -290,14 +290,14 @@
         },
         Case {
             name: "all at home are suspected",
-            change: |world| world.set(&[100, 101, 102, 103], Liveness::Doubtful),
+            change: |world| world.set(&[100, 101, 102, 103], Liveness::NotReady),
             hands_over: false,
         },
         Case {
             name: "a voter is missing and none can take its place",
             change: |world| {
                 world.members.voters.remove(&id(DaemonId(103)));
-                world.set(&[103, 201, 202, 203, 300, 301, 302], Liveness::Doubtful);
+                world.set(&[103, 201, 202, 203, 300, 301, 302], Liveness::NotReady);
             },
             hands_over: false,
         },
--- a/crates/replication/tests/kept_documents.rs
+++ b/crates/replication/tests/kept_documents.rs
@@ -6,7 +6,7 @@
 
 mod support;
 
-use dahlia_replication::membership::{FIRST_KEPT_DOCUMENT, FactKey, MembershipSettings};
+use dahlia_replication::membership::{FIRST_HOLDER_DOCUMENT, FactKey, MembershipSettings};
 use dahlia_types::{DaemonId, Duration};
 use support::swarm::{Shape, Swarm};
 
@@ -16,7 +16,7 @@
 const PART_BYTES: usize = 44_000;
 
 fn part(number: u32) -> FactKey {
-    FactKey::Document(FIRST_KEPT_DOCUMENT + number)
+    FactKey::Document(FIRST_HOLDER_DOCUMENT + number)
 }
 
 /// Daemons of which each eighth holds groups, known to each other.
@@ -75,7 +75,7 @@
     swarm.kill(DaemonId(5));
     swarm.kill(DaemonId(1));
     swarm.start(DaemonId(5));
-    swarm.node_mut(5).membership.want_kept();
+    swarm.node_mut(5).membership.request_holder_documents();
     let has_all = |swarm: &Swarm| {
         let known = &swarm.node(5).membership;
         (0..PARTS).all(|number| known.fact(&part(number)).is_some())
--- a/crates/replication/tests/maintenance.rs
+++ b/crates/replication/tests/maintenance.rs
@@ -8,7 +8,7 @@
     GroupSettings, GroupStatus, MemberChange, Members, PeerStatus, Role,
 };
 use dahlia_replication::maintenance::{
-    BalancePace, ClusterView, DaemonView, Liveness, Maintenance, MaintenanceSettings,
+    BalanceRateLimit, ClusterView, DaemonView, Liveness, Maintenance, MaintenanceSettings,
     MaintenanceStep,
 };
 use dahlia_types::{
@@ -96,13 +96,13 @@
     }
 
     fn next(&self) -> Option<MaintenanceStep> {
-        let mut pace = BalancePace::new(&self.settings, Timestamp::ZERO);
+        let mut pace = BalanceRateLimit::new(&self.settings, Timestamp::ZERO);
         self.next_at(&mut pace, NOW)
     }
 
-    fn next_at(&self, pace: &mut BalancePace, now: Timestamp) -> Option<MaintenanceStep> {
+    fn next_at(&self, pace: &mut BalanceRateLimit, now: Timestamp) -> Option<MaintenanceStep> {
         let mut maintenance = Maintenance::new(self.settings.clone());
-        maintenance.next(&self.status, &self.view, pace, now)
+        maintenance.next_step(&self.status, &self.view, pace, now)
     }
 
     fn next_change(&self) -> Option<MemberChange> {
@@ -217,7 +217,7 @@
             silence: two_seconds,
             hinder: |situation| {
                 situation.daemon(7).replicas = 0;
-                situation.daemon(7).liveness = Liveness::Doubtful;
+                situation.daemon(7).liveness = Liveness::NotReady;
             },
             is_replaced: false,
         },
@@ -346,7 +346,7 @@
 fn one_leadership_moves_at_a_time_over_all_groups_of_a_daemon() {
     let mut situation = Situation::new(&[1, 2, 3]);
     situation.daemon(1).leaderships = 6;
-    let mut pace = BalancePace::new(&situation.settings, Timestamp::ZERO);
+    let mut pace = BalanceRateLimit::new(&situation.settings, Timestamp::ZERO);
     let steps = [NOW, NOW, NOW + Duration::from_millis(900), NOW + Duration::from_secs(1)]
         .map(|now| situation.next_at(&mut pace, now).is_some());
     assert_eq!(steps, [true, false, false, true]);
@@ -361,7 +361,7 @@
     let cases = [
         Case {
             name: "suspected by membership",
-            hinder: |situation| situation.daemon(2).liveness = Liveness::Doubtful,
+            hinder: |situation| situation.daemon(2).liveness = Liveness::NotReady,
         },
         Case {
             name: "silent for two seconds",
@@ -476,13 +476,13 @@
 fn a_raised_target_adds_voters_one_at_a_time() {
     let mut situation = Situation::new(&[1, 2, 3]);
     let mut maintenance = Maintenance::new(situation.settings.clone());
-    let mut pace = BalancePace::new(&situation.settings, Timestamp::ZERO);
+    let mut pace = BalanceRateLimit::new(&situation.settings, Timestamp::ZERO);
     maintenance.set_voters(5);
-    let step = maintenance.next(&situation.status, &situation.view, &mut pace, NOW);
+    let step = maintenance.next_step(&situation.status, &situation.view, &mut pace, NOW);
     let Some(MaintenanceStep::Change(MemberChange::AddLearner(learner))) = step else {
         panic!("{step:?}")
     };
     situation.learner(learner.daemon.0, true);
-    let step = maintenance.next(&situation.status, &situation.view, &mut pace, NOW);
+    let step = maintenance.next_step(&situation.status, &situation.view, &mut pace, NOW);
     assert_eq!(step, Some(MaintenanceStep::Change(MemberChange::Promote(learner))));
 }
--- a/crates/replication/tests/malformed.rs
+++ b/crates/replication/tests/malformed.rs
@@ -83,7 +83,7 @@
         match output {
             Output::Send(message) => messages.push(message),
             Output::SnapshotWanted => {
-                replica.compact(replica.applied(), vec![0; 50]);
+                replica.provide_snapshot(replica.applied(), vec![0; 50]);
             }
             _ => {}
         }
--- a/crates/replication/tests/support/cluster.rs
+++ b/crates/replication/tests/support/cluster.rs
@@ -246,7 +246,7 @@
                 Output::SnapshotWanted => {
                     let data = bincode::serde::encode_to_vec(&node.machine, CONFIG);
                     let index = node.replica.applied();
-                    node.replica.compact(index, data.expect("encodes"));
+                    node.replica.provide_snapshot(index, data.expect("encodes"));
                 }
                 Output::MembersChanged { .. } => self.counts.member_changes += 1,
                 Output::Removed { .. } => {
--- a/crates/replication/tests/support/nemesis.rs
+++ b/crates/replication/tests/support/nemesis.rs
@@ -4,7 +4,7 @@
 
 use dahlia_replication::group::{GroupSettings, Members, Proposal, Role};
 use dahlia_replication::maintenance::{
-    BalancePace, ClusterView, DaemonView, Liveness, Maintenance, MaintenanceSettings,
+    BalanceRateLimit, ClusterView, DaemonView, Liveness, Maintenance, MaintenanceSettings,
     MaintenanceStep,
 };
 use dahlia_types::{DaemonId, Duration, LogIndex, Region, ReplicaId, Timestamp, Zone};
@@ -255,10 +255,12 @@
                 silent_grace_ms: 4_000,
                 ..MaintenanceSettings::default()
             };
-            let mut pace = BalancePace::new(&settings, now);
+            let mut pace = BalanceRateLimit::new(&settings, now);
             let maintenance =
                 self.maintenance.entry(daemon).or_insert_with(|| Maintenance::new(settings));
-            let Some(step) = maintenance.next(&status, &view, &mut pace, now) else { continue };
+            let Some(step) = maintenance.next_step(&status, &view, &mut pace, now) else {
+                continue;
+            };
             let replica = self.cluster.replica_mut(daemon);
             // A refusal is part of the schedule: the step is asked for again.
             let _refusal = match step {
--- a/crates/replication/tests/support/swarm.rs
+++ b/crates/replication/tests/support/swarm.rs
@@ -134,7 +134,7 @@
         let seeds = (1..=3).map(|seed| address(DaemonId(seed))).collect();
         let mut membership =
             Membership::new(own, seeds, self.settings.clone(), self.lives, self.now);
-        membership.begin_life(life);
+        membership.set_start_count(life);
         let node = Node {
             membership,
             is_running: true,
@@ -151,7 +151,7 @@
     /// Gives a daemon the addresses of all, as an earlier life of it may have kept them.
     pub fn recall_all(&mut self, daemon: DaemonId) {
         let all: Vec<SocketAddr> = self.nodes.keys().map(|daemon| address(*daemon)).collect();
-        self.node_mut(daemon.0).membership.recall(all);
+        self.node_mut(daemon.0).membership.contact_previous_peers(all);
     }
 
     pub fn kill(&mut self, daemon: DaemonId) {
--- a/crates/replication/tests/tolerance.rs
+++ b/crates/replication/tests/tolerance.rs
@@ -1,6 +1,6 @@
 //! Voters that follow from the losses that a deployment declares.
 
-use dahlia_replication::tolerance::{HolderCounts, LossTolerance, MOST_VOTERS, Shortfall};
+use dahlia_replication::tolerance::{HolderCounts, LossTolerance, MAX_VOTERS, Shortfall};
 use dahlia_types::Zone;
 
 /// So many machines in each zone.
@@ -32,7 +32,7 @@
     assert_eq!(target.voters, 3, "a fourth vote would bear no further loss");
     insta::assert_snapshot!(notes(&target.shortfalls).join("\n"), @"tolerance.machines = 2 cannot be borne, 1 can: 5 machines that hold groups are needed (at most 9 are used by a group), 4 are there");
     assert_eq!(tolerance(2, 0, 0).target(&holders(&[])).voters, 1);
-    assert_eq!(tolerance(50, 0, 0).target(&holders(&[40, 40])).voters, MOST_VOTERS);
+    assert_eq!(tolerance(50, 0, 0).target(&holders(&[40, 40])).voters, MAX_VOTERS);
 }
 
 #[test]
