--- a/crates/node/src/attempts.rs
+++ b/crates/node/src/attempts.rs
@@ -4,8 +4,8 @@
     Action as Decision, AttemptFailed, AttemptFailure, Event as PlacementEvent, RefusalReason,
 };
 use dahlia_program::{
-    AbandonCall, AttemptOutcome, CallOutcome, Command, EngineLife, IntentRecorded, NotRunReason,
-    RecordIntent, RecordOutcome, Refusal,
+    AbandonCall, AttemptOutcome, CallOutcome, Command, CommandRefusal, EngineIncarnation,
+    NotRunReason, RecordIntent, RecordOutcome, TokenReservation,
 };
 use dahlia_types::{
     Attempt, AttemptId, CallId, Duration, EngineId, GroupId, Incarnation, Message, ProgramId, Role,
@@ -68,7 +68,7 @@
         let prompt_bound = prompt.iter().fold(Tokens::ZERO, bound);
         let command =
             RecordIntent { attempt, engine: engine.clone(), incarnation, prompt_bound, at: now };
-        let holder = EngineLife { engine, incarnation };
+        let holder = EngineIncarnation { engine, incarnation };
         let intent = IntentPurpose { attempt, holder, prompt_bound, priority };
         if self.settings.faults.send_before_intent {
             self.send_early(&intent, now);
@@ -90,7 +90,7 @@
     pub(crate) fn intent_recorded(
         &mut self,
         id: GroupId,
-        terms: IntentRecorded,
+        terms: TokenReservation,
         purpose: Option<Purpose>,
         now: Timestamp,
     ) {
@@ -182,20 +182,20 @@
         &mut self,
         id: GroupId,
         intent: &IntentPurpose,
-        refusal: &Refusal,
+        refusal: &CommandRefusal,
         now: Timestamp,
     ) {
         let call = intent.attempt.call;
         match refusal {
-            Refusal::BudgetExhausted { .. } | Refusal::TooMany { .. } => {
+            CommandRefusal::BudgetExhausted { .. } | CommandRefusal::LimitReached { .. } => {
                 let reason = match refusal {
-                    Refusal::BudgetExhausted { .. } => NotRunReason::BudgetExhausted,
+                    CommandRefusal::BudgetExhausted { .. } => NotRunReason::BudgetExhausted,
                     _ => NotRunReason::LimitReached,
                 };
                 self.abandon(call, reason, None, now);
                 self.schedule(PlacementEvent::AttemptWithdrawn(intent.attempt), now);
             }
-            Refusal::StaleIncarnation { .. } => {
+            CommandRefusal::StaleIncarnation { .. } => {
                 let failure = AttemptFailure::Refused;
                 let failed = AttemptFailed { attempt: intent.attempt, failure, retryable: true };
                 self.schedule(PlacementEvent::Failed(failed), now);
--- a/crates/node/src/event.rs
+++ b/crates/node/src/event.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use dahlia_configuration::{EngineState, FencedOrder, Proposal, Record, Verdict};
-use dahlia_program::{EngineLife, ReleaseRequest};
+use dahlia_program::{EngineIncarnation, ReleaseRequest};
 use dahlia_replication::group::DurableChange;
 use dahlia_replication::tolerance::LossTolerance;
 use dahlia_types::{
@@ -85,7 +85,7 @@
         /// The program.
         program: ProgramId,
         /// The engine's life that was asked.
-        holder: EngineLife,
+        holder: EngineIncarnation,
         /// The last intent that the request covered.
         covers: LogIndex,
         /// How.
--- a/crates/node/src/group.rs
+++ b/crates/node/src/group.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use dahlia_ledger::LedgerCommand;
-use dahlia_program::{Command, EngineLife, ExpirePrograms, GroupState, Lifecycle};
+use dahlia_program::{Command, EngineIncarnation, ExpirePrograms, GroupState, Lifecycle};
 use dahlia_replication::group::{Proposal, ProposeError, Replica, Role};
 use dahlia_replication::maintenance::Maintenance;
 use dahlia_types::{
@@ -34,7 +34,7 @@
     /// The attempt.
     pub(crate) attempt: AttemptId,
     /// The engine's life.
-    pub(crate) holder: EngineLife,
+    pub(crate) holder: EngineIncarnation,
     /// Upper bound of the prompt.
     pub(crate) prompt_bound: Tokens,
     /// The engine's queue priority.
@@ -76,7 +76,7 @@
     /// Requests that wait for a call's outcome.
     pub(crate) waiters: BTreeMap<CallId, BTreeSet<ReplyTo>>,
     /// Releases that are due or under way.
-    pub(crate) releases: BTreeMap<(ProgramId, EngineLife), PendingRelease>,
+    pub(crate) releases: BTreeMap<(ProgramId, EngineIncarnation), PendingRelease>,
     /// The term in which this node took up its duties as owner, if it has.
     pub(crate) serving: Option<Term>,
     /// When expired programs are next looked for.
--- a/crates/node/src/history/reading.rs
+++ b/crates/node/src/history/reading.rs
@@ -194,7 +194,7 @@
         let program: &Program =
             self.groups.get(&call.program.group)?.state.program(call.program)?;
         match program.outcome(call)? {
-            RecordedOutcome::Held(outcome) => Some(outcome),
+            RecordedOutcome::Inline(outcome) => Some(outcome),
             RecordedOutcome::Stored(stored) => {
                 let key = ChunkKey { program: call.program, digest: stored.chunk.digest };
                 let answer = self.history.cache.get(&key)?.last()?.clone();
--- a/crates/node/src/outputs.rs
+++ b/crates/node/src/outputs.rs
@@ -1,7 +1,7 @@
 //! What the replicas of groups ask for: messages, committed entries, snapshots, ownership.
 
 use dahlia_ledger::{LedgerCommand, LedgerReply};
-use dahlia_program::{Applied, Command, GroupState};
+use dahlia_program::{Command, CommandEffect, GroupState};
 use dahlia_replication::group::{Entry, GroupMessage, Output, Role, Snapshot};
 use dahlia_types::{Duration, GroupId, LogIndex, ReplicaId, Term, Timestamp};
 
@@ -94,7 +94,7 @@
             return;
         };
         let result = group.state.apply(entry.index, entry.term, &command);
-        if let (Command::Ledger(ledger), Ok(Applied::Ledger(reply)), true) =
+        if let (Command::Ledger(ledger), Ok(CommandEffect::Ledger(reply)), true) =
             (&command, &result, group.is_serving())
         {
             note_ledger(id, entry, ledger, reply);
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -1,7 +1,9 @@
 //! What the owner of a group does when a command was applied.
 
 use dahlia_placement::{CallReady, Event as PlacementEvent, HistorySegment};
-use dahlia_program::{Applied, Begun, CallOutcome, Command, Program, RecordedOutcome, Refusal};
+use dahlia_program::{
+    BeginOutcome, CallOutcome, Command, CommandEffect, CommandRefusal, Program, RecordedOutcome,
+};
 use dahlia_types::{CallId, ChainId, Duration, GroupId, Message, ProgramId, Timestamp, Tokens};
 
 use crate::Action;
@@ -23,32 +25,34 @@
         &mut self,
         id: GroupId,
         command: &Command,
-        result: Result<Applied, Refusal>,
+        result: Result<CommandEffect, CommandRefusal>,
         purpose: Option<Purpose>,
         now: Timestamp,
     ) {
         match result {
             Err(refusal) => self.refused(id, command, &refusal, purpose, now),
-            Ok(Applied::Begun(begun)) => self.begun(begun, purpose, now),
-            Ok(Applied::IntentRecorded(terms)) => self.intent_recorded(id, terms, purpose, now),
-            Ok(Applied::CallEnded { call, outcome, next }) => {
+            Ok(CommandEffect::Begun(begun)) => self.begun(begun, purpose, now),
+            Ok(CommandEffect::IntentRecorded(terms)) => {
+                self.intent_recorded(id, terms, purpose, now)
+            }
+            Ok(CommandEffect::CallEnded { call, outcome, next }) => {
                 self.attempt_settled(command, now);
                 self.call_ended(call, &outcome, now);
                 if let Some(next) = next {
                     self.call_ready(next, now);
                 }
             }
-            Ok(Applied::Retryable(call)) => self.attempt_failed(call, command, now),
-            Ok(Applied::Created(program) | Applied::Closed { program, .. })
+            Ok(CommandEffect::Retryable(call)) => self.attempt_failed(call, command, now),
+            Ok(CommandEffect::Created(program) | CommandEffect::Closed { program, .. })
                 if !matches!(command, Command::CloseProgram(_)) =>
             {
                 self.answer_with_program(id, program, purpose);
             }
-            Ok(Applied::Closed { program, ended }) => {
+            Ok(CommandEffect::Closed { program, ended }) => {
                 self.answer_with_program(id, program, purpose);
                 self.program_ended(id, program, &ended, now);
             }
-            Ok(Applied::Expired { closed, forgotten }) => {
+            Ok(CommandEffect::Expired { closed, forgotten }) => {
                 for program in forgotten {
                     self.forget_chunks(program);
                 }
@@ -56,40 +60,40 @@
                     self.program_ended(id, program, &[], now);
                 }
             }
-            Ok(Applied::BudgetRaised(_)) => {
+            Ok(CommandEffect::BudgetRaised(_)) => {
                 if let Command::RaiseBudget(raise) = command {
                     self.answer_with_program(id, raise.program, purpose);
                 }
             }
-            Ok(Applied::Ledger(reply)) => {
+            Ok(CommandEffect::Ledger(reply)) => {
                 if let Some(Purpose::Request(to)) = purpose {
                     self.reply(to, Response::Ledger(reply));
                 }
             }
-            Ok(Applied::ReleaseConfirmed) => self.release_confirmed(command, now),
+            Ok(CommandEffect::ReleaseConfirmed) => self.release_confirmed(command, now),
             Ok(_) => {}
         }
     }
 
-    fn begun(&mut self, begun: Begun, purpose: Option<Purpose>, now: Timestamp) {
+    fn begun(&mut self, begun: BeginOutcome, purpose: Option<Purpose>, now: Timestamp) {
         let response = match &begun {
-            Begun::Ready(call) | Begun::Waiting(call) | Begun::Joined(call) => {
-                Response::Begun { call: *call }
-            }
-            Begun::Replayed(call, outcome) => {
+            BeginOutcome::Ready(call)
+            | BeginOutcome::Waiting(call)
+            | BeginOutcome::Joined(call) => Response::Begun { call: *call },
+            BeginOutcome::Replayed(call, outcome) => {
                 let attempt = self.last_attempt(*call);
                 Response::Ended { call: *call, attempt, outcome: outcome.clone() }
             }
             // Its text is read back when the asker waits for the outcome.
-            Begun::ReplayedFromStore(call, _) => Response::Begun { call: *call },
+            BeginOutcome::ReplayedFromStore(call, _) => Response::Begun { call: *call },
         };
         if let Some(Purpose::Request(to)) = purpose {
             self.reply(to, response);
         }
         let jumps = self.settings.faults.dispatch_waiting;
         match begun {
-            Begun::Ready(call) => self.call_ready(call, now),
-            Begun::Waiting(call) if jumps => self.call_ready(call, now),
+            BeginOutcome::Ready(call) => self.call_ready(call, now),
+            BeginOutcome::Waiting(call) if jumps => self.call_ready(call, now),
             _ => {}
         }
     }
@@ -153,7 +157,7 @@
         for call in ended {
             let outcome = self.groups.get(&id).and_then(|group| {
                 match group.state.program(program)?.outcome(*call)? {
-                    RecordedOutcome::Held(outcome) => Some(outcome),
+                    RecordedOutcome::Inline(outcome) => Some(outcome),
                     RecordedOutcome::Stored(_) => None,
                 }
             });
@@ -170,7 +174,7 @@
         &mut self,
         id: GroupId,
         command: &Command,
-        refusal: &Refusal,
+        refusal: &CommandRefusal,
         purpose: Option<Purpose>,
         now: Timestamp,
     ) {
--- a/crates/node/src/recovery.rs
+++ b/crates/node/src/recovery.rs
@@ -80,7 +80,7 @@
         }
         let intent = IntentPurpose {
             attempt,
-            holder: dahlia_program::EngineLife {
+            holder: dahlia_program::EngineIncarnation {
                 engine: open.engine.clone(),
                 incarnation: open.incarnation,
             },
--- a/crates/node/src/release.rs
+++ b/crates/node/src/release.rs
@@ -2,7 +2,7 @@
 //! life of the engine.
 
 use dahlia_placement::Event as PlacementEvent;
-use dahlia_program::{Command, ConfirmRelease, EngineLife};
+use dahlia_program::{Command, ConfirmRelease, EngineIncarnation};
 use dahlia_types::{
     Bytes, Duration, EngineId, GroupId, Incarnation, LogIndex, ProgramId, Timestamp,
 };
@@ -98,14 +98,14 @@
     pub(crate) fn release_ended(
         &mut self,
         program: ProgramId,
-        holder: &EngineLife,
+        holder: &EngineIncarnation,
         covers: LogIndex,
         end: ReleaseEnd,
         now: Timestamp,
     ) {
         match end {
             ReleaseEnd::Confirmed { incarnation, freed } => {
-                let life = EngineLife { engine: holder.engine.clone(), incarnation };
+                let life = EngineIncarnation { engine: holder.engine.clone(), incarnation };
                 self.confirm_release(program, life, covers, freed, now);
             }
             ReleaseEnd::Failed => {
@@ -124,7 +124,7 @@
     fn confirm_release(
         &mut self,
         program: ProgramId,
-        life: EngineLife,
+        life: EngineIncarnation,
         covers: LogIndex,
         freed: Bytes,
         now: Timestamp,
@@ -166,8 +166,10 @@
         let Command::ConfirmRelease(confirmed) = command else {
             return;
         };
-        let holder =
-            EngineLife { engine: confirmed.engine.clone(), incarnation: confirmed.incarnation };
+        let holder = EngineIncarnation {
+            engine: confirmed.engine.clone(),
+            incarnation: confirmed.incarnation,
+        };
         if let Some(group) = self.groups.get_mut(&confirmed.program.group) {
             let open = group.state.program(confirmed.program).is_some_and(|found| found.is_open());
             if open {
@@ -195,7 +197,7 @@
             }
         }
         for program in gone {
-            let life = EngineLife { engine: engine.clone(), incarnation };
+            let life = EngineIncarnation { engine: engine.clone(), incarnation };
             self.confirm_release(program, life, LogIndex(0), Bytes::ZERO, now);
         }
     }
--- a/crates/node/src/request.rs
+++ b/crates/node/src/request.rs
@@ -6,7 +6,7 @@
 use dahlia_api::{ApiError, CallRequest, ErrorKind};
 use dahlia_ledger::{LedgerCommand, LedgerReply};
 use dahlia_limits::{LimitCommand, LimitReply};
-use dahlia_program::{CallOutcome, NotRunReason, ProgramSpecification, Refusal};
+use dahlia_program::{CallOutcome, CommandRefusal, NotRunReason, ProgramSpecification};
 use dahlia_types::{
     AttemptId, Bytes, CallId, DaemonId, EngineId, GroupId, Incarnation, ProgramId, TenantId, Term,
     Tokens, Usage,
@@ -332,15 +332,23 @@
 }
 
 /// Makes the error that an asker sees when a command was refused.
-pub fn refusal_error(refusal: &Refusal) -> ApiError {
+pub fn refusal_error(refusal: &CommandRefusal) -> ApiError {
     let kind = match refusal {
-        Refusal::NoSuchProgram { .. } | Refusal::WrongGroup { .. } => ErrorKind::NotFound,
-        Refusal::ProgramExists { .. } | Refusal::DigestMismatch { .. } => ErrorKind::KeyReused,
-        Refusal::ProgramClosed { .. } => ErrorKind::ProgramClosed,
-        Refusal::OutOfOrder { .. } | Refusal::NotReady { .. } => ErrorKind::OutOfOrder,
-        Refusal::BudgetExhausted { .. } => ErrorKind::BudgetExhausted,
-        Refusal::TooMany { .. } => ErrorKind::LimitReached,
-        Refusal::NoSuchChain { .. } | Refusal::BudgetLowered { .. } => ErrorKind::InvalidRequest,
+        CommandRefusal::NoSuchProgram { .. } | CommandRefusal::WrongGroup { .. } => {
+            ErrorKind::NotFound
+        }
+        CommandRefusal::ProgramExists { .. } | CommandRefusal::DigestMismatch { .. } => {
+            ErrorKind::KeyReused
+        }
+        CommandRefusal::ProgramClosed { .. } => ErrorKind::ProgramClosed,
+        CommandRefusal::OutOfOrder { .. } | CommandRefusal::NotReady { .. } => {
+            ErrorKind::OutOfOrder
+        }
+        CommandRefusal::BudgetExhausted { .. } => ErrorKind::BudgetExhausted,
+        CommandRefusal::LimitReached { .. } => ErrorKind::LimitReached,
+        CommandRefusal::NoSuchChain { .. } | CommandRefusal::BudgetLowered { .. } => {
+            ErrorKind::InvalidRequest
+        }
         _ => ErrorKind::Internal,
     };
     ApiError::new(kind, refusal.to_string())
--- a/crates/node/src/requests.rs
+++ b/crates/node/src/requests.rs
@@ -245,7 +245,7 @@
             return;
         }
         match program.and_then(|program| program.outcome(call)) {
-            Some(RecordedOutcome::Held(outcome)) => {
+            Some(RecordedOutcome::Inline(outcome)) => {
                 let attempt = self.last_attempt(call);
                 self.reply(to, Response::Ended { call, attempt, outcome });
             }
--- a/crates/program/src/attempt.rs
+++ b/crates/program/src/attempt.rs
@@ -4,15 +4,15 @@
 
 use crate::program::CallEnd;
 use crate::refusal::{
-    AttemptOpenSnafu, BudgetExhaustedSnafu, MayHaveRunSnafu, NotAbandonedSoSnafu, NotReadySnafu,
-    StaleIncarnationSnafu, TooManySnafu,
+    AttemptOpenSnafu, BudgetExhaustedSnafu, InvalidAbandonOutcomeSnafu, LimitReachedSnafu,
+    MayHaveRunSnafu, NotReadySnafu, StaleIncarnationSnafu,
 };
 use crate::state::{check_open, stale};
 use crate::switches::Switches;
 use crate::{
-    AbandonCall, Applied, AttemptOutcome, CallOutcome, EngineLife, GroupState, IntentRecorded,
-    Mechanism, NotRunReason, Obligation, OpenAttempt, Program, ProgramLimits, RecordIntent,
-    RecordOutcome, Refusal, UnknownAttempt,
+    AbandonCall, AttemptOutcome, CallOutcome, CommandEffect, CommandRefusal, EngineIncarnation,
+    GroupState, Mechanism, NotRunReason, OpenAttempt, Program, ProgramLimits, RecordIntent,
+    RecordOutcome, ReleaseObligation, TokenReservation, UnknownAttempt,
 };
 
 impl GroupState {
@@ -21,7 +21,7 @@
         index: LogIndex,
         term: Term,
         command: &RecordIntent,
-    ) -> Result<Applied, Refusal> {
+    ) -> Result<CommandEffect, CommandRefusal> {
         let limits = self.limits;
         let switches = self.switches.clone();
         let program = self.existing(command.attempt.call.program)?;
@@ -51,10 +51,13 @@
             generated_cap: terms.generated_cap,
             at: command.at,
         }));
-        Ok(Applied::IntentRecorded(terms))
+        Ok(CommandEffect::IntentRecorded(terms))
     }
 
-    pub(crate) fn record_outcome(&mut self, command: &RecordOutcome) -> Result<Applied, Refusal> {
+    pub(crate) fn record_outcome(
+        &mut self,
+        command: &RecordOutcome,
+    ) -> Result<CommandEffect, CommandRefusal> {
         let switches = self.switches.clone();
         let id = command.attempt;
         let program = self.existing(id.call.program)?;
@@ -71,7 +74,10 @@
         Ok(finish_attempt(program, command, open, &switches))
     }
 
-    pub(crate) fn abandon_call(&mut self, command: &AbandonCall) -> Result<Applied, Refusal> {
+    pub(crate) fn abandon_call(
+        &mut self,
+        command: &AbandonCall,
+    ) -> Result<CommandEffect, CommandRefusal> {
         let rule = self.switches.is_on(Mechanism::NotRunRule);
         let id = command.call;
         let program = self.existing(id.program)?;
@@ -85,7 +91,7 @@
             }
             (CallOutcome::NotRun { .. }, true) => return MayHaveRunSnafu { call: id }.fail(),
             (CallOutcome::Unknown, true) => CallEnd::Unknown,
-            _ => return NotAbandonedSoSnafu { call: id }.fail(),
+            _ => return InvalidAbandonOutcomeSnafu { call: id }.fail(),
         };
         program.touch(command.at);
         Ok(end_with(program, id, end))
@@ -93,7 +99,7 @@
 }
 
 /// Ends `call` and reports its recorded outcome.
-fn end_with(program: &mut Program, call: CallId, end: CallEnd) -> Applied {
+fn end_with(program: &mut Program, call: CallId, end: CallEnd) -> CommandEffect {
     let outcome = match &end {
         CallEnd::Answered { answer, usage } => {
             CallOutcome::Answered { answer: answer.clone(), usage: *usage }
@@ -104,12 +110,16 @@
         CallEnd::Unknown => CallOutcome::Unknown,
     };
     let next = program.end_call(call, end);
-    Applied::CallEnded { call, outcome, next }
+    CommandEffect::CallEnded { call, outcome, next }
 }
 
 /// Refuses an intent that would break the order, run beside another attempt, or run a call again
 /// that may run at most once.
-fn check_order(program: &Program, switches: &Switches, id: AttemptId) -> Result<(), Refusal> {
+fn check_order(
+    program: &Program,
+    switches: &Switches,
+    id: AttemptId,
+) -> Result<(), CommandRefusal> {
     let call = program.call(id.call).ok_or_else(|| stale(id.call))?;
     let follows = call.attempts.checked_add(1) == Some(id.attempt);
     if !call.is_open() || call.open_attempt().is_some() || !follows {
@@ -130,7 +140,7 @@
 }
 
 /// Refuses an intent at a life of an engine that is known to be over.
-fn check_incarnation(program: &Program, command: &RecordIntent) -> Result<(), Refusal> {
+fn check_incarnation(program: &Program, command: &RecordIntent) -> Result<(), CommandRefusal> {
     let lives = program.obligations.keys().filter(|life| life.engine == command.engine);
     let newest = lives.map(|life| life.incarnation).max();
     match newest {
@@ -146,11 +156,11 @@
     program: &Program,
     limits: &ProgramLimits,
     command: &RecordIntent,
-) -> Result<IntentRecorded, Refusal> {
+) -> Result<TokenReservation, CommandRefusal> {
     let call = program.call(command.attempt.call).ok_or_else(|| stale(command.attempt.call))?;
     if command.prompt_bound > limits.history_tokens {
         let limit = limits.history_tokens.0;
-        return TooManySnafu { program: program.id, what: "history tokens", limit }.fail();
+        return LimitReachedSnafu { program: program.id, what: "history tokens", limit }.fail();
     }
     let wish = match call.kind() {
         CallKind::Generate => call.max_generated.max(Tokens(1)),
@@ -163,7 +173,7 @@
     }
     let generated_cap = wish.min(left.saturating_sub(command.prompt_bound));
     let reserved = command.prompt_bound.saturating_add(generated_cap);
-    Ok(IntentRecorded { reserved, generated_cap })
+    Ok(TokenReservation { reserved, generated_cap })
 }
 
 /// A tool service holds no cache, so only a model engine owes a release.
@@ -172,8 +182,9 @@
     if kind != Some(CallKind::Generate) {
         return;
     }
-    let life = EngineLife { engine: command.engine.clone(), incarnation: command.incarnation };
-    program.obligations.insert(life, Obligation { last_intent: index });
+    let life =
+        EngineIncarnation { engine: command.engine.clone(), incarnation: command.incarnation };
+    program.obligations.insert(life, ReleaseObligation { last_intent: index });
 }
 
 /// Ends the open attempt: settles its reservation and ends its call or leaves it to be retried.
@@ -182,7 +193,7 @@
     command: &RecordOutcome,
     open: OpenAttempt,
     switches: &Switches,
-) -> Applied {
+) -> CommandEffect {
     let call = command.attempt.call;
     match &command.outcome {
         AttemptOutcome::Ran { answer, usage } => {
@@ -218,7 +229,7 @@
 }
 
 /// Ends a call that was not answered if it may not be tried again.
-fn end_or_retry(program: &mut Program, call: CallId, switches: &Switches) -> Applied {
+fn end_or_retry(program: &mut Program, call: CallId, switches: &Switches) -> CommandEffect {
     if !program.is_open() {
         let end = unanswered_end(program, call, switches);
         return end_with(program, call, end);
@@ -228,7 +239,7 @@
     if once && switches.is_on(Mechanism::AtMostOnce) && program.may_have_run(call) {
         return end_with(program, call, CallEnd::Unknown);
     }
-    Applied::Retryable(call)
+    CommandEffect::Retryable(call)
 }
 
 /// How a call without an answer ends with its program: not run only when no attempt can have run.
@@ -245,7 +256,7 @@
     program: &mut Program,
     command: &RecordOutcome,
     switches: &Switches,
-) -> Result<Applied, Refusal> {
+) -> Result<CommandEffect, CommandRefusal> {
     let id = command.attempt;
     if command.outcome == AttemptOutcome::Unknown {
         return Err(stale(id.call));
@@ -262,5 +273,5 @@
         }
         AttemptOutcome::NotRun | AttemptOutcome::Unknown => program.budget.free(held.reserved),
     }
-    Ok(Applied::Settled(id))
+    Ok(CommandEffect::Settled(id))
 }
--- a/crates/program/src/begin.rs
+++ b/crates/program/src/begin.rs
@@ -5,18 +5,21 @@
 use crate::chain::push_within;
 use crate::history::content_bytes;
 use crate::key::KeyHash;
-use crate::refusal::{DigestMismatchSnafu, NoSuchChainSnafu, OutOfOrderSnafu, TooManySnafu};
+use crate::refusal::{DigestMismatchSnafu, LimitReachedSnafu, NoSuchChainSnafu, OutOfOrderSnafu};
 use crate::state::{check_limit, check_open};
 use crate::{
-    Applied, BeginCall, Begun, BranchPoint, Call, CallState, Chain, EndedCall, GroupState,
-    Mechanism, OpenCall, Program, ProgramLimits, RecordedOutcome, Refusal,
+    BeginCall, BeginOutcome, BranchPoint, Call, CallState, Chain, CommandEffect, CommandRefusal,
+    EndedCall, GroupState, Mechanism, OpenCall, Program, ProgramLimits, RecordedOutcome,
 };
 
 /// The chain that a program starts with.
 const MAIN_CHAIN: ChainId = ChainId(0);
 
 impl GroupState {
-    pub(crate) fn begin_call(&mut self, command: &BeginCall) -> Result<Applied, Refusal> {
+    pub(crate) fn begin_call(
+        &mut self,
+        command: &BeginCall,
+    ) -> Result<CommandEffect, CommandRefusal> {
         let limits = self.limits;
         let digest_check = self.switches.is_on(Mechanism::DigestCheck);
         let program = self.existing(command.program)?;
@@ -25,18 +28,18 @@
         if let Some(earlier) = earlier_call(program, command, digest_check)? {
             bind_key(program, command, earlier);
             if !may_begin_again(program, earlier) {
-                return Ok(Applied::Begun(join_or_replay(program, earlier)));
+                return Ok(CommandEffect::Begun(join_or_replay(program, earlier)));
             }
             check_limits(program, &limits, command)?;
             program.touch(command.at);
-            return Ok(Applied::Begun(begin_again(program, earlier, command)));
+            return Ok(CommandEffect::Begun(begin_again(program, earlier, command)));
         }
         check_open(program)?;
         check_limits(program, &limits, command)?;
         let branch = branch_point(program, &limits, command)?;
         let begun = append(program, command, branch)?;
         program.touch(command.at);
-        Ok(Applied::Begun(begun))
+        Ok(CommandEffect::Begun(begun))
     }
 }
 
@@ -45,7 +48,7 @@
     program: &Program,
     command: &BeginCall,
     digest_check: bool,
-) -> Result<Option<CallId>, Refusal> {
+) -> Result<Option<CallId>, CommandRefusal> {
     let of_key = command.key.as_ref().and_then(|key| program.call_of_key(key));
     let stated = command.number.map(|number| program.call_id(command.chain, number));
     let of_number = stated.filter(|call| program.call(*call).is_some());
@@ -86,7 +89,7 @@
     not_run && last && program.is_open()
 }
 
-fn begin_again(program: &mut Program, call: CallId, command: &BeginCall) -> Begun {
+fn begin_again(program: &mut Program, call: CallId, command: &BeginCall) -> BeginOutcome {
     let added = content_bytes(&command.messages);
     program.history_bytes = program.history_bytes.saturating_add(added);
     if let Some(found) = program.call_mut(call) {
@@ -95,14 +98,18 @@
     let chain = program.chains.get_mut(&call.chain).expect("the call was found in its chain");
     chain.head = chain.head.min(call.number - 1);
     chain.advance();
-    if chain.first_open() == Some(call.number) { Begun::Ready(call) } else { Begun::Waiting(call) }
+    if chain.first_open() == Some(call.number) {
+        BeginOutcome::Ready(call)
+    } else {
+        BeginOutcome::Waiting(call)
+    }
 }
 
-fn join_or_replay(program: &Program, call: CallId) -> Begun {
+fn join_or_replay(program: &Program, call: CallId) -> BeginOutcome {
     match program.outcome(call) {
-        None => Begun::Joined(call),
-        Some(RecordedOutcome::Held(outcome)) => Begun::Replayed(call, outcome),
-        Some(RecordedOutcome::Stored(answer)) => Begun::ReplayedFromStore(call, answer),
+        None => BeginOutcome::Joined(call),
+        Some(RecordedOutcome::Inline(outcome)) => BeginOutcome::Replayed(call, outcome),
+        Some(RecordedOutcome::Stored(answer)) => BeginOutcome::ReplayedFromStore(call, answer),
     }
 }
 
@@ -110,7 +117,7 @@
     program: &Program,
     limits: &ProgramLimits,
     command: &BeginCall,
-) -> Result<(), Refusal> {
+) -> Result<(), CommandRefusal> {
     let id = program.id;
     let calls = program.chains.values().map(|chain| chain.calls.len()).sum();
     let turns: usize = program.chains.values().map(|chain| chain.turns.len()).sum();
@@ -121,7 +128,7 @@
     let bytes = program.history_bytes.saturating_add(content_bytes(&command.messages));
     if bytes > limits.history_bytes {
         let limit = limits.history_bytes.0;
-        return TooManySnafu { program: id, what: "history bytes", limit }.fail();
+        return LimitReachedSnafu { program: id, what: "history bytes", limit }.fail();
     }
     Ok(())
 }
@@ -132,7 +139,7 @@
     program: &Program,
     limits: &ProgramLimits,
     command: &BeginCall,
-) -> Result<Option<BranchPoint>, Refusal> {
+) -> Result<Option<BranchPoint>, CommandRefusal> {
     if program.chains.contains_key(&command.chain) {
         return Ok(None);
     }
@@ -149,7 +156,7 @@
     program: &mut Program,
     command: &BeginCall,
     branch: Option<BranchPoint>,
-) -> Result<Begun, Refusal> {
+) -> Result<BeginOutcome, CommandRefusal> {
     let expected = program.chains.get(&command.chain).map_or(1, Chain::next_number);
     let number = command.number.unwrap_or(expected);
     let id = program.call_id(command.chain, number);
@@ -163,7 +170,7 @@
     let is_first = chain.first_open() == Some(number);
     let added = content_bytes(&command.messages);
     program.history_bytes = program.history_bytes.saturating_add(added);
-    Ok(if is_first { Begun::Ready(id) } else { Begun::Waiting(id) })
+    Ok(if is_first { BeginOutcome::Ready(id) } else { BeginOutcome::Waiting(id) })
 }
 
 fn new_call(command: &BeginCall) -> Call {
--- a/crates/program/src/closing.rs
+++ b/crates/program/src/closing.rs
@@ -6,24 +6,31 @@
 use crate::refusal::{NoObligationSnafu, ObligationRenewedSnafu, TurnMismatchSnafu};
 use crate::switches::Switches;
 use crate::{
-    Applied, ChunkReference, CloseProgram, CloseReason, ConfirmRelease, EngineLife, ExpirePrograms,
-    GroupState, Lifecycle, Mechanism, MoveTurnToStore, Program, ProgramLimits, Refusal, TurnText,
+    ChunkReference, CloseProgram, CloseReason, CommandEffect, CommandRefusal, ConfirmRelease,
+    EngineIncarnation, ExpirePrograms, GroupState, Lifecycle, Mechanism, MoveTurnToStore, Program,
+    ProgramLimits, TurnText,
 };
 
 impl GroupState {
-    pub(crate) fn close_program(&mut self, command: &CloseProgram) -> Result<Applied, Refusal> {
+    pub(crate) fn close_program(
+        &mut self,
+        command: &CloseProgram,
+    ) -> Result<CommandEffect, CommandRefusal> {
         let switches = self.switches.clone();
         let program = self.existing(command.program)?;
         let ended = close(program, command.reason, command.at, &switches);
-        Ok(Applied::Closed { program: command.program, ended })
+        Ok(CommandEffect::Closed { program: command.program, ended })
     }
 
-    pub(crate) fn confirm_release(&mut self, command: &ConfirmRelease) -> Result<Applied, Refusal> {
+    pub(crate) fn confirm_release(
+        &mut self,
+        command: &ConfirmRelease,
+    ) -> Result<CommandEffect, CommandRefusal> {
         let cover = self.switches.is_on(Mechanism::ReleaseCover);
         let id = command.program;
         let program = self.existing(id)?;
         let engine = &command.engine;
-        let life = EngineLife { engine: engine.clone(), incarnation: command.incarnation };
+        let life = EngineIncarnation { engine: engine.clone(), incarnation: command.incarnation };
         if let Some(obligation) = program.obligations.get(&life) {
             let last_intent = obligation.last_intent;
             let renewed = last_intent > command.covers || program.has_open_attempt_on(&life);
@@ -34,8 +41,9 @@
                 return ObligationRenewedSnafu { program: id, engine, last_intent }.fail();
             }
         }
-        let ended =
-            |held: &EngineLife| held.engine == *engine && held.incarnation <= life.incarnation;
+        let ended = |held: &EngineIncarnation| {
+            held.engine == *engine && held.incarnation <= life.incarnation
+        };
         let before = program.obligations.len();
         program.obligations.retain(|held, _| !ended(held));
         if program.obligations.len() == before {
@@ -46,18 +54,18 @@
                 attempt.fenced = true;
             }
         }
-        Ok(Applied::ReleaseConfirmed)
+        Ok(CommandEffect::ReleaseConfirmed)
     }
 
     /// Whether [`ExpirePrograms`] would change anything: an owner need not propose it otherwise.
-    pub fn has_expired(&self, command: &ExpirePrograms) -> bool {
+    pub fn has_programs_to_expire(&self, command: &ExpirePrograms) -> bool {
         let is_due = |program: &Program| {
             is_idle(program, command.now) || is_forgettable(program, &self.limits, command)
         };
         self.programs.values().any(is_due)
     }
 
-    pub(crate) fn expire_programs(&mut self, command: &ExpirePrograms) -> Applied {
+    pub(crate) fn expire_programs(&mut self, command: &ExpirePrograms) -> CommandEffect {
         let switches = self.switches.clone();
         let mut closed = Vec::new();
         for program in self.programs.values_mut().filter(|program| is_idle(program, command.now)) {
@@ -71,10 +79,13 @@
         for program in &forgotten {
             self.programs.remove(program);
         }
-        Applied::Expired { closed, forgotten }
+        CommandEffect::Expired { closed, forgotten }
     }
 
-    pub(crate) fn move_turn(&mut self, command: &MoveTurnToStore) -> Result<Applied, Refusal> {
+    pub(crate) fn move_turn(
+        &mut self,
+        command: &MoveTurnToStore,
+    ) -> Result<CommandEffect, CommandRefusal> {
         let program = self.existing(command.program)?;
         let mismatch = || {
             let (chain, turn) = (command.chain.0, command.turn);
@@ -94,7 +105,7 @@
         turn.text = TurnText::Stored(command.chunk);
         let after = turn.bytes();
         program.history_bytes = program.history_bytes.saturating_sub(before).saturating_add(after);
-        Ok(Applied::TurnMoved)
+        Ok(CommandEffect::TurnMoved)
     }
 }
 
--- a/crates/program/src/lib.rs
+++ b/crates/program/src/lib.rs
@@ -37,11 +37,12 @@
 };
 pub use limits::ProgramLimits;
 pub use outcome::{
-    Applied, Begun, CallOutcome, IntentRecorded, NotRunReason, RecordedOutcome, StoredAnswer,
+    BeginOutcome, CallOutcome, CommandEffect, NotRunReason, RecordedOutcome, StoredAnswer,
+    TokenReservation,
 };
-pub use program::{EngineLife, Lifecycle, Obligation, Program, ReleaseRequest};
+pub use program::{EngineIncarnation, Lifecycle, Program, ReleaseObligation, ReleaseRequest};
 pub use recovery::UnfinishedCall;
-pub use refusal::Refusal;
+pub use refusal::CommandRefusal;
 pub use snapshot::{SNAPSHOT_VERSION, SnapshotError};
 pub use state::GroupState;
 pub use switches::Mechanism;
--- a/crates/program/src/outcome.rs
+++ b/crates/program/src/outcome.rs
@@ -56,14 +56,14 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RecordedOutcome {
     /// The whole outcome.
-    Held(CallOutcome),
+    Inline(CallOutcome),
     /// Answered; the text is to be fetched from a store daemon.
     Stored(StoredAnswer),
 }
 
 /// Where a call stands after [`crate::BeginCall`].
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Begun {
+pub enum BeginOutcome {
     /// New, or begun again after it did not run, and first in its chain: may be dispatched.
     Ready(CallId),
     /// New, or begun again, behind another call of its chain that is not finished.
@@ -78,7 +78,7 @@
 
 /// The terms of a recorded intent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct IntentRecorded {
+pub struct TokenReservation {
     /// Tokens reserved: the prompt's bound and the cap.
     pub reserved: Tokens,
     /// Most tokens the attempt may generate: the caller's wish, capped by what is left.
@@ -87,13 +87,13 @@
 
 /// What an accepted command changed.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Applied {
+pub enum CommandEffect {
     /// The program exists.
     Created(ProgramId),
     /// The call has its place.
-    Begun(Begun),
+    Begun(BeginOutcome),
     /// The attempt may be dispatched.
-    IntentRecorded(IntentRecorded),
+    IntentRecorded(TokenReservation),
     /// The call ended; the next call of its chain that may run now, if any.
     CallEnded {
         /// The call that ended.
--- a/crates/program/src/program.rs
+++ b/crates/program/src/program.rs
@@ -32,7 +32,7 @@
 
 /// The duty to free what one life of an engine holds for a program.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Obligation {
+pub struct ReleaseObligation {
     /// The log index of the last intent on this life of the engine. A confirmation that does not
     /// cover it leaves the obligation.
     pub last_intent: LogIndex,
@@ -40,7 +40,7 @@
 
 /// The life of an engine that holds something.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct EngineLife {
+pub struct EngineIncarnation {
     /// The engine.
     pub engine: EngineId,
     /// Which life of it.
@@ -53,7 +53,7 @@
     /// The program to free.
     pub program: ProgramId,
     /// The engine's life that holds it.
-    pub holder: EngineLife,
+    pub holder: EngineIncarnation,
     /// Goes into [`crate::ConfirmRelease::covers`] when the engine confirms.
     pub covers: LogIndex,
     /// Attempts of unknown outcome that the engine has to refuse from now on, before it confirms.
@@ -67,7 +67,7 @@
     pub(crate) specification: ProgramSpecification,
     pub(crate) budget: Budget,
     pub(crate) chains: BTreeMap<ChainId, Chain>,
-    pub(crate) obligations: BTreeMap<EngineLife, Obligation>,
+    pub(crate) obligations: BTreeMap<EngineIncarnation, ReleaseObligation>,
     pub(crate) unknown: BTreeMap<AttemptId, UnknownAttempt>,
     pub(crate) lifecycle: Lifecycle,
     pub(crate) last_activity: Timestamp,
@@ -144,13 +144,13 @@
     }
 
     /// What engines hold, or may hold, for it.
-    pub fn obligations(&self) -> impl Iterator<Item = (&EngineLife, &Obligation)> {
+    pub fn obligations(&self) -> impl Iterator<Item = (&EngineIncarnation, &ReleaseObligation)> {
         self.obligations.iter()
     }
 
     /// What to ask of the engine's life `holder` to free the program there. None when it owes
     /// nothing, or while an attempt is open there: its end has to be known first.
-    pub fn release_request(&self, holder: &EngineLife) -> Option<ReleaseRequest> {
+    pub fn release_request(&self, holder: &EngineIncarnation) -> Option<ReleaseRequest> {
         let obligation = self.obligations.get(holder)?;
         if self.has_open_attempt_on(holder) {
             return None;
@@ -268,7 +268,7 @@
                 }
             }
         };
-        Some(RecordedOutcome::Held(outcome))
+        Some(RecordedOutcome::Inline(outcome))
     }
 
     /// Whether some attempt of `call` ran, or may have run, to something else than an answer.
@@ -287,7 +287,7 @@
         self.chains.get_mut(&call.chain)?.call_mut(call.number)
     }
 
-    pub(crate) fn has_open_attempt_on(&self, holder: &EngineLife) -> bool {
+    pub(crate) fn has_open_attempt_on(&self, holder: &EngineIncarnation) -> bool {
         self.open_attempts().any(|(_, attempt)| {
             attempt.engine == holder.engine && attempt.incarnation == holder.incarnation
         })
--- a/crates/program/src/refusal.rs
+++ b/crates/program/src/refusal.rs
@@ -7,7 +7,7 @@
 /// A command that was applied and changed nothing.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu, Serialize, Deserialize)]
 #[snafu(visibility(pub(crate)))]
-pub enum Refusal {
+pub enum CommandRefusal {
     /// No such program here.
     #[snafu(display("program {program} does not exist"))]
     NoSuchProgram {
@@ -60,7 +60,7 @@
     },
     /// The program has as many open calls or chains as it may have.
     #[snafu(display("program {program} has reached its limit of {limit} {what}"))]
-    TooMany {
+    LimitReached {
         /// The program.
         program: ProgramId,
         /// What is limited: `open calls`, `chains` or `turns`.
@@ -111,7 +111,7 @@
     /// The call cannot be abandoned with this outcome: no attempt of it can have run, so that it
     /// ends as not run, or the outcome is an answer.
     #[snafu(display("call {call} can be abandoned as not run only"))]
-    NotAbandonedSo {
+    InvalidAbandonOutcome {
         /// The call.
         call: CallId,
     },
--- a/crates/program/src/state.rs
+++ b/crates/program/src/state.rs
@@ -7,13 +7,13 @@
 use serde::{Deserialize, Serialize};
 
 use crate::refusal::{
-    AlreadyAppliedSnafu, BudgetLoweredSnafu, NoSuchProgramSnafu, ProgramClosedSnafu,
-    ProgramExistsSnafu, TooManySnafu, WrongGroupSnafu,
+    AlreadyAppliedSnafu, BudgetLoweredSnafu, LimitReachedSnafu, NoSuchProgramSnafu,
+    ProgramClosedSnafu, ProgramExistsSnafu, WrongGroupSnafu,
 };
 use crate::switches::Switches;
 use crate::{
-    Applied, Budget, Command, CreateProgram, Lifecycle, Program, ProgramLimits, RaiseBudget,
-    Refusal,
+    Budget, Command, CommandEffect, CommandRefusal, CreateProgram, Lifecycle, Program,
+    ProgramLimits, RaiseBudget,
 };
 
 /// The replicated state of one group.
@@ -86,13 +86,13 @@
     /// A refused command changes nothing but the position in the log.
     ///
     /// # Errors
-    /// [`Refusal`], the same on every replica.
+    /// [`CommandRefusal`], the same on every replica.
     pub fn apply(
         &mut self,
         index: LogIndex,
         term: Term,
         command: &Command,
-    ) -> Result<Applied, Refusal> {
+    ) -> Result<CommandEffect, CommandRefusal> {
         if index <= self.applied {
             return AlreadyAppliedSnafu { index }.fail();
         }
@@ -112,18 +112,18 @@
             Command::SetLimits(command) => {
                 self.limits = command.limits;
                 self.ledger.set_limits(command.limits.ledger);
-                Ok(Applied::LimitsSet)
+                Ok(CommandEffect::LimitsSet)
             }
-            Command::Ledger(command) => Ok(Applied::Ledger(self.ledger.apply(command))),
+            Command::Ledger(command) => Ok(CommandEffect::Ledger(self.ledger.apply(command))),
         }
     }
 
-    pub(crate) fn existing(&mut self, program: ProgramId) -> Result<&mut Program, Refusal> {
+    pub(crate) fn existing(&mut self, program: ProgramId) -> Result<&mut Program, CommandRefusal> {
         let missing = || NoSuchProgramSnafu { program }.build();
         self.programs.get_mut(&program).ok_or_else(missing)
     }
 
-    fn create(&mut self, command: &CreateProgram) -> Result<Applied, Refusal> {
+    fn create(&mut self, command: &CreateProgram) -> Result<CommandEffect, CommandRefusal> {
         let program = command.program;
         if program.group != self.group {
             return WrongGroupSnafu { program, group: self.group }.fail();
@@ -132,7 +132,7 @@
             if found.specification != command.specification {
                 return ProgramExistsSnafu { program }.fail();
             }
-            return Ok(Applied::Created(program));
+            return Ok(CommandEffect::Created(program));
         }
         check_limit(program, "programs", self.programs.len(), self.limits.programs)?;
         let created = Program {
@@ -147,10 +147,10 @@
             history_bytes: Default::default(),
         };
         self.programs.insert(program, created);
-        Ok(Applied::Created(program))
+        Ok(CommandEffect::Created(program))
     }
 
-    fn raise_budget(&mut self, command: &RaiseBudget) -> Result<Applied, Refusal> {
+    fn raise_budget(&mut self, command: &RaiseBudget) -> Result<CommandEffect, CommandRefusal> {
         let program = self.existing(command.program)?;
         check_open(program)?;
         let total = program.budget.total;
@@ -158,12 +158,12 @@
             return BudgetLoweredSnafu { program: command.program, total }.fail();
         }
         program.budget.total = command.total;
-        Ok(Applied::BudgetRaised(command.total))
+        Ok(CommandEffect::BudgetRaised(command.total))
     }
 }
 
 /// Refuses when `program` has ended.
-pub(crate) fn check_open(program: &Program) -> Result<(), Refusal> {
+pub(crate) fn check_open(program: &Program) -> Result<(), CommandRefusal> {
     if program.is_open() {
         return Ok(());
     }
@@ -176,14 +176,14 @@
     what: &str,
     held: usize,
     limit: u64,
-) -> Result<(), Refusal> {
+) -> Result<(), CommandRefusal> {
     if (held as u64) < limit {
         return Ok(());
     }
-    TooManySnafu { program, what, limit }.fail()
+    LimitReachedSnafu { program, what, limit }.fail()
 }
 
 /// The refusal of a command that names an attempt or call that is not open.
-pub(crate) fn stale(call: CallId) -> Refusal {
-    Refusal::StaleAttempt { call }
+pub(crate) fn stale(call: CallId) -> CommandRefusal {
+    CommandRefusal::StaleAttempt { call }
 }
--- a/crates/program/tests/budget_and_release.rs
+++ b/crates/program/tests/budget_and_release.rs
@@ -4,9 +4,9 @@
 
 use common::{GROUP, Group, MAIN, attempt, key, not_run, program_id, seconds, usage};
 use dahlia_program::{
-    Applied, AttemptOutcome, Begun, CallOutcome, ChunkReference, Command, ExpirePrograms,
-    GroupState, HistoryPart, IntentRecorded, NotRunReason, ProgramLimits, Refusal,
-    SNAPSHOT_VERSION, SetLimits, SnapshotError, decode_chunk, encode_chunk,
+    AttemptOutcome, BeginOutcome, CallOutcome, ChunkReference, Command, CommandEffect,
+    CommandRefusal, ExpirePrograms, GroupState, HistoryPart, NotRunReason, ProgramLimits,
+    SNAPSHOT_VERSION, SetLimits, SnapshotError, TokenReservation, decode_chunk, encode_chunk,
 };
 use dahlia_types::{
     Bytes, CallKind, ChainId, Duration, EngineId, GroupId, LogIndex, ProgramId, Role, Term, Tokens,
@@ -21,15 +21,15 @@
     let sub_agent = group.ready(group.call(ChainId(1), "two"));
     group.intent(attempt(main, 1), "e1", 10).unwrap();
     let capped = group.intent(attempt(sub_agent, 1), "e2", 7).unwrap();
-    let terms = IntentRecorded { reserved: Tokens(10), generated_cap: Tokens(3) };
-    assert_eq!(capped, Applied::IntentRecorded(terms));
+    let terms = TokenReservation { reserved: Tokens(10), generated_cap: Tokens(3) };
+    assert_eq!(capped, CommandEffect::IntentRecorded(terms));
     assert_eq!(group.program().budget().left(), Tokens::ZERO);
     let other = group.ready(group.call(ChainId(2), "three"));
     let refused = group.intent(attempt(other, 1), "e3", 0);
-    assert!(matches!(refused, Err(Refusal::BudgetExhausted { .. })), "{refused:?}");
+    assert!(matches!(refused, Err(CommandRefusal::BudgetExhausted { .. })), "{refused:?}");
     assert_eq!(
         group.raise(29),
-        Err(Refusal::BudgetLowered { program: program_id(1), total: Tokens(30) })
+        Err(CommandRefusal::BudgetLowered { program: program_id(1), total: Tokens(30) })
     );
     group.raise(31).unwrap();
     group.intent(attempt(other, 1), "e3", 0).expect("one token is left");
@@ -55,8 +55,8 @@
     begun.kind = CallKind::Tool("warranty".to_owned());
     let call = group.ready(begun);
     let recorded = group.intent_at(attempt(call, 1), "warranty", 0, 0).unwrap();
-    let terms = IntentRecorded { reserved: Tokens::ZERO, generated_cap: Tokens::ZERO };
-    assert_eq!(recorded, Applied::IntentRecorded(terms));
+    let terms = TokenReservation { reserved: Tokens::ZERO, generated_cap: Tokens::ZERO };
+    assert_eq!(recorded, CommandEffect::IntentRecorded(terms));
     assert_eq!(group.program().obligations().count(), 0);
 }
 
@@ -67,7 +67,7 @@
     let stale = group.program().release_requests().remove(0);
     let call = group.ready(group.call(MAIN, "two"));
     group.intent(attempt(call, 1), "e1", 10).unwrap();
-    let renewed = Refusal::ObligationRenewed {
+    let renewed = CommandRefusal::ObligationRenewed {
         program: program_id(1),
         engine: EngineId::new("e1"),
         last_intent: LogIndex(group.index),
@@ -79,8 +79,8 @@
     group.answer(attempt(call, 1), "second answer").unwrap();
     assert_eq!(group.release("e1", 1, stale.covers), Err(renewed));
     let request = group.program().release_requests().remove(0);
-    assert_eq!(group.release("e1", 1, request.covers), Ok(Applied::ReleaseConfirmed));
-    let none = Refusal::NoObligation { program: program_id(1), engine: EngineId::new("e1") };
+    assert_eq!(group.release("e1", 1, request.covers), Ok(CommandEffect::ReleaseConfirmed));
+    let none = CommandRefusal::NoObligation { program: program_id(1), engine: EngineId::new("e1") };
     assert_eq!(group.release("e1", 1, request.covers), Err(none));
 }
 
@@ -91,10 +91,10 @@
     group.intent_at(attempt(call, 1), "e1", 5, 10).unwrap();
     group.outcome(attempt(call, 1), AttemptOutcome::NotRun).unwrap();
     let stale = group.intent_at(attempt(call, 2), "e1", 4, 10);
-    assert!(matches!(stale, Err(Refusal::StaleIncarnation { .. })), "{stale:?}");
+    assert!(matches!(stale, Err(CommandRefusal::StaleIncarnation { .. })), "{stale:?}");
     let older = group.release("e1", 4, LogIndex(u64::MAX));
-    assert!(matches!(older, Err(Refusal::NoObligation { .. })), "{older:?}");
-    assert_eq!(group.release("e1", 6, LogIndex(0)), Ok(Applied::ReleaseConfirmed));
+    assert!(matches!(older, Err(CommandRefusal::NoObligation { .. })), "{older:?}");
+    assert_eq!(group.release("e1", 6, LogIndex(0)), Ok(CommandEffect::ReleaseConfirmed));
 }
 
 #[test]
@@ -102,7 +102,7 @@
     let mut group = Group::with_program(1_000);
     let running = group.ready(group.call(MAIN, "one"));
     group.intent(attempt(running, 1), "e1", 10).unwrap();
-    let Begun::Waiting(waiting) = group.begin(group.call(MAIN, "two")).unwrap() else {
+    let BeginOutcome::Waiting(waiting) = group.begin(group.call(MAIN, "two")).unwrap() else {
         panic!("the first call is open");
     };
     let tried = group.ready(group.call(ChainId(1), "three"));
@@ -110,12 +110,12 @@
     group.outcome(attempt(tried, 1), AttemptOutcome::Unknown).unwrap();
     let closed = group.close().unwrap();
     let ended = vec![waiting, tried];
-    assert_eq!(closed, Applied::Closed { program: program_id(1), ended });
+    assert_eq!(closed, CommandEffect::Closed { program: program_id(1), ended });
     let outcome = |call| group.program().outcome(call);
-    let held = dahlia_program::RecordedOutcome::Held;
+    let held = dahlia_program::RecordedOutcome::Inline;
     assert_eq!(outcome(waiting), Some(held(not_run(NotRunReason::ProgramClosed))));
     assert_eq!(outcome(tried), Some(held(CallOutcome::Unknown)), "it may have run");
-    let refusal = Refusal::ProgramClosed { program: program_id(1) };
+    let refusal = CommandRefusal::ProgramClosed { program: program_id(1) };
     assert_eq!(group.begin(group.call(MAIN, "four")), Err(refusal));
     assert_eq!(group.state.releases_due().len(), 1, "an attempt is open on e1");
     group.answer(attempt(running, 1), "whole").expect("a running attempt is not cut");
@@ -129,24 +129,24 @@
     let call = group.turn("one", "first answer");
     let open = group.ready(group.call(MAIN, "two"));
     group.now = seconds(10_000);
-    let nothing = Applied::Expired { closed: vec![], forgotten: vec![] };
+    let nothing = CommandEffect::Expired { closed: vec![], forgotten: vec![] };
     assert_eq!(group.expire(keep), nothing, "a call is in progress");
     let due = ExpirePrograms { now: group.now, keep_records: keep };
-    assert!(!group.state.has_expired(&due));
+    assert!(!group.state.has_programs_to_expire(&due));
     group.abandon(open, not_run(NotRunReason::Overloaded)).unwrap();
     group.now = seconds(10_600);
     let due = ExpirePrograms { now: group.now, keep_records: keep };
-    assert!(group.state.has_expired(&due));
+    assert!(group.state.has_programs_to_expire(&due));
     let closed = vec![program_id(1)];
-    assert_eq!(group.expire(keep), Applied::Expired { closed, forgotten: vec![] });
+    assert_eq!(group.expire(keep), CommandEffect::Expired { closed, forgotten: vec![] });
     assert!(group.program().outcome(call).is_some(), "records outlive the program");
     group.now = seconds(50_000);
     assert_eq!(group.expire(keep), nothing, "e1 still holds the program's cache");
     let request = group.state.releases_due().remove(0);
     group.release("e1", 1, request.covers).unwrap();
     let forgotten = vec![program_id(1)];
-    assert_eq!(group.expire(keep), Applied::Expired { closed: vec![], forgotten });
-    let gone = Refusal::NoSuchProgram { program: program_id(1) };
+    assert_eq!(group.expire(keep), CommandEffect::Expired { closed: vec![], forgotten });
+    let gone = CommandRefusal::NoSuchProgram { program: program_id(1) };
     assert_eq!(group.close(), Err(gone));
 }
 
@@ -160,13 +160,13 @@
     group.outcome(attempt(call, 1), AttemptOutcome::Unknown).unwrap();
     group.close().unwrap();
     let keep_unknown = group.state.limits().keep_unknown;
-    let nothing = Applied::Expired { closed: vec![], forgotten: vec![] };
+    let nothing = CommandEffect::Expired { closed: vec![], forgotten: vec![] };
     group.now = seconds(7_200);
     assert_eq!(group.expire(Duration::from_secs(3_600)), nothing);
     group.now = seconds(1) + keep_unknown;
     let forgotten = vec![program_id(1)];
     let expired = group.expire(Duration::from_secs(3_600));
-    assert_eq!(expired, Applied::Expired { closed: vec![], forgotten });
+    assert_eq!(expired, CommandEffect::Expired { closed: vec![], forgotten });
 }
 
 #[test]
@@ -181,18 +181,18 @@
         history_tokens: Tokens(50),
         ..ProgramLimits::default()
     };
-    let named = |refusal: Result<Begun, Refusal>| match refusal {
-        Err(Refusal::TooMany { what, .. }) => what,
+    let named = |refusal: Result<BeginOutcome, CommandRefusal>| match refusal {
+        Err(CommandRefusal::LimitReached { what, .. }) => what,
         other => panic!("expected a limit, found {other:?}"),
     };
     let mut group = Group::new(limits);
     group.create(1, 1_000).unwrap();
-    let second = group.create(2, 1_000).map(|_| Begun::Ready(Default::default()));
+    let second = group.create(2, 1_000).map(|_| BeginOutcome::Ready(Default::default()));
     assert_eq!(named(second), "programs");
     assert_eq!(named(group.begin(group.call(MAIN, &"x".repeat(41)))), "history bytes");
     let first = group.ready(group.call(MAIN, "one"));
     let long = group.intent(attempt(first, 1), "e1", 51);
-    assert_eq!(named(long.map(|_| Begun::Ready(first))), "history tokens");
+    assert_eq!(named(long.map(|_| BeginOutcome::Ready(first))), "history tokens");
     group.ready(group.call(ChainId(1), "two"));
     assert_eq!(named(group.begin(group.call(MAIN, "three"))), "open calls");
     group.abandon(first, not_run(NotRunReason::Overloaded)).unwrap();
@@ -217,10 +217,14 @@
     let messages: Vec<_> = group.program().history(MAIN).unwrap().into_iter().cloned().collect();
     let chunk = ChunkReference::of(&messages[..2], Tokens(10));
     let other = ChunkReference::of(&messages[2..], Tokens(10));
-    let mismatch = Refusal::TurnMismatch { program: program_id(1), chain: 0, turn: 0 };
+    let mismatch = CommandRefusal::TurnMismatch { program: program_id(1), chain: 0, turn: 0 };
     assert_eq!(group.move_turn(MAIN, 0, other), Err(mismatch));
-    assert_eq!(group.move_turn(MAIN, 0, chunk), Ok(Applied::TurnMoved));
-    assert_eq!(group.move_turn(MAIN, 0, chunk), Ok(Applied::TurnMoved), "a repeat is accepted");
+    assert_eq!(group.move_turn(MAIN, 0, chunk), Ok(CommandEffect::TurnMoved));
+    assert_eq!(
+        group.move_turn(MAIN, 0, chunk),
+        Ok(CommandEffect::TurnMoved),
+        "a repeat is accepted"
+    );
 
     let missing = group.program().history(MAIN).expect_err("a turn is not held here");
     assert_eq!(missing.chunks, [chunk]);
@@ -232,7 +236,7 @@
     assert_eq!(decode_chunk(&chunk, &bytes).as_deref(), Ok(&messages[..2]));
     assert!(decode_chunk(&other, &bytes).is_err(), "another chunk must not enter the history");
     let replay = group.begin(begun).unwrap();
-    let Begun::ReplayedFromStore(replayed, answer) = replay else {
+    let BeginOutcome::ReplayedFromStore(replayed, answer) = replay else {
         panic!("expected a stored answer, found {replay:?}");
     };
     assert_eq!((replayed, answer.chunk), (call, chunk));
@@ -269,15 +273,18 @@
     let mut group = Group::with_program(1_000);
     let command = SetLimits { limits: ProgramLimits::default() };
     let repeated = group.state.apply(LogIndex(1), Term(1), &Command::SetLimits(command));
-    assert_eq!(repeated, Err(Refusal::AlreadyApplied { index: LogIndex(1) }));
+    assert_eq!(repeated, Err(CommandRefusal::AlreadyApplied { index: LogIndex(1) }));
     let foreign = ProgramId { group: GroupId(99), number: 1 };
     let created = Command::CreateProgram(dahlia_program::CreateProgram {
         program: foreign,
         specification: common::specification(1),
         at: seconds(1),
     });
-    assert_eq!(group.apply(created), Err(Refusal::WrongGroup { program: foreign, group: GROUP }));
+    assert_eq!(
+        group.apply(created),
+        Err(CommandRefusal::WrongGroup { program: foreign, group: GROUP })
+    );
     group.create(1, 1_000).expect("the same specification again");
     let changed = group.create(1, 999);
-    assert_eq!(changed, Err(Refusal::ProgramExists { program: program_id(1) }));
+    assert_eq!(changed, Err(CommandRefusal::ProgramExists { program: program_id(1) }));
 }
--- a/crates/program/tests/common/mod.rs
+++ b/crates/program/tests/common/mod.rs
@@ -2,10 +2,10 @@
 #![allow(dead_code)]
 
 use dahlia_program::{
-    AbandonCall, Applied, AttemptOutcome, BeginCall, Begun, CallOutcome, CloseProgram, CloseReason,
-    Command, ConfirmRelease, CreateProgram, ExpirePrograms, GroupState, MoveTurnToStore,
-    NotRunReason, ProgramLimits, ProgramSpecification, RaiseBudget, RecordIntent, RecordOutcome,
-    Refusal,
+    AbandonCall, AttemptOutcome, BeginCall, BeginOutcome, CallOutcome, CloseProgram, CloseReason,
+    Command, CommandEffect, CommandRefusal, ConfirmRelease, CreateProgram, ExpirePrograms,
+    GroupState, MoveTurnToStore, NotRunReason, ProgramLimits, ProgramSpecification, RaiseBudget,
+    RecordIntent, RecordOutcome,
 };
 use dahlia_types::{
     AttemptId, Bytes, CallId, CallKind, ChainId, Duration, EngineId, GroupId, IdempotencyKey,
@@ -64,12 +64,12 @@
         group
     }
 
-    pub fn apply(&mut self, command: Command) -> Result<Applied, Refusal> {
+    pub fn apply(&mut self, command: Command) -> Result<CommandEffect, CommandRefusal> {
         self.index += 1;
         self.state.apply(LogIndex(self.index), Term(1), &command)
     }
 
-    pub fn create(&mut self, number: u64, budget: u64) -> Result<Applied, Refusal> {
+    pub fn create(&mut self, number: u64, budget: u64) -> Result<CommandEffect, CommandRefusal> {
         let command = CreateProgram {
             program: program_id(number),
             specification: specification(budget),
@@ -95,9 +95,9 @@
         }
     }
 
-    pub fn begin(&mut self, call: BeginCall) -> Result<Begun, Refusal> {
+    pub fn begin(&mut self, call: BeginCall) -> Result<BeginOutcome, CommandRefusal> {
         match self.apply(Command::BeginCall(call))? {
-            Applied::Begun(begun) => Ok(begun),
+            CommandEffect::Begun(begun) => Ok(begun),
             other => panic!("a begun call gave {other:?}"),
         }
     }
@@ -105,7 +105,7 @@
     /// Begins a call of the main chain that is ready at once.
     pub fn ready(&mut self, call: BeginCall) -> CallId {
         match self.begin(call).expect("the call is accepted") {
-            Begun::Ready(call) => call,
+            BeginOutcome::Ready(call) => call,
             other => panic!("expected a ready call, found {other:?}"),
         }
     }
@@ -115,7 +115,7 @@
         attempt: AttemptId,
         engine: &str,
         bound: u64,
-    ) -> Result<Applied, Refusal> {
+    ) -> Result<CommandEffect, CommandRefusal> {
         self.intent_at(attempt, engine, 1, bound)
     }
 
@@ -125,7 +125,7 @@
         engine: &str,
         incarnation: u64,
         bound: u64,
-    ) -> Result<Applied, Refusal> {
+    ) -> Result<CommandEffect, CommandRefusal> {
         self.apply(Command::RecordIntent(RecordIntent {
             attempt,
             engine: EngineId::new(engine),
@@ -139,11 +139,15 @@
         &mut self,
         attempt: AttemptId,
         outcome: AttemptOutcome,
-    ) -> Result<Applied, Refusal> {
+    ) -> Result<CommandEffect, CommandRefusal> {
         self.apply(Command::RecordOutcome(RecordOutcome { attempt, outcome, at: self.now }))
     }
 
-    pub fn answer(&mut self, attempt: AttemptId, text: &str) -> Result<Applied, Refusal> {
+    pub fn answer(
+        &mut self,
+        attempt: AttemptId,
+        text: &str,
+    ) -> Result<CommandEffect, CommandRefusal> {
         let answer = message(Role::Assistant, text);
         self.outcome(attempt, AttemptOutcome::Ran { answer, usage: usage(5, 5) })
     }
@@ -156,16 +160,20 @@
         call
     }
 
-    pub fn abandon(&mut self, call: CallId, outcome: CallOutcome) -> Result<Applied, Refusal> {
+    pub fn abandon(
+        &mut self,
+        call: CallId,
+        outcome: CallOutcome,
+    ) -> Result<CommandEffect, CommandRefusal> {
         self.apply(Command::AbandonCall(AbandonCall { call, outcome, at: self.now }))
     }
 
-    pub fn raise(&mut self, total: u64) -> Result<Applied, Refusal> {
+    pub fn raise(&mut self, total: u64) -> Result<CommandEffect, CommandRefusal> {
         let command = RaiseBudget { program: program_id(1), total: Tokens(total) };
         self.apply(Command::RaiseBudget(command))
     }
 
-    pub fn close(&mut self) -> Result<Applied, Refusal> {
+    pub fn close(&mut self) -> Result<CommandEffect, CommandRefusal> {
         self.apply(Command::CloseProgram(CloseProgram {
             program: program_id(1),
             reason: CloseReason::Closed,
@@ -178,7 +186,7 @@
         engine: &str,
         incarnation: u64,
         covers: LogIndex,
-    ) -> Result<Applied, Refusal> {
+    ) -> Result<CommandEffect, CommandRefusal> {
         self.apply(Command::ConfirmRelease(ConfirmRelease {
             program: program_id(1),
             engine: EngineId::new(engine),
@@ -188,7 +196,7 @@
         }))
     }
 
-    pub fn expire(&mut self, keep_records: Duration) -> Applied {
+    pub fn expire(&mut self, keep_records: Duration) -> CommandEffect {
         let command = ExpirePrograms { now: self.now, keep_records };
         self.apply(Command::ExpirePrograms(command)).expect("expiry is never refused")
     }
@@ -198,7 +206,7 @@
         chain: ChainId,
         turn: u32,
         chunk: dahlia_program::ChunkReference,
-    ) -> Result<Applied, Refusal> {
+    ) -> Result<CommandEffect, CommandRefusal> {
         let program = program_id(1);
         let command = MoveTurnToStore { program, chain, turn, chunk };
         self.apply(Command::MoveTurnToStore(command))
--- a/crates/program/tests/order.rs
+++ b/crates/program/tests/order.rs
@@ -3,7 +3,9 @@
 mod common;
 
 use common::{Group, MAIN, attempt, key, not_run, program_id};
-use dahlia_program::{Applied, AttemptOutcome, Begun, CallOutcome, NotRunReason, Refusal};
+use dahlia_program::{
+    AttemptOutcome, BeginOutcome, CallOutcome, CommandEffect, CommandRefusal, NotRunReason,
+};
 use dahlia_types::{CallId, ChainId, Repeatability, Role, Tokens};
 
 fn main_call(number: u32) -> CallId {
@@ -26,18 +28,19 @@
     let mut group = Group::with_program(100);
     let first = group.ready(group.call(MAIN, "one"));
     let second = group.begin(group.call(MAIN, "two")).expect("accepted");
-    assert_eq!(second, Begun::Waiting(main_call(2)));
+    assert_eq!(second, BeginOutcome::Waiting(main_call(2)));
     let early = group.intent(attempt(main_call(2), 1), "e1", 10);
-    assert_eq!(early, Err(Refusal::NotReady { call: main_call(2) }));
+    assert_eq!(early, Err(CommandRefusal::NotReady { call: main_call(2) }));
 
     group.intent(attempt(first, 1), "e1", 10).expect("first in its chain");
     let failed = group.outcome(attempt(first, 1), AttemptOutcome::NotRun).expect("open");
-    assert_eq!(failed, Applied::Retryable(first));
+    assert_eq!(failed, CommandEffect::Retryable(first));
     let early = group.intent(attempt(main_call(2), 1), "e1", 10);
-    assert_eq!(early, Err(Refusal::NotReady { call: main_call(2) }));
+    assert_eq!(early, Err(CommandRefusal::NotReady { call: main_call(2) }));
 
     group.intent(attempt(first, 2), "e2", 10).expect("a second try");
-    let Applied::CallEnded { call, next, .. } = group.answer(attempt(first, 2), "ok").unwrap()
+    let CommandEffect::CallEnded { call, next, .. } =
+        group.answer(attempt(first, 2), "ok").unwrap()
     else {
         panic!("an answer ends the call");
     };
@@ -51,18 +54,18 @@
     let mut begun = group.call(MAIN, "flash inverter 7");
     begun.key = key("flash-7");
     let call = group.ready(begun.clone());
-    assert_eq!(group.begin(begun.clone()), Ok(Begun::Joined(call)));
+    assert_eq!(group.begin(begun.clone()), Ok(BeginOutcome::Joined(call)));
     group.intent(attempt(call, 1), "e1", 10).unwrap();
-    assert_eq!(group.begin(begun.clone()), Ok(Begun::Joined(call)));
+    assert_eq!(group.begin(begun.clone()), Ok(BeginOutcome::Joined(call)));
     group.answer(attempt(call, 1), "done").unwrap();
     let replay = group.begin(begun.clone()).unwrap();
-    let Begun::Replayed(replayed, CallOutcome::Answered { answer, .. }) = replay else {
+    let BeginOutcome::Replayed(replayed, CallOutcome::Answered { answer, .. }) = replay else {
         panic!("expected the answer again, found {replay:?}");
     };
     assert_eq!((replayed, answer.content.as_str()), (call, "done"));
     // The answer outlives the program's close.
     group.close().unwrap();
-    assert!(matches!(group.begin(begun), Ok(Begun::Replayed(..))));
+    assert!(matches!(group.begin(begun), Ok(BeginOutcome::Replayed(..))));
     assert_eq!(group.history(MAIN), ["flash inverter 7", "done"]);
 }
 
@@ -73,7 +76,7 @@
     begun.key = key("enrol");
     begun.number = Some(1);
     let call = group.ready(begun.clone());
-    let refused = Err(Refusal::DigestMismatch { call });
+    let refused = Err(CommandRefusal::DigestMismatch { call });
 
     let mut same_key = group.call(MAIN, "enrol in MATH-102");
     same_key.key = key("enrol");
@@ -99,9 +102,9 @@
     by_number.number = Some(1);
     let call = group.ready(by_number.clone());
     by_number.key = key("late");
-    assert_eq!(group.begin(by_number.clone()), Ok(Begun::Joined(call)));
+    assert_eq!(group.begin(by_number.clone()), Ok(BeginOutcome::Joined(call)));
     by_number.number = None;
-    assert_eq!(group.begin(by_number), Ok(Begun::Joined(call)));
+    assert_eq!(group.begin(by_number), Ok(BeginOutcome::Joined(call)));
 }
 
 #[test]
@@ -110,7 +113,7 @@
     for early in [0, 2, 9] {
         let mut begun = group.call(MAIN, "one");
         begun.number = Some(early);
-        let refusal = Refusal::OutOfOrder { call: main_call(early), expected: 1 };
+        let refusal = CommandRefusal::OutOfOrder { call: main_call(early), expected: 1 };
         assert_eq!(group.begin(begun), Err(refusal));
     }
     assert_eq!(group.program().calls().count(), 0);
@@ -127,7 +130,7 @@
     group.turn("three", "third answer");
     assert_eq!(group.history(MAIN), ["one", "first answer", "three", "third answer"]);
     // Behind a later call it would run out of order, so it stays unrun.
-    let replayed = Begun::Replayed(call, not_run(NotRunReason::Overloaded));
+    let replayed = BeginOutcome::Replayed(call, not_run(NotRunReason::Overloaded));
     assert_eq!(group.begin(begun), Ok(replayed));
 }
 
@@ -142,10 +145,10 @@
     group.intent(attempt(call, 1), "e1", 10).expect("in order");
     group.outcome(attempt(call, 1), AttemptOutcome::NotRun).expect("open");
     group.abandon(call, not_run(NotRunReason::Overloaded)).expect("nothing ran");
-    assert_eq!(group.begin(begun.clone()), Ok(Begun::Ready(call)));
-    assert_eq!(group.begin(begun), Ok(Begun::Joined(call)));
+    assert_eq!(group.begin(begun.clone()), Ok(BeginOutcome::Ready(call)));
+    assert_eq!(group.begin(begun), Ok(BeginOutcome::Joined(call)));
     // A late word on the earlier attempt does not touch the new one.
-    let stale = Err(Refusal::StaleAttempt { call });
+    let stale = Err(CommandRefusal::StaleAttempt { call });
     assert_eq!(group.intent(attempt(call, 1), "e1", 10), stale);
     group.intent(attempt(call, 2), "e1", 10).expect("attempts go on counting");
     assert_eq!(group.answer(attempt(call, 1), "late"), stale);
@@ -161,7 +164,7 @@
     group.close().expect("open");
     let mut again = begun;
     again.number = Some(1);
-    let replayed = Begun::Replayed(call, not_run(NotRunReason::ProgramClosed));
+    let replayed = BeginOutcome::Replayed(call, not_run(NotRunReason::ProgramClosed));
     assert_eq!(group.begin(again), Ok(replayed));
 }
 
@@ -193,7 +196,7 @@
     assert_eq!(group.history(ChainId(1)), Vec::<String>::new());
     let mut orphan = group.call(ChainId(2), "lost");
     orphan.parent = Some(ChainId(9));
-    let refusal = Refusal::NoSuchChain { program: program_id(1), chain: 9 };
+    let refusal = CommandRefusal::NoSuchChain { program: program_id(1), chain: 9 };
     assert_eq!(group.begin(orphan), Err(refusal));
 }
 
@@ -205,12 +208,12 @@
     group.outcome(attempt(call, 1), AttemptOutcome::NotRun).unwrap();
     group.intent(attempt(call, 2), "e2", 10).unwrap();
     let late = group.answer(attempt(call, 1), "late and crossed");
-    assert_eq!(late, Err(Refusal::StaleAttempt { call }));
+    assert_eq!(late, Err(CommandRefusal::StaleAttempt { call }));
     let unknown = group.answer(attempt(call, 3), "from nowhere");
-    assert_eq!(unknown, Err(Refusal::StaleAttempt { call }));
+    assert_eq!(unknown, Err(CommandRefusal::StaleAttempt { call }));
     group.answer(attempt(call, 2), "right").unwrap();
     assert_eq!(group.history(MAIN), ["one", "right"]);
-    assert_eq!(group.answer(attempt(call, 2), "twice"), Err(Refusal::StaleAttempt { call }));
+    assert_eq!(group.answer(attempt(call, 2), "twice"), Err(CommandRefusal::StaleAttempt { call }));
 }
 
 #[test]
--- a/crates/program/tests/recovery.rs
+++ b/crates/program/tests/recovery.rs
@@ -3,7 +3,9 @@
 mod common;
 
 use common::{Group, MAIN, attempt, not_run, program_id, usage};
-use dahlia_program::{Applied, AttemptOutcome, CallOutcome, NotRunReason, Refusal, UnfinishedCall};
+use dahlia_program::{
+    AttemptOutcome, CallOutcome, CommandEffect, CommandRefusal, NotRunReason, UnfinishedCall,
+};
 use dahlia_types::{CallId, ChainId, Repeatability, Term, Tokens};
 
 /// Begins a call at most once and records the intent of its first attempt.
@@ -38,23 +40,23 @@
     let mut group = Group::with_program(1_000);
     let call = dispatched_at_most_once(&mut group);
     let ended = group.outcome(attempt(call, 1), AttemptOutcome::Unknown).unwrap();
-    let expected = Applied::CallEnded { call, outcome: CallOutcome::Unknown, next: None };
+    let expected = CommandEffect::CallEnded { call, outcome: CallOutcome::Unknown, next: None };
     assert_eq!(ended, expected);
     assert_eq!(group.program().budget().reserved, Tokens(20));
     let again = group.intent(attempt(call, 2), "e2", 10);
-    assert_eq!(again, Err(Refusal::StaleAttempt { call }));
+    assert_eq!(again, Err(CommandRefusal::StaleAttempt { call }));
     assert_eq!(group.history(MAIN), ["flash inverter 7"], "it may have been seen");
 
     // The engine is back and tells. The caller was answered: only the budget changes.
     let answer = common::message(dahlia_types::Role::Assistant, "flashed");
     let told = AttemptOutcome::Ran { answer, usage: usage(8, 4) };
     let settled = group.outcome(attempt(call, 1), told.clone()).unwrap();
-    assert_eq!(settled, Applied::Settled(attempt(call, 1)));
+    assert_eq!(settled, CommandEffect::Settled(attempt(call, 1)));
     let budget = *group.program().budget();
     assert_eq!((budget.spent, budget.reserved), (Tokens(12), Tokens::ZERO));
     assert_eq!(group.history(MAIN), ["flash inverter 7"]);
     let twice = group.outcome(attempt(call, 1), told);
-    assert_eq!(twice, Err(Refusal::StaleAttempt { call }));
+    assert_eq!(twice, Err(CommandRefusal::StaleAttempt { call }));
 }
 
 #[test]
@@ -63,7 +65,7 @@
     let call = dispatched_at_most_once(&mut group);
     let cut = AttemptOutcome::Cut { usage: usage(10, 2) };
     let ended = group.outcome(attempt(call, 1), cut).unwrap();
-    assert!(matches!(ended, Applied::CallEnded { outcome: CallOutcome::Unknown, .. }));
+    assert!(matches!(ended, CommandEffect::CallEnded { outcome: CallOutcome::Unknown, .. }));
     assert_eq!(group.program().budget().spent, Tokens(12));
 }
 
@@ -82,17 +84,20 @@
     let call = group.ready(group.call(MAIN, "fault codes?"));
     group.intent(attempt(call, 1), "e1", 10).unwrap();
     let after = group.outcome(attempt(call, 1), AttemptOutcome::Unknown).unwrap();
-    assert_eq!(after, Applied::Retryable(call));
+    assert_eq!(after, CommandEffect::Retryable(call));
     group.intent(attempt(call, 2), "e2", 10).expect("30 are left");
     assert_eq!(group.program().budget().reserved, Tokens(40));
     group.outcome(attempt(call, 2), AttemptOutcome::Unknown).unwrap();
     let third = group.intent(attempt(call, 3), "e3", 10);
-    let refusal =
-        Refusal::BudgetExhausted { program: program_id(1), left: Tokens(10), needed: Tokens(11) };
+    let refusal = CommandRefusal::BudgetExhausted {
+        program: program_id(1),
+        left: Tokens(10),
+        needed: Tokens(11),
+    };
     assert_eq!(third, Err(refusal));
     assert_eq!(
         group.abandon(call, not_run(NotRunReason::BudgetExhausted)),
-        Err(Refusal::MayHaveRun { call })
+        Err(CommandRefusal::MayHaveRun { call })
     );
     group.abandon(call, CallOutcome::Unknown).expect("this is what is known");
 }
@@ -104,10 +109,10 @@
     group.intent(attempt(call, 1), "e1", 10).unwrap();
     group.outcome(attempt(call, 1), AttemptOutcome::Unknown).unwrap();
     let settled = group.outcome(attempt(call, 1), AttemptOutcome::NotRun).unwrap();
-    assert_eq!(settled, Applied::Settled(attempt(call, 1)));
+    assert_eq!(settled, CommandEffect::Settled(attempt(call, 1)));
     assert_eq!(group.program().budget().reserved, Tokens::ZERO);
     let refused = group.abandon(call, CallOutcome::Unknown);
-    assert_eq!(refused, Err(Refusal::NotAbandonedSo { call }));
+    assert_eq!(refused, Err(CommandRefusal::InvalidAbandonOutcome { call }));
     group.abandon(call, not_run(NotRunReason::Overloaded)).expect("no attempt ran");
 }
 
@@ -117,10 +122,10 @@
     let call = group.ready(group.call(MAIN, "one"));
     let answer = common::message(dahlia_types::Role::Assistant, "made up");
     let made_up = CallOutcome::Answered { answer, usage: usage(1, 1) };
-    assert_eq!(group.abandon(call, made_up), Err(Refusal::NotAbandonedSo { call }));
+    assert_eq!(group.abandon(call, made_up), Err(CommandRefusal::InvalidAbandonOutcome { call }));
     group.intent(attempt(call, 1), "e1", 10).unwrap();
     assert_eq!(
         group.abandon(call, not_run(NotRunReason::Overloaded)),
-        Err(Refusal::AttemptOpen { call })
+        Err(CommandRefusal::AttemptOpen { call })
     );
 }
--- a/crates/program/tests/schedules/callers.rs
+++ b/crates/program/tests/schedules/callers.rs
@@ -1,6 +1,6 @@
 //! Callers: new calls, retries, and other content under a key that is in use.
 
-use dahlia_program::{Applied, BeginCall, Command};
+use dahlia_program::{BeginCall, Command, CommandEffect};
 use dahlia_types::{CallId, CallKind, ChainId, IdempotencyKey, Repeatability, Role, Tokens};
 use rand::Rng;
 use rand::seq::IndexedRandom;
@@ -15,7 +15,7 @@
 impl World {
     fn begin(&mut self, request: BeginCall) -> Checked {
         match self.apply(Command::BeginCall(request.clone())) {
-            Some(Applied::Begun(begun)) => self.checker.begun(&request, &begun),
+            Some(CommandEffect::Begun(begun)) => self.checker.begun(&request, &begun),
             _ => Ok(()),
         }
     }
--- a/crates/program/tests/schedules/checker.rs
+++ b/crates/program/tests/schedules/checker.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use dahlia_program::{
-    Applied, AttemptOutcome, BeginCall, Begun, CallOutcome, EngineLife, GroupState, HistoryPart,
-    Program, RecordedOutcome, decode_chunk,
+    AttemptOutcome, BeginCall, BeginOutcome, CallOutcome, CommandEffect, EngineIncarnation,
+    GroupState, HistoryPart, Program, RecordedOutcome, decode_chunk,
 };
 use dahlia_types::{AttemptId, CallId, ChainId, Message, ProgramId, Repeatability};
 
@@ -66,7 +66,7 @@
     /// Tokens that engines really used.
     pub used: BTreeMap<ProgramId, u64>,
     /// What engines hold at this moment.
-    pub held: BTreeSet<(ProgramId, EngineLife)>,
+    pub held: BTreeSet<(ProgramId, EngineIncarnation)>,
     /// Chunks on the store daemons.
     pub chunks: BTreeMap<[u8; 32], Vec<u8>>,
 }
@@ -78,11 +78,15 @@
     }
 
     /// Judges the result of a call's beginning.
-    pub fn begun(&mut self, request: &BeginCall, begun: &Begun) -> Checked {
+    pub fn begun(&mut self, request: &BeginCall, begun: &BeginOutcome) -> Checked {
         match begun {
-            Begun::Ready(call) | Begun::Waiting(call) => self.new_call(request, *call),
-            Begun::Joined(call) | Begun::ReplayedFromStore(call, _) => self.same(request, *call),
-            Begun::Replayed(call, outcome) => {
+            BeginOutcome::Ready(call) | BeginOutcome::Waiting(call) => {
+                self.new_call(request, *call)
+            }
+            BeginOutcome::Joined(call) | BeginOutcome::ReplayedFromStore(call, _) => {
+                self.same(request, *call)
+            }
+            BeginOutcome::Replayed(call, outcome) => {
                 self.same(request, *call)?;
                 let known = self.calls[call].outcome.as_ref();
                 require(known == Some(outcome), Promise::OneOutcome, || {
@@ -139,9 +143,9 @@
         &mut self,
         attempt: AttemptId,
         outcome: &AttemptOutcome,
-        applied: &Applied,
+        applied: &CommandEffect,
     ) -> Checked {
-        if matches!(applied, Applied::Settled(_)) {
+        if matches!(applied, CommandEffect::Settled(_)) {
             return Ok(());
         }
         let open = self.open.remove(&attempt.call);
@@ -187,7 +191,7 @@
     /// An outcome with its text, fetched from the store daemons when it is there.
     fn whole(&self, outcome: RecordedOutcome) -> CallOutcome {
         match outcome {
-            RecordedOutcome::Held(outcome) => outcome,
+            RecordedOutcome::Inline(outcome) => outcome,
             RecordedOutcome::Stored(stored) => {
                 let chunk = &self.chunks[&stored.chunk.digest];
                 let messages = decode_chunk(&stored.chunk, chunk).expect("stored whole");
--- a/crates/program/tests/schedules/engine.rs
+++ b/crates/program/tests/schedules/engine.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use dahlia_program::{AttemptOutcome, EngineLife};
+use dahlia_program::{AttemptOutcome, EngineIncarnation};
 use dahlia_types::{AttemptId, EngineId, Incarnation, Role};
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
@@ -29,8 +29,8 @@
         Self { id, life, running, ended: BTreeMap::new(), fenced }
     }
 
-    pub fn life(&self) -> EngineLife {
-        EngineLife { engine: self.id.clone(), incarnation: Incarnation(self.life) }
+    pub fn life(&self) -> EngineIncarnation {
+        EngineIncarnation { engine: self.id.clone(), incarnation: Incarnation(self.life) }
     }
 
     /// Takes a dispatch meant for `life`; tells whether it started.
--- a/crates/program/tests/schedules/world.rs
+++ b/crates/program/tests/schedules/world.rs
@@ -2,9 +2,9 @@
 //! retry, and an owner who dies, forgets, and tries what it may not.
 
 use dahlia_program::{
-    AbandonCall, Applied, AttemptOutcome, BeginCall, CallOutcome, ChunkReference, CloseProgram,
-    CloseReason, Command, ConfirmRelease, CreateProgram, EngineLife, ExpirePrograms, GroupState,
-    Mechanism, MoveTurnToStore, NotRunReason, ProgramLimits, RaiseBudget, RecordIntent,
+    AbandonCall, AttemptOutcome, BeginCall, CallOutcome, ChunkReference, CloseProgram, CloseReason,
+    Command, CommandEffect, ConfirmRelease, CreateProgram, EngineIncarnation, ExpirePrograms,
+    GroupState, Mechanism, MoveTurnToStore, NotRunReason, ProgramLimits, RaiseBudget, RecordIntent,
     RecordOutcome, ReleaseRequest, TurnText, UnfinishedCall, encode_chunk,
 };
 use dahlia_types::{
@@ -107,7 +107,7 @@
         }
     }
 
-    pub(crate) fn apply(&mut self, command: Command) -> Option<Applied> {
+    pub(crate) fn apply(&mut self, command: Command) -> Option<CommandEffect> {
         self.log.push(command.clone());
         self.state.apply(LogIndex(self.log.len() as u64), Term(1), &command).ok()
     }
@@ -155,7 +155,9 @@
             prompt_bound: Tokens(bound),
             at: self.now,
         };
-        if let Some(Applied::IntentRecorded(terms)) = self.apply(Command::RecordIntent(command)) {
+        if let Some(CommandEffect::IntentRecorded(terms)) =
+            self.apply(Command::RecordIntent(command))
+        {
             self.checker.intent(attempt)?;
             let cap = terms.generated_cap.0;
             // The owner may die between the intent and the first byte.
@@ -210,7 +212,7 @@
     }
 
     /// Attempts that are open or of unknown outcome.
-    fn unsettled(&self) -> Vec<(AttemptId, EngineLife)> {
+    fn unsettled(&self) -> Vec<(AttemptId, EngineIncarnation)> {
         let mut found = Vec::new();
         for program in self.state.programs() {
             found.extend(
@@ -235,7 +237,7 @@
         }
     }
 
-    fn ask(&mut self, attempt: AttemptId, life: &EngineLife) -> Checked {
+    fn ask(&mut self, attempt: AttemptId, life: &EngineIncarnation) -> Checked {
         match self.engine(&life.engine).ask(attempt, life.incarnation) {
             Some(outcome) => self.record(attempt, outcome),
             None => Ok(()),
@@ -388,13 +390,13 @@
     }
 }
 
-fn confirmation(program: ProgramId, life: EngineLife, covers: LogIndex) -> ConfirmRelease {
-    let EngineLife { engine, incarnation } = life;
+fn confirmation(program: ProgramId, life: EngineIncarnation, covers: LogIndex) -> ConfirmRelease {
+    let EngineIncarnation { engine, incarnation } = life;
     ConfirmRelease { program, engine, incarnation, covers, freed: Bytes::ZERO }
 }
 
-fn life_of(engine: &EngineId, incarnation: Incarnation) -> EngineLife {
-    EngineLife { engine: engine.clone(), incarnation }
+fn life_of(engine: &EngineId, incarnation: Incarnation) -> EngineIncarnation {
+    EngineIncarnation { engine: engine.clone(), incarnation }
 }
 
 /// Takes any element out: the network neither keeps order nor time.
