--- a/crates/daemon/src/ledger_client.rs
+++ b/crates/daemon/src/ledger_client.rs
@@ -5,7 +5,7 @@
 use dahlia_api::ErrorKind;
 use dahlia_ledger::{
     ChargedChain, ImportCharged, ImportTurn, LedgerCommand, LedgerReply, OpenTurn, ProgramName,
-    TurnId, TurnRefusal, group_at_home, group_of,
+    TurnId, TurnRefusal, group_in_region, group_of,
 };
 use dahlia_node::request::{Request, Response};
 use dahlia_node::{CutOff, Reach};
@@ -268,7 +268,7 @@
         if self.homes.groups_at(&self.region, self.groups).is_empty() {
             return LedgerCommand::Read { turn, at };
         }
-        LedgerCommand::ReadFor { turn, program: program.clone(), at }
+        LedgerCommand::ReadCharged { turn, program: program.clone(), at }
     }
 
     async fn ask_owner(
@@ -317,7 +317,7 @@
         patience: Duration,
     ) -> Result<LedgerReply, LedgerUnavailable> {
         let Some(program) = command.program() else { return self.no_program() };
-        let group = group_at_home(program, &self.homes, &self.region, self.groups);
+        let group = group_in_region(program, &self.homes, &self.region, self.groups);
         self.ask_owner(group, command, patience).await
     }
 }
--- a/crates/daemon/tests/ledger_client.rs
+++ b/crates/daemon/tests/ledger_client.rs
@@ -37,7 +37,7 @@
             let response = if silent == Some(group) {
                 Response::Failed(ApiError::new(ErrorKind::Unavailable, "no owner"))
             } else {
-                Response::Ledger(ledger.apply(&command.stamped(Timestamp(1))))
+                Response::Ledger(ledger.apply(&command.with_timestamp(Timestamp(1))))
             };
             let _ = reply.send(response);
         }
@@ -69,7 +69,7 @@
 
 async fn end_whole(client: &LedgerClient, program: &ProgramName, turn: &str) {
     let output = b"out".to_vec();
-    let end = TurnEnd::Whole { generated: Tokens(1), output, served_by: "server".into() };
+    let end = TurnEnd::Completed { generated: Tokens(1), output, served_by: "server".into() };
     let (program, turn) = (program.clone(), TurnId::new(None, turn));
     let close = CloseTurn { program, turn, end, at: Timestamp::ZERO };
     let reply = client.ask(LedgerCommand::Close(close), PATIENCE).await;
--- a/crates/daemon/tests/ledger_regions.rs
+++ b/crates/daemon/tests/ledger_regions.rs
@@ -10,7 +10,7 @@
 use dahlia_daemon::ledger_client::LedgerClient;
 use dahlia_ledger::{
     CloseTurn, Ledger, LedgerCommand, LedgerLimits, LedgerReply, OpenTurn, OpenedTurn, ProgramName,
-    TurnEnd, TurnId, TurnInput, TurnRefusal, group_at_home, group_of,
+    TurnEnd, TurnId, TurnInput, TurnRefusal, group_in_region, group_of,
 };
 use dahlia_node::request::{Request, Response};
 use dahlia_relay::{LedgerUnavailable, TurnLedger};
@@ -45,7 +45,7 @@
 }
 
 fn home_group(region: &str) -> GroupId {
-    group_at_home(&program(), &homes(), &Region::new(region), GROUPS)
+    group_in_region(&program(), &homes(), &Region::new(region), GROUPS)
 }
 
 impl System {
@@ -97,7 +97,7 @@
         }
         let ledger =
             self.ledgers.entry(group).or_insert_with(|| Ledger::new(LedgerLimits::default()));
-        Response::Ledger(ledger.apply(&command.stamped(Timestamp(1))))
+        Response::Ledger(ledger.apply(&command.with_timestamp(Timestamp(1))))
     }
 }
 
@@ -116,7 +116,7 @@
 
 fn close(turn: &str, generated: u64) -> LedgerCommand {
     let (generated, output) = (Tokens(generated), b"out".to_vec());
-    let end = TurnEnd::Whole { generated, output, served_by: "server".into() };
+    let end = TurnEnd::Completed { generated, output, served_by: "server".into() };
     let turn = TurnId::new(None, turn);
     LedgerCommand::Close(CloseTurn { program: program(), turn, end, at: Timestamp::ZERO })
 }
--- a/crates/ledger/src/close.rs
+++ b/crates/ledger/src/close.rs
@@ -29,14 +29,14 @@
         let reserved = open.reserved;
         let input = open.input.clone();
         let charge = match &command.end {
-            TurnEnd::Whole { generated, .. } => *generated,
+            TurnEnd::Completed { generated, .. } => *generated,
             TurnEnd::NotRun => Tokens(0),
-            TurnEnd::Broken => reserved,
+            TurnEnd::Incomplete => reserved,
         };
         self.settle(command, reserved, charge);
         let ended = now + ENDED_RETENTION;
         let (phase, due) = match (input, &command.end) {
-            (Some(input), TurnEnd::Whole { output, served_by, .. }) => {
+            (Some(input), TurnEnd::Completed { output, served_by, .. }) => {
                 let due = ended.max(now + input.retention + RETENTION_MARGIN);
                 (Phase::Kept(self.keep(input, output, served_by)), due)
             }
@@ -64,7 +64,7 @@
         };
         program.reserved = program.reserved.saturating_sub(reserved);
         program.spent = program.spent.saturating_add(charge);
-        if let TurnEnd::Whole { served_by, .. } = &command.end {
+        if let TurnEnd::Completed { served_by, .. } = &command.end {
             program.last_served_by = Some(served_by.clone());
         }
     }
--- a/crates/ledger/src/group.rs
+++ b/crates/ledger/src/group.rs
@@ -16,7 +16,7 @@
 
 /// The group that holds the kept turns of `program` when they come to a gateway in `region`: one at
 /// home there, so that texts need not leave the region. Where no group is, the one of [`group_of`].
-pub fn group_at_home(
+pub fn group_in_region(
     program: &ProgramName,
     homes: &GroupHomes,
     region: &Region,
--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -105,7 +105,7 @@
     /// Applies a committed command. Every replica that applied the same commands gives the same
     /// reply.
     pub fn apply(&mut self, command: &LedgerCommand) -> LedgerReply {
-        let now = self.clock.advance(command.stamp());
+        let now = self.clock.advance(command.timestamp());
         let reply = match command {
             LedgerCommand::Open(open) => self.open(open, now).map(LedgerReply::Opened),
             LedgerCommand::Close(close) => {
@@ -116,8 +116,8 @@
             LedgerCommand::Import(import) => {
                 self.import(import, now).map(|()| LedgerReply::Imported)
             }
-            LedgerCommand::ReadFor { turn, program, .. } => {
-                self.read_for(turn, program, now).map(LedgerReply::ChargedChain)
+            LedgerCommand::ReadCharged { turn, program, .. } => {
+                self.read_charged(turn, program, now).map(LedgerReply::ChargedChain)
             }
             LedgerCommand::ImportCharged(charged) => {
                 self.import_charged(charged, now).map(|()| LedgerReply::Imported)
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -33,7 +33,7 @@
 mod transfer;
 mod turn;
 
-pub use group::{group_at_home, group_of, group_of_tenant};
+pub use group::{group_in_region, group_of, group_of_tenant};
 pub use ledger::{Ledger, LedgerSize, ProgramCharge};
 pub use limits::LedgerLimits;
 pub use message::{
--- a/crates/ledger/src/message.rs
+++ b/crates/ledger/src/message.rs
@@ -38,7 +38,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TurnEnd {
     /// Its answer is whole. From here on it may be gone on from.
-    Whole {
+    Completed {
         /// Tokens that were handed on to the caller.
         generated: Tokens,
         /// The answer in the form that it has in later prompts; empty when nothing is kept.
@@ -50,7 +50,7 @@
     /// No back end ran it or ever will: it costs nothing.
     NotRun,
     /// It may have run and was not answered whole: it costs the most it could have generated.
-    Broken,
+    Incomplete,
 }
 
 /// Settles a turn. The first end of a turn stands; repeating it is harmless.
@@ -135,7 +135,7 @@
     },
     /// As `Read`, for a program that may have turns in that group too. After the others: logs hold
     /// commands by their place here.
-    ReadFor {
+    ReadCharged {
         /// The chain's newest turn.
         turn: TurnId,
         /// The program that goes on from it.
@@ -154,7 +154,7 @@
             Self::Open(open) => Some(&open.program),
             Self::Close(close) => Some(&close.program),
             Self::Import(import) => Some(&import.program),
-            Self::ReadFor { program, .. } => Some(program),
+            Self::ReadCharged { program, .. } => Some(program),
             Self::ImportCharged(charged) => Some(&charged.import.program),
             Self::Read { .. } | Self::Expire { .. } => None,
         }
@@ -167,7 +167,7 @@
             Self::Close(close) => Some(&close.turn),
             Self::Import(import) => Some(&import.turn),
             Self::ImportCharged(charged) => Some(&charged.import.turn),
-            Self::Read { turn, .. } | Self::ReadFor { turn, .. } => Some(turn),
+            Self::Read { turn, .. } | Self::ReadCharged { turn, .. } => Some(turn),
             Self::Expire { .. } => None,
         }
     }
@@ -180,7 +180,7 @@
             Self::Read { .. } => "read",
             Self::Import(_) => "import",
             Self::Expire { .. } => "expire",
-            Self::ReadFor { .. } => "read-for",
+            Self::ReadCharged { .. } => "read-for",
             Self::ImportCharged(_) => "import-charged",
         }
     }
@@ -190,36 +190,36 @@
         match self {
             Self::Open(open) => open.input.as_ref().map_or(0, |input| input.new_input.len()),
             Self::Close(close) => match &close.end {
-                TurnEnd::Whole { output, .. } => output.len(),
-                TurnEnd::NotRun | TurnEnd::Broken => 0,
+                TurnEnd::Completed { output, .. } => output.len(),
+                TurnEnd::NotRun | TurnEnd::Incomplete => 0,
             },
             Self::Import(import) => import.chain.text.len(),
             Self::ImportCharged(charged) => charged.import.chain.text.len(),
-            Self::Read { .. } | Self::ReadFor { .. } | Self::Expire { .. } => 0,
+            Self::Read { .. } | Self::ReadCharged { .. } | Self::Expire { .. } => 0,
         }
     }
 
     /// The owner's time that it carries.
-    pub fn stamp(&self) -> Timestamp {
+    pub fn timestamp(&self) -> Timestamp {
         match self {
             Self::Open(open) => open.at,
             Self::Close(close) => close.at,
             Self::Import(import) => import.at,
             Self::ImportCharged(charged) => charged.import.at,
-            Self::Read { at, .. } | Self::ReadFor { at, .. } => *at,
+            Self::Read { at, .. } | Self::ReadCharged { at, .. } => *at,
             Self::Expire { now } => *now,
         }
     }
 
     /// The same command with the time of the owner that proposes it.
-    pub fn stamped(mut self, stamp: Timestamp) -> Self {
+    pub fn with_timestamp(mut self, timestamp: Timestamp) -> Self {
         match &mut self {
-            Self::Open(open) => open.at = stamp,
-            Self::Close(close) => close.at = stamp,
-            Self::Import(import) => import.at = stamp,
-            Self::ImportCharged(charged) => charged.import.at = stamp,
-            Self::Read { at, .. } | Self::ReadFor { at, .. } => *at = stamp,
-            Self::Expire { now } => *now = stamp,
+            Self::Open(open) => open.at = timestamp,
+            Self::Close(close) => close.at = timestamp,
+            Self::Import(import) => import.at = timestamp,
+            Self::ImportCharged(charged) => charged.import.at = timestamp,
+            Self::Read { at, .. } | Self::ReadCharged { at, .. } => *at = timestamp,
+            Self::Expire { now } => *now = timestamp,
         }
         self
     }
--- a/crates/ledger/src/transfer.rs
+++ b/crates/ledger/src/transfer.rs
@@ -24,7 +24,7 @@
         })
     }
 
-    pub(crate) fn read_for(
+    pub(crate) fn read_charged(
         &self,
         turn: &TurnId,
         program: &ProgramName,
--- a/crates/ledger/tests/common/mod.rs
+++ b/crates/ledger/tests/common/mod.rs
@@ -27,7 +27,7 @@
     }
 
     pub fn apply(&mut self, command: LedgerCommand) -> LedgerReply {
-        self.ledger.apply(&command.stamped(self.now))
+        self.ledger.apply(&command.with_timestamp(self.now))
     }
 
     pub fn open(&mut self, open: OpenTurn) -> Result<OpenedTurn, TurnRefusal> {
@@ -90,7 +90,7 @@
 
 pub fn whole(generated: u64, output: &str) -> TurnEnd {
     let served_by = "server".to_owned();
-    TurnEnd::Whole { generated: Tokens(generated), output: output.into(), served_by }
+    TurnEnd::Completed { generated: Tokens(generated), output: output.into(), served_by }
 }
 
 pub fn no_such_turn(turn: &str) -> TurnRefusal {
--- a/crates/ledger/tests/ledger.rs
+++ b/crates/ledger/tests/ledger.rs
@@ -26,7 +26,7 @@
     assert_eq!(bench.used("p"), Some((0, 400)));
     bench.close("p", "whole", whole(30, ""));
     bench.close("p", "not-run", TurnEnd::NotRun);
-    bench.close("p", "broken", TurnEnd::Broken);
+    bench.close("p", "broken", TurnEnd::Incomplete);
     assert_eq!(bench.used("p"), Some((130, 100)));
 }
 
@@ -61,7 +61,7 @@
     assert_eq!(bench.open(kept("p", "two", Some("one"), "more")), first);
     assert_eq!(bench.used("p"), Some((1, 10)));
     bench.close("p", "two", whole(5, "end"));
-    bench.close("p", "two", TurnEnd::Broken);
+    bench.close("p", "two", TurnEnd::Incomplete);
     assert_eq!(bench.used("p"), Some((6, 0)));
     let again = bench.open(kept("p", "two", Some("one"), "more"));
     assert_eq!(again, Err(TurnRefusal::AlreadyEnded));
@@ -118,7 +118,7 @@
     bench.open(kept("p", "a", None, "input")).expect("opened");
     let not_ended = TurnRefusal::NotEnded { previous: TurnId::new(None, "a") };
     assert_eq!(follow(&mut bench, "x", "a"), Err(not_ended));
-    bench.close("p", "a", TurnEnd::Broken);
+    bench.close("p", "a", TurnEnd::Incomplete);
     assert_eq!(follow(&mut bench, "x", "a"), Err(no_such_turn("a")));
     bench.open(plain("p", "b", 100, 1)).expect("opened");
     bench.close("p", "b", whole(1, ""));
@@ -135,7 +135,7 @@
     bench.pass(RETENTION);
     let opened = bench.open(kept("p", "next", Some("leaf"), "")).expect("within its retention");
     assert_eq!(opened.history, b"abcd");
-    bench.close("p", "next", TurnEnd::Broken);
+    bench.close("p", "next", TurnEnd::Incomplete);
     bench.pass(WELL_OVER);
     let late = bench.open(kept("p", "late", Some("leaf"), ""));
     assert_eq!(late, Err(no_such_turn("leaf")));
--- a/crates/ledger/tests/model.rs
+++ b/crates/ledger/tests/model.rs
@@ -179,7 +179,7 @@
         let told = match end {
             End::Whole(generated) => whole(generated, &output),
             End::NotRun => TurnEnd::NotRun,
-            End::Broken => TurnEnd::Broken,
+            End::Broken => TurnEnd::Incomplete,
         };
         self.bench.close(&format!("p{program}"), &format!("t{turn}"), told);
         let seconds = self.model.seconds;
--- a/crates/ledger/tests/regions.rs
+++ b/crates/ledger/tests/regions.rs
@@ -5,7 +5,7 @@
 use common::{Bench, RETENTION, kept, plain, whole};
 use dahlia_ledger::{
     ChargedChain, ImportCharged, ImportTurn, LedgerCommand, LedgerLimits, LedgerReply, OpenTurn,
-    ProgramName, TurnEnd, TurnId, TurnRefusal, group_at_home, group_of,
+    ProgramName, TurnEnd, TurnId, TurnRefusal, group_in_region, group_of,
 };
 use dahlia_types::{GroupHomes, GroupId, Region, Timestamp, Tokens};
 
@@ -31,7 +31,7 @@
 
 fn read(bench: &mut Bench, turn: &str) -> ChargedChain {
     let turn = TurnId::new(None, turn);
-    let command = LedgerCommand::ReadFor { turn, program: program(), at: Timestamp::ZERO };
+    let command = LedgerCommand::ReadCharged { turn, program: program(), at: Timestamp::ZERO };
     match bench.apply(command) {
         LedgerReply::ChargedChain(chain) => chain,
         other => panic!("no chain: {other:?}"),
@@ -119,7 +119,7 @@
     for number in 0..200 {
         let name = ProgramName::new(None, &format!("program-{number}"));
         for (place, region) in ["a", "b", "c"].into_iter().enumerate() {
-            let group = group_at_home(&name, &homes, &Region::new(region), GROUPS);
+            let group = group_in_region(&name, &homes, &Region::new(region), GROUPS);
             assert_eq!(group.0 as usize % 3, place, "{name} in {region}");
             assert!(group < GroupId(GROUPS));
         }
@@ -131,12 +131,12 @@
             ("an unknown region", &homes, "d", GROUPS),
         ] {
             assert_eq!(
-                group_at_home(&name, homes, &Region::new(region), groups),
+                group_in_region(&name, homes, &Region::new(region), groups),
                 anywhere,
                 "{case}"
             );
         }
-        let few = group_at_home(&name, &homes, &Region::new("c"), 2);
+        let few = group_in_region(&name, &homes, &Region::new("c"), 2);
         assert_eq!(few, group_of(&name, 2), "more regions than groups");
     }
 }
--- a/crates/node/src/ledger.rs
+++ b/crates/node/src/ledger.rs
@@ -96,7 +96,7 @@
         let Some(group) = self.groups.get_mut(&id) else {
             return;
         };
-        let command = Command::Ledger(command.stamped(now));
+        let command = Command::Ledger(command.with_timestamp(now));
         let refused = group.propose(command, Purpose::Request(to), now).is_err();
         let leader = group.replica.leader().map(|leader| leader.daemon);
         if refused {
--- a/crates/node/tests/ledger.rs
+++ b/crates/node/tests/ledger.rs
@@ -41,7 +41,7 @@
 fn close(turn: &str, generated: u64) -> LedgerCommand {
     let output = format!("{turn}>").into_bytes();
     let served_by = "server".to_owned();
-    let end = TurnEnd::Whole { generated: Tokens(generated), output, served_by };
+    let end = TurnEnd::Completed { generated: Tokens(generated), output, served_by };
     let turn = TurnId::new(None, turn);
     LedgerCommand::Close(CloseTurn { program: program(), turn, end, at: Timestamp::ZERO })
 }
--- a/crates/node/tests/wire_forms.rs
+++ b/crates/node/tests/wire_forms.rs
@@ -247,12 +247,12 @@
 }
 
 fn check_ledger(checker: &mut Checker) {
-    let whole = TurnEnd::Whole {
+    let whole = TurnEnd::Completed {
         generated: Tokens(63),
         output: b"Done.\n".to_vec(),
         served_by: "i-7f3a91c2@1800000000000".to_owned(),
     };
-    let read = LedgerCommand::ReadFor {
+    let read = LedgerCommand::ReadCharged {
         turn: turn("40c8f1a7b3e9265d"),
         program: program(),
         at: Timestamp(3),
@@ -260,7 +260,7 @@
     checker.check("ledger-open", request(open()));
     checker.check("ledger-close-whole", request(close(whole.clone())));
     checker.check("ledger-close-not-run", request(close(TurnEnd::NotRun)));
-    checker.check("ledger-close-broken", request(close(TurnEnd::Broken)));
+    checker.check("ledger-close-broken", request(close(TurnEnd::Incomplete)));
     checker.check("ledger-read-for", request(read));
     let request = Request::Ledger { group: GroupId(5), command: open() };
     let passed_on = PeerMessage::PassOn { id: RequestId(78), request, reply_to: address() };
--- a/crates/relay/src/turn.rs
+++ b/crates/relay/src/turn.rs
@@ -105,7 +105,7 @@
 
     /// From here on a server may run it.
     pub(crate) fn may_run(&mut self) {
-        self.end = Some(TurnEnd::Broken);
+        self.end = Some(TurnEnd::Incomplete);
     }
 
     /// No server has run it, and none will unless it is sent again.
@@ -135,7 +135,7 @@
     /// # Errors
     /// The ledger did not confirm it.
     pub(crate) async fn whole(mut self, served_by: String) -> Result<(), LedgerUnavailable> {
-        self.end = Some(TurnEnd::Whole {
+        self.end = Some(TurnEnd::Completed {
             generated: Tokens(self.events.saturating_mul(self.tokens_per_event.0)),
             output: std::mem::take(&mut self.output),
             served_by,
--- a/crates/relay/tests/evacuation.rs
+++ b/crates/relay/tests/evacuation.rs
@@ -167,7 +167,7 @@
     assert!(call(bed.address, &post("t-2", TURN, "more")).await.is_whole);
     assert_eq!((emptied.got().len(), other.got().len()), (1, 1));
     let served_by = |end: &TurnEnd| match end {
-        TurnEnd::Whole { served_by, .. } => served_by.clone(),
+        TurnEnd::Completed { served_by, .. } => served_by.clone(),
         end => format!("{end:?}"),
     };
     let ends: Vec<String> = bed.ledger.ends().iter().map(served_by).collect();
--- a/crates/relay/tests/held_bytes.rs
+++ b/crates/relay/tests/held_bytes.rs
@@ -319,7 +319,7 @@
     let bed = Bed::with_settings(with_memory(1), Some(table(vec![turns()])), &[&server]).await;
     let reply = call(bed.address, &post("t-1", "X-Program: p-1\r\n", "first")).await;
     assert!(!reply.is_whole);
-    until("it is settled", || bed.ledger.ends() == [TurnEnd::Broken]).await;
+    until("it is settled", || bed.ledger.ends() == [TurnEnd::Incomplete]).await;
     until("nothing is held", || holds_nothing(&bed)).await;
 }
 
--- a/crates/relay/tests/turns.rs
+++ b/crates/relay/tests/turns.rs
@@ -22,7 +22,7 @@
 }
 
 fn whole(output: &str) -> TurnEnd {
-    TurnEnd::Whole { generated: Tokens(18), output: output.into(), served_by: "s-1".into() }
+    TurnEnd::Completed { generated: Tokens(18), output: output.into(), served_by: "s-1".into() }
 }
 
 fn with_budget() -> Route {
@@ -186,8 +186,8 @@
     type Script = fn(&Got) -> Vec<Step>;
     let cases: [(&str, Script, u16, TurnEnd); 4] = [
         ("refused unrun", shed, 503, TurnEnd::NotRun),
-        ("reset", |_| vec![Step::Reset], 502, TurnEnd::Broken),
-        ("its own failure", |got| vec![answer(got, "500 Bad", "", "")], 500, TurnEnd::Broken),
+        ("reset", |_| vec![Step::Reset], 502, TurnEnd::Incomplete),
+        ("its own failure", |got| vec![answer(got, "500 Bad", "", "")], 500, TurnEnd::Incomplete),
         (
             "not proper, and not run",
             |got| vec![answer(got, "400 Bad", "X-Not-Run: 1\r\n", "")],
@@ -216,7 +216,7 @@
     caller.head().await;
     caller.chunk().await.expect("the first event");
     drop(caller);
-    until("the end is recorded", || bed.ledger.ends() == [TurnEnd::Broken]).await;
+    until("the end is recorded", || bed.ledger.ends() == [TurnEnd::Incomplete]).await;
     until("the server sees the close", || server.closed() == 1).await;
 }
 
