--- a/crates/experiment/src/driver/callers.rs
+++ b/crates/experiment/src/driver/callers.rs
@@ -1,7 +1,7 @@
 //! The callers' side: issuing calls, taking answers, coming back after refusals.
 
 use dahlia_engine_model::Segment;
-use dahlia_placement::{Event, PauseBegan};
+use dahlia_placement::{ChainPause, Event};
 use dahlia_types::{AttemptId, ChainId, Duration, Tokens, Usage};
 
 use super::Driver;
@@ -189,7 +189,7 @@
     fn begin_pause(&mut self, program: usize, chain: usize, tool: &str) {
         let run = &self.programs[program];
         let context = run.chains[chain].history.iter().map(|segment| segment.tokens.0).sum();
-        let pause = PauseBegan {
+        let pause = ChainPause {
             program: run.id,
             chain: ChainId(chain as u32),
             tool: Some(tool.to_owned()),
--- a/crates/experiment/src/driver/copies.rs
+++ b/crates/experiment/src/driver/copies.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use dahlia_engine_model::{EngineCommand, Export, Import, KvImage, Submit};
-use dahlia_placement::{CopySource, Event, Tier};
+use dahlia_placement::{CacheTier, CopySource, Event};
 use dahlia_types::{AttemptId, ChainId, ModelId, ProgramId, Timestamp, Tokens};
 
 use super::agenda::Happening;
@@ -98,13 +98,13 @@
         self.copies.insert(attempt, PendingCopy { source, target, scheduler, submit });
         let purpose = Purpose::Attempt(attempt);
         match from.tier {
-            Tier::Engine => {
+            CacheTier::Engine => {
                 let (program, model) = (attempt.call.program, ModelId::new(MODEL));
                 let export = Export { program, epoch: EPOCH, tenant, model, segments };
                 let at = committed + self.network.between(scheduler, source);
                 self.send_transfer(source, EngineCommand::Export(export), scheduler, purpose, at);
             }
-            Tier::Host => match self.engines[source].host_memory.take(key) {
+            CacheTier::Host => match self.engines[source].host_memory.take(key) {
                 Some(image) => self.send_image(source, target, image, scheduler, purpose),
                 None => self.end_copy(attempt),
             },
--- a/crates/experiment/src/driver/engines.rs
+++ b/crates/experiment/src/driver/engines.rs
@@ -8,7 +8,7 @@
 use dahlia_engine_model::{
     CacheSpan, EngineCommand, EngineEvent, EngineModel, EngineRefusal, EngineReply,
 };
-use dahlia_placement::{AttemptFailed, AttemptFailure, Event};
+use dahlia_placement::{AttemptFailure, Event, FailedAttempt};
 use dahlia_types::{
     AttemptId, Duration, EngineId, Incarnation, ModelId, ProgramId, Timestamp, Usage,
 };
@@ -224,7 +224,7 @@
         let Some(program) = self.programs.get(attempt.call.program.number as usize) else { return };
         let owner = program.owner;
         let after = add(detection, self.network.between(engine, owner));
-        let failed = AttemptFailed { attempt, failure, retryable };
+        let failed = FailedAttempt { attempt, failure, retryable };
         self.tell_later(owner, Event::Failed(failed), after);
     }
 
--- a/crates/experiment/src/driver/engines/reports.rs
+++ b/crates/experiment/src/driver/engines/reports.rs
@@ -2,7 +2,7 @@
 
 use dahlia_engine_model::{CacheEvent, EngineRole};
 use dahlia_placement::{
-    CacheNotice, EngineCapacity, EngineInventory, EngineJoined, EngineReport, Event,
+    CacheNotice, EngineCapacity, EngineDescription, EngineInventory, EngineReport, Event,
 };
 use dahlia_types::{Duration, ModelId, Tokens};
 use rand::Rng;
@@ -14,11 +14,11 @@
     /// Makes the engine known to every scheduler.
     pub(in super::super) fn announce(&mut self, engine: usize, lag: Duration) {
         for scheduler in 0..self.schedulers.len() {
-            let joined = EngineJoined {
+            let joined = EngineDescription {
                 engine: self.engines[engine].id.clone(),
                 incarnation: self.engines[engine].incarnation,
                 zone: self.network.zone(engine),
-                distance: self.network.between(scheduler, engine),
+                one_way_delay: self.network.between(scheduler, engine),
                 models: vec![ModelId::new(MODEL)],
                 capacity: self.capacity(),
             };
--- a/crates/experiment/src/driver/schedulers.rs
+++ b/crates/experiment/src/driver/schedulers.rs
@@ -3,7 +3,7 @@
 use dahlia_engine_model::{
     AfterHold, Cancel, EngineCommand, Hold, Priority, Release, Segment, Submit,
 };
-use dahlia_placement::{Action, CallReady, CopySource, Event, HistorySegment, ReleaseReason};
+use dahlia_placement::{Action, CopySource, Event, HistorySegment, ReadyCall, ReleaseReason};
 use dahlia_types::{
     AttemptId, CallId, Duration, EngineId, Incarnation, ModelId, Term, Timestamp, Tokens,
 };
@@ -26,14 +26,14 @@
         let call = run.call(chain);
         let current = &mut run.chains[chain];
         current.ready = self.now;
-        let ready = CallReady {
+        let ready = ReadyCall {
             call,
             attempt: current.attempt,
             model: ModelId::new(MODEL),
             tenant: run.script.tenant.clone(),
             history: current.history.iter().map(history_segment).collect(),
             max_generated: Tokens(self.workload.program.max_generated),
-            attained: Duration::ZERO,
+            attained_service: Duration::ZERO,
             depth: current.depth,
             weight: WEIGHT,
         };
@@ -55,7 +55,7 @@
                 self.dispatch(scheduler, attempt, &engine, incarnation, priority, copy_from);
             }
             Action::Refuse { call, retry_after, .. } => self.refuse(call, retry_after),
-            Action::Requeue { attempt, engine } => {
+            Action::Recall { attempt, engine } => {
                 let cancel = Cancel { attempt, epoch: EPOCH, only_waiting: true };
                 self.send(scheduler, &engine, EngineCommand::Cancel(cancel));
             }
--- a/crates/node/src/attempts.rs
+++ b/crates/node/src/attempts.rs
@@ -1,7 +1,7 @@
 //! Attempts: from placement's decision over the durable intent to the recorded outcome.
 
 use dahlia_placement::{
-    Action as Decision, AttemptFailed, AttemptFailure, Event as PlacementEvent, RefusalReason,
+    Action as Decision, AttemptFailure, Event as PlacementEvent, FailedAttempt, RefusalReason,
 };
 use dahlia_program::{
     AbandonCall, AttemptOutcome, CallOutcome, Command, EngineLife, IntentRecorded, NotRunReason,
@@ -37,7 +37,7 @@
             Decision::Refuse { call, retry_after, reason } => {
                 self.abandon(call, not_run_reason(reason), Some(retry_after), now);
             }
-            Decision::Requeue { attempt, .. } => self.recall(attempt),
+            Decision::Recall { attempt, .. } => self.recall(attempt),
             // Without host memory nothing is offloaded; freeing is what comes nearest.
             Decision::Release { program, engine, .. }
             | Decision::Offload { program, engine, .. } => {
@@ -197,7 +197,7 @@
             }
             Refusal::StaleIncarnation { .. } => {
                 let failure = AttemptFailure::Refused;
-                let failed = AttemptFailed { attempt: intent.attempt, failure, retryable: true };
+                let failed = FailedAttempt { attempt: intent.attempt, failure, retryable: true };
                 self.schedule(PlacementEvent::Failed(failed), now);
             }
             _ => {
@@ -286,7 +286,7 @@
             AttemptOutcome::Ran { usage, .. } => {
                 PlacementEvent::Finished { attempt, usage: *usage }
             }
-            other => PlacementEvent::Failed(AttemptFailed {
+            other => PlacementEvent::Failed(FailedAttempt {
                 attempt,
                 failure: failure_of(other),
                 retryable: false,
@@ -315,7 +315,7 @@
         }
         if attempt.attempt >= self.settings.attempts_per_call {
             let failed =
-                AttemptFailed { attempt, failure: failure_of(&recorded.outcome), retryable: false };
+                FailedAttempt { attempt, failure: failure_of(&recorded.outcome), retryable: false };
             self.schedule(PlacementEvent::Failed(failed), now);
             self.abandon(call, NotRunReason::AttemptsFailed, None, now);
             return;
@@ -332,7 +332,7 @@
             }
             failure => failure,
         };
-        let failed = AttemptFailed { attempt, failure, retryable: true };
+        let failed = FailedAttempt { attempt, failure, retryable: true };
         self.schedule(PlacementEvent::Failed(failed), now);
     }
 
--- a/crates/node/src/engines.rs
+++ b/crates/node/src/engines.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use dahlia_placement::{
-    EngineCapacity, EngineJoined, EngineReport as PlacementReport, Event as PlacementEvent,
+    EngineCapacity, EngineDescription, EngineReport as PlacementReport, Event as PlacementEvent,
 };
 use dahlia_types::{Duration, EngineId, Incarnation, ModelId, Timestamp, Tokens, Zone};
 use serde::{Deserialize, Serialize};
@@ -234,11 +234,11 @@
 
     /// An engine may be given work from now on.
     pub(crate) fn engine_joins(&mut self, report: &EngineReport, now: Timestamp) {
-        let joined = EngineJoined {
+        let joined = EngineDescription {
             engine: report.engine.clone(),
             incarnation: report.incarnation,
             zone: report.zone.clone(),
-            distance: self.engines.distance(&report.zone),
+            one_way_delay: self.engines.distance(&report.zone),
             models: report.models.clone(),
             capacity: capacity_of(report),
         };
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -1,6 +1,6 @@
 //! What the owner of a group does when a command was applied.
 
-use dahlia_placement::{CallReady, Event as PlacementEvent, HistorySegment};
+use dahlia_placement::{Event as PlacementEvent, HistorySegment, ReadyCall};
 use dahlia_program::{Applied, Begun, CallOutcome, Command, Program, RecordedOutcome, Refusal};
 use dahlia_types::{CallId, ChainId, Duration, GroupId, Message, ProgramId, Timestamp, Tokens};
 
@@ -113,19 +113,19 @@
         }
     }
 
-    fn describe(&self, id: CallId, prompt: &[Message]) -> Option<CallReady> {
+    fn describe(&self, id: CallId, prompt: &[Message]) -> Option<ReadyCall> {
         let group = self.groups.get(&id.program.group)?;
         let program = group.state.program(id.program)?;
         let call = program.call(id)?;
         let segments = prompt.iter().map(segment);
-        Some(CallReady {
+        Some(ReadyCall {
             call: id,
             attempt: call.attempts() + 1,
             model: program.specification().model.clone(),
             tenant: program.specification().tenant.clone(),
             history: segments.collect(),
             max_generated: call.max_generated(),
-            attained: Duration::ZERO,
+            attained_service: Duration::ZERO,
             depth: depth(program, id.chain),
             weight: ORDINARY_WEIGHT,
         })
--- a/crates/placement/examples/decision_cost.rs
+++ b/crates/placement/examples/decision_cost.rs
@@ -7,8 +7,8 @@
 use std::time::{Duration as WallTime, Instant};
 
 use dahlia_placement::{
-    Action, CacheNotice, CallReady, EngineCapacity, EngineJoined, EngineReport, Event,
-    HistorySegment, PlacementSettings, PolicyKind, Scheduler,
+    Action, CacheNotice, EngineCapacity, EngineDescription, EngineReport, Event, HistorySegment,
+    PlacementSettings, PolicyKind, ReadyCall, Scheduler,
 };
 use dahlia_types::{
     AttemptId, CallId, ChainId, Duration, EngineId, GroupId, Incarnation, ModelId, ProgramId,
@@ -108,12 +108,12 @@
     EngineId::new(format!("engine-{number}"))
 }
 
-fn joined(number: usize) -> EngineJoined {
-    EngineJoined {
+fn joined(number: usize) -> EngineDescription {
+    EngineDescription {
         engine: engine(number),
         incarnation: Incarnation(1),
         zone: Zone::new("zone"),
-        distance: Duration::from_millis(1),
+        one_way_delay: Duration::from_millis(1),
         models: vec![model(number)],
         capacity: EngineCapacity {
             kv_tokens: Tokens(1_500_000),
@@ -142,10 +142,10 @@
     }
 }
 
-fn call(program: u64, number: u32) -> CallReady {
+fn call(program: u64, number: u32) -> ReadyCall {
     let program_id = ProgramId { group: GroupId(0), number: program };
     let history = 0..SEGMENTS + 2 * u64::from(number);
-    CallReady {
+    ReadyCall {
         call: CallId { program: program_id, chain: ChainId(0), number },
         attempt: 1,
         model: model(program as usize),
@@ -154,7 +154,7 @@
             .map(|place| HistorySegment { hash: program * 1000 + place, tokens: Tokens(500) })
             .collect(),
         max_generated: Tokens(1000),
-        attained: Duration::ZERO,
+        attained_service: Duration::ZERO,
         depth: 0,
         weight: 100,
     }
--- a/crates/placement/src/action.rs
+++ b/crates/placement/src/action.rs
@@ -26,14 +26,14 @@
     /// The program ended. The engine must confirm; see [`crate::Event::Released`].
     ProgramEnded,
     /// The pause is not worth the memory.
-    Pause,
+    PauseTooCostly,
     /// The program's cache is on another engine now.
     Moved,
 }
 
 /// Where KV lies that can be copied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Tier {
+pub enum CacheTier {
     /// In the engine's own memory: it is exported there, then imported.
     Engine,
     /// In the memory of the engine's host, exported there earlier: it is imported only.
@@ -46,7 +46,7 @@
     /// The engine.
     pub engine: EngineId,
     /// In which of its memories.
-    pub tier: Tier,
+    pub tier: CacheTier,
 }
 
 /// A decision for the driver to carry out.
@@ -76,7 +76,7 @@
     },
     /// Cancel the attempt at the engine if it has not started there, and report
     /// [`crate::AttemptFailure::Recalled`]; a new attempt follows. If it has started, nothing.
-    Requeue {
+    Recall {
         /// The attempt.
         attempt: AttemptId,
         /// The engine.
--- a/crates/placement/src/call.rs
+++ b/crates/placement/src/call.rs
@@ -3,12 +3,12 @@
 use dahlia_types::{AttemptId, CallId, Duration, TenantId, Timestamp};
 
 use crate::view::EngineSlot;
-use crate::{CallReady, HistorySegment};
+use crate::{HistorySegment, ReadyCall};
 
 /// A call between its readiness and its end.
 #[derive(Debug, Clone)]
 pub(crate) struct Call {
-    pub ready: CallReady,
+    pub ready: ReadyCall,
     /// Hashes of every prefix of the history, shortest first.
     pub prefixes: Vec<u64>,
     /// Length of each of these prefixes in tokens.
@@ -24,7 +24,7 @@
 }
 
 impl Call {
-    pub(crate) fn new(ready: CallReady, first: bool, patience: Duration, now: Timestamp) -> Self {
+    pub(crate) fn new(ready: ReadyCall, first: bool, patience: Duration, now: Timestamp) -> Self {
         let prefixes = prefix_hashes(&ready.tenant, &ready.history);
         let lengths = prefix_lengths(&ready.history);
         Self { ready, prefixes, lengths, priority: 0, since: now, patience, first }
--- a/crates/placement/src/cost.rs
+++ b/crates/placement/src/cost.rs
@@ -7,7 +7,7 @@
 use dahlia_types::Timestamp;
 
 use crate::view::EngineEntry;
-use crate::{CostSettings, Tier};
+use crate::{CacheTier, CostSettings};
 
 /// Time to set a transfer of KV up, in seconds.
 const TRANSFER_SETUP: f64 = 0.02;
@@ -43,7 +43,7 @@
     let recompute = recompute_time(entry, missing) * settings.recompute_weight;
     let generate = demand.generated * entry.step_seconds();
     let evict = eviction_cost(entry, missing, demand) * settings.eviction_weight;
-    let travel = 2.0 * entry.distance.as_secs_f64();
+    let travel = 2.0 * entry.one_way_delay.as_secs_f64();
     Cost { queue, total: queue + recompute + generate + evict + travel }
 }
 
@@ -53,11 +53,11 @@
 }
 
 /// Seconds to copy `tokens` of KV to the engine; none when it cannot.
-pub(crate) fn transfer_time(entry: &EngineEntry, tokens: u64, tier: Tier) -> Option<f64> {
+pub(crate) fn transfer_time(entry: &EngineEntry, tokens: u64, tier: CacheTier) -> Option<f64> {
     let speed = entry.capacity.transfer_per_second;
     let transfers = match tier {
-        Tier::Engine => 2.0,
-        Tier::Host => 1.0,
+        CacheTier::Engine => 2.0,
+        CacheTier::Host => 1.0,
     };
     (speed > 0.0).then(|| transfers * (TRANSFER_SETUP + tokens as f64 / speed))
 }
--- a/crates/placement/src/event.rs
+++ b/crates/placement/src/event.rs
@@ -36,7 +36,7 @@
 
 /// An engine that may be used from now on. Sent again, it replaces what was known.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct EngineJoined {
+pub struct EngineDescription {
     /// The engine.
     pub engine: EngineId,
     /// Its life.
@@ -44,7 +44,7 @@
     /// Where it stands.
     pub zone: Zone,
     /// Time to it, one way.
-    pub distance: Duration,
+    pub one_way_delay: Duration,
     /// Models that it serves.
     pub models: Vec<ModelId>,
     /// What it can do.
@@ -78,7 +78,7 @@
 
 /// A call that may be dispatched.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CallReady {
+pub struct ReadyCall {
     /// The call.
     pub call: CallId,
     /// Number that its next attempt has, from 1.
@@ -93,7 +93,7 @@
     pub max_generated: Tokens,
     /// Service that the program's longest path of calls got so far, as recorded with the program.
     /// The scheduler takes the larger of this and its own record.
-    pub attained: Duration,
+    pub attained_service: Duration,
     /// How many sub-agents deep the chain is; 0 for the main chain.
     pub depth: u32,
     /// Weight of the program; 100 is ordinary, a larger one is served earlier.
@@ -115,7 +115,7 @@
 
 /// An attempt that ended without an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct AttemptFailed {
+pub struct FailedAttempt {
     /// The attempt.
     pub attempt: AttemptId,
     /// Why.
@@ -126,7 +126,7 @@
 
 /// A chain waits for something other than an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PauseBegan {
+pub struct ChainPause {
     /// The program.
     pub program: ProgramId,
     /// The chain.
@@ -169,7 +169,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Event {
     /// An engine may be used.
-    EngineJoined(EngineJoined),
+    EngineJoined(EngineDescription),
     /// An engine's load.
     EngineReport(EngineReport),
     /// An engine leaves: no new work; work that waits there is recalled.
@@ -177,7 +177,7 @@
     /// An engine is gone; its cache with it. Its open attempts are reported as failed one by one.
     EngineGone(EngineId),
     /// A call wants an engine.
-    CallReady(CallReady),
+    CallReady(ReadyCall),
     /// The first token of an attempt arrived.
     FirstToken(AttemptId),
     /// An attempt ended with its answer.
@@ -188,13 +188,13 @@
         usage: Usage,
     },
     /// An attempt ended without one.
-    Failed(AttemptFailed),
+    Failed(FailedAttempt),
     /// An attempt never left: its intent was refused.
     AttemptWithdrawn(AttemptId),
     /// A call that waits for an engine is no longer wanted.
     CallWithdrawn(CallId),
     /// A chain waits for a tool, a sub-agent or a person.
-    PauseBegan(PauseBegan),
+    PauseBegan(ChainPause),
     /// A chain's cache was exported as [`crate::Action::Offload`] asked.
     Offloaded {
         /// The program.
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -21,11 +21,11 @@
 mod stats;
 mod view;
 
-pub use action::{Action, CopySource, RefusalReason, ReleaseReason, Tier};
+pub use action::{Action, CacheTier, CopySource, RefusalReason, ReleaseReason};
 pub use admission::OpenCallLimits;
 pub use event::{
-    AttemptFailed, AttemptFailure, CacheNotice, CallReady, EngineCapacity, EngineInventory,
-    EngineJoined, EngineReport, Event, HistorySegment, PauseBegan,
+    AttemptFailure, CacheNotice, ChainPause, EngineCapacity, EngineDescription, EngineInventory,
+    EngineReport, Event, FailedAttempt, HistorySegment, ReadyCall,
 };
 pub use scheduler::Scheduler;
 pub use settings::{
--- a/crates/placement/src/policy.rs
+++ b/crates/placement/src/policy.rs
@@ -15,13 +15,13 @@
 use crate::cost::Demand;
 use crate::programs::CachedOn;
 use crate::view::{EngineSlot, EngineTable};
-use crate::{CostSettings, PolicyKind, Tier};
+use crate::{CacheTier, CostSettings, PolicyKind};
 
 /// KV that can be copied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Source {
     pub slot: EngineSlot,
-    pub tier: Tier,
+    pub tier: CacheTier,
     pub tokens: u64,
 }
 
--- a/crates/placement/src/policy/program_aware.rs
+++ b/crates/placement/src/policy/program_aware.rs
@@ -11,7 +11,7 @@
 use super::{Placement, Policy, Request, Source};
 use crate::cost::{Cost, cost, recompute_time, transfer_time};
 use crate::view::{EngineSlot, EngineTable};
-use crate::{CostSettings, Tier};
+use crate::{CacheTier, CostSettings};
 
 /// The policy and its settings.
 #[derive(Debug)]
@@ -69,7 +69,7 @@
     ) -> Option<Candidate> {
         let entry = engines.entry(found.slot);
         let gained = source.tokens.saturating_sub(cached_on(request, found.slot));
-        let useless = source.slot == found.slot && source.tier == Tier::Engine;
+        let useless = source.slot == found.slot && source.tier == CacheTier::Engine;
         if useless || gained < self.settings.least_copied {
             return None;
         }
@@ -133,8 +133,8 @@
 /// The largest copies that could be fetched: from an engine, and from a host's memory.
 fn sources(request: &Request<'_>) -> impl Iterator<Item = Source> {
     let largest = request.cached.iter().max_by_key(|cached| cached.tokens);
-    let on_engine = largest.map(|cached| (cached, Tier::Engine));
-    let on_host = request.offloaded.as_ref().map(|cached| (cached, Tier::Host));
+    let on_engine = largest.map(|cached| (cached, CacheTier::Engine));
+    let on_host = request.offloaded.as_ref().map(|cached| (cached, CacheTier::Host));
     let both = on_engine.into_iter().chain(on_host);
     both.map(|(cached, tier)| Source { slot: cached.slot, tier, tokens: cached.tokens })
 }
--- a/crates/placement/src/scheduler/calls.rs
+++ b/crates/placement/src/scheduler/calls.rs
@@ -9,7 +9,7 @@
 use crate::priority::{Claim, priority};
 use crate::programs::CachedOn;
 use crate::view::EngineSlot;
-use crate::{Action, AttemptFailed, AttemptFailure, CallReady, CopySource, RefusalReason};
+use crate::{Action, AttemptFailure, CopySource, FailedAttempt, ReadyCall, RefusalReason};
 
 /// Share of the newest observation in the average of generated tokens.
 const GENERATED_SHARE: f64 = 0.02;
@@ -17,7 +17,7 @@
 impl Scheduler {
     pub(super) fn call_ready(
         &mut self,
-        ready: CallReady,
+        ready: ReadyCall,
         now: Timestamp,
         actions: &mut Vec<Action>,
     ) {
@@ -68,7 +68,7 @@
 
     pub(super) fn failed(
         &mut self,
-        failed: AttemptFailed,
+        failed: FailedAttempt,
         now: Timestamp,
         actions: &mut Vec<Action>,
     ) {
@@ -169,9 +169,9 @@
             || self.models.values().any(|model| model.lanes.contains(call))
     }
 
-    fn new_call(&mut self, ready: CallReady, now: Timestamp) -> Call {
+    fn new_call(&mut self, ready: ReadyCall, now: Timestamp) -> Call {
         let program = self.programs.of_call(ready.call, &ready.tenant);
-        program.raise_service(ready.call.chain, ready.attained);
+        program.raise_service(ready.call.chain, ready.attained_service);
         let attained = program.attained();
         let first = attained == Duration::ZERO;
         let mut call = Call::new(ready, first, self.admission.patience(first), now);
@@ -309,7 +309,7 @@
     fn try_again(
         &mut self,
         mut call: Call,
-        failed: AttemptFailed,
+        failed: FailedAttempt,
         now: Timestamp,
         actions: &mut Vec<Action>,
     ) {
--- a/crates/placement/src/scheduler/engines.rs
+++ b/crates/placement/src/scheduler/engines.rs
@@ -4,12 +4,12 @@
 
 use super::Scheduler;
 use crate::view::{Availability, EngineSlot, ReportEffect};
-use crate::{Action, CacheNotice, EngineInventory, EngineJoined, EngineReport};
+use crate::{Action, CacheNotice, EngineDescription, EngineInventory, EngineReport};
 
 impl Scheduler {
     pub(super) fn engine_joined(
         &mut self,
-        joined: EngineJoined,
+        joined: EngineDescription,
         now: Timestamp,
         actions: &mut Vec<Action>,
     ) {
@@ -114,7 +114,7 @@
         let engine = self.engines.entry(slot).id.clone();
         for attempt in attempts {
             self.stats.recalled += 1;
-            actions.push(Action::Requeue { attempt, engine: engine.clone() });
+            actions.push(Action::Recall { attempt, engine: engine.clone() });
         }
     }
 
--- a/crates/placement/src/scheduler/sessions.rs
+++ b/crates/placement/src/scheduler/sessions.rs
@@ -9,7 +9,7 @@
 use crate::programs::{CachedOn, Paused};
 use crate::retention::{PauseEnd, PausePlan};
 use crate::view::EngineSlot;
-use crate::{Action, CallReady, PauseBegan, ReleaseReason, Tier};
+use crate::{Action, CacheTier, ChainPause, ReadyCall, ReleaseReason};
 
 /// How much longer than planned cache is held so that an offload can be completed.
 const OFFLOAD_GRACE: Duration = Duration::from_secs(10);
@@ -17,11 +17,11 @@
 impl Scheduler {
     pub(super) fn pause_began(
         &mut self,
-        pause: PauseBegan,
+        pause: ChainPause,
         now: Timestamp,
         actions: &mut Vec<Action>,
     ) {
-        let PauseBegan { program: id, chain, tool, context } = pause;
+        let ChainPause { program: id, chain, tool, context } = pause;
         let Some(program) = self.programs.get(id) else { return };
         let home = program.home(chain);
         let tenant = program.tenant.clone();
@@ -101,7 +101,7 @@
     }
 
     /// Notes the length of the pause from which the call's chain comes back.
-    pub(super) fn learn_return(&mut self, ready: &CallReady, now: Timestamp) {
+    pub(super) fn learn_return(&mut self, ready: &ReadyCall, now: Timestamp) {
         let Some(program) = self.programs.get_mut(ready.call.program) else { return };
         if let Some(paused) = program.resume(ready.call.chain) {
             let end = PauseEnd::Returned(now.since(paused.since));
@@ -223,7 +223,7 @@
             Some(until) => actions.push(Action::Hold { program: id, engine, until }),
             None => {
                 program.forget_cache(slot);
-                let reason = ReleaseReason::Pause;
+                let reason = ReleaseReason::PauseTooCostly;
                 actions.push(Action::Release { program: id, engine, reason });
             }
         }
@@ -243,7 +243,7 @@
         let worth_copying = context.0 >= self.settings.cost.least_copied;
         let has_host_memory = entry.capacity.host_tokens > Tokens::ZERO && worth_copying;
         let recompute = recompute_time(entry, context.0).max(f64::EPSILON);
-        let copy = transfer_time(entry, context.0, Tier::Host).filter(|_| has_host_memory);
+        let copy = transfer_time(entry, context.0, CacheTier::Host).filter(|_| has_host_memory);
         let copy_cost = copy.map(|copy| copy / recompute);
         self.retention.plan(tenant, tool, entry.occupancy(), copy_cost)
     }
--- a/crates/placement/src/view.rs
+++ b/crates/placement/src/view.rs
@@ -9,7 +9,7 @@
 use rand_chacha::ChaCha8Rng;
 
 pub(crate) use self::entry::{Availability, EngineEntry};
-use crate::{EngineJoined, EngineReport};
+use crate::{EngineDescription, EngineReport};
 
 /// Place of an engine in the table; never used again for another engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -36,7 +36,7 @@
 
 impl EngineTable {
     /// Adds an engine or replaces what was known; tells whether its life is a new one.
-    pub(crate) fn join(&mut self, joined: EngineJoined, now: Timestamp) -> (EngineSlot, bool) {
+    pub(crate) fn join(&mut self, joined: EngineDescription, now: Timestamp) -> (EngineSlot, bool) {
         let known = self.slots.get(&joined.engine).copied();
         let slot = known.unwrap_or(EngineSlot(self.entries.len()));
         let restarted = known.is_some_and(|slot| {
--- a/crates/placement/src/view/entry.rs
+++ b/crates/placement/src/view/entry.rs
@@ -5,7 +5,7 @@
 use dahlia_types::{AttemptId, Duration, EngineId, Incarnation, ModelId, Timestamp};
 
 use crate::circuit::Circuit;
-use crate::{EngineCapacity, EngineJoined, EngineReport};
+use crate::{EngineCapacity, EngineDescription, EngineReport};
 
 /// How long an engine that refused as overloaded is left alone.
 const OVERLOAD_PAUSE: Duration = Duration::from_millis(500);
@@ -34,7 +34,7 @@
 pub(crate) struct EngineEntry {
     pub id: EngineId,
     pub incarnation: Incarnation,
-    pub distance: Duration,
+    pub one_way_delay: Duration,
     pub models: Vec<ModelId>,
     pub capacity: EngineCapacity,
     pub availability: Availability,
@@ -58,11 +58,11 @@
 }
 
 impl EngineEntry {
-    pub(crate) fn new(joined: EngineJoined, now: Timestamp) -> Self {
+    pub(crate) fn new(joined: EngineDescription, now: Timestamp) -> Self {
         Self {
             id: joined.engine,
             incarnation: joined.incarnation,
-            distance: joined.distance,
+            one_way_delay: joined.one_way_delay,
             models: joined.models,
             capacity: joined.capacity,
             availability: Availability::Serving,
@@ -84,14 +84,14 @@
     }
 
     /// Takes the engine back into service; a new life starts empty.
-    pub(crate) fn rejoin(&mut self, joined: EngineJoined, now: Timestamp) {
+    pub(crate) fn rejoin(&mut self, joined: EngineDescription, now: Timestamp) {
         if joined.incarnation != self.incarnation {
             let open = self.open;
             *self = Self::new(joined, now);
             self.open = open;
             return;
         }
-        self.distance = joined.distance;
+        self.one_way_delay = joined.one_way_delay;
         self.models = joined.models;
         self.capacity = joined.capacity;
         self.availability = Availability::Serving;
@@ -209,13 +209,13 @@
     /// Prefill dispatched so lately that the engine cannot have done it.
     fn recent_prefill(&self, now: Timestamp) -> f64 {
         let Some(first) = self.unseen.front() else { return 0.0 };
-        let passed = now.since(first.sent_at + self.distance).as_secs_f64();
+        let passed = now.since(first.sent_at + self.one_way_delay).as_secs_f64();
         (self.unseen_prefill as f64 - passed * self.capacity.prefill_per_second).max(0.0)
     }
 
     fn forget_seen(&mut self) {
         while let Some(first) = self.unseen.front() {
-            if first.sent_at + self.distance > self.reported_at {
+            if first.sent_at + self.one_way_delay > self.reported_at {
                 break;
             }
             self.unseen_prefill -= first.prefill;
--- a/crates/placement/tests/placing.rs
+++ b/crates/placement/tests/placing.rs
@@ -113,7 +113,7 @@
         let recalled: Vec<_> = actions
             .iter()
             .filter_map(|action| match action {
-                Action::Requeue { attempt, .. } => Some(*attempt),
+                Action::Recall { attempt, .. } => Some(*attempt),
                 _ => None,
             })
             .collect();
--- a/crates/placement/tests/support/mod.rs
+++ b/crates/placement/tests/support/mod.rs
@@ -3,8 +3,8 @@
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 use dahlia_placement::{
-    Action, AttemptFailed, AttemptFailure, CallReady, EngineCapacity, EngineJoined, EngineReport,
-    Event, HistorySegment, PauseBegan, PlacementSettings, PolicyKind, Scheduler,
+    Action, AttemptFailure, ChainPause, EngineCapacity, EngineDescription, EngineReport, Event,
+    FailedAttempt, HistorySegment, PlacementSettings, PolicyKind, ReadyCall, Scheduler,
 };
 use dahlia_types::{
     AttemptId, CallId, ChainId, Duration, EngineId, GroupId, Incarnation, ModelId, ProgramId,
@@ -75,11 +75,11 @@
     }
 
     pub fn fail(&mut self, attempt: AttemptId, failure: AttemptFailure) -> Vec<Action> {
-        self.tell(Event::Failed(AttemptFailed { attempt, failure, retryable: true }))
+        self.tell(Event::Failed(FailedAttempt { attempt, failure, retryable: true }))
     }
 
     pub fn pause(&mut self, program: u64, tool: &str) -> Vec<Action> {
-        let pause = PauseBegan {
+        let pause = ChainPause {
             program: program_id(program),
             chain: ChainId(0),
             tool: Some(tool.to_owned()),
@@ -116,12 +116,12 @@
     CallId { program: program_id(program), chain: ChainId(0), number }
 }
 
-pub fn joined(number: usize) -> EngineJoined {
-    EngineJoined {
+pub fn joined(number: usize) -> EngineDescription {
+    EngineDescription {
         engine: engine(number),
         incarnation: Incarnation(1),
         zone: Zone::new("zone"),
-        distance: Duration::from_millis(1),
+        one_way_delay: Duration::from_millis(1),
         models: vec![model()],
         capacity: EngineCapacity {
             kv_tokens: Tokens(KV_TOKENS),
@@ -151,20 +151,20 @@
 }
 
 /// The `number`-th call of a program whose history grows by two segments a turn.
-pub fn call_ready(program: u64, number: u32) -> CallReady {
+pub fn call_ready(program: u64, number: u32) -> ReadyCall {
     let turns = u64::from(number);
     let segments = (0..2 * turns + 1).map(|place| HistorySegment {
         hash: program * 1000 + place,
         tokens: Tokens(if place == 0 { 5000 } else { 100 }),
     });
-    CallReady {
+    ReadyCall {
         call: call_id(program, number),
         attempt: 1,
         model: model(),
         tenant: TenantId::new(format!("tenant-{}", program % 3)),
         history: segments.collect(),
         max_generated: Tokens(1000),
-        attained: Duration::ZERO,
+        attained_service: Duration::ZERO,
         depth: 0,
         weight: 100,
     }
--- a/crates/placement/tests/waiting.rs
+++ b/crates/placement/tests/waiting.rs
@@ -108,9 +108,9 @@
 fn attained_service_sets_a_program_back_but_waiting_makes_up_for_it() {
     let mut bench = Bench::new(PolicyKind::ProgramAware, 1);
     let mut old = call_ready(1, 1);
-    old.attained = Duration::from_secs(1000);
+    old.attained_service = Duration::from_secs(1000);
     let mut new = call_ready(2, 1);
-    new.attained = Duration::from_secs(1);
+    new.attained_service = Duration::from_secs(1);
     let priority =
         |bench: &mut Bench, ready| dispatches(&bench.tell(Event::CallReady(ready)))[0].priority;
     let of_old = priority(&mut bench, old);
@@ -118,7 +118,7 @@
     assert!(of_new < of_old);
     bench.now = bench.now + Duration::from_secs(61);
     let mut later = call_ready(3, 1);
-    later.attained = Duration::from_secs(1);
+    later.attained_service = Duration::from_secs(1);
     assert!(priority(&mut bench, later) > of_old, "an older call is passed for so long only");
 }
 
