--- a/crates/configuration/src/accept/message.rs
+++ b/crates/configuration/src/change_writer/message.rs
@@ -4,11 +4,11 @@
 
 use dahlia_types::Generation;
 
-use crate::{ChangeId, ChangeSummary, Document, DocumentError, Record};
+use crate::{ChangeId, ChangeSummary, ConfigurationRecord, Document, DocumentError};
 
 /// A change that an operator asks for.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Proposal {
+pub struct ChangeProposal {
     /// Its identity; a repeat with it finds the first.
     pub change: ChangeId,
     /// The generation that it was made from; 0 when there is none yet.
@@ -25,7 +25,7 @@
 /// Longest change identity and author, in bytes. Both stay in the list of changes.
 const MOST_NAME_BYTES: usize = 64;
 
-impl Proposal {
+impl ChangeProposal {
     pub(super) fn check(&self) -> Result<(), DocumentError> {
         check_name("change", &self.change.0)?;
         check_name("author", &self.author)?;
@@ -46,7 +46,7 @@
 
 /// The configuration's key as the service gave it, perhaps an older state.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ServiceRecord {
+pub struct VersionedValue {
     /// The service's version of the key's state.
     pub version: u64,
     /// The value.
@@ -70,14 +70,14 @@
 
 /// What an accepter reacts to.
 #[derive(Debug, Clone)]
-pub enum AcceptEvent {
+pub enum ChangeWriterEvent {
     /// An operator asks for a change.
-    Proposed(Proposal),
+    Proposed(ChangeProposal),
     /// A generation came into force on this daemon.
-    InForce(Arc<Record>),
-    /// The result of [`AcceptAction::Read`].
-    Read(Result<Option<ServiceRecord>, ServiceUnavailable>),
-    /// The result of [`AcceptAction::Swap`].
+    Activated(Arc<ConfigurationRecord>),
+    /// The result of [`ChangeWriterAction::Read`].
+    Read(Result<Option<VersionedValue>, ServiceUnavailable>),
+    /// The result of [`ChangeWriterAction::Swap`].
     Swapped(Result<(), SwapFailure>),
     /// Time has passed.
     Tick,
@@ -85,7 +85,7 @@
 
 /// What the driver is to do.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum AcceptAction {
+pub enum ChangeWriterAction {
     /// Read the configuration's key.
     Read,
     /// Swap the key's value if its version is still this one; none when it must not exist.
@@ -96,14 +96,14 @@
         value: Vec<u8>,
     },
     /// Answer the operator.
-    Finished(ChangeId, Verdict),
+    Answer(ChangeId, ChangeOutcome),
 }
 
 /// What an operator is told.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Verdict {
+pub enum ChangeOutcome {
     /// Accepted, by this request or an earlier one of the same identity; it is the newest.
-    Accepted(Arc<Record>),
+    Accepted(Arc<ConfigurationRecord>),
     /// Accepted earlier; a later change has followed.
     AcceptedEarlier(ChangeSummary),
     /// Not accepted: made from a generation that is not the newest.
@@ -111,7 +111,7 @@
         /// The newest generation.
         newest: Generation,
         /// The change that came instead, when it is still listed.
-        lost_to: Option<ChangeSummary>,
+        conflicting_change: Option<ChangeSummary>,
     },
     /// Not accepted: the document is not valid.
     Invalid(DocumentError),
--- a/crates/configuration/src/accept/mod.rs
+++ b/crates/configuration/src/change_writer/mod.rs
@@ -8,17 +8,18 @@
 use dahlia_types::{Duration, Generation, Timestamp};
 
 pub use message::{
-    AcceptAction, AcceptEvent, Proposal, ServiceRecord, ServiceUnavailable, SwapFailure, Verdict,
+    ChangeOutcome, ChangeProposal, ChangeWriterAction, ChangeWriterEvent, ServiceUnavailable,
+    SwapFailure, VersionedValue,
 };
 
 use crate::switches::Switches;
-use crate::{Digest, Mechanism, Record, Settings};
+use crate::{ConfigurationRecord, ConfigurationSettings, Digest, Mechanism};
 
 /// Brings one change at a time into the service.
 #[derive(Debug)]
-pub struct Accepter {
-    settings: Settings,
-    known: Option<Arc<Record>>,
+pub struct ChangeWriter {
+    settings: ConfigurationSettings,
+    known: Option<Arc<ConfigurationRecord>>,
     work: Option<Work>,
     switches: Switches,
 }
@@ -26,10 +27,10 @@
 /// The change being decided.
 #[derive(Debug)]
 struct Work {
-    proposal: Proposal,
+    proposal: ChangeProposal,
     deadline: Timestamp,
     step: Step,
-    candidate: Option<Arc<Record>>,
+    candidate: Option<Arc<ConfigurationRecord>>,
     /// Some swap's reply was lost, of this request or an earlier one.
     in_doubt: bool,
     /// Some swap found another state than expected.
@@ -43,9 +44,9 @@
     Pausing { until: Timestamp },
 }
 
-impl Accepter {
+impl ChangeWriter {
     /// An accepter without work.
-    pub fn new(settings: Settings) -> Self {
+    pub fn new(settings: ConfigurationSettings) -> Self {
         Self { settings, known: None, work: None, switches: Switches::default() }
     }
 
@@ -61,36 +62,39 @@
     }
 
     /// Takes an event and gives what the driver is to do, in order.
-    pub fn handle(&mut self, event: AcceptEvent, now: Timestamp) -> Vec<AcceptAction> {
+    pub fn handle(&mut self, event: ChangeWriterEvent, now: Timestamp) -> Vec<ChangeWriterAction> {
         match event {
-            AcceptEvent::Proposed(proposal) => self.propose(proposal, now),
-            AcceptEvent::InForce(record) => {
+            ChangeWriterEvent::Proposed(proposal) => self.propose(proposal, now),
+            ChangeWriterEvent::Activated(record) => {
                 self.observe(record);
                 Vec::new()
             }
-            AcceptEvent::Read(result) => self.on_read(result, now),
-            AcceptEvent::Swapped(result) => self.on_swapped(result, now),
-            AcceptEvent::Tick => self.on_tick(now),
+            ChangeWriterEvent::Read(result) => self.on_read(result, now),
+            ChangeWriterEvent::Swapped(result) => self.on_swapped(result, now),
+            ChangeWriterEvent::Tick => self.on_tick(now),
         }
     }
 
-    fn observe(&mut self, record: Arc<Record>) {
+    fn observe(&mut self, record: Arc<ConfigurationRecord>) {
         let newest = self.known.as_ref().map(|known| known.generation());
         if newest < Some(record.generation()) {
             self.known = Some(record);
         }
     }
 
-    fn propose(&mut self, proposal: Proposal, now: Timestamp) -> Vec<AcceptAction> {
+    fn propose(&mut self, proposal: ChangeProposal, now: Timestamp) -> Vec<ChangeWriterAction> {
         if let Some(work) = &self.work {
             let same_change = work.proposal.change == proposal.change;
             if same_change && work.proposal.document == proposal.document {
                 return Vec::new();
             }
-            return vec![AcceptAction::Finished(proposal.change, Verdict::Busy)];
+            return vec![ChangeWriterAction::Answer(proposal.change, ChangeOutcome::Busy)];
         }
         if let Err(error) = proposal.check() {
-            return vec![AcceptAction::Finished(proposal.change, Verdict::Invalid(error))];
+            return vec![ChangeWriterAction::Answer(
+                proposal.change,
+                ChangeOutcome::Invalid(error),
+            )];
         }
         let in_doubt = proposal.repeated;
         self.work = Some(Work {
@@ -101,14 +105,14 @@
             in_doubt,
             lost: false,
         });
-        vec![AcceptAction::Read]
+        vec![ChangeWriterAction::Read]
     }
 
     fn on_read(
         &mut self,
-        result: Result<Option<ServiceRecord>, ServiceUnavailable>,
+        result: Result<Option<VersionedValue>, ServiceUnavailable>,
         now: Timestamp,
-    ) -> Vec<AcceptAction> {
+    ) -> Vec<ChangeWriterAction> {
         if self.work.as_ref().is_none_or(|work| work.step != Step::Reading) {
             return Vec::new();
         }
@@ -116,11 +120,11 @@
             return self.pause(now);
         };
         let version = found.as_ref().map(|found| found.version);
-        match found.map(|found| Record::decode(&found.bytes)) {
+        match found.map(|found| ConfigurationRecord::decode(&found.bytes)) {
             None => self.decide(version, None, now),
             Some(Ok(record)) => self.decide(version, Some(Arc::new(record)), now),
             // A later build wrote it. What cannot be read must not be replaced.
-            Some(Err(_)) => self.finish(Verdict::Unavailable),
+            Some(Err(_)) => self.finish(ChangeOutcome::Unavailable),
         }
     }
 
@@ -128,9 +132,9 @@
     fn decide(
         &mut self,
         version: Option<u64>,
-        read: Option<Arc<Record>>,
+        read: Option<Arc<ConfigurationRecord>>,
         now: Timestamp,
-    ) -> Vec<AcceptAction> {
+    ) -> Vec<ChangeWriterAction> {
         // The service may answer with older data. What daemons have in force was accepted, so the
         // next generation has to come after it; the swap's version guards against a stale read.
         let base = newer(read, self.known.clone());
@@ -143,9 +147,9 @@
         {
             let same = found.document == Digest::of(proposal.document.as_bytes());
             let verdict = match (same, found.generation == base.generation()) {
-                (false, _) => Verdict::IdentityReused(found.clone()),
-                (true, true) => Verdict::Accepted(base.clone()),
-                (true, false) => Verdict::AcceptedEarlier(found.clone()),
+                (false, _) => ChangeOutcome::IdentityReused(found.clone()),
+                (true, true) => ChangeOutcome::Accepted(base.clone()),
+                (true, false) => ChangeOutcome::AcceptedEarlier(found.clone()),
             };
             return self.finish(verdict);
         }
@@ -160,62 +164,70 @@
         self.swap(version, base.as_deref(), now)
     }
 
-    fn lose(&mut self, base: Option<&Record>, newest: Generation) -> Vec<AcceptAction> {
+    fn lose(
+        &mut self,
+        base: Option<&ConfigurationRecord>,
+        newest: Generation,
+    ) -> Vec<ChangeWriterAction> {
         let Some(work) = &self.work else {
             return Vec::new();
         };
         let next = work.proposal.expected.next();
-        let mut changes = base.into_iter().flat_map(Record::changes);
-        let lost_to = changes.find(|change| change.generation == next).cloned();
-        if work.in_doubt && lost_to.is_none() {
+        let mut changes = base.into_iter().flat_map(ConfigurationRecord::changes);
+        let conflicting_change = changes.find(|change| change.generation == next).cloned();
+        if work.in_doubt && conflicting_change.is_none() {
             // The list no longer reaches back: the lost reply may have been an acceptance.
-            return self.finish(Verdict::Unknown);
+            return self.finish(ChangeOutcome::Unknown);
         }
-        self.finish(Verdict::Conflict { newest, lost_to })
+        self.finish(ChangeOutcome::Conflict { newest, conflicting_change })
     }
 
     fn swap(
         &mut self,
         version: Option<u64>,
-        base: Option<&Record>,
+        base: Option<&ConfigurationRecord>,
         now: Timestamp,
-    ) -> Vec<AcceptAction> {
+    ) -> Vec<ChangeWriterAction> {
         let Some(work) = &mut self.work else {
             return Vec::new();
         };
-        let follows = base.map_or(Generation(0), Record::generation).next();
+        let follows = base.map_or(Generation(0), ConfigurationRecord::generation).next();
         let kept = work.candidate.take().filter(|kept| kept.generation() == follows);
-        let Proposal { change, author, document, .. } = work.proposal.clone();
+        let ChangeProposal { change, author, document, .. } = work.proposal.clone();
         let candidate = match kept {
             Some(kept) => kept,
-            None => match Record::after(base, change, author, document, now) {
+            None => match ConfigurationRecord::after(base, change, author, document, now) {
                 Ok(record) => Arc::new(record),
-                Err(_) => return self.finish(Verdict::Unavailable),
+                Err(_) => return self.finish(ChangeOutcome::Unavailable),
             },
         };
         let value = candidate.bytes().to_vec();
         work.candidate = Some(candidate);
         work.step = Step::Swapping;
-        vec![AcceptAction::Swap { expected: version, value }]
+        vec![ChangeWriterAction::Swap { expected: version, value }]
     }
 
-    fn on_swapped(&mut self, result: Result<(), SwapFailure>, now: Timestamp) -> Vec<AcceptAction> {
+    fn on_swapped(
+        &mut self,
+        result: Result<(), SwapFailure>,
+        now: Timestamp,
+    ) -> Vec<ChangeWriterAction> {
         let read_back = self.switches.is_on(Mechanism::ReadBack);
         let Some(work) = self.work.as_mut().filter(|work| work.step == Step::Swapping) else {
             return Vec::new();
         };
         match result {
             Ok(()) => {
-                let accepted = work.candidate.take().map(Verdict::Accepted);
-                self.finish(accepted.unwrap_or(Verdict::Unknown))
+                let accepted = work.candidate.take().map(ChangeOutcome::Accepted);
+                self.finish(accepted.unwrap_or(ChangeOutcome::Unknown))
             }
             Err(SwapFailure::Conflict) => {
                 work.lost = true;
                 work.step = Step::Reading;
-                vec![AcceptAction::Read]
+                vec![ChangeWriterAction::Read]
             }
             Err(SwapFailure::NotRun) => self.pause(now),
-            Err(SwapFailure::Unknown) if !read_back => self.finish(Verdict::Unavailable),
+            Err(SwapFailure::Unknown) if !read_back => self.finish(ChangeOutcome::Unavailable),
             Err(SwapFailure::Unknown) => {
                 // The request may still be on its way. The same swap is tried again: both expect
                 // the same version, so that at most one of them takes effect.
@@ -225,7 +237,7 @@
         }
     }
 
-    fn pause(&mut self, now: Timestamp) -> Vec<AcceptAction> {
+    fn pause(&mut self, now: Timestamp) -> Vec<ChangeWriterAction> {
         let until = now + self.settings.retry_pause;
         if let Some(work) = &mut self.work {
             work.step = Step::Pausing { until };
@@ -233,7 +245,7 @@
         self.on_tick(now)
     }
 
-    fn on_tick(&mut self, now: Timestamp) -> Vec<AcceptAction> {
+    fn on_tick(&mut self, now: Timestamp) -> Vec<ChangeWriterAction> {
         let Some(work) = &mut self.work else {
             return Vec::new();
         };
@@ -244,39 +256,39 @@
         match work.step {
             Step::Pausing { until } if now >= until => {
                 work.step = Step::Reading;
-                vec![AcceptAction::Read]
+                vec![ChangeWriterAction::Read]
             }
             _ => Vec::new(),
         }
     }
 
     /// What is known when the time is over.
-    fn late_verdict(&self) -> Verdict {
+    fn late_verdict(&self) -> ChangeOutcome {
         let Some(work) = &self.work else {
-            return Verdict::Unavailable;
+            return ChangeOutcome::Unavailable;
         };
         let is_swapping = work.step == Step::Swapping;
         if work.in_doubt || is_swapping {
-            return Verdict::Unknown;
+            return ChangeOutcome::Unknown;
         }
         let newest = self.known.as_ref().map_or(Generation(0), |known| known.generation());
         if work.lost || newest > work.proposal.expected {
-            return Verdict::Conflict { newest, lost_to: None };
+            return ChangeOutcome::Conflict { newest, conflicting_change: None };
         }
-        Verdict::Unavailable
+        ChangeOutcome::Unavailable
     }
 
-    fn finish(&mut self, verdict: Verdict) -> Vec<AcceptAction> {
-        if let Verdict::Accepted(record) = &verdict {
+    fn finish(&mut self, verdict: ChangeOutcome) -> Vec<ChangeWriterAction> {
+        if let ChangeOutcome::Accepted(record) = &verdict {
             self.observe(record.clone());
         }
         let Some(work) = self.work.take() else {
             return Vec::new();
         };
-        vec![AcceptAction::Finished(work.proposal.change, verdict)]
+        vec![ChangeWriterAction::Answer(work.proposal.change, verdict)]
     }
 
-    /// When to pass the next [`AcceptEvent::Tick`]; none without work.
+    /// When to pass the next [`ChangeWriterEvent::Tick`]; none without work.
     pub fn next_tick(&self, now: Timestamp) -> Option<Timestamp> {
         let work = self.work.as_ref()?;
         let due = match work.step {
@@ -287,7 +299,11 @@
     }
 }
 
-fn newer(one: Option<Arc<Record>>, other: Option<Arc<Record>>) -> Option<Arc<Record>> {
-    let generation = |record: &Option<Arc<Record>>| record.as_ref().map(|it| it.generation());
+fn newer(
+    one: Option<Arc<ConfigurationRecord>>,
+    other: Option<Arc<ConfigurationRecord>>,
+) -> Option<Arc<ConfigurationRecord>> {
+    let generation =
+        |record: &Option<Arc<ConfigurationRecord>>| record.as_ref().map(|it| it.generation());
     if generation(&one) >= generation(&other) { one } else { other }
 }
--- a/crates/configuration/src/document.rs
+++ b/crates/configuration/src/document.rs
@@ -9,7 +9,7 @@
 use crate::DocumentError;
 
 /// Largest document in bytes. Each daemon holds a few and fetches each new one once.
-pub const MOST_DOCUMENT_BYTES: usize = 256 << 10;
+pub const MAX_DOCUMENT_BYTES: usize = 256 << 10;
 
 /// The whole document. Every part may be left out.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
@@ -169,8 +169,8 @@
     /// # Errors
     /// [`DocumentError`] naming the field, what was found and what is allowed.
     pub fn parse(text: &str) -> Result<Self, DocumentError> {
-        if text.len() > MOST_DOCUMENT_BYTES {
-            return Err(DocumentError::TooLarge { bytes: text.len(), most: MOST_DOCUMENT_BYTES });
+        if text.len() > MAX_DOCUMENT_BYTES {
+            return Err(DocumentError::TooLarge { bytes: text.len(), most: MAX_DOCUMENT_BYTES });
         }
         let document: Self = toml::from_str(text)
             .map_err(|error| DocumentError::Malformed { reason: error.to_string() })?;
--- a/crates/configuration/src/follower/message.rs
+++ b/crates/configuration/src/follower/message.rs
@@ -5,7 +5,7 @@
 use dahlia_types::{DaemonId, Generation, Zone};
 use serde::{Deserialize, Serialize};
 
-use crate::{Record, RecordError, ServiceUnavailable, Stamp};
+use crate::{ConfigurationRecord, RecordError, RecordId, ServiceUnavailable};
 
 /// Another daemon that is believed to live.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
@@ -20,20 +20,20 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerMessage {
     /// Asks for the other's newest generation and states one's own; none when it knows none.
-    Compare(Option<Stamp>),
+    Compare(Option<RecordId>),
     /// Answers [`PeerMessage::Compare`].
-    Tell {
+    CompareReply {
         /// The sender's newest generation.
-        newest: Option<Stamp>,
+        newest: Option<RecordId>,
         /// Whether the sender serves by it; a daemon that starts does not.
-        serves: bool,
+        is_serving: bool,
     },
     /// A generation that is new to the sender, who has its record.
-    Announce(Stamp),
+    Announce(RecordId),
     /// Asks for the record of the newest generation.
     Fetch,
     /// A record's bytes.
-    Body(Vec<u8>),
+    Record(Vec<u8>),
 }
 
 /// What a follower reacts to.
@@ -44,7 +44,7 @@
     /// Until the first list the daemon does not serve.
     Peers(Vec<Peer>),
     /// The result of [`FollowerAction::ReadService`]: the key's value, perhaps an older one.
-    Service(Result<Option<Vec<u8>>, ServiceUnavailable>),
+    ServiceRead(Result<Option<Vec<u8>>, ServiceUnavailable>),
     /// The watch delivered a value of the key.
     Watched(Vec<u8>),
     /// The watch could not be opened or broke.
@@ -57,7 +57,7 @@
         message: PeerMessage,
     },
     /// This daemon's accepter brought in a generation.
-    Accepted(Arc<Record>),
+    Accepted(Arc<ConfigurationRecord>),
     /// Time has passed.
     Tick,
 }
@@ -78,10 +78,10 @@
         /// What.
         message: PeerMessage,
     },
-    /// The daemon may serve. Without a preceding [`FollowerAction::InForce`] no generation exists.
+    /// The daemon may serve. Without a preceding [`FollowerAction::Activate`] no generation exists.
     Ready,
     /// This generation is in force from now on. Generations only rise.
-    InForce(Arc<Record>),
+    Activate(Arc<ConfigurationRecord>),
     /// Something is wrong outside; to be logged and counted.
     Report(Anomaly),
 }
@@ -90,17 +90,17 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Anomaly {
     /// The service answered with an older generation than is in force.
-    ServiceOlder {
+    StaleRead {
         /// What it answered.
         found: Generation,
         /// What is in force.
         in_force: Generation,
     },
     /// Two records of one generation differ. The one in force stays.
-    Diverged {
+    RecordsDiffer {
         /// The generation.
         generation: Generation,
     },
     /// A record cannot be read. The generation in force stays.
-    Unreadable(RecordError),
+    UnreadableRecord(RecordError),
 }
--- a/crates/configuration/src/follower/mod.rs
+++ b/crates/configuration/src/follower/mod.rs
@@ -15,13 +15,13 @@
 pub use message::{Anomaly, FollowerAction, FollowerEvent, Peer, PeerMessage};
 
 use crate::switches::Switches;
-use crate::{Mechanism, Record, ServiceUnavailable, Settings, Stamp};
+use crate::{ConfigurationRecord, ConfigurationSettings, Mechanism, RecordId, ServiceUnavailable};
 use spread::Spread;
 use start::Start;
 
 /// Whether a daemon knows which generation to serve by.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Knowledge {
+pub enum ServingGeneration {
     /// It has started and cannot tell yet. It must not serve.
     Unknown,
     /// It serves by this generation; 0 when operators have not applied any.
@@ -30,28 +30,28 @@
 
 /// A daemon's part in spreading the configuration.
 #[derive(Debug)]
-pub struct Follower {
+pub struct ConfigurationFollower {
     daemon: DaemonId,
     zone: Zone,
-    settings: Settings,
+    settings: ConfigurationSettings,
     random: ChaCha8Rng,
     peers: Vec<Peer>,
-    current: Option<Arc<Record>>,
-    earlier: VecDeque<Arc<Record>>,
+    current: Option<Arc<ConfigurationRecord>>,
+    earlier: VecDeque<Arc<ConfigurationRecord>>,
     /// None once the daemon serves.
     start: Option<Start>,
     spread: Spread,
     switches: Switches,
 }
 
-impl Follower {
+impl ConfigurationFollower {
     /// A follower of a daemon that starts at `now`. `stored` is the last record that the daemon
     /// kept on a disk, if it has one. `seed` decides whom it talks to.
     pub fn new(
         daemon: DaemonId,
         zone: Zone,
-        settings: Settings,
-        stored: Option<Arc<Record>>,
+        settings: ConfigurationSettings,
+        stored: Option<Arc<ConfigurationRecord>>,
         seed: u64,
         now: Timestamp,
     ) -> Self {
@@ -71,20 +71,20 @@
     }
 
     /// Whether the daemon may serve, and by which generation.
-    pub fn knowledge(&self) -> Knowledge {
+    pub fn serving_generation(&self) -> ServingGeneration {
         match &self.start {
-            Some(_) => Knowledge::Unknown,
-            None => Knowledge::Known(self.generation()),
+            Some(_) => ServingGeneration::Unknown,
+            None => ServingGeneration::Known(self.generation()),
         }
     }
 
     /// The newest record, in force once the daemon serves.
-    pub fn current(&self) -> Option<&Arc<Record>> {
+    pub fn current(&self) -> Option<&Arc<ConfigurationRecord>> {
         self.current.as_ref()
     }
 
     /// Records that this daemon had in force before, newest first.
-    pub fn earlier(&self) -> impl Iterator<Item = &Arc<Record>> {
+    pub fn previous_records(&self) -> impl Iterator<Item = &Arc<ConfigurationRecord>> {
         self.earlier.iter()
     }
 
@@ -99,7 +99,7 @@
         let mut actions = Vec::new();
         match event {
             FollowerEvent::Peers(peers) => self.on_peers(peers, &mut actions),
-            FollowerEvent::Service(result) => self.on_service(result, now, &mut actions),
+            FollowerEvent::ServiceRead(result) => self.on_service(result, now, &mut actions),
             FollowerEvent::Watched(bytes) => self.on_value(&bytes, now, &mut actions),
             FollowerEvent::WatchEnded => self.on_watch_ended(now),
             FollowerEvent::Message { from, message } => {
@@ -120,8 +120,8 @@
         self.current.as_ref().map_or(Generation(0), |record| record.generation())
     }
 
-    fn stamp(&self) -> Option<Stamp> {
-        self.current.as_ref().map(|record| record.stamp())
+    fn current_id(&self) -> Option<RecordId> {
+        self.current.as_ref().map(|record| record.id())
     }
 
     fn on_service(
@@ -151,32 +151,37 @@
         if self.holds(bytes) {
             return;
         }
-        let record = match Record::decode(bytes) {
+        let record = match ConfigurationRecord::decode(bytes) {
             Ok(record) => record,
             Err(error) => {
-                actions.push(FollowerAction::Report(Anomaly::Unreadable(error)));
+                actions.push(FollowerAction::Report(Anomaly::UnreadableRecord(error)));
                 return;
             }
         };
         let (found, in_force) = (record.generation(), self.generation());
         if found < in_force {
-            actions.push(FollowerAction::Report(Anomaly::ServiceOlder { found, in_force }));
+            actions.push(FollowerAction::Report(Anomaly::StaleRead { found, in_force }));
         }
         self.learn(Arc::new(record), now, actions);
     }
 
     /// Takes a record over if it is newer than the one held.
-    fn learn(&mut self, record: Arc<Record>, now: Timestamp, actions: &mut Vec<FollowerAction>) {
-        let held = self.stamp();
+    fn learn(
+        &mut self,
+        record: Arc<ConfigurationRecord>,
+        now: Timestamp,
+        actions: &mut Vec<FollowerAction>,
+    ) {
+        let held = self.current_id();
         let generation = record.generation();
-        if held.is_some_and(|held| held.generation == generation && held != record.stamp()) {
-            actions.push(FollowerAction::Report(Anomaly::Diverged { generation }));
+        if held.is_some_and(|held| held.generation == generation && held != record.id()) {
+            actions.push(FollowerAction::Report(Anomaly::RecordsDiffer { generation }));
         }
         let checked = self.switches.is_on(Mechanism::GenerationCheck);
         if checked && held.is_some_and(|held| held.generation >= generation) {
             return;
         }
-        if held == Some(record.stamp()) {
+        if held == Some(record.id()) {
             return;
         }
         if let Some(replaced) = self.current.replace(record.clone()) {
@@ -184,7 +189,7 @@
             self.earlier.truncate(self.settings.history as usize);
         }
         if self.start.is_none() {
-            actions.push(FollowerAction::InForce(record));
+            actions.push(FollowerAction::Activate(record));
         }
         self.spread.start_rounds(&self.settings, now);
     }
--- a/crates/configuration/src/follower/spread.rs
+++ b/crates/configuration/src/follower/spread.rs
@@ -8,8 +8,8 @@
 use rand::seq::IndexedRandom;
 
 use super::start::Answer;
-use super::{Follower, FollowerAction, Peer, PeerMessage};
-use crate::{Anomaly, Mechanism, Record, Settings};
+use super::{ConfigurationFollower, FollowerAction, Peer, PeerMessage};
+use crate::{Anomaly, ConfigurationRecord, ConfigurationSettings, Mechanism};
 
 /// Timers and rounds of a follower.
 #[derive(Debug, Default)]
@@ -25,7 +25,7 @@
 
 impl Spread {
     /// Starts telling others of a generation that is new here.
-    pub(super) fn start_rounds(&mut self, settings: &Settings, now: Timestamp) {
+    pub(super) fn start_rounds(&mut self, settings: &ConfigurationSettings, now: Timestamp) {
         self.rounds_left = settings.announce_rounds;
         self.next_round = now;
     }
@@ -37,7 +37,7 @@
     }
 }
 
-impl Follower {
+impl ConfigurationFollower {
     pub(super) fn on_peers(&mut self, peers: Vec<Peer>, actions: &mut Vec<FollowerAction>) {
         let daemon = self.daemon;
         self.peers = peers.into_iter().filter(|peer| peer.daemon != daemon).collect();
@@ -75,21 +75,21 @@
         now: Timestamp,
         actions: &mut Vec<FollowerAction>,
     ) {
-        let mine = self.stamp();
-        let serves = self.start.is_none();
+        let mine = self.current_id();
+        let is_serving = self.start.is_none();
         let mut send = |message| actions.push(FollowerAction::Send { to: from, message });
         match message {
             PeerMessage::Compare(theirs) => {
-                send(PeerMessage::Tell { newest: mine, serves });
+                send(PeerMessage::CompareReply { newest: mine, is_serving });
                 if theirs.map(|it| it.generation) > mine.map(|it| it.generation) {
                     send(PeerMessage::Fetch);
                 }
             }
-            PeerMessage::Tell { newest, serves } => {
+            PeerMessage::CompareReply { newest, is_serving } => {
                 if newest.map(|it| it.generation) > mine.map(|it| it.generation) {
                     send(PeerMessage::Fetch);
                 }
-                self.note_answer(from, Answer { newest, serves });
+                self.note_answer(from, Answer { newest, serves: is_serving });
             }
             PeerMessage::Announce(theirs) => {
                 if mine.is_none_or(|mine| theirs.generation > mine.generation) {
@@ -98,13 +98,15 @@
             }
             PeerMessage::Fetch => {
                 if let Some(record) = &self.current {
-                    send(PeerMessage::Body(record.bytes().to_vec()));
+                    send(PeerMessage::Record(record.bytes().to_vec()));
                 }
             }
-            PeerMessage::Body(bytes) if self.holds(&bytes) => {}
-            PeerMessage::Body(bytes) => match Record::decode(&bytes) {
+            PeerMessage::Record(bytes) if self.holds(&bytes) => {}
+            PeerMessage::Record(bytes) => match ConfigurationRecord::decode(&bytes) {
                 Ok(record) => self.learn(record.into(), now, actions),
-                Err(error) => actions.push(FollowerAction::Report(Anomaly::Unreadable(error))),
+                Err(error) => {
+                    actions.push(FollowerAction::Report(Anomaly::UnreadableRecord(error)))
+                }
             },
         }
     }
@@ -122,10 +124,10 @@
 
     /// Sends a change that this daemon brought in to a few others at once. An announcement alone
     /// would be lost with this daemon, and with the service down nobody else could have it.
-    pub(super) fn push(&mut self, record: &Record, actions: &mut Vec<FollowerAction>) {
+    pub(super) fn push(&mut self, record: &ConfigurationRecord, actions: &mut Vec<FollowerAction>) {
         let count = self.settings.fanout as usize;
         let chosen = self.peers.choose_multiple(&mut self.random, count);
-        let message = PeerMessage::Body(record.bytes().to_vec());
+        let message = PeerMessage::Record(record.bytes().to_vec());
         actions.extend(
             chosen.map(|peer| FollowerAction::Send { to: peer.daemon, message: message.clone() }),
         );
@@ -137,7 +139,7 @@
         }
         self.spread.rounds_left -= 1;
         self.spread.next_round = now + self.jittered(self.settings.announce_interval);
-        let Some(stamp) = self.stamp() else {
+        let Some(stamp) = self.current_id() else {
             return;
         };
         if !self.switches.is_on(Mechanism::Announcements) {
@@ -160,7 +162,7 @@
             return;
         }
         if let Some(peer) = self.peers.choose(&mut self.random) {
-            let message = PeerMessage::Compare(self.stamp());
+            let message = PeerMessage::Compare(self.current_id());
             actions.push(FollowerAction::Send { to: peer.daemon, message });
         }
     }
--- a/crates/configuration/src/follower/start.rs
+++ b/crates/configuration/src/follower/start.rs
@@ -12,8 +12,8 @@
 use dahlia_types::{DaemonId, Generation, Timestamp};
 use rand::seq::SliceRandom;
 
-use super::{Follower, FollowerAction, Peer, PeerMessage};
-use crate::{Mechanism, Settings, Stamp};
+use super::{ConfigurationFollower, FollowerAction, Peer, PeerMessage};
+use crate::{ConfigurationSettings, Mechanism, RecordId};
 
 /// Two of three peers asked are of the own zone: they are near, and a cut leaves them reachable.
 const OWN_ZONE_SHARE: (usize, usize) = (2, 3);
@@ -21,7 +21,7 @@
 /// What a peer told.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Answer {
-    pub(super) newest: Option<Stamp>,
+    pub(super) newest: Option<RecordId>,
     pub(super) serves: bool,
 }
 
@@ -60,7 +60,7 @@
         }
     }
 
-    pub(super) fn next_due(&self, settings: &Settings, now: Timestamp) -> Timestamp {
+    pub(super) fn next_due(&self, settings: &ConfigurationSettings, now: Timestamp) -> Timestamp {
         let waited = self.began + settings.spread_within;
         if now < waited { self.next_ask.min(waited) } else { self.next_ask }
     }
@@ -79,7 +79,7 @@
     }
 }
 
-impl Follower {
+impl ConfigurationFollower {
     /// Chooses whom to ask, again whenever the list of peers changes during the start.
     pub(super) fn choose_asked(&mut self) {
         let Some(start) = &mut self.start else {
@@ -105,7 +105,7 @@
 
     /// Asks peers that have not answered, and the service, again and again.
     pub(super) fn ask(&mut self, now: Timestamp, actions: &mut Vec<FollowerAction>) {
-        let stamp = self.stamp();
+        let stamp = self.current_id();
         let Some(start) = self.start.as_mut().filter(|start| now >= start.next_ask) else {
             return;
         };
@@ -149,7 +149,7 @@
             return;
         }
         self.start = None;
-        actions.extend(self.current.clone().map(FollowerAction::InForce));
+        actions.extend(self.current.clone().map(FollowerAction::Activate));
         actions.push(FollowerAction::Ready);
     }
 }
--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -1,13 +1,15 @@
-//! The operators' configuration: generations, acceptance and spreading, without I/O.
+//! The operators' configuration: its generations, how a change is written, and how it reaches
+//! daemons and engines. No I/O.
 //!
-//! - [`Document`] is what operators write; a [`Record`] is one generation of it.
-//! - [`Accepter`] brings a change into the key-value service by compare-and-swap.
-//! - [`Follower`] brings each generation to its daemon and never lets an older one replace it.
-//! - [`OrderPlanner`] turns the configuration in force into orders to engines.
+//! - [`Document`] is what operators write; a [`ConfigurationRecord`] is one generation of it.
+//! - [`ChangeWriter`] writes an operator's change to the key-value service by compare-and-swap.
+//! - [`ConfigurationFollower`] brings each generation to its daemon. An older generation never
+//!   replaces a newer one.
+//! - [`OrderPlanner`] derives orders to engines from the configuration in force.
 //!
 //! All three are state machines: the driver passes events and the time, and carries out actions.
 
-mod accept;
+mod change_writer;
 mod diff;
 mod document;
 mod error;
@@ -17,26 +19,27 @@
 mod settings;
 mod switches;
 
-pub use accept::{
-    AcceptAction, AcceptEvent, Accepter, Proposal, ServiceRecord, ServiceUnavailable, SwapFailure,
-    Verdict,
+pub use change_writer::{
+    ChangeOutcome, ChangeProposal, ChangeWriter, ChangeWriterAction, ChangeWriterEvent,
+    ServiceUnavailable, SwapFailure, VersionedValue,
 };
 pub use diff::{Difference, differences};
 pub use document::{
-    DEFAULT_SLOTS, Document, EngineEntry, EngineRole, MOST_DOCUMENT_BYTES, ModelEntry,
+    DEFAULT_SLOTS, Document, EngineEntry, EngineRole, MAX_DOCUMENT_BYTES, ModelEntry,
     ProgramDefaults, TenantLimits, TenantOverrides,
 };
 pub use error::{DocumentError, RecordError};
 pub use follower::{
-    Anomaly, Follower, FollowerAction, FollowerEvent, Knowledge, Peer, PeerMessage,
+    Anomaly, ConfigurationFollower, FollowerAction, FollowerEvent, Peer, PeerMessage,
+    ServingGeneration,
 };
 pub use orders::{
-    EngineState, FencedOrder, Held, ModelState, OrderKind, OrderPlanner, PlannerAction,
+    BlockedChange, EngineState, FencedOrder, ModelState, OrderKind, OrderPlanner, PlannerAction,
     PlannerEvent,
 };
 pub use record::{
-    CONFIGURATION_KEY, ChangeId, ChangeSummary, Digest, MOST_RECORD_BYTES, RECENT_CHANGES, Record,
-    Stamp,
+    CONFIGURATION_KEY, ChangeId, ChangeSummary, ConfigurationRecord, Digest, MAX_RECORD_BYTES,
+    RECENT_CHANGES, RecordId,
 };
-pub use settings::Settings;
+pub use settings::ConfigurationSettings;
 pub use switches::Mechanism;
--- a/crates/configuration/src/orders/mod.rs
+++ b/crates/configuration/src/orders/mod.rs
@@ -9,7 +9,7 @@
 use dahlia_types::{EngineId, Generation, Incarnation, ModelId};
 use serde::{Deserialize, Serialize};
 
-use crate::{EngineRole, Record};
+use crate::{ConfigurationRecord, EngineRole};
 
 pub use planner::OrderPlanner;
 
@@ -62,7 +62,7 @@
 
 /// A change that waits because it would leave a model too few serving engines.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Held {
+pub struct BlockedChange {
     /// The engine that would change.
     pub engine: EngineId,
     /// The model that needs it.
@@ -73,11 +73,11 @@
 #[derive(Debug, Clone)]
 pub enum PlannerEvent {
     /// A generation came into force.
-    InForce(Arc<Record>),
+    Activated(Arc<ConfigurationRecord>),
     /// An engine reported.
-    Reported(EngineId, EngineState),
+    EngineReported(EngineId, EngineState),
     /// An engine is gone or does not answer; it serves nothing.
-    Lost(EngineId),
+    EngineLost(EngineId),
     /// Time has passed.
     Tick,
 }
@@ -88,5 +88,5 @@
     /// Give this order. A lost or refused one is planned again.
     Send(FencedOrder),
     /// Nothing; to be shown to operators.
-    Hold(Held),
+    ReportBlocked(BlockedChange),
 }
--- a/crates/configuration/src/orders/planner.rs
+++ b/crates/configuration/src/orders/planner.rs
@@ -10,15 +10,15 @@
 use dahlia_types::{Duration, EngineId, ModelId, Timestamp};
 
 use super::fleet::Fleet;
-use super::{FencedOrder, Held, OrderKind, PlannerAction, PlannerEvent};
+use super::{BlockedChange, FencedOrder, OrderKind, PlannerAction, PlannerEvent};
 use crate::switches::Switches;
-use crate::{Document, EngineRole, Mechanism, Record, Settings};
+use crate::{ConfigurationRecord, ConfigurationSettings, Document, EngineRole, Mechanism};
 
 /// Turns the configuration in force and the engines' reports into orders.
 #[derive(Debug)]
 pub struct OrderPlanner {
-    settings: Settings,
-    record: Option<Arc<Record>>,
+    settings: ConfigurationSettings,
+    record: Option<Arc<ConfigurationRecord>>,
     fleet: Fleet,
     /// The weight store's rate allows no load before this.
     next_load: Timestamp,
@@ -27,7 +27,7 @@
 
 impl OrderPlanner {
     /// A planner that knows neither engines nor a configuration.
-    pub fn new(settings: Settings) -> Self {
+    pub fn new(settings: ConfigurationSettings) -> Self {
         Self {
             settings,
             record: None,
@@ -47,9 +47,9 @@
     pub fn handle(&mut self, event: PlannerEvent, now: Timestamp) -> Vec<PlannerAction> {
         self.fleet.set_time(now);
         match event {
-            PlannerEvent::InForce(record) => self.take(record),
-            PlannerEvent::Reported(engine, state) => self.fleet.report(engine, state),
-            PlannerEvent::Lost(engine) => self.fleet.lose(&engine),
+            PlannerEvent::Activated(record) => self.take(record),
+            PlannerEvent::EngineReported(engine, state) => self.fleet.report(engine, state),
+            PlannerEvent::EngineLost(engine) => self.fleet.lose(&engine),
             PlannerEvent::Tick => {}
         }
         let Some(record) = self.record.clone() else {
@@ -60,7 +60,7 @@
         plan.actions
     }
 
-    fn take(&mut self, record: Arc<Record>) {
+    fn take(&mut self, record: Arc<ConfigurationRecord>) {
         let held = self.record.as_ref().map(|held| held.generation());
         if held < Some(record.generation()) {
             self.record = Some(record);
@@ -71,7 +71,7 @@
 /// One pass over the engines.
 struct Plan<'planner> {
     planner: &'planner mut OrderPlanner,
-    record: &'planner Record,
+    record: &'planner ConfigurationRecord,
     now: Timestamp,
     actions: Vec<PlannerAction>,
 }
@@ -189,8 +189,8 @@
         let least = fleet.least(model, self.record.document());
         let is_needed = fleet.serves(engine, model) && fleet.serving(model) <= least;
         if is_needed {
-            let held = Held { engine: engine.clone(), model: model.clone() };
-            self.actions.push(PlannerAction::Hold(held));
+            let held = BlockedChange { engine: engine.clone(), model: model.clone() };
+            self.actions.push(PlannerAction::ReportBlocked(held));
         }
         is_needed
     }
--- a/crates/configuration/src/record.rs
+++ b/crates/configuration/src/record.rs
@@ -9,7 +9,7 @@
 use snafu::ResultExt;
 
 use crate::error::DocumentSnafu;
-use crate::{Document, MOST_DOCUMENT_BYTES, RecordError};
+use crate::{Document, MAX_DOCUMENT_BYTES, RecordError};
 
 /// Layout of records that this build writes and reads.
 const LAYOUT: u16 = 1;
@@ -19,7 +19,7 @@
 pub const RECENT_CHANGES: usize = 64;
 
 /// Largest record that is read: a document, escaped as JSON, and the list of changes.
-pub const MOST_RECORD_BYTES: usize = 2 * MOST_DOCUMENT_BYTES + (128 << 10);
+pub const MAX_RECORD_BYTES: usize = 2 * MAX_DOCUMENT_BYTES + (128 << 10);
 
 /// The key of the newest record in the key-value service.
 pub const CONFIGURATION_KEY: &str = "dahlialadder/configuration";
@@ -78,7 +78,7 @@
 
 /// Names a generation and its content; what daemons tell each other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Stamp {
+pub struct RecordId {
     /// The generation.
     pub generation: Generation,
     /// The digest of its record's bytes.
@@ -113,7 +113,7 @@
 
 /// One generation of the configuration, checked.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Record {
+pub struct ConfigurationRecord {
     change: ChangeSummary,
     recent: Vec<ChangeSummary>,
     text: String,
@@ -122,21 +122,21 @@
     digest: Digest,
 }
 
-impl Record {
+impl ConfigurationRecord {
     /// The first record or the one that follows `base`.
     ///
     /// # Errors
     /// [`RecordError::Document`] when `text` is not a valid document.
     pub(crate) fn after(
-        base: Option<&Record>,
+        base: Option<&ConfigurationRecord>,
         change: ChangeId,
         author: String,
         text: String,
         at: Timestamp,
     ) -> Result<Self, RecordError> {
-        let generation = base.map_or(Generation(0), Record::generation).next();
+        let generation = base.map_or(Generation(0), ConfigurationRecord::generation).next();
         let document = Digest::of(text.as_bytes());
-        let earlier = base.into_iter().flat_map(Record::changes);
+        let earlier = base.into_iter().flat_map(ConfigurationRecord::changes);
         let stored = StoredRecord {
             layout: LAYOUT,
             change: ChangeSummary { generation, change, author, at, document },
@@ -152,8 +152,8 @@
     /// # Errors
     /// [`RecordError`] when the bytes are not a record or its document is not valid here.
     pub fn decode(bytes: &[u8]) -> Result<Self, RecordError> {
-        if bytes.len() > MOST_RECORD_BYTES {
-            return Err(RecordError::Oversized { bytes: bytes.len(), most: MOST_RECORD_BYTES });
+        if bytes.len() > MAX_RECORD_BYTES {
+            return Err(RecordError::Oversized { bytes: bytes.len(), most: MAX_RECORD_BYTES });
         }
         let stored: StoredRecord = serde_json::from_slice(bytes)
             .map_err(|error| RecordError::Undecodable { reason: error.to_string() })?;
@@ -182,8 +182,8 @@
     }
 
     /// Generation and content, for announcements.
-    pub fn stamp(&self) -> Stamp {
-        Stamp { generation: self.generation(), digest: self.digest }
+    pub fn id(&self) -> RecordId {
+        RecordId { generation: self.generation(), digest: self.digest }
     }
 
     /// The change that made it.
--- a/crates/configuration/src/settings.rs
+++ b/crates/configuration/src/settings.rs
@@ -6,7 +6,7 @@
 /// How a daemon takes part in the configuration. Durations in microseconds.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Settings {
+pub struct ConfigurationSettings {
     /// How long an operator's change may take before its outcome is told as unknown.
     pub accept_within: Duration,
     /// Pause before a read or swap is tried again.
@@ -39,7 +39,7 @@
     pub order_resend: Duration,
 }
 
-impl Default for Settings {
+impl Default for ConfigurationSettings {
     fn default() -> Self {
         Self {
             accept_within: Duration::from_secs(5),
@@ -60,7 +60,7 @@
     }
 }
 
-impl Settings {
+impl ConfigurationSettings {
     /// Checks every field.
     ///
     /// # Errors
--- a/crates/configuration/tests/accept.rs
+++ b/crates/configuration/tests/accept.rs
@@ -5,8 +5,9 @@
 
 use common::{DOCUMENT, Service, at, proposal};
 use dahlia_configuration::{
-    AcceptAction, AcceptEvent, Accepter, ChangeId, Mechanism, Proposal, RECENT_CHANGES, Record,
-    ServiceUnavailable, Settings, SwapFailure, Verdict,
+    ChangeId, ChangeOutcome, ChangeProposal, ChangeWriter, ChangeWriterAction, ChangeWriterEvent,
+    ConfigurationRecord, ConfigurationSettings, Mechanism, RECENT_CHANGES, ServiceUnavailable,
+    SwapFailure,
 };
 use dahlia_types::{Duration, Generation, Timestamp};
 use rand::{Rng, SeedableRng};
@@ -16,12 +17,12 @@
 const SEEDS: u64 = 300;
 const STEPS: usize = 400;
 
-/// An operator with the accepter of the daemon that serves it.
+/// An operator with the change writer of the daemon that serves it.
 struct Operator {
-    accepter: Accepter,
-    /// Results under way to the accepter.
-    inbox: Vec<AcceptEvent>,
-    proposal: Option<Proposal>,
+    writer: ChangeWriter,
+    /// Results under way to the change writer.
+    inbox: Vec<ChangeWriterEvent>,
+    proposal: Option<ChangeProposal>,
     newest: u64,
 }
 
@@ -40,11 +41,11 @@
 impl Race {
     fn new(seed: u64, off: Option<Mechanism>) -> Self {
         let operator = |_| {
-            let mut accepter = Accepter::new(Settings::default());
+            let mut writer = ChangeWriter::new(ConfigurationSettings::default());
             if let Some(mechanism) = off {
-                accepter.disable(mechanism);
+                writer.disable(mechanism);
             }
-            Operator { accepter, inbox: Vec::new(), proposal: None, newest: 0 }
+            Operator { writer, inbox: Vec::new(), proposal: None, newest: 0 }
         };
         Self {
             random: ChaCha8Rng::seed_from_u64(seed),
@@ -67,7 +68,7 @@
                 let _ = self.service.swap(expected, value);
             }
             0..3 => self.propose(index),
-            3 => self.handle(index, AcceptEvent::Tick),
+            3 => self.handle(index, ChangeWriterEvent::Tick),
             _ => {
                 if let Some(event) = self.operators[index].inbox.pop() {
                     self.handle(index, event);
@@ -80,7 +81,7 @@
     /// outcome it was not told.
     fn propose(&mut self, index: usize) {
         let operator = &self.operators[index];
-        if operator.accepter.is_busy() {
+        if operator.writer.is_busy() {
             return;
         }
         let expected = operator.newest;
@@ -88,16 +89,16 @@
         let proposal = operator.proposal.clone().unwrap_or_else(next);
         self.changes += 1;
         self.operators[index].proposal = Some(proposal.clone());
-        self.handle(index, AcceptEvent::Proposed(proposal));
+        self.handle(index, ChangeWriterEvent::Proposed(proposal));
     }
 
-    fn handle(&mut self, index: usize, event: AcceptEvent) {
+    fn handle(&mut self, index: usize, event: ChangeWriterEvent) {
         let now = self.now;
-        for action in self.operators[index].accepter.handle(event, now) {
+        for action in self.operators[index].writer.handle(event, now) {
             let result = match action {
-                AcceptAction::Read => self.read(),
-                AcceptAction::Swap { expected, value } => self.swap(expected, value),
-                AcceptAction::Finished(change, verdict) => {
+                ChangeWriterAction::Read => self.read(),
+                ChangeWriterAction::Swap { expected, value } => self.swap(expected, value),
+                ChangeWriterAction::Answer(change, verdict) => {
                     self.told(index, change, verdict);
                     continue;
                 }
@@ -106,17 +107,17 @@
         }
     }
 
-    fn read(&mut self) -> AcceptEvent {
+    fn read(&mut self) -> ChangeWriterEvent {
         let behind = self.random.random_range(0..2);
-        AcceptEvent::Read(match self.random.random_range(0..10) {
+        ChangeWriterEvent::Read(match self.random.random_range(0..10) {
             0 => Err(ServiceUnavailable),
             1..4 => Ok(self.service.read_older(behind)),
             _ => Ok(self.service.read()),
         })
     }
 
-    fn swap(&mut self, expected: Option<u64>, value: Vec<u8>) -> AcceptEvent {
-        AcceptEvent::Swapped(match self.random.random_range(0..10) {
+    fn swap(&mut self, expected: Option<u64>, value: Vec<u8>) -> ChangeWriterEvent {
+        ChangeWriterEvent::Swapped(match self.random.random_range(0..10) {
             0 => Err(SwapFailure::NotRun),
             1 => {
                 self.late.push((expected, value));
@@ -130,23 +131,27 @@
         })
     }
 
-    fn told(&mut self, index: usize, change: ChangeId, verdict: Verdict) {
+    fn told(&mut self, index: usize, change: ChangeId, verdict: ChangeOutcome) {
         let operator = &mut self.operators[index];
         let newest = match &verdict {
-            Verdict::Accepted(record) => record.generation(),
-            Verdict::AcceptedEarlier(summary) => summary.generation,
-            Verdict::Conflict { newest, .. } => *newest,
+            ChangeOutcome::Accepted(record) => record.generation(),
+            ChangeOutcome::AcceptedEarlier(summary) => summary.generation,
+            ChangeOutcome::Conflict { newest, .. } => *newest,
             _ => Generation(operator.newest),
         };
         operator.newest = operator.newest.max(newest.0);
         match verdict {
-            Verdict::Accepted(_) | Verdict::AcceptedEarlier(_) => self.told_accepted.push(change),
-            Verdict::Unknown => {
+            ChangeOutcome::Accepted(_) | ChangeOutcome::AcceptedEarlier(_) => {
+                self.told_accepted.push(change)
+            }
+            ChangeOutcome::Unknown => {
                 let proposal = operator.proposal.as_mut();
                 proposal.expect("it was proposed").repeated = true;
                 return;
             }
-            Verdict::Conflict { .. } | Verdict::Unavailable => self.told_refused.push(change),
+            ChangeOutcome::Conflict { .. } | ChangeOutcome::Unavailable => {
+                self.told_refused.push(change)
+            }
             other => panic!("{change}: {other:?}"),
         }
         self.operators[index].proposal = None;
@@ -154,8 +159,9 @@
 
     /// What is wrong with what operators were told; none when all of it is true.
     fn fault(&self) -> Option<String> {
-        let decode = |bytes: &Vec<u8>| Record::decode(bytes).expect("only records are written");
-        let records: Vec<Record> = self.service.values.iter().map(decode).collect();
+        let decode =
+            |bytes: &Vec<u8>| ConfigurationRecord::decode(bytes).expect("only records are written");
+        let records: Vec<ConfigurationRecord> = self.service.values.iter().map(decode).collect();
         let generations = records.iter().map(|record| record.generation().0);
         if !generations.eq(1..=records.len() as u64) {
             return Some("generations do not rise by one".to_owned());
@@ -208,29 +214,29 @@
 #[test]
 fn the_loser_of_a_race_is_told_to_which_change_it_lost() {
     let mut service = Service::default();
-    let mut accepter = Accepter::new(Settings::default());
-    accepter.handle(AcceptEvent::Proposed(proposal("mine", 0, DOCUMENT)), at(0));
+    let mut writer = ChangeWriter::new(ConfigurationSettings::default());
+    writer.handle(ChangeWriterEvent::Proposed(proposal("mine", 0, DOCUMENT)), at(0));
     let read = service.read();
-    let swap = accepter.handle(AcceptEvent::Read(Ok(read)), at(0));
-    assert!(matches!(swap[..], [AcceptAction::Swap { expected: None, .. }]), "{swap:?}");
+    let swap = writer.handle(ChangeWriterEvent::Read(Ok(read)), at(0));
+    assert!(matches!(swap[..], [ChangeWriterAction::Swap { expected: None, .. }]), "{swap:?}");
     let theirs = service.accept("theirs", DOCUMENT);
     service.accept("later", DOCUMENT);
-    accepter.handle(AcceptEvent::Swapped(Err(SwapFailure::Conflict)), at(1));
-    let finished = accepter.handle(AcceptEvent::Read(Ok(service.read())), at(2));
-    let lost_to = Some(theirs.change().clone());
-    let verdict = Verdict::Conflict { newest: Generation(2), lost_to };
-    assert_eq!(finished, [AcceptAction::Finished(ChangeId("mine".to_owned()), verdict)]);
+    writer.handle(ChangeWriterEvent::Swapped(Err(SwapFailure::Conflict)), at(1));
+    let finished = writer.handle(ChangeWriterEvent::Read(Ok(service.read())), at(2));
+    let conflicting_change = Some(theirs.change().clone());
+    let verdict = ChangeOutcome::Conflict { newest: Generation(2), conflicting_change };
+    assert_eq!(finished, [ChangeWriterAction::Answer(ChangeId("mine".to_owned()), verdict)]);
 }
 
-/// What a fresh accepter tells about `proposal` from one read of the service.
-fn verdict_of(service: &Service, proposal: Proposal) -> Verdict {
-    let mut accepter = Accepter::new(Settings::default());
-    let mut actions = accepter.handle(AcceptEvent::Proposed(proposal), at(0));
-    if actions == [AcceptAction::Read] {
-        actions = accepter.handle(AcceptEvent::Read(Ok(service.read())), at(0));
+/// What a fresh change writer tells about `proposal` from one read of the service.
+fn verdict_of(service: &Service, proposal: ChangeProposal) -> ChangeOutcome {
+    let mut writer = ChangeWriter::new(ConfigurationSettings::default());
+    let mut actions = writer.handle(ChangeWriterEvent::Proposed(proposal), at(0));
+    if actions == [ChangeWriterAction::Read] {
+        actions = writer.handle(ChangeWriterEvent::Read(Ok(service.read())), at(0));
     }
     match actions.pop() {
-        Some(AcceptAction::Finished(_, verdict)) => verdict,
+        Some(ChangeWriterAction::Answer(_, verdict)) => verdict,
         other => panic!("expected a verdict, found {other:?}"),
     }
 }
@@ -241,18 +247,21 @@
     let first = service.accept("first", DOCUMENT);
     assert_eq!(
         verdict_of(&service, proposal("first", 0, DOCUMENT)),
-        Verdict::Accepted(first.clone())
+        ChangeOutcome::Accepted(first.clone())
     );
     let changed = format!("# other\n{DOCUMENT}");
-    let reused = Verdict::IdentityReused(first.change().clone());
+    let reused = ChangeOutcome::IdentityReused(first.change().clone());
     assert_eq!(verdict_of(&service, proposal("first", 1, &changed)), reused);
     for number in 0..RECENT_CHANGES {
         service.accept(&format!("later-{number}"), DOCUMENT);
     }
-    let earlier = Verdict::AcceptedEarlier(first.change().clone());
+    let earlier = ChangeOutcome::AcceptedEarlier(first.change().clone());
     assert_eq!(verdict_of(&service, proposal("first", 0, DOCUMENT)), earlier);
     let unlisted = verdict_of(&service, proposal("never", 0, DOCUMENT));
-    assert!(matches!(unlisted, Verdict::Conflict { lost_to: Some(_), .. }), "{unlisted:?}");
+    assert!(
+        matches!(unlisted, ChangeOutcome::Conflict { conflicting_change: Some(_), .. }),
+        "{unlisted:?}"
+    );
 }
 
 #[test]
@@ -261,7 +270,7 @@
     let long = proposal(&"x".repeat(65), 0, DOCUMENT);
     for wrong in [long, proposal("", 0, DOCUMENT), proposal("a", 0, "models = 3")] {
         let verdict = verdict_of(&service, wrong);
-        assert!(matches!(verdict, Verdict::Invalid(_)), "{verdict:?}");
+        assert!(matches!(verdict, ChangeOutcome::Invalid(_)), "{verdict:?}");
     }
 }
 
@@ -272,29 +281,38 @@
     let newest = service.accept("two", DOCUMENT);
     // The service was restored from an older copy; the daemons still have generation 2.
     service.values.truncate(1);
-    let mut accepter = Accepter::new(Settings::default());
-    accepter.handle(AcceptEvent::InForce(newest), at(0));
-    accepter.handle(AcceptEvent::Proposed(proposal("three", 2, DOCUMENT)), at(0));
-    let swap = accepter.handle(AcceptEvent::Read(Ok(service.read())), at(0));
-    let [AcceptAction::Swap { expected: Some(1), value }] = &swap[..] else {
+    let mut writer = ChangeWriter::new(ConfigurationSettings::default());
+    writer.handle(ChangeWriterEvent::Activated(newest), at(0));
+    writer.handle(ChangeWriterEvent::Proposed(proposal("three", 2, DOCUMENT)), at(0));
+    let swap = writer.handle(ChangeWriterEvent::Read(Ok(service.read())), at(0));
+    let [ChangeWriterAction::Swap { expected: Some(1), value }] = &swap[..] else {
         panic!("expected a swap of the older record, found {swap:?}");
     };
-    assert_eq!(Record::decode(value).map(|record| record.generation()), Ok(Generation(3)));
+    assert_eq!(
+        ConfigurationRecord::decode(value).map(|record| record.generation()),
+        Ok(Generation(3))
+    );
 }
 
 #[test]
 fn a_change_that_cannot_be_decided_in_time_is_told_as_what_it_is() {
     let late = at(60_000);
-    let mut unreached = Accepter::new(Settings::default());
-    unreached.handle(AcceptEvent::Proposed(proposal("a", 0, DOCUMENT)), at(0));
-    unreached.handle(AcceptEvent::Read(Err(ServiceUnavailable)), at(1));
-    let told = unreached.handle(AcceptEvent::Tick, late);
-    assert!(matches!(told[..], [AcceptAction::Finished(_, Verdict::Unavailable)]), "{told:?}");
+    let mut unreached = ChangeWriter::new(ConfigurationSettings::default());
+    unreached.handle(ChangeWriterEvent::Proposed(proposal("a", 0, DOCUMENT)), at(0));
+    unreached.handle(ChangeWriterEvent::Read(Err(ServiceUnavailable)), at(1));
+    let told = unreached.handle(ChangeWriterEvent::Tick, late);
+    assert!(
+        matches!(told[..], [ChangeWriterAction::Answer(_, ChangeOutcome::Unavailable)]),
+        "{told:?}"
+    );
 
-    let mut in_doubt = Accepter::new(Settings::default());
-    in_doubt.handle(AcceptEvent::Proposed(proposal("b", 0, DOCUMENT)), at(0));
-    in_doubt.handle(AcceptEvent::Read(Ok(None)), at(1));
-    in_doubt.handle(AcceptEvent::Swapped(Err(SwapFailure::Unknown)), at(2));
-    let told = in_doubt.handle(AcceptEvent::Tick, late);
-    assert!(matches!(told[..], [AcceptAction::Finished(_, Verdict::Unknown)]), "{told:?}");
+    let mut in_doubt = ChangeWriter::new(ConfigurationSettings::default());
+    in_doubt.handle(ChangeWriterEvent::Proposed(proposal("b", 0, DOCUMENT)), at(0));
+    in_doubt.handle(ChangeWriterEvent::Read(Ok(None)), at(1));
+    in_doubt.handle(ChangeWriterEvent::Swapped(Err(SwapFailure::Unknown)), at(2));
+    let told = in_doubt.handle(ChangeWriterEvent::Tick, late);
+    assert!(
+        matches!(told[..], [ChangeWriterAction::Answer(_, ChangeOutcome::Unknown)]),
+        "{told:?}"
+    );
 }
--- a/crates/configuration/tests/common/mod.rs
+++ b/crates/configuration/tests/common/mod.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 
 use dahlia_configuration::{
-    AcceptAction, AcceptEvent, Accepter, ChangeId, Proposal, Record, ServiceRecord, Settings,
-    SwapFailure, Verdict,
+    ChangeId, ChangeOutcome, ChangeProposal, ChangeWriter, ChangeWriterAction, ChangeWriterEvent,
+    ConfigurationRecord, ConfigurationSettings, SwapFailure, VersionedValue,
 };
 use dahlia_types::{Duration, Generation, Timestamp};
 
@@ -26,8 +26,8 @@
     Timestamp::ZERO + Duration::from_millis(millis)
 }
 
-pub fn proposal(change: &str, expected: u64, document: &str) -> Proposal {
-    Proposal {
+pub fn proposal(change: &str, expected: u64, document: &str) -> ChangeProposal {
+    ChangeProposal {
         change: ChangeId(change.to_owned()),
         expected: Generation(expected),
         author: "operator".to_owned(),
@@ -46,15 +46,15 @@
 }
 
 impl Service {
-    pub fn read(&self) -> Option<ServiceRecord> {
+    pub fn read(&self) -> Option<VersionedValue> {
         let bytes = self.values.last()?.clone();
-        Some(ServiceRecord { version: self.values.len() as u64, bytes })
+        Some(VersionedValue { version: self.values.len() as u64, bytes })
     }
 
     /// An answer with older data.
-    pub fn read_older(&self, behind: usize) -> Option<ServiceRecord> {
+    pub fn read_older(&self, behind: usize) -> Option<VersionedValue> {
         let version = self.values.len().checked_sub(behind).filter(|version| *version > 0)?;
-        Some(ServiceRecord { version: version as u64, bytes: self.values[version - 1].clone() })
+        Some(VersionedValue { version: version as u64, bytes: self.values[version - 1].clone() })
     }
 
     pub fn swap(&mut self, expected: Option<u64>, value: Vec<u8>) -> Result<(), SwapFailure> {
@@ -66,22 +66,23 @@
     }
 
     /// Accepts `change` without any fault and gives the record.
-    pub fn accept(&mut self, change: &str, document: &str) -> Arc<Record> {
-        let mut accepter = Accepter::new(Settings::default());
-        let newest = self.values.last().map(|bytes| Record::decode(bytes).expect("accepted"));
+    pub fn accept(&mut self, change: &str, document: &str) -> Arc<ConfigurationRecord> {
+        let mut writer = ChangeWriter::new(ConfigurationSettings::default());
+        let newest =
+            self.values.last().map(|bytes| ConfigurationRecord::decode(bytes).expect("accepted"));
         let expected = newest.map_or(0, |record| record.generation().0);
-        let proposed = AcceptEvent::Proposed(proposal(change, expected, document));
-        let mut actions = accepter.handle(proposed, at(0));
+        let proposed = ChangeWriterEvent::Proposed(proposal(change, expected, document));
+        let mut actions = writer.handle(proposed, at(0));
         loop {
-            let event = match actions.pop().expect("an accepter with work acts") {
-                AcceptAction::Read => AcceptEvent::Read(Ok(self.read())),
-                AcceptAction::Swap { expected, value } => {
-                    AcceptEvent::Swapped(self.swap(expected, value))
+            let event = match actions.pop().expect("a change writer with work acts") {
+                ChangeWriterAction::Read => ChangeWriterEvent::Read(Ok(self.read())),
+                ChangeWriterAction::Swap { expected, value } => {
+                    ChangeWriterEvent::Swapped(self.swap(expected, value))
                 }
-                AcceptAction::Finished(_, Verdict::Accepted(record)) => return record,
-                AcceptAction::Finished(_, verdict) => panic!("{verdict:?}"),
+                ChangeWriterAction::Answer(_, ChangeOutcome::Accepted(record)) => return record,
+                ChangeWriterAction::Answer(_, verdict) => panic!("{verdict:?}"),
             };
-            actions = accepter.handle(event, at(0));
+            actions = writer.handle(event, at(0));
         }
     }
 }
--- a/crates/configuration/tests/document.rs
+++ b/crates/configuration/tests/document.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{DOCUMENT, Service};
-use dahlia_configuration::{Document, Record, RecordError, differences};
+use dahlia_configuration::{ConfigurationRecord, Document, RecordError, differences};
 use dahlia_types::TenantId;
 
 fn refusal(document: &str) -> String {
@@ -63,17 +63,17 @@
 #[test]
 fn a_record_survives_its_encoding_and_damage_is_refused() {
     let record = Service::default().accept("first", DOCUMENT);
-    let decoded = Record::decode(record.bytes()).expect("whole");
+    let decoded = ConfigurationRecord::decode(record.bytes()).expect("whole");
     assert_eq!(decoded, *record);
     assert_eq!(decoded.text(), DOCUMENT);
     for length in 0..record.bytes().len() {
-        assert!(Record::decode(&record.bytes()[..length]).is_err(), "cut at {length}");
+        assert!(ConfigurationRecord::decode(&record.bytes()[..length]).is_err(), "cut at {length}");
     }
     let large = vec![b' '; 1 << 20];
-    assert!(matches!(Record::decode(&large), Err(RecordError::Oversized { .. })));
+    assert!(matches!(ConfigurationRecord::decode(&large), Err(RecordError::Oversized { .. })));
     let text = String::from_utf8(record.bytes().to_vec()).expect("JSON");
     let newer = text.replacen("\"layout\":1", "\"layout\":2", 1);
-    let refused = Record::decode(newer.as_bytes());
+    let refused = ConfigurationRecord::decode(newer.as_bytes());
     assert_eq!(refused, Err(RecordError::OtherLayout { found: 2, read: 1 }));
 }
 
--- a/crates/configuration/tests/orders.rs
+++ b/crates/configuration/tests/orders.rs
@@ -6,8 +6,8 @@
 
 use common::{Service, at};
 use dahlia_configuration::{
-    EngineRole, EngineState, FencedOrder, Mechanism, ModelState, OrderKind, OrderPlanner,
-    PlannerAction, PlannerEvent, Settings,
+    ConfigurationSettings, EngineRole, EngineState, FencedOrder, Mechanism, ModelState, OrderKind,
+    OrderPlanner, PlannerAction, PlannerEvent,
 };
 use dahlia_types::{Duration, EngineId, Generation, Incarnation, ModelId, Timestamp};
 use rand::{Rng, SeedableRng};
@@ -77,7 +77,7 @@
         let engine =
             || Engine { state: state.clone(), ready_at: BTreeMap::new(), fences: BTreeMap::new() };
         let planner = || {
-            let mut planner = OrderPlanner::new(Settings::default());
+            let mut planner = OrderPlanner::new(ConfigurationSettings::default());
             if let Some(mechanism) = off {
                 planner.disable(mechanism);
             }
@@ -97,7 +97,7 @@
     fn apply(&mut self, service: &mut Service, text: &str) {
         let record = service.accept(&format!("change-{}", service.values.len()), text);
         for index in 0..self.planners.len() {
-            self.event(index, PlannerEvent::InForce(record.clone()));
+            self.event(index, PlannerEvent::Activated(record.clone()));
         }
     }
 
@@ -133,7 +133,7 @@
             if self.random.random_bool(0.1) {
                 let planner = self.random.random_range(0..self.planners.len());
                 let state = self.engines[&engine_id(index)].state.clone();
-                self.event(planner, PlannerEvent::Reported(engine_id(index), state));
+                self.event(planner, PlannerEvent::EngineReported(engine_id(index), state));
             }
         }
         (0..self.planners.len()).for_each(|index| self.event(index, PlannerEvent::Tick));
@@ -279,8 +279,8 @@
 fn a_new_life_of_an_engine_gets_its_orders_again() {
     let mut service = Service::default();
     let record = service.accept("first", &document(&[3], 2, 0));
-    let mut planner = OrderPlanner::new(Settings::default());
-    planner.handle(PlannerEvent::InForce(record), at(0));
+    let mut planner = OrderPlanner::new(ConfigurationSettings::default());
+    planner.handle(PlannerEvent::Activated(record), at(0));
     let state = |incarnation| EngineState {
         incarnation: Incarnation(incarnation),
         role: EngineRole::Serving,
@@ -296,7 +296,7 @@
         })
     };
     let mut report = |incarnation, millis| {
-        planner.handle(PlannerEvent::Reported(engine_id(0), state(incarnation)), at(millis))
+        planner.handle(PlannerEvent::EngineReported(engine_id(0), state(incarnation)), at(millis))
     };
     assert_eq!(report(1, 0), [load(1)]);
     assert_eq!(report(1, 2_000), [], "it is under way");
--- a/crates/configuration/tests/spread/network.rs
+++ b/crates/configuration/tests/spread/network.rs
@@ -5,8 +5,8 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
 use dahlia_configuration::{
-    Follower, FollowerAction, FollowerEvent, Knowledge, Mechanism, Peer, PeerMessage, Record,
-    ServiceUnavailable, Settings,
+    ConfigurationFollower, ConfigurationRecord, ConfigurationSettings, FollowerAction,
+    FollowerEvent, Mechanism, Peer, PeerMessage, ServiceUnavailable, ServingGeneration,
 };
 use dahlia_types::{DaemonId, Duration, Generation, Timestamp, Zone};
 use rand::{Rng, SeedableRng};
@@ -26,7 +26,7 @@
 }
 
 struct Node {
-    follower: Follower,
+    follower: ConfigurationFollower,
     zone: Zone,
     life: u32,
     /// The newest generation that this daemon ever had in force, over all its lives.
@@ -56,7 +56,7 @@
     pub loss: f64,
     pub messages: u64,
     pub service_reads: u64,
-    settings: Settings,
+    settings: ConfigurationSettings,
     off: Option<Mechanism>,
     nodes: BTreeMap<DaemonId, Node>,
     watchers: BTreeSet<DaemonId>,
@@ -77,7 +77,7 @@
             loss: 0.0,
             messages: 0,
             service_reads: 0,
-            settings: Settings::default(),
+            settings: ConfigurationSettings::default(),
             off,
             nodes: BTreeMap::new(),
             watchers: BTreeSet::new(),
@@ -95,7 +95,8 @@
 
     fn node(&mut self, daemon: DaemonId, zone: Zone, life: u32) -> Node {
         let (settings, seed) = (self.settings.clone(), self.random.random());
-        let mut follower = Follower::new(daemon, zone.clone(), settings, None, seed, self.now);
+        let mut follower =
+            ConfigurationFollower::new(daemon, zone.clone(), settings, None, seed, self.now);
         if let Some(mechanism) = self.off {
             follower.disable(mechanism);
         }
@@ -112,8 +113,8 @@
 
     /// Daemons that serve by exactly `generation`.
     pub fn serving(&self, generation: Generation) -> usize {
-        let known = Knowledge::Known(generation);
-        self.nodes.values().filter(|node| node.follower.knowledge() == known).count()
+        let known = ServingGeneration::Known(generation);
+        self.nodes.values().filter(|node| node.follower.serving_generation() == known).count()
     }
 
     /// Starts all daemons.
@@ -186,7 +187,7 @@
         }
         let event = match delivery {
             Delivery::Message { from, message } => FollowerEvent::Message { from, message },
-            Delivery::Service(result) => FollowerEvent::Service(result),
+            Delivery::Service(result) => FollowerEvent::ServiceRead(result),
             Delivery::Watched(bytes) => FollowerEvent::Watched(bytes),
             Delivery::WatchEnded => FollowerEvent::WatchEnded,
             Delivery::Tick if self.nodes[&to].tick_at > self.now => return Ok(()),
@@ -228,13 +229,13 @@
             FollowerAction::CloseWatch => {
                 self.watchers.remove(&daemon);
             }
-            FollowerAction::InForce(record) => self.in_force(daemon, &record)?,
+            FollowerAction::Activate(record) => self.in_force(daemon, &record)?,
             FollowerAction::Ready | FollowerAction::Report(_) => {}
         }
         Ok(())
     }
 
-    fn in_force(&mut self, daemon: DaemonId, record: &Record) -> Result<(), Revert> {
+    fn in_force(&mut self, daemon: DaemonId, record: &ConfigurationRecord) -> Result<(), Revert> {
         let generation = record.generation();
         let node = self.nodes.get_mut(&daemon).expect("a daemon of this network");
         if generation < node.highest {
--- a/crates/daemon/src/configuration_key.rs
+++ b/crates/daemon/src/configuration_key.rs
@@ -2,7 +2,7 @@
 
 use dahlia_adapters::key_value::{Version, Versioned, WatchEvent};
 use dahlia_adapters::{Certainty, KeyValueClient, KeyValueError};
-use dahlia_configuration::{CONFIGURATION_KEY, ServiceRecord, ServiceUnavailable, SwapFailure};
+use dahlia_configuration::{CONFIGURATION_KEY, ServiceUnavailable, SwapFailure, VersionedValue};
 use dahlia_node::{Event, KeyValueEvent, KeyValueStep};
 use tokio::task::AbortHandle;
 
@@ -32,7 +32,7 @@
             }),
             KeyValueStep::ReadForChange(step) => self.answer(async move {
                 let found = read(client).await;
-                let record = |found: Versioned| ServiceRecord {
+                let record = |found: Versioned| VersionedValue {
                     version: found.version.0,
                     bytes: found.value,
                 };
--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use dahlia_adapters::{ClientSettings, KeyValueClient};
-use dahlia_configuration::Record;
+use dahlia_configuration::ConfigurationRecord;
 use dahlia_durable::Opened;
 use dahlia_node::wire::MessageKind;
 use dahlia_node::{Node, RecoverError};
@@ -97,7 +97,7 @@
     pub(crate) board: AnswerBoard,
     /// What the daemon counts.
     pub metrics: Arc<Metrics>,
-    pub(crate) in_force: watch::Receiver<Option<Arc<Record>>>,
+    pub(crate) in_force: watch::Receiver<Option<Arc<ConfigurationRecord>>>,
     core_task: JoinHandle<Option<Incarnation>>,
     tasks: Vec<JoinHandle<()>>,
 }
--- a/crates/daemon/src/core.rs
+++ b/crates/daemon/src/core.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use dahlia_configuration::{Record, Verdict};
+use dahlia_configuration::{ChangeOutcome, ConfigurationRecord};
 use dahlia_node::request::{RequestId, Response};
 use dahlia_node::wire::PeerMessage;
 use dahlia_node::{
@@ -72,7 +72,7 @@
     /// The log of groups under the data folder.
     pub groups: GroupLog,
     /// Where generations are published that come into force.
-    pub in_force: watch::Sender<Option<Arc<Record>>>,
+    pub in_force: watch::Sender<Option<Arc<ConfigurationRecord>>>,
     /// Where goes what other daemons shared.
     pub shared: SharedSenders,
     /// Where it is told whom this daemon reaches.
@@ -94,7 +94,7 @@
     clock: Clock,
     inbox: mpsc::Receiver<CoreMessage>,
     waiting: HashMap<RequestId, oneshot::Sender<Response>>,
-    changes: HashMap<RequestId, oneshot::Sender<Verdict>>,
+    changes: HashMap<RequestId, oneshot::Sender<ChangeOutcome>>,
     next_request: u64,
     parts: CoreParts,
     batch: Batch,
--- a/crates/daemon/src/core_handle.rs
+++ b/crates/daemon/src/core_handle.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use dahlia_api::{ApiError, ErrorKind};
-use dahlia_configuration::{Proposal, Verdict};
+use dahlia_configuration::{ChangeOutcome, ChangeProposal};
 use dahlia_node::request::{Request, Response};
 use dahlia_node::{ConfigurationView, DaemonView, EngineView, Event, NodeStatus, Reach};
 use dahlia_replication::membership::Member;
@@ -24,7 +24,7 @@
     /// A request, and who waits for its answer.
     Request(Request, oneshot::Sender<Response>),
     /// An operator's change of the configuration, and who waits for the verdict.
-    Change(Proposal, oneshot::Sender<Verdict>),
+    Change(ChangeProposal, oneshot::Sender<ChangeOutcome>),
     /// A question about the node's view.
     Query(Query),
 }
@@ -140,7 +140,7 @@
 
     /// Puts an operator's change to the node and waits for the verdict; none when the daemon is
     /// stopping.
-    pub async fn change(&self, proposal: Proposal) -> Option<Verdict> {
+    pub async fn change(&self, proposal: ChangeProposal) -> Option<ChangeOutcome> {
         let (reply, verdict) = oneshot::channel();
         let _ = self.inbox.send(CoreMessage::Change(proposal, reply)).await;
         verdict.await.ok()
--- a/crates/daemon/src/operators/configuration.rs
+++ b/crates/daemon/src/operators/configuration.rs
@@ -7,7 +7,8 @@
 use dahlia_api::operators::configuration_server::Configuration;
 use dahlia_api::{ApiError, ErrorKind};
 use dahlia_configuration::{
-    ChangeId, ChangeSummary, Document, Knowledge, Proposal, Record, Verdict,
+    ChangeId, ChangeOutcome, ChangeProposal, ChangeSummary, ConfigurationRecord, Document,
+    ServingGeneration,
 };
 use dahlia_node::ConfigurationView;
 use dahlia_types::Generation;
@@ -49,7 +50,7 @@
         request: Request<rpc::ApplyConfigurationRequest>,
     ) -> Result<Response<rpc::ConfigurationGeneration>, Status> {
         let request = request.into_inner();
-        let proposal = Proposal {
+        let proposal = ChangeProposal {
             change: ChangeId(request.change_id.clone()),
             expected: Generation(request.expected_generation),
             author: request.author.clone(),
@@ -101,7 +102,7 @@
 impl Operators {
     async fn configuration(&self) -> Result<ConfigurationView, Status> {
         let view = self.core.configuration().await;
-        let view = view.filter(|view| view.knowledge != Knowledge::Unknown);
+        let view = view.filter(|view| view.serving_generation != ServingGeneration::Unknown);
         view.ok_or_else(|| {
             let message = "this daemon does not know yet which generation is in force";
             let error = ApiError::new(ErrorKind::Unavailable, message);
@@ -117,31 +118,33 @@
 }
 
 fn answer(
-    verdict: Verdict,
+    verdict: ChangeOutcome,
     request: rpc::ApplyConfigurationRequest,
 ) -> Result<Response<rpc::ConfigurationGeneration>, Status> {
     let error = match verdict {
-        Verdict::Accepted(record) => return Ok(Response::new(generation(&record))),
-        Verdict::AcceptedEarlier(change) => {
+        ChangeOutcome::Accepted(record) => return Ok(Response::new(generation(&record))),
+        ChangeOutcome::AcceptedEarlier(change) => {
             return Ok(Response::new(summary(&change, &request.document)));
         }
-        Verdict::Conflict { newest, lost_to } => conflict(&request, newest, lost_to),
-        Verdict::Invalid(error) => {
+        ChangeOutcome::Conflict { newest, conflicting_change } => {
+            conflict(&request, newest, conflicting_change)
+        }
+        ChangeOutcome::Invalid(error) => {
             let error = ApiError::new(ErrorKind::InvalidRequest, error.to_string());
             error.with_field("document")
         }
-        Verdict::IdentityReused(change) => {
+        ChangeOutcome::IdentityReused(change) => {
             let message = format!(
                 "the change identity {} belongs to generation {} with another document",
                 change.change, change.generation
             );
             ApiError::new(ErrorKind::KeyReused, message)
         }
-        Verdict::Busy => unavailable("another change is being decided on this daemon"),
-        Verdict::Unavailable => unavailable(
+        ChangeOutcome::Busy => unavailable("another change is being decided on this daemon"),
+        ChangeOutcome::Unavailable => unavailable(
             "not accepted: the key-value service does not answer, or this daemon has just started",
         ),
-        Verdict::Unknown => unknown("the key-value service did not say"),
+        ChangeOutcome::Unknown => unknown("the key-value service did not say"),
     };
     Err(status(&error))
 }
@@ -149,9 +152,9 @@
 fn conflict(
     request: &rpc::ApplyConfigurationRequest,
     newest: Generation,
-    lost_to: Option<ChangeSummary>,
+    conflicting_change: Option<ChangeSummary>,
 ) -> ApiError {
-    let winner = lost_to.map(|change| {
+    let winner = conflicting_change.map(|change| {
         format!(
             "; it lost to generation {} by {:?}, change {}",
             change.generation, change.author, change.change
@@ -187,7 +190,7 @@
     status(&ApiError::new(ErrorKind::NotFound, message))
 }
 
-fn generation(record: &Record) -> rpc::ConfigurationGeneration {
+fn generation(record: &ConfigurationRecord) -> rpc::ConfigurationGeneration {
     summary(record.change(), record.text())
 }
 
--- a/crates/daemon/src/operators/mod.rs
+++ b/crates/daemon/src/operators/mod.rs
@@ -11,7 +11,7 @@
 use dahlia_api::operators::machines_server::MachinesServer;
 use dahlia_api::operators::programs_server::ProgramsServer;
 use dahlia_api::{ApiError, ErrorKind, headers};
-use dahlia_configuration::Record;
+use dahlia_configuration::ConfigurationRecord;
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 use tokio_stream::wrappers::TcpListenerStream;
@@ -30,7 +30,7 @@
     /// The token that operators show.
     pub token: Arc<str>,
     /// The generation in force here.
-    pub in_force: watch::Receiver<Option<Arc<Record>>>,
+    pub in_force: watch::Receiver<Option<Arc<ConfigurationRecord>>>,
 }
 
 /// Serves operators on `listener` for as long as the daemon runs.
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -36,7 +36,7 @@
     pub platform: PlatformSettings,
     /// How the operators' configuration spreads and is accepted.
     #[serde(default)]
-    pub configuration: dahlia_configuration::Settings,
+    pub configuration: dahlia_configuration::ConfigurationSettings,
     /// Limits on callers' requests.
     #[serde(default)]
     pub limits: RequestLimits,
--- a/crates/node/src/configuration.rs
+++ b/crates/node/src/configuration.rs
@@ -11,8 +11,8 @@
 use std::sync::Arc;
 
 use dahlia_configuration::{
-    AcceptEvent, Accepter, Anomaly, ChangeId, Follower, FollowerAction, FollowerEvent, Knowledge,
-    Peer, PeerMessage as SpreadMessage, Record,
+    Anomaly, ChangeId, ChangeWriter, ChangeWriterEvent, ConfigurationFollower, ConfigurationRecord,
+    FollowerAction, FollowerEvent, Peer, PeerMessage as SpreadMessage, ServingGeneration,
 };
 use dahlia_replication::membership::{Health, MemberState};
 use dahlia_types::{DaemonId, Duration, Generation, Timestamp};
@@ -32,17 +32,17 @@
 #[derive(Debug, Clone)]
 pub struct ConfigurationView {
     /// Whether the node may serve by it.
-    pub knowledge: Knowledge,
+    pub serving_generation: ServingGeneration,
     /// The newest record; none before the first.
-    pub current: Option<Arc<Record>>,
+    pub current: Option<Arc<ConfigurationRecord>>,
     /// Records that this node had in force before, newest first.
-    pub earlier: Vec<Arc<Record>>,
+    pub earlier: Vec<Arc<ConfigurationRecord>>,
 }
 
 /// State of the configuration on this node.
 pub(crate) struct Configuration {
-    follower: Follower,
-    accepter: Accepter,
+    follower: ConfigurationFollower,
+    change_writer: ChangeWriter,
     started: Timestamp,
     has_seeds: bool,
     /// None until the follower was given the first list.
@@ -72,7 +72,7 @@
     /// Knows no generation. `first_document` is offered when the system has none.
     pub(crate) fn new(settings: &NodeSettings, now: Timestamp) -> Self {
         let own = settings.own.daemon;
-        let follower = Follower::new(
+        let follower = ConfigurationFollower::new(
             own,
             settings.zone.clone(),
             settings.configuration.clone(),
@@ -90,7 +90,7 @@
         let is_other = |seed: &SocketAddr| *seed != settings.address;
         Self {
             follower,
-            accepter: new_accepter(settings),
+            change_writer: new_change_writer(settings),
             started: now,
             has_seeds: settings.seeds.iter().any(is_other),
             peers: None,
@@ -128,33 +128,33 @@
     }
 
     /// The record held.
-    pub(crate) fn current(&self) -> Option<&Arc<Record>> {
+    pub(crate) fn current(&self) -> Option<&Arc<ConfigurationRecord>> {
         self.follower.current()
     }
 
     fn note_told(&mut self, from: DaemonId, message: &SpreadMessage) {
-        let stamp = match message {
-            SpreadMessage::Compare(stamp) => *stamp,
-            SpreadMessage::Tell { newest, .. } => *newest,
-            SpreadMessage::Announce(stamp) => Some(*stamp),
-            SpreadMessage::Fetch | SpreadMessage::Body(_) => return,
+        let id = match message {
+            SpreadMessage::Compare(id) => *id,
+            SpreadMessage::CompareReply { newest, .. } => *newest,
+            SpreadMessage::Announce(id) => Some(*id),
+            SpreadMessage::Fetch | SpreadMessage::Record(_) => return,
         };
-        let generation = stamp.map_or(Generation(0), |stamp| stamp.generation);
+        let generation = id.map_or(Generation(0), |id| id.generation);
         self.told.insert(from, generation);
     }
 }
 
 #[cfg(feature = "test-switches")]
-fn new_accepter(settings: &NodeSettings) -> Accepter {
-    let mut accepter = Accepter::new(settings.configuration.clone());
+fn new_change_writer(settings: &NodeSettings) -> ChangeWriter {
+    let mut change_writer = ChangeWriter::new(settings.configuration.clone());
     let off = &settings.faults.configuration;
-    off.iter().for_each(|mechanism| accepter.disable(*mechanism));
-    accepter
+    off.iter().for_each(|mechanism| change_writer.disable(*mechanism));
+    change_writer
 }
 
 #[cfg(not(feature = "test-switches"))]
-fn new_accepter(settings: &NodeSettings) -> Accepter {
-    Accepter::new(settings.configuration.clone())
+fn new_change_writer(settings: &NodeSettings) -> ChangeWriter {
+    ChangeWriter::new(settings.configuration.clone())
 }
 
 impl Node {
@@ -174,9 +174,9 @@
     pub fn configuration_view(&self) -> ConfigurationView {
         let follower = &self.configuration.follower;
         ConfigurationView {
-            knowledge: follower.knowledge(),
+            serving_generation: follower.serving_generation(),
             current: follower.current().cloned(),
-            earlier: follower.earlier().cloned().collect(),
+            earlier: follower.previous_records().cloned().collect(),
         }
     }
 
@@ -198,8 +198,8 @@
             self.follow(FollowerEvent::Tick, now);
             self.configuration.next_tick = self.configuration.follower.next_tick(now);
         }
-        if self.configuration.accepter.next_tick(now).is_some() {
-            self.accept(AcceptEvent::Tick, now);
+        if self.configuration.change_writer.next_tick(now).is_some() {
+            self.accept(ChangeWriterEvent::Tick, now);
         }
         self.offer_first_document(now);
     }
@@ -248,16 +248,16 @@
     /// The key-value service answered.
     pub(crate) fn key_value(&mut self, event: KeyValueEvent, now: Timestamp) {
         match event {
-            KeyValueEvent::Read(result) => self.follow(FollowerEvent::Service(result), now),
+            KeyValueEvent::Read(result) => self.follow(FollowerEvent::ServiceRead(result), now),
             KeyValueEvent::Watched(value) => self.follow(FollowerEvent::Watched(value), now),
             KeyValueEvent::WatchEnded => self.follow(FollowerEvent::WatchEnded, now),
             // An answer to the step of a change that was given up must not pass for the answer to
             // the present one's.
             KeyValueEvent::ReadForChange { step, result } if step == self.configuration.step => {
-                self.accept(AcceptEvent::Read(result), now);
+                self.accept(ChangeWriterEvent::Read(result), now);
             }
             KeyValueEvent::Swapped { step, result } if step == self.configuration.step => {
-                self.accept(AcceptEvent::Swapped(result), now);
+                self.accept(ChangeWriterEvent::Swapped(result), now);
             }
             KeyValueEvent::ReadForChange { .. } | KeyValueEvent::Swapped { .. } => {}
         }
@@ -280,7 +280,7 @@
                     self.configuration.is_followed = true;
                     self.open(now);
                 }
-                FollowerAction::InForce(record) => self.in_force(record, now),
+                FollowerAction::Activate(record) => self.in_force(record, now),
                 FollowerAction::Report(anomaly) => report(&anomaly),
             }
         }
@@ -294,8 +294,8 @@
         let message = match message {
             // Before the groups are laid out nobody can have been served by any generation: a
             // system that starts for the first time need not wait for what may still spread.
-            SpreadMessage::Tell { newest, serves } => {
-                SpreadMessage::Tell { newest, serves: serves && self.is_laid_out() }
+            SpreadMessage::CompareReply { newest, is_serving } => {
+                SpreadMessage::CompareReply { newest, is_serving: is_serving && self.is_laid_out() }
             }
             other => other,
         };
@@ -304,12 +304,12 @@
     }
 
     /// A generation is in force from now on.
-    fn in_force(&mut self, record: Arc<Record>, now: Timestamp) {
+    fn in_force(&mut self, record: Arc<ConfigurationRecord>, now: Timestamp) {
         let generation = record.generation();
         let change = &record.change().change;
         log::info!(target: "configuration", "Generation {generation} is in force, by change {change}.");
         self.configuration.first_document = None;
-        self.accept(AcceptEvent::InForce(record.clone()), now);
+        self.accept(ChangeWriterEvent::Activated(record.clone()), now);
         self.use_document(record.document(), now);
         self.plan_in_force(record.clone(), now);
         self.actions.push(Action::ConfigurationInForce(record));
@@ -332,14 +332,14 @@
 
 fn report(anomaly: &Anomaly) {
     match anomaly {
-        Anomaly::ServiceOlder { found, in_force } => log::warn!(
+        Anomaly::StaleRead { found, in_force } => log::warn!(
             target: "configuration",
             "The key-value service answered with generation {found}; {in_force} stays in force."
         ),
-        Anomaly::Diverged { generation } => {
+        Anomaly::RecordsDiffer { generation } => {
             log::error!(target: "configuration", "Two records of generation {generation} differ.");
         }
-        Anomaly::Unreadable(error) => {
+        Anomaly::UnreadableRecord(error) => {
             log::error!(target: "configuration", "A record is not readable: {error}.");
         }
     }
--- a/crates/node/src/configuration/changes.rs
+++ b/crates/node/src/configuration/changes.rs
@@ -2,7 +2,8 @@
 //! document of a new system.
 
 use dahlia_configuration::{
-    AcceptAction, AcceptEvent, ChangeId, Digest, FollowerEvent, Proposal, Verdict,
+    ChangeId, ChangeOutcome, ChangeProposal, ChangeWriterAction, ChangeWriterEvent, Digest,
+    FollowerEvent,
 };
 use dahlia_types::{Duration, Generation, Timestamp};
 
@@ -20,16 +21,22 @@
 
 impl Node {
     /// An operator asks for a change.
-    pub(crate) fn propose_change(&mut self, id: RequestId, proposal: Proposal, now: Timestamp) {
+    pub(crate) fn propose_change(
+        &mut self,
+        id: RequestId,
+        proposal: ChangeProposal,
+        now: Timestamp,
+    ) {
         if !self.configuration.is_followed {
             // A daemon that does not know the newest generation cannot tell what follows it.
-            let verdict = Verdict::Unavailable;
+            let verdict = ChangeOutcome::Unavailable;
             self.actions.push(Action::Decided { id, verdict });
             return;
         }
         let change = proposal.change.clone();
-        let decisions = self.configuration.accepter.handle(AcceptEvent::Proposed(proposal), now);
-        if let [AcceptAction::Finished(_, verdict)] = decisions.as_slice() {
+        let decisions =
+            self.configuration.change_writer.handle(ChangeWriterEvent::Proposed(proposal), now);
+        if let [ChangeWriterAction::Answer(_, verdict)] = decisions.as_slice() {
             // Refused at once: whoever waits for an earlier request of this change waits on.
             self.actions.push(Action::Decided { id, verdict: verdict.clone() });
             return;
@@ -38,24 +45,24 @@
         self.carry_out_change(decisions, now);
     }
 
-    pub(super) fn accept(&mut self, event: AcceptEvent, now: Timestamp) {
-        let decisions = self.configuration.accepter.handle(event, now);
+    pub(super) fn accept(&mut self, event: ChangeWriterEvent, now: Timestamp) {
+        let decisions = self.configuration.change_writer.handle(event, now);
         self.carry_out_change(decisions, now);
     }
 
-    fn carry_out_change(&mut self, decisions: Vec<AcceptAction>, now: Timestamp) {
+    fn carry_out_change(&mut self, decisions: Vec<ChangeWriterAction>, now: Timestamp) {
         for decision in decisions {
             match decision {
-                AcceptAction::Read => {
+                ChangeWriterAction::Read => {
                     let step = self.next_step();
                     self.actions.push(Action::KeyValue(KeyValueStep::ReadForChange(step)));
                 }
-                AcceptAction::Swap { expected, value } => {
+                ChangeWriterAction::Swap { expected, value } => {
                     let step = self.next_step();
                     let swap = KeyValueStep::Swap { step, expected, value };
                     self.actions.push(Action::KeyValue(swap));
                 }
-                AcceptAction::Finished(change, verdict) => self.decided(&change, &verdict, now),
+                ChangeWriterAction::Answer(change, verdict) => self.decided(&change, &verdict, now),
             }
         }
     }
@@ -65,9 +72,9 @@
         self.configuration.step
     }
 
-    fn decided(&mut self, change: &ChangeId, verdict: &Verdict, now: Timestamp) {
+    fn decided(&mut self, change: &ChangeId, verdict: &ChangeOutcome, now: Timestamp) {
         log::info!(target: "configuration", "Change {change}: {}.", summary(verdict));
-        if let Verdict::Accepted(record) = verdict {
+        if let ChangeOutcome::Accepted(record) = verdict {
             // Others get the record before the operator gets the answer: an acceptance that only
             // this daemon knew of could be lost with it while the service is down.
             self.follow(FollowerEvent::Accepted(record.clone()), now);
@@ -91,33 +98,37 @@
             self.configuration.next_offer = Some(now + wait);
             return;
         };
-        if now < at || part.accepter.is_busy() {
+        if now < at || part.change_writer.is_busy() {
             return;
         }
         self.configuration.next_offer = Some(now + FIRST_DOCUMENT_RETRY);
         let digest = Digest::of(document.as_bytes()).to_string();
-        let proposal = Proposal {
+        let proposal = ChangeProposal {
             change: ChangeId(format!("first-{}", &digest[..16])),
             expected: Generation(0),
             author: FIRST_AUTHOR.to_owned(),
             document,
             repeated: true,
         };
-        self.accept(AcceptEvent::Proposed(proposal), now);
+        self.accept(ChangeWriterEvent::Proposed(proposal), now);
     }
 }
 
-fn summary(verdict: &Verdict) -> String {
+fn summary(verdict: &ChangeOutcome) -> String {
     match verdict {
-        Verdict::Accepted(record) => format!("accepted as generation {}", record.generation()),
-        Verdict::AcceptedEarlier(change) => {
+        ChangeOutcome::Accepted(record) => {
+            format!("accepted as generation {}", record.generation())
+        }
+        ChangeOutcome::AcceptedEarlier(change) => {
             format!("accepted earlier as generation {}", change.generation)
         }
-        Verdict::Conflict { newest, .. } => format!("refused, generation {newest} is the newest"),
-        Verdict::Invalid(error) => format!("refused, {error}"),
-        Verdict::IdentityReused(_) => "refused, its identity was used before".to_owned(),
-        Verdict::Busy => "refused, another change is being decided".to_owned(),
-        Verdict::Unavailable => "refused, the key-value service does not answer".to_owned(),
-        Verdict::Unknown => "its outcome is unknown".to_owned(),
+        ChangeOutcome::Conflict { newest, .. } => {
+            format!("refused, generation {newest} is the newest")
+        }
+        ChangeOutcome::Invalid(error) => format!("refused, {error}"),
+        ChangeOutcome::IdentityReused(_) => "refused, its identity was used before".to_owned(),
+        ChangeOutcome::Busy => "refused, another change is being decided".to_owned(),
+        ChangeOutcome::Unavailable => "refused, the key-value service does not answer".to_owned(),
+        ChangeOutcome::Unknown => "its outcome is unknown".to_owned(),
     }
 }
--- a/crates/node/src/event.rs
+++ b/crates/node/src/event.rs
@@ -3,7 +3,9 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use dahlia_configuration::{EngineState, FencedOrder, Proposal, Record, Verdict};
+use dahlia_configuration::{
+    ChangeOutcome, ChangeProposal, ConfigurationRecord, EngineState, FencedOrder,
+};
 use dahlia_program::{EngineLife, ReleaseRequest};
 use dahlia_replication::group::DurableChange;
 use dahlia_replication::tolerance::LossTolerance;
@@ -111,7 +113,7 @@
         /// Its name; the verdict carries it.
         id: RequestId,
         /// The change.
-        proposal: Proposal,
+        proposal: ChangeProposal,
     },
     /// The key-value service answered about the layout of groups.
     Layout(LayoutStep),
@@ -236,10 +238,10 @@
         /// The request.
         id: RequestId,
         /// What became of the change.
-        verdict: Verdict,
+        verdict: ChangeOutcome,
     },
     /// A generation is in force on this daemon. Generations only rise.
-    ConfigurationInForce(Arc<Record>),
+    ConfigurationInForce(Arc<ConfigurationRecord>),
     /// Read or write the layout of groups at the key-value service.
     Layout(LayoutStep),
     /// Another daemon shared a newer version of a document.
--- a/crates/node/src/key_value.rs
+++ b/crates/node/src/key_value.rs
@@ -1,6 +1,6 @@
 //! Steps with the configuration's key in the key-value service, asked and answered.
 
-use dahlia_configuration::{ServiceRecord, ServiceUnavailable, SwapFailure};
+use dahlia_configuration::{ServiceUnavailable, SwapFailure, VersionedValue};
 
 /// Names a step of an operator's change. Rises on one daemon; an answer to an earlier step than
 /// the last is late and says nothing about the last.
@@ -44,7 +44,7 @@
         /// The step that is answered.
         step: ChangeStep,
         /// The value, perhaps an older one; none when the key does not exist.
-        result: Result<Option<ServiceRecord>, ServiceUnavailable>,
+        result: Result<Option<VersionedValue>, ServiceUnavailable>,
     },
     /// What came of a swap.
     Swapped {
--- a/crates/node/src/orders.rs
+++ b/crates/node/src/orders.rs
@@ -6,7 +6,9 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use dahlia_configuration::{EngineState, Held, OrderPlanner, PlannerAction, PlannerEvent, Record};
+use dahlia_configuration::{
+    BlockedChange, ConfigurationRecord, EngineState, OrderPlanner, PlannerAction, PlannerEvent,
+};
 use dahlia_types::{Duration, EngineId, Timestamp};
 
 use crate::Action;
@@ -21,7 +23,7 @@
     planner: Option<OrderPlanner>,
     /// What each engine last reported of its models and its role.
     states: BTreeMap<EngineId, EngineState>,
-    held: Vec<Held>,
+    held: Vec<BlockedChange>,
     next_plan: Timestamp,
 }
 
@@ -31,18 +33,18 @@
         let listed = self.sources.is_listed_leaving(&engine);
         let state = EngineState { leaving: state.leaving || listed, ..state };
         self.orders.states.insert(engine.clone(), state.clone());
-        self.plan(PlannerEvent::Reported(engine, state), now);
+        self.plan(PlannerEvent::EngineReported(engine, state), now);
     }
 
     /// An engine fell silent.
     pub(crate) fn engine_state_lost(&mut self, engine: &EngineId, now: Timestamp) {
         self.orders.states.remove(engine);
-        self.plan(PlannerEvent::Lost(engine.clone()), now);
+        self.plan(PlannerEvent::EngineLost(engine.clone()), now);
     }
 
     /// A generation came into force.
-    pub(crate) fn plan_in_force(&mut self, record: Arc<Record>, now: Timestamp) {
-        self.plan(PlannerEvent::InForce(record), now);
+    pub(crate) fn plan_in_force(&mut self, record: Arc<ConfigurationRecord>, now: Timestamp) {
+        self.plan(PlannerEvent::Activated(record), now);
     }
 
     /// Begins or ends planning with the ownership of the first group, and looks for due orders.
@@ -67,10 +69,10 @@
         log::info!(target: "configuration", "This daemon plans the orders to engines.");
         self.orders.planner = Some(OrderPlanner::new(self.settings.configuration.clone()));
         for (engine, state) in self.orders.states.clone() {
-            self.plan(PlannerEvent::Reported(engine, state), now);
+            self.plan(PlannerEvent::EngineReported(engine, state), now);
         }
         if let Some(record) = self.configuration.current().cloned() {
-            self.plan(PlannerEvent::InForce(record), now);
+            self.plan(PlannerEvent::Activated(record), now);
         }
     }
 
@@ -89,11 +91,11 @@
                     );
                     self.actions.push(Action::Order(Box::new(order)));
                 }
-                PlannerAction::Hold(waiting) => held.push(waiting),
+                PlannerAction::ReportBlocked(waiting) => held.push(waiting),
             }
         }
         if held != self.orders.held {
-            for Held { engine, model } in &held {
+            for BlockedChange { engine, model } in &held {
                 log::info!(
                     target: "configuration",
                     "{engine} keeps {model}: too few others serve it."
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -71,7 +71,7 @@
     /// How long the records of an ended program are kept, for late repeats of its calls.
     pub keep_records: Duration,
     /// How the operators' configuration spreads and is accepted.
-    pub configuration: dahlia_configuration::Settings,
+    pub configuration: dahlia_configuration::ConfigurationSettings,
     /// Whether the operators' configuration is kept by the daemons. Without it a node serves from
     /// its start, and whatever drives it answers for the configuration.
     pub follows_configuration: bool,
--- a/crates/node/tests/plain_settings/mod.rs
+++ b/crates/node/tests/plain_settings/mod.rs
@@ -54,7 +54,7 @@
         attempts_per_call: 1,
         attempt_limit: Duration::from_secs(60),
         keep_records: Duration::from_secs(60),
-        configuration: dahlia_configuration::Settings::default(),
+        configuration: dahlia_configuration::ConfigurationSettings::default(),
         follows_configuration: false,
         first_document: None,
         seed: u64::from(own.daemon.0),
--- a/crates/rehearsal/src/cluster.rs
+++ b/crates/rehearsal/src/cluster.rs
@@ -421,8 +421,8 @@
 }
 
 /// A few daemons tell each other of a generation in one round; many need the default time.
-fn configuration_settings(daemons: u32) -> dahlia_configuration::Settings {
-    let mut settings = dahlia_configuration::Settings::default();
+fn configuration_settings(daemons: u32) -> dahlia_configuration::ConfigurationSettings {
+    let mut settings = dahlia_configuration::ConfigurationSettings::default();
     if daemons <= FEW_DAEMONS {
         settings.spread_within = SPREAD_AMONG_FEW;
     }
--- a/crates/replay/src/world/caller.rs
+++ b/crates/replay/src/world/caller.rs
@@ -4,7 +4,7 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 use dahlia_api::ApiError;
-use dahlia_configuration::Verdict;
+use dahlia_configuration::ChangeOutcome;
 use dahlia_node::request::Request;
 use dahlia_program::ProgramSpecification;
 use dahlia_types::{
@@ -49,7 +49,7 @@
     /// What became of a change of the configuration.
     Decided {
         connection: u64,
-        verdict: Verdict,
+        verdict: ChangeOutcome,
     },
     /// The gateway takes no connections.
     Refused {
--- a/crates/replay/src/world/changes.rs
+++ b/crates/replay/src/world/changes.rs
@@ -1,6 +1,6 @@
 //! Operators who change the configuration, and race each other.
 
-use dahlia_configuration::{ChangeId, Proposal, Verdict};
+use dahlia_configuration::{ChangeId, ChangeOutcome, ChangeProposal};
 use dahlia_types::{Generation, ProgramId};
 
 use super::World;
@@ -32,8 +32,8 @@
         accepted.max().unwrap_or(0)
     }
 
-    pub(crate) fn proposal_of(&self, change: &Change) -> Proposal {
-        Proposal {
+    pub(crate) fn proposal_of(&self, change: &Change) -> ChangeProposal {
+        ChangeProposal {
             change: ChangeId(format!("{}-{}", change.name, change.remade)),
             expected: Generation(change.expected),
             author: "operator".to_owned(),
@@ -43,26 +43,26 @@
     }
 
     /// An operator learns what became of its change.
-    pub(crate) fn change_decided(&mut self, index: usize, number: u32, verdict: Verdict) {
+    pub(crate) fn change_decided(&mut self, index: usize, number: u32, verdict: ChangeOutcome) {
         let now = self.now;
         let Doing::Configure(change) = &mut self.callers[index].doing else { return };
         let name = change.name.clone();
         let accepted = match verdict {
-            Verdict::Accepted(record) => Some(record.generation()),
-            Verdict::AcceptedEarlier(summary) => Some(summary.generation),
-            Verdict::Conflict { newest, .. } => {
+            ChangeOutcome::Accepted(record) => Some(record.generation()),
+            ChangeOutcome::AcceptedEarlier(summary) => Some(summary.generation),
+            ChangeOutcome::Conflict { newest, .. } => {
                 // Made anew from the generation that it lost to: another change.
                 change.expected = newest.0;
                 change.remade += 1;
                 change.repeated = false;
                 None
             }
-            Verdict::Unknown => {
+            ChangeOutcome::Unknown => {
                 change.repeated = true;
                 None
             }
-            Verdict::Busy | Verdict::Unavailable => None,
-            Verdict::Invalid(_) | Verdict::IdentityReused(_) => {
+            ChangeOutcome::Busy | ChangeOutcome::Unavailable => None,
+            ChangeOutcome::Invalid(_) | ChangeOutcome::IdentityReused(_) => {
                 let what = format!("the change {name} was refused for good");
                 self.seen.note(now, Observation::Unfinished { what });
                 self.callers[index].done = true;
--- a/crates/replay/src/world/daemon.rs
+++ b/crates/replay/src/world/daemon.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use dahlia_configuration::Proposal;
+use dahlia_configuration::ChangeProposal;
 use dahlia_node::request::{Request, RequestId, Response};
 use dahlia_node::{Event as NodeEvent, Node};
 use dahlia_types::{AttemptId, CallId, DaemonId, Duration, Incarnation, ReplicaId, Timestamp};
@@ -224,7 +224,12 @@
     }
 
     /// Puts an operator's change to a daemon's node.
-    pub(crate) fn propose_change(&mut self, id: DaemonId, connection: u64, proposal: Proposal) {
+    pub(crate) fn propose_change(
+        &mut self,
+        id: DaemonId,
+        connection: u64,
+        proposal: ChangeProposal,
+    ) {
         let Some(daemon) = self.daemons.get_mut(&id) else { return };
         daemon.next_request += 1;
         let name = RequestId(daemon.next_request);
--- a/crates/replay/src/world/gateway.rs
+++ b/crates/replay/src/world/gateway.rs
@@ -4,7 +4,7 @@
 //! own [`AnswerReader`].
 
 use dahlia_api::{ApiError, CallRequest, ErrorKind};
-use dahlia_configuration::{Proposal, Verdict};
+use dahlia_configuration::{ChangeOutcome, ChangeProposal};
 use dahlia_node::request::{Request, Response};
 use dahlia_node::wire::AnswerFrame;
 use dahlia_node::{AnswerReader, Followed, StartPosition, Taken};
@@ -36,7 +36,7 @@
     /// Anything that is answered at once.
     Operate(Request),
     /// A change of the configuration.
-    Configure(Proposal),
+    Configure(ChangeProposal),
 }
 
 /// A connection of a caller or an operator.
@@ -117,7 +117,7 @@
     }
 
     /// The node decided on an operator's change.
-    pub(crate) fn change_answered(&mut self, id: DaemonId, name: u64, verdict: Verdict) {
+    pub(crate) fn change_answered(&mut self, id: DaemonId, name: u64, verdict: ChangeOutcome) {
         self.last_to_caller(id, name, CallerMessage::Decided { connection: name, verdict });
     }
 
--- a/crates/replay/src/world/key_value.rs
+++ b/crates/replay/src/world/key_value.rs
@@ -1,6 +1,6 @@
 //! The key-value service: the layout of groups and the configuration.
 
-use dahlia_configuration::{ServiceRecord, ServiceUnavailable, SwapFailure};
+use dahlia_configuration::{ServiceUnavailable, SwapFailure, VersionedValue};
 use dahlia_node::{Event as NodeEvent, KeyValueEvent, KeyValueStep, LayoutStep};
 use dahlia_types::{DaemonId, Duration, Timestamp};
 use rand::Rng;
@@ -96,7 +96,7 @@
             }
             KeyValueStep::ReadForChange(step) => {
                 let found =
-                    read.map(|(version, value)| ServiceRecord { version, bytes: value.clone() });
+                    read.map(|(version, value)| VersionedValue { version, bytes: value.clone() });
                 let result = if down { Err(ServiceUnavailable) } else { Ok(found) };
                 KeyValueEvent::ReadForChange { step, result }
             }
--- a/crates/replay/src/world/settings.rs
+++ b/crates/replay/src/world/settings.rs
@@ -103,7 +103,7 @@
         attempts_per_call: ATTEMPTS_PER_CALL,
         attempt_limit: deployment.attempt_limit,
         keep_records: KEEP_RECORDS,
-        configuration: dahlia_configuration::Settings::default(),
+        configuration: dahlia_configuration::ConfigurationSettings::default(),
         follows_configuration: true,
         first_document: Some(document(deployment, FIRST_OPEN_CALLS)),
         seed,
