--- a/crates/backends/examples/choice_cost.rs
+++ b/crates/backends/examples/choice_cost.rs
@@ -8,9 +8,9 @@
 use std::time::Instant;
 
 use dahlia_backends::{
-    Affinity, Ask, AttemptEnd, BackendId, BackendRecord, BackendSettings, BackendState, Backends,
-    Choice, EngineFigures, Gateways, LoadView, ServerDigest, ServerLoad, ServiceName, SharedPrompt,
-    TokenTimes, TurnSize,
+    Affinity, AttemptEnd, BackendId, BackendRecord, BackendSettings, BackendState, Backends,
+    Choice, ChoiceRequest, EngineCapacity, Gateways, LoadView, ServerDigest, ServerLoad,
+    ServiceName, SharedPrompt, TokenTimes, TurnSize,
 };
 use dahlia_types::{Duration, Timestamp, Tokens, Zone};
 
@@ -71,7 +71,8 @@
     let service = service();
     for turn in 0..UNDER_WAY {
         let affinity = Some(Affinity::Program(turn << 40));
-        let ask = Ask { service: &service, affinity, preferred: None, tried: &[], size: None };
+        let ask =
+            ChoiceRequest { service: &service, affinity, preferred: None, tried: &[], size: None };
         backends.choose(&ask, Timestamp(1_000_000));
     }
 }
@@ -79,10 +80,13 @@
 /// Lets the pace of each server and others' loads be known.
 fn learn(backends: &mut Backends, servers: usize) {
     let now = Timestamp(1_000_000);
-    backends.set_engines(BTreeMap::from([(service(), EngineFigures { memory: Tokens(60_000) })]));
+    backends.set_engine_capacities(BTreeMap::from([(
+        service(),
+        EngineCapacity { memory: Tokens(60_000) },
+    )]));
     for server in 0..servers {
         let id = BackendId::new(format!("i-{server}"), 0);
-        backends.tokens_came(&id, TokenTimes { tokens: 100, micros: 300_000 }, now);
+        backends.record_token_times(&id, TokenTimes { tokens: 100, micros: 300_000 }, now);
     }
     let busy = |server: usize| ServerLoad {
         server: ServerDigest::of(&BackendId::new(format!("i-{server}"), 0)),
@@ -93,7 +97,7 @@
     let mut loads: Vec<ServerLoad> = (0..servers).map(busy).collect();
     loads.sort_unstable_by_key(|load| load.server);
     let range = ServerDigest(0)..=ServerDigest(u64::MAX);
-    backends.heard_loads(&LoadView { range, loads, age: Duration::ZERO }, LAST);
+    backends.apply_load_view(&LoadView { range, loads, age: Duration::ZERO }, LAST);
 }
 
 fn service() -> ServiceName {
@@ -110,11 +114,16 @@
     let began = Instant::now();
     for turn in 0..CHOICES {
         let now = Timestamp(1_000_000 + turn * 20_000);
-        let ask =
-            Ask { service: &service, affinity: affinity(turn), preferred: None, tried: &[], size };
+        let ask = ChoiceRequest {
+            service: &service,
+            affinity: affinity(turn),
+            preferred: None,
+            tried: &[],
+            size,
+        };
         if let Choice::Use { server, .. } = backends.choose(&ask, now) {
-            backends.answered_in(&server.id, Duration::from_millis(40), now);
-            backends.end(&server.id, AttemptEnd::Answered, now);
+            backends.record_response_time(&server.id, Duration::from_millis(40), now);
+            backends.end_attempt(&server.id, AttemptEnd::Answered, now);
         }
     }
     began.elapsed().as_secs_f64() * 1e6 / CHOICES as f64
--- a/crates/backends/src/choice.rs
+++ b/crates/backends/src/choice.rs
@@ -2,11 +2,11 @@
 
 use dahlia_types::Duration;
 
-use crate::{BackendAddress, BackendId, Reach, ServiceName, TurnSize};
+use crate::{BackendAddress, BackendId, Distance, ServiceName, TurnSize};
 
 /// Asks for a server.
 #[derive(Debug, Clone)]
-pub struct Ask<'a> {
+pub struct ChoiceRequest<'a> {
     /// The service.
     pub service: &'a ServiceName,
     /// What the request should stay together with; none when nothing.
@@ -42,7 +42,7 @@
 
 /// By what a server was chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ChoiceWay {
+pub enum ChoiceReason {
     /// It is known to hold what the request needs.
     Preferred,
     /// All daemons prefer it for this affinity.
@@ -59,7 +59,7 @@
     ExpectedEnd,
 }
 
-impl ChoiceWay {
+impl ChoiceReason {
     /// Its name in logs.
     pub fn name(self) -> &'static str {
         match self {
@@ -78,32 +78,32 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ChoiceBasis {
     /// By what it was chosen.
-    pub way: ChoiceWay,
+    pub reason: ChoiceReason,
     /// Servers of the service that discovery lists.
     pub listed: usize,
     /// Of these, servers that take the request now; where there are many, of those looked at.
     pub usable: usize,
     /// Of these, servers that neither failed of late nor are slow.
-    pub sound: usize,
+    pub healthy: usize,
     /// Attempts of this daemon that the chosen one had before.
     pub in_flight: u32,
     /// How far away the chosen one is.
-    pub reach: Reach,
+    pub distance: Distance,
     /// What was expected of the chosen one, where that decided.
-    pub expected: Option<ExpectedTurn>,
+    pub estimate: Option<TurnEstimate>,
 }
 
 /// What is expected of a request at a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ExpectedTurn {
+pub struct TurnEstimate {
     /// Until the end of its answer.
-    pub takes: Duration,
+    pub duration: Duration,
     /// Attempts there, this daemon's and others'.
     pub attempts: u32,
     /// How long a token takes there.
-    pub token: Duration,
+    pub time_per_token: Duration,
     /// Whether the server holds what the request needs.
-    pub keeps_prompt: bool,
+    pub holds_prompt: bool,
     /// How old the news of others' attempts are; none when there are none that count.
     pub view_age: Option<Duration>,
 }
--- a/crates/backends/src/cold.rs
+++ b/crates/backends/src/cold.rs
@@ -36,7 +36,7 @@
 
 /// What cold servers are and did, for metrics.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct ColdReadings {
+pub struct ColdStats {
     /// Servers that are cold now.
     pub cold: usize,
     /// Requests that went elsewhere, or were refused, because a server was cold.
--- a/crates/backends/src/cold_table.rs
+++ b/crates/backends/src/cold_table.rs
@@ -8,7 +8,8 @@
 use crate::server::Server;
 use crate::service_servers::ServiceServers;
 use crate::{
-    Affinity, Ask, BackendId, Backends, ColdChange, ColdLimit, ColdReadings, Gateways, ServiceName,
+    Affinity, BackendId, Backends, ChoiceRequest, ColdChange, ColdLimit, ColdStats, Gateways,
+    ServiceName,
 };
 
 impl Backends {
@@ -34,16 +35,16 @@
     }
 
     /// Figures for metrics.
-    pub fn cold_readings(&self, now: Timestamp) -> ColdReadings {
+    pub fn cold_stats(&self, now: Timestamp) -> ColdStats {
         let servers = self.services.values().flat_map(ServiceServers::iter);
-        ColdReadings {
+        ColdStats {
             cold: servers.filter(|server| server.warmth.is_cold(now)).count(),
             turned_away: self.cold.turned_away(),
         }
     }
 
     /// Servers that turned cold or warm since the last call.
-    pub fn cold_changes(&mut self, now: Timestamp) -> Vec<ColdChange> {
+    pub fn take_cold_changes(&mut self, now: Timestamp) -> Vec<ColdChange> {
         let services: Vec<ServiceName> = self.services.keys().cloned().collect();
         services.iter().for_each(|service| self.note_warmth(service, now));
         self.cold.take_changes()
@@ -58,7 +59,7 @@
     }
 
     /// Before a choice: who turned warm takes its place, and who is turned away is counted.
-    pub(crate) fn settle_cold(&mut self, ask: &Ask<'_>, now: Timestamp) {
+    pub(crate) fn settle_cold(&mut self, ask: &ChoiceRequest<'_>, now: Timestamp) {
         self.note_warmth(ask.service, now);
         let Some(servers) = self.services.get(ask.service) else { return };
         let is_closed = |server: &Server| self.takes_work(server) && server.warmth.is_closed(now);
@@ -78,7 +79,7 @@
     pub(crate) fn prefer_cold_share(
         &self,
         candidates: &mut Vec<&Server>,
-        ask: &Ask<'_>,
+        ask: &ChoiceRequest<'_>,
         compared: usize,
         draw: u64,
         now: Timestamp,
--- a/crates/backends/src/engine.rs
+++ b/crates/backends/src/engine.rs
@@ -8,7 +8,7 @@
 
 /// What each model server of a service has.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct EngineFigures {
+pub struct EngineCapacity {
     /// Memory for prompts and answers.
     pub memory: Tokens,
 }
--- a/crates/backends/src/zone_orders.rs
+++ b/crates/backends/src/evacuation_orders.rs
@@ -12,14 +12,14 @@
 
 /// One observer's knowledge of all orders. Merges commute, and repeats change nothing.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ZoneOrders {
+pub struct EvacuationOrders {
     /// All orders and withdrawals up to this revision are known.
     known_to: u64,
     /// The orders in force, by the revisions of their last change.
     orders: BTreeMap<Zone, u64>,
 }
 
-impl ZoneOrders {
+impl EvacuationOrders {
     /// A complete view as of a revision, such as a list. It may hold orders that are newer, which
     /// were met while it was read.
     pub fn new(known_to: u64, orders: impl IntoIterator<Item = (Zone, u64)>) -> Self {
@@ -27,7 +27,7 @@
     }
 
     /// A zone is ordered to be emptied since `revision`.
-    pub fn ordered(&mut self, zone: Zone, revision: u64) {
+    pub fn record_order(&mut self, zone: Zone, revision: u64) {
         if revision > self.known_to {
             let held = self.orders.entry(zone).or_default();
             *held = revision.max(*held);
@@ -35,14 +35,14 @@
     }
 
     /// The order for a zone was withdrawn at `revision`.
-    pub fn withdrawn(&mut self, zone: &Zone, revision: u64) {
+    pub fn record_withdrawal(&mut self, zone: &Zone, revision: u64) {
         if revision > self.known_to && self.orders.get(zone).is_some_and(|held| *held < revision) {
             self.orders.remove(zone);
         }
     }
 
     /// All changes up to `revision` have been taken in.
-    pub fn complete_to(&mut self, revision: u64) {
+    pub fn mark_complete_to(&mut self, revision: u64) {
         self.known_to = self.known_to.max(revision);
     }
 
@@ -53,14 +53,14 @@
         for (zone, revision) in &other.orders {
             match self.orders.get_mut(zone) {
                 Some(held) => *held = (*held).max(*revision),
-                None => self.ordered(zone.clone(), *revision),
+                None => self.record_order(zone.clone(), *revision),
             }
         }
-        self.complete_to(other.known_to);
+        self.mark_complete_to(other.known_to);
     }
 
     /// The revision up to which everything is known.
-    pub fn known_to(&self) -> u64 {
+    pub fn known_revision(&self) -> u64 {
         self.known_to
     }
 
--- a/crates/backends/src/expected_end.rs
+++ b/crates/backends/src/expected_end.rs
@@ -17,7 +17,7 @@
 use crate::rendezvous::mix;
 use crate::server::Server;
 use crate::topology::Topology;
-use crate::{BackendId, BackendSettings, EngineFigures, ExpectedTurn, Reach, TurnSize};
+use crate::{BackendId, BackendSettings, Distance, EngineCapacity, TurnEstimate, TurnSize};
 
 /// The part of a prompt that a server reads, as a rule: later requests of a program go where the rest is.
 const UNREAD_SHARE: f64 = 0.25;
@@ -32,7 +32,7 @@
 pub(crate) struct ExpectedEnds<'a> {
     pub(crate) settings: &'a BackendSettings,
     pub(crate) topology: &'a Topology,
-    pub(crate) engine: EngineFigures,
+    pub(crate) engine: EngineCapacity,
     pub(crate) size: TurnSize,
     /// The server that holds what the request needs.
     pub(crate) preferred: Option<&'a BackendId>,
@@ -52,7 +52,7 @@
 #[derive(Clone, Copy)]
 struct Candidate<'a> {
     server: &'a Server,
-    expected: ExpectedTurn,
+    estimate: TurnEstimate,
     /// Microseconds, with what the choice costs others.
     cost: f64,
     has_room: bool,
@@ -64,7 +64,7 @@
         &self,
         candidates: &[&'a Server],
         draw: u64,
-    ) -> Option<(&'a Server, ExpectedTurn)> {
+    ) -> Option<(&'a Server, TurnEstimate)> {
         let mean = self.mean_load(candidates);
         let judged = candidates.iter().map(|server| self.judge(server, mean));
         let mut judged: Vec<Candidate<'a>> = judged.collect();
@@ -74,10 +74,10 @@
         let least = judged.iter().map(|candidate| candidate.cost).min_by(f64::total_cmp)?;
         let margin = (least * self.settings.near_end_share).max(1.0);
         // Each program has a server of its own that holds its prompt, so these make no herd.
-        let kept = judged.iter().find(|candidate| candidate.expected.keeps_prompt);
+        let kept = judged.iter().find(|candidate| candidate.estimate.holds_prompt);
         let kept = kept.filter(|kept| kept.cost <= least * self.settings.leave_factor);
         let chosen = kept.or_else(|| draw_near(&judged, least, margin, draw))?;
-        Some((chosen.server, chosen.expected))
+        Some((chosen.server, chosen.estimate))
     }
 
     /// What others' load of a server is as a rule.
@@ -116,30 +116,30 @@
         let held = server.tokens() as f64 + load.tokens;
         let slots = f64::from(server.record.slots.max(1));
         let pace = server.pace.micros(self.usual_pace, self.now);
-        let keeps_prompt = Some(&server.record.id) == self.preferred;
+        let holds_prompt = Some(&server.record.id) == self.preferred;
 
-        let unread = if keeps_prompt { 0 } else { prompt };
+        let unread = if holds_prompt { 0 } else { prompt };
         let reading = unread as f64 / self.settings.read_tokens_per_ms * 1e3;
         let answer = generated as f64 * pace;
         let beside = attempts.min(slots);
         let ahead = (attempts + 1.0 - slots).max(0.0);
         let wait = ahead / slots * answer;
         let full = (attempts / slots).powi(2) * answer;
-        let takes = wait + reading + answer;
+        let duration = wait + reading + answer;
         Candidate {
             server,
-            expected: ExpectedTurn {
-                takes: Duration::from_micros(takes as u64),
+            estimate: TurnEstimate {
+                duration: Duration::from_micros(duration as u64),
                 attempts: attempts.round() as u32,
-                token: Duration::from_micros(pace as u64),
-                keeps_prompt,
+                time_per_token: Duration::from_micros(pace as u64),
+                holds_prompt,
                 view_age,
             },
-            cost: takes
+            cost: duration
                 + FULL_WEIGHT * full
                 + (REREAD_SHARE + beside) * reading
                 + beside * self.mean_reading()
-                + self.way(server),
+                + self.distance_margin(server),
             has_room: held + self.size.total() as f64 <= self.engine.memory.0 as f64,
         }
     }
@@ -151,11 +151,11 @@
     }
 
     /// What a server of another zone must end sooner, in microseconds.
-    fn way(&self, server: &Server) -> f64 {
-        let millis = match self.topology.reach(&server.record.zone) {
-            Reach::Zone => 0,
-            Reach::Region => self.settings.zone_margin_ms,
-            Reach::OtherRegion => self.settings.zone_margin_ms + self.settings.region_margin_ms,
+    fn distance_margin(&self, server: &Server) -> f64 {
+        let millis = match self.topology.distance(&server.record.zone) {
+            Distance::SameZone => 0,
+            Distance::SameRegion => self.settings.zone_margin_ms,
+            Distance::OtherRegion => self.settings.zone_margin_ms + self.settings.region_margin_ms,
         };
         Duration::from_millis(millis).as_micros() as f64
     }
--- a/crates/backends/src/lib.rs
+++ b/crates/backends/src/lib.rs
@@ -34,7 +34,7 @@
 //! | `shares` | which shares of the load fall to which shared prompts |
 //! | `smoothed` | a count averaged over time |
 //! | `settings` | settings of the choice |
-//! | `zone_orders` | which zones are ordered to be emptied, merged from several observers |
+//! | `evacuation_orders` | which zones are ordered to be emptied, merged from several observers |
 //! | `evacuated_zones` | zones whose servers get nothing further |
 
 mod choice;
@@ -42,6 +42,7 @@
 mod cold_table;
 mod engine;
 mod evacuated_zones;
+mod evacuation_orders;
 mod expected_end;
 mod faded_mean;
 mod gateways;
@@ -64,18 +65,18 @@
 mod smoothed;
 mod table;
 mod topology;
-mod zone_orders;
 
 pub use choice::{
-    Affinity, Ask, AttemptEnd, Choice, ChoiceBasis, ChoiceWay, ExpectedTurn, SharedPrompt,
+    Affinity, AttemptEnd, Choice, ChoiceBasis, ChoiceReason, ChoiceRequest, SharedPrompt,
+    TurnEstimate,
 };
-pub use cold::{ColdChange, ColdLimit, ColdReadings};
-pub use engine::{EngineFigures, TurnSize};
+pub use cold::{ColdChange, ColdLimit, ColdStats};
+pub use engine::{EngineCapacity, TurnSize};
 pub use evacuated_zones::EvacuatedZone;
+pub use evacuation_orders::EvacuationOrders;
 pub use gateways::Gateways;
 pub use load_report::{LoadView, ServerDigest, ServerLoad, TokenTimes};
 pub use record::{BackendAddress, BackendId, BackendRecord, BackendState, ServiceName};
 pub use settings::BackendSettings;
 pub use table::{Backends, FailureListener};
-pub use topology::{Reach, Regions};
-pub use zone_orders::ZoneOrders;
+pub use topology::{Distance, Regions};
--- a/crates/backends/src/load_table.rs
+++ b/crates/backends/src/load_table.rs
@@ -6,7 +6,7 @@
 
 use crate::service_servers::ServiceServers;
 use crate::{
-    AttemptEnd, BackendId, Backends, EngineFigures, LoadView, ServerLoad, ServiceName, TokenTimes,
+    AttemptEnd, BackendId, Backends, EngineCapacity, LoadView, ServerLoad, ServiceName, TokenTimes,
     TurnSize,
 };
 
@@ -24,14 +24,14 @@
 impl Backends {
     /// Sets what the model servers of services have. Only these are chosen by the expected end of a
     /// request.
-    pub fn set_engines(&mut self, engines: BTreeMap<ServiceName, EngineFigures>) {
+    pub fn set_engine_capacities(&mut self, engines: BTreeMap<ServiceName, EngineCapacity>) {
         self.engines = engines;
     }
 
     /// Takes in how soon tokens of a stream of this daemon came.
-    pub fn tokens_came(&mut self, id: &BackendId, times: TokenTimes, now: Timestamp) {
+    pub fn record_token_times(&mut self, id: &BackendId, times: TokenTimes, now: Timestamp) {
         if let Some((servers, _)) = self.servers_of(id) {
-            servers.tokens_came(id, times, now);
+            servers.record_token_times(id, times, now);
         }
     }
 
@@ -40,20 +40,21 @@
         if let Some((server, _)) = self.server_mut(id) {
             server.release(size);
         }
-        self.end(id, end, now);
+        self.end_attempt(id, end, now);
     }
 
     /// This daemon's own load of servers, for other daemons: those with attempts, and those whose tokens
     /// came since it was asked last.
-    pub fn own_loads(&mut self, _now: Timestamp) -> Vec<ServerLoad> {
+    pub fn take_own_loads(&mut self, _now: Timestamp) -> Vec<ServerLoad> {
         let services = self.services.values_mut();
-        let mut loads: Vec<ServerLoad> = services.flat_map(ServiceServers::own_loads).collect();
+        let mut loads: Vec<ServerLoad> =
+            services.flat_map(ServiceServers::take_own_loads).collect();
         loads.sort_unstable_by_key(|load| load.server);
         loads
     }
 
     /// Takes in the loads of servers as other daemons make them. Figures that cannot be change nothing.
-    pub fn heard_loads(&mut self, view: &LoadView, now: Timestamp) {
+    pub fn apply_load_view(&mut self, view: &LoadView, now: Timestamp) {
         let is_in_order = view.loads.windows(2).all(|pair| pair[0].server < pair[1].server);
         let is_in_range = view.loads.iter().all(|load| view.range.contains(&load.server));
         let told = view.loads.len().max(1);
@@ -66,7 +67,7 @@
         let at = now - view.age;
         let mut used = 0;
         for servers in self.services.values_mut() {
-            used += servers.heard_loads(view, at, now);
+            used += servers.apply_load_view(view, at, now);
         }
         if used < view.loads.len() {
             self.note_unused(view.loads.len() - used, now);
@@ -91,7 +92,7 @@
 
 impl ServiceServers {
     /// Takes in the part of a view that is about these servers. Returns how many of its loads were used.
-    fn heard_loads(&mut self, view: &LoadView, at: Timestamp, now: Timestamp) -> usize {
+    fn apply_load_view(&mut self, view: &LoadView, at: Timestamp, now: Timestamp) -> usize {
         let mut loads = view.loads.iter().peekable();
         let mut used = 0;
         for (digest, key) in self.keys_in(&view.range) {
--- a/crates/backends/src/loads.rs
+++ b/crates/backends/src/loads.rs
@@ -6,10 +6,10 @@
 
 use crate::rendezvous::weight;
 use crate::server::Server;
-use crate::{BackendId, BackendSettings, ChoiceWay, SharedPrompt};
+use crate::{BackendId, BackendSettings, ChoiceReason, SharedPrompt};
 
 /// A choice and by what it was made.
-type Chosen<'a> = Option<(&'a Server, ChoiceWay)>;
+type Chosen<'a> = Option<(&'a Server, ChoiceReason)>;
 
 /// The candidates for one request.
 pub(crate) struct Loads<'a> {
@@ -88,7 +88,7 @@
         };
         let ranked = self.candidates.iter().filter(within);
         let first = ranked.max_by_key(|server| weight(program, &server.record.id));
-        let first = first.map(|server| (*server, ChoiceWay::Affinity));
+        let first = first.map(|server| (*server, ChoiceReason::Affinity));
         first.or_else(|| self.least_loaded())
     }
 
@@ -102,7 +102,7 @@
             .flat_map(|near| self.candidates.iter().filter(move |server| near.has(server)));
         let first = near.max_by_key(|server| weight(object, &server.record.id));
         let first = first.filter(|server| self.is_within(server));
-        first.map(|server| (*server, ChoiceWay::Affinity)).or_else(|| self.by_load(zone))
+        first.map(|server| (*server, ChoiceReason::Affinity)).or_else(|| self.by_load(zone))
     }
 
     /// The least loaded of the first few by rendezvous hashing, as many as the share of the load
@@ -127,7 +127,7 @@
         let further = || others.iter().find(|server| self.is_within(server));
         let chosen = Some(least).filter(|least| self.is_within(least));
         let chosen = chosen.or_else(|| further().copied()).unwrap_or(least);
-        Some((chosen, ChoiceWay::SharedPrompt))
+        Some((chosen, ChoiceReason::SharedPrompt))
     }
 
     /// Servers for a prompt, as a multiple of those that its share of the load fills. What is spent on
@@ -145,12 +145,12 @@
             server.load() + if is_near { 0.0 } else { self.settings.zone_penalty }
         };
         let least = self.least(&self.candidates, cost);
-        least.map(|server| (server, ChoiceWay::Load))
+        least.map(|server| (server, ChoiceReason::Load))
     }
 
     fn least_loaded(&self) -> Chosen<'a> {
         let least = self.least(&self.candidates, Server::load);
-        least.map(|server| (server, ChoiceWay::LeastLoaded))
+        least.map(|server| (server, ChoiceReason::LeastLoaded))
     }
 
     /// The server of least cost; equal ones are drawn among.
--- a/crates/backends/src/nearness.rs
+++ b/crates/backends/src/nearness.rs
@@ -35,7 +35,7 @@
 
 impl Nearness {
     /// An answer of a near or far server began after this time.
-    pub(crate) fn answered_in(&mut self, is_near: bool, time: Duration, now: Timestamp) {
+    pub(crate) fn record_response_time(&mut self, is_near: bool, time: Duration, now: Timestamp) {
         let mean = if is_near { &mut self.near } else { &mut self.far };
         mean.add(time, now);
     }
--- a/crates/backends/src/overflow.rs
+++ b/crates/backends/src/overflow.rs
@@ -28,7 +28,7 @@
 const MOST_LATE_SHARE: f64 = 0.7;
 /// The part of a region's slots that must take requests, below which other regions take what is
 /// missing at once, before answers are late.
-const LEAST_SOUND: f64 = 0.5;
+const LEAST_HEALTHY_SHARE: f64 = 0.5;
 
 /// How soon servers of a service answered of late, in the own region and in others.
 #[derive(Debug, Clone, Copy)]
@@ -47,7 +47,7 @@
 
 impl Overflow {
     /// An answer of a server in the own or another region began after this time.
-    pub(crate) fn answered_in(&mut self, is_own: bool, time: Duration, now: Timestamp) {
+    pub(crate) fn record_response_time(&mut self, is_own: bool, time: Duration, now: Timestamp) {
         if !is_own {
             self.other.add(time, now);
             return;
@@ -68,9 +68,9 @@
 
 /// The share of requests that a region's servers cannot be expected to bear, when servers with so many
 /// of its slots take requests.
-pub(crate) fn lost_share(sound_slots: u64, listed_slots: u64) -> f64 {
-    let sound = sound_slots as f64 / listed_slots.max(1) as f64;
-    (1.0 - sound / LEAST_SOUND).max(0.0)
+pub(crate) fn lost_share(healthy_slots: u64, listed_slots: u64) -> f64 {
+    let healthy = healthy_slots as f64 / listed_slots.max(1) as f64;
+    (1.0 - healthy / LEAST_HEALTHY_SHARE).max(0.0)
 }
 
 /// Slots of some servers.
--- a/crates/backends/src/pick.rs
+++ b/crates/backends/src/pick.rs
@@ -16,8 +16,8 @@
 use crate::server::Server;
 use crate::service_servers::ServiceServers;
 use crate::{
-    Affinity, Ask, BackendId, BackendSettings, Backends, Choice, ChoiceBasis, ChoiceWay,
-    ExpectedTurn, Reach,
+    Affinity, BackendId, BackendSettings, Backends, Choice, ChoiceBasis, ChoiceReason,
+    ChoiceRequest, Distance, TurnEstimate,
 };
 
 /// When to come back if no server of a service is known to take work.
@@ -45,7 +45,7 @@
 impl Backends {
     pub(crate) fn pick(
         &mut self,
-        ask: &Ask<'_>,
+        ask: &ChoiceRequest<'_>,
         now: Timestamp,
     ) -> Option<(BackendId, ChoiceBasis)> {
         let draw = self.random.random();
@@ -56,38 +56,38 @@
         let servers = self.services.get(ask.service)?;
         let bound = slow_bound(servers, &self.settings);
         let is_large = servers.len() > MOST_COMPARED;
-        if is_large && let Some((server, way)) = self.habitual(servers, ask, bound, now) {
-            let counts = Counts { listed: servers.len(), usable: 1, sound: 1 };
-            return Some((server.record.id.clone(), self.basis(server, way, counts, None)));
+        if is_large && let Some((server, reason)) = self.habitual(servers, ask, bound, now) {
+            let counts = Counts { listed: servers.len(), usable: 1, healthy: 1 };
+            return Some((server.record.id.clone(), self.basis(server, reason, counts, None)));
         }
         let usable = match is_large {
             false => self.usable(servers, ask, now).collect(),
             true => self.sample(servers, ask, Draw { draw, share }, bound, now),
         };
-        let is_sound = |server: &&Server| self.is_sound(server, bound, now);
-        let sound: Vec<&Server> = usable.iter().copied().filter(is_sound).collect();
-        let counts = Counts { listed: servers.len(), usable: usable.len(), sound: sound.len() };
+        let is_healthy = |server: &&Server| self.is_healthy(server, bound, now);
+        let healthy: Vec<&Server> = usable.iter().copied().filter(is_healthy).collect();
+        let counts = Counts { listed: servers.len(), usable: usable.len(), healthy: healthy.len() };
         // A server that failed of late, or is slow, is better than none.
-        let candidates = if sound.is_empty() { usable } else { sound };
+        let candidates = if healthy.is_empty() { usable } else { healthy };
         let mut candidates = self.in_reach(candidates, ask, draw, now);
         let compared = if is_large { candidates.len() } else { servers.len() };
         self.prefer_cold_share(&mut candidates, ask, compared, draw, now);
         if let Some(ends) = self.expected_ends(servers, ask, now) {
-            let (server, expected) = ends.choose(&candidates, draw)?;
-            let basis = self.basis(server, ChoiceWay::ExpectedEnd, counts, Some(expected));
+            let (server, estimate) = ends.choose(&candidates, draw)?;
+            let basis = self.basis(server, ChoiceReason::ExpectedEnd, counts, Some(estimate));
             return Some((server.record.id.clone(), basis));
         }
-        let (server, way) = self.compare(candidates, ask, Draw { draw, share }, now)?;
-        Some((server.record.id.clone(), self.basis(server, way, counts, None)))
+        let (server, reason) = self.compare(candidates, ask, Draw { draw, share }, now)?;
+        Some((server.record.id.clone(), self.basis(server, reason, counts, None)))
     }
 
-    pub(crate) fn refuse(&self, ask: &Ask<'_>, now: Timestamp) -> Choice {
+    pub(crate) fn refuse(&self, ask: &ChoiceRequest<'_>, now: Timestamp) -> Choice {
         let servers = self.services.get(ask.service).into_iter();
-        let looked_at = servers.flat_map(|servers| {
+        let servers_examined = servers.flat_map(|servers| {
             let each_zone = servers.zones().map(|(zone, _)| servers.from(zone, mix(self.seed)));
             each_zone.flat_map(|ring| ring.take(MOST_LOOKED_AT))
         });
-        let untried = looked_at
+        let untried = servers_examined
             .filter(|server| self.takes_work(server) && !ask.tried.contains(&server.record.id));
         let wait = |server: &Server| server.pause_left(now).max(server.warmth.wait(now));
         let shortest = untried.map(wait).min();
@@ -102,7 +102,7 @@
     fn expected_ends<'a>(
         &'a self,
         servers: &ServiceServers,
-        ask: &Ask<'a>,
+        ask: &ChoiceRequest<'a>,
         now: Timestamp,
     ) -> Option<ExpectedEnds<'a>> {
         if !self.settings.by_expected_end || self.has_few_gateways() {
@@ -129,14 +129,14 @@
     fn compare<'a>(
         &'a self,
         candidates: Vec<&'a Server>,
-        ask: &Ask<'_>,
+        ask: &ChoiceRequest<'_>,
         Draw { draw, share }: Draw,
         now: Timestamp,
-    ) -> Option<(&'a Server, ChoiceWay)> {
+    ) -> Option<(&'a Server, ChoiceReason)> {
         let nearness = self.nearness.get(ask.service).copied().unwrap_or_default();
         let leaves_region = candidates
             .iter()
-            .any(|server| self.topology.reach(&server.record.zone) == Reach::OtherRegion);
+            .any(|server| self.topology.distance(&server.record.zone) == Distance::OtherRegion);
         let loads = Loads::new(candidates, &self.settings, now, draw);
         let loads = match !leaves_region && nearness.prefers_near(draw, now) {
             true => loads.with_near(self.topology.own_zone()),
@@ -144,7 +144,7 @@
         };
         let kept = ask.preferred.and_then(|preferred| loads.kept(preferred));
         match (ask.affinity, kept) {
-            (Some(_), Some(kept)) => Some((kept, ChoiceWay::Preferred)),
+            (Some(_), Some(kept)) => Some((kept, ChoiceReason::Preferred)),
             (Some(Affinity::Program(program)), None) => loads.by_program(program),
             (Some(Affinity::Object(object)), None) => {
                 loads.by_object(object, self.topology.own_zone())
@@ -160,19 +160,20 @@
     fn habitual<'a>(
         &self,
         servers: &'a ServiceServers,
-        ask: &Ask<'_>,
+        ask: &ChoiceRequest<'_>,
         bound: Option<Duration>,
         now: Timestamp,
-    ) -> Option<(&'a Server, ChoiceWay)> {
-        let may_go =
-            |server: &Server| self.is_usable(server, ask, now) && self.is_sound(server, bound, now);
+    ) -> Option<(&'a Server, ChoiceReason)> {
+        let may_go = |server: &Server| {
+            self.is_usable(server, ask, now) && self.is_healthy(server, bound, now)
+        };
         // Where a daemon has few attempts at each of many servers, their mean bounds nothing: half
         // of the slots leaves room for what other daemons send.
         let is_free = |server: &Server| server.in_flight * 2 < server.record.slots.max(2);
         let preferred = ask.preferred.filter(|_| ask.affinity.is_some());
         let preferred = preferred.and_then(|preferred| servers.get(preferred));
         if let Some(kept) = preferred.filter(|server| may_go(server) && is_free(server)) {
-            return Some((kept, ChoiceWay::Preferred));
+            return Some((kept, ChoiceReason::Preferred));
         }
         // What concerns one object goes where all daemons send it, and who is cold needs care.
         let is_bound = matches!(ask.affinity, Some(Affinity::Object(_)));
@@ -181,7 +182,7 @@
         }
         let mut own = servers.from(self.topology.own_zone(), mix(self.seed)).take(MOST_LOOKED_AT);
         let first = own.find(|server| server.in_flight == 0 && may_go(server));
-        first.map(|server| (server, ChoiceWay::Subset))
+        first.map(|server| (server, ChoiceReason::Subset))
     }
 
     /// Whether most of a service's slots are free, if all gateways send as much as this one.
@@ -199,7 +200,7 @@
     fn sample<'a>(
         &'a self,
         servers: &'a ServiceServers,
-        ask: &'a Ask<'_>,
+        ask: &'a ChoiceRequest<'_>,
         Draw { draw, share }: Draw,
         bound: Option<Duration>,
         now: Timestamp,
@@ -216,17 +217,17 @@
         let from = from.wrapping_add(drawn as u64);
         let own_zone = self.topology.own_zone();
         let of = |zone: &Zone, wanted: usize| -> Vec<&'a Server> {
-            let looked_at = servers.from(zone, from).take(MOST_LOOKED_AT);
-            let usable = looked_at.filter(|server| self.is_usable(server, ask, now));
+            let servers_examined = servers.from(zone, from).take(MOST_LOOKED_AT);
+            let usable = servers_examined.filter(|server| self.is_usable(server, ask, now));
             usable.take(wanted).collect()
         };
         let mut sample = of(own_zone, SAMPLE);
-        let sound = sample.iter().filter(|server| self.is_sound(server, bound, now)).count();
+        let healthy = sample.iter().filter(|server| self.is_healthy(server, bound, now)).count();
         let nearness = self.nearness.get(ask.service).copied().unwrap_or_default();
-        if sound < FEWEST_NEAR || !nearness.prefers_near(draw, now) {
-            for reach in [Reach::Region, Reach::OtherRegion] {
+        if healthy < FEWEST_NEAR || !nearness.prefers_near(draw, now) {
+            for distance in [Distance::SameRegion, Distance::OtherRegion] {
                 let zones = servers.zones().map(|(zone, _)| zone);
-                let there = zones.filter(|zone| self.topology.reach(zone) == reach);
+                let there = zones.filter(|zone| self.topology.distance(zone) == distance);
                 let there: Vec<&Zone> = there.collect();
                 let each = (SAMPLE / there.len().max(1)).max(1);
                 there.iter().for_each(|zone| sample.extend(of(zone, each)));
@@ -243,12 +244,12 @@
     fn in_reach<'a>(
         &self,
         candidates: Vec<&'a Server>,
-        ask: &Ask<'_>,
+        ask: &ChoiceRequest<'_>,
         draw: u64,
         now: Timestamp,
     ) -> Vec<&'a Server> {
         let is_own =
-            |server: &&Server| self.topology.reach(&server.record.zone) != Reach::OtherRegion;
+            |server: &&Server| self.topology.distance(&server.record.zone) != Distance::OtherRegion;
         let own: Vec<&Server> = candidates.iter().copied().filter(is_own).collect();
         if own.is_empty() || own.len() == candidates.len() {
             return candidates;
@@ -269,12 +270,12 @@
 
     /// The share of the requests that the own region's servers cannot be expected to bear. Where only
     /// some were looked at, these cannot tell, but that there are some.
-    fn lost_share(&self, own: &[&Server], ask: &Ask<'_>) -> f64 {
+    fn lost_share(&self, own: &[&Server], ask: &ChoiceRequest<'_>) -> f64 {
         let Some(servers) = self.services.get(ask.service) else { return 0.0 };
         if servers.len() > MOST_COMPARED && own.len() >= FEWEST_NEAR {
             return 0.0;
         }
-        let is_own = |zone: &Zone| self.topology.reach(zone) != Reach::OtherRegion;
+        let is_own = |zone: &Zone| self.topology.distance(zone) != Distance::OtherRegion;
         let listed = servers.zones().filter(|(zone, _)| is_own(zone)).map(|(_, slots)| slots);
         overflow::lost_share(overflow::slots(own.iter().copied()), listed.sum())
     }
@@ -282,13 +283,13 @@
     fn usable<'a>(
         &'a self,
         servers: &'a ServiceServers,
-        ask: &'a Ask<'_>,
+        ask: &'a ChoiceRequest<'_>,
         now: Timestamp,
     ) -> impl Iterator<Item = &'a Server> {
         servers.iter().filter(move |server| self.is_usable(server, ask, now))
     }
 
-    fn is_usable(&self, server: &Server, ask: &Ask<'_>, now: Timestamp) -> bool {
+    fn is_usable(&self, server: &Server, ask: &ChoiceRequest<'_>, now: Timestamp) -> bool {
         self.takes_work(server)
             && !server.is_paused(now)
             && !server.is_full(&self.settings)
@@ -297,7 +298,7 @@
     }
 
     /// Whether a server neither failed of late nor is slow.
-    fn is_sound(&self, server: &Server, bound: Option<Duration>, now: Timestamp) -> bool {
+    fn is_healthy(&self, server: &Server, bound: Option<Duration>, now: Timestamp) -> bool {
         !server.is_suspect(&self.settings, now)
             && !server.is_slow(bound, &self.settings, now)
             && !self.is_in_silent_zone(server, now)
@@ -306,13 +307,21 @@
     fn basis(
         &self,
         server: &Server,
-        way: ChoiceWay,
+        reason: ChoiceReason,
         counts: Counts,
-        expected: Option<ExpectedTurn>,
+        estimate: Option<TurnEstimate>,
     ) -> ChoiceBasis {
-        let Counts { listed, usable, sound } = counts;
-        let reach = self.topology.reach(&server.record.zone);
-        ChoiceBasis { way, listed, usable, sound, in_flight: server.in_flight, reach, expected }
+        let Counts { listed, usable, healthy } = counts;
+        let distance = self.topology.distance(&server.record.zone);
+        ChoiceBasis {
+            reason,
+            listed,
+            usable,
+            healthy,
+            in_flight: server.in_flight,
+            distance,
+            estimate,
+        }
     }
 }
 
@@ -330,7 +339,7 @@
 struct Counts {
     listed: usize,
     usable: usize,
-    sound: usize,
+    healthy: usize,
 }
 
 /// The time to an answer beyond which a server of a service counts as slow; none when fewer than
--- a/crates/backends/src/server.rs
+++ b/crates/backends/src/server.rs
@@ -166,7 +166,7 @@
     }
 
     /// Tokens of a stream of this daemon came.
-    pub(crate) fn tokens_came(&mut self, times: TokenTimes, now: Timestamp) {
+    pub(crate) fn record_token_times(&mut self, times: TokenTimes, now: Timestamp) {
         self.pace.add(times, now);
         let untold = &mut self.untold;
         untold.tokens = untold.tokens.saturating_add(times.tokens);
@@ -183,7 +183,7 @@
         }
     }
 
-    pub(crate) fn begin(&mut self, settings: &BackendSettings, now: Timestamp) {
+    pub(crate) fn begin_attempt(&mut self, settings: &BackendSettings, now: Timestamp) {
         self.warmth.note_sent(now);
         self.usual.note(self.in_flight, settings.load_span(), now);
         self.in_flight += 1;
@@ -192,7 +192,7 @@
         }
     }
 
-    pub(crate) fn answered_in(
+    pub(crate) fn record_response_time(
         &mut self,
         time: Duration,
         settings: &BackendSettings,
@@ -202,7 +202,7 @@
     }
 
     /// An answer that did not come says only that it takes longer than this.
-    pub(crate) fn silent_for(
+    pub(crate) fn record_unanswered(
         &mut self,
         time: Duration,
         settings: &BackendSettings,
@@ -213,7 +213,12 @@
         }
     }
 
-    pub(crate) fn end(&mut self, end: AttemptEnd, settings: &BackendSettings, now: Timestamp) {
+    pub(crate) fn end_attempt(
+        &mut self,
+        end: AttemptEnd,
+        settings: &BackendSettings,
+        now: Timestamp,
+    ) {
         self.usual.note(self.in_flight, settings.load_span(), now);
         self.in_flight = self.in_flight.saturating_sub(1);
         if self.in_flight == 0 {
--- a/crates/backends/src/service_servers.rs
+++ b/crates/backends/src/service_servers.rs
@@ -47,7 +47,7 @@
     /// The same, averaged over the time before.
     usual: SmoothedCount,
     /// Servers looked at so far: what all questions cost.
-    looked_at: Cell<u64>,
+    servers_examined: Cell<u64>,
 }
 
 /// The servers of one zone.
@@ -74,7 +74,7 @@
 
     /// In no order.
     pub(crate) fn iter_mut(&mut self) -> impl Iterator<Item = &mut Server> {
-        self.looked_at.set(self.looked_at.get() + self.by_id.len() as u64);
+        self.servers_examined.set(self.servers_examined.get() + self.by_id.len() as u64);
         self.arena.iter_mut().flatten()
     }
 
@@ -116,17 +116,22 @@
     }
 
     /// An attempt begins at a server.
-    pub(crate) fn begin(&mut self, id: &BackendId, settings: &BackendSettings, now: Timestamp) {
+    pub(crate) fn begin_attempt(
+        &mut self,
+        id: &BackendId,
+        settings: &BackendSettings,
+        now: Timestamp,
+    ) {
         let before = self.in_flight;
         let Some(server) = self.get_mut(id) else { return };
-        server.begin(settings, now);
+        server.begin_attempt(settings, now);
         self.usual.note(before, LOAD_SPAN, now);
         self.in_flight += 1;
         self.telling.extend(self.by_id.get(id).copied());
     }
 
     /// An attempt ended at a server.
-    pub(crate) fn end(
+    pub(crate) fn end_attempt(
         &mut self,
         id: &BackendId,
         end: AttemptEnd,
@@ -136,7 +141,7 @@
         let before = self.in_flight;
         let Some(server) = self.get_mut(id) else { return };
         let at_server = server.in_flight;
-        server.end(end, settings, now);
+        server.end_attempt(end, settings, now);
         let ended = at_server - server.in_flight;
         self.usual.note(before, LOAD_SPAN, now);
         self.in_flight -= ended;
@@ -158,10 +163,10 @@
     }
 
     /// Tokens of a stream of this daemon came.
-    pub(crate) fn tokens_came(&mut self, id: &BackendId, times: TokenTimes, now: Timestamp) {
+    pub(crate) fn record_token_times(&mut self, id: &BackendId, times: TokenTimes, now: Timestamp) {
         let Some(&key) = self.by_id.get(id) else { return };
         let Some(server) = self.arena[key.0].as_mut() else { return };
-        server.tokens_came(times, now);
+        server.record_token_times(times, now);
         self.pace.add(times, now);
         self.telling.insert(key);
     }
@@ -172,7 +177,7 @@
     }
 
     /// This daemon's load of those that have any, or whose tokens came since the last call.
-    pub(crate) fn own_loads(&mut self) -> Vec<ServerLoad> {
+    pub(crate) fn take_own_loads(&mut self) -> Vec<ServerLoad> {
         let mut loads = Vec::with_capacity(self.telling.len());
         let arena = &mut self.arena;
         self.telling.retain(|ServerKey(place)| {
@@ -239,8 +244,8 @@
     }
 
     /// Servers looked at so far, over all questions.
-    pub(crate) fn looked_at(&self) -> u64 {
-        self.looked_at.get()
+    pub(crate) fn servers_examined(&self) -> u64 {
+        self.servers_examined.get()
     }
 
     /// The servers of a zone, each once, from the place of a hash on. All daemons see the same order.
@@ -253,7 +258,7 @@
     }
 
     fn at(&self, ServerKey(place): ServerKey) -> Option<&Server> {
-        self.looked_at.set(self.looked_at.get() + 1);
+        self.servers_examined.set(self.servers_examined.get() + 1);
         self.arena.get(place)?.as_ref()
     }
 
--- a/crates/backends/src/table.rs
+++ b/crates/backends/src/table.rs
@@ -20,8 +20,8 @@
 use crate::silent_zones::SilentZones;
 use crate::topology::Topology;
 use crate::{
-    Ask, AttemptEnd, BackendAddress, BackendId, BackendRecord, BackendSettings, Choice,
-    EngineFigures, EvacuatedZone, Reach, Regions, ServiceName,
+    AttemptEnd, BackendAddress, BackendId, BackendRecord, BackendSettings, Choice, ChoiceRequest,
+    Distance, EngineCapacity, EvacuatedZone, Regions, ServiceName,
 };
 
 /// Told of each attempt of this daemon that a server failed while it was not suspect.
@@ -42,7 +42,7 @@
     silent: SilentZones,
     pub(crate) cold: ColdStart,
     /// What the model servers of services have.
-    pub(crate) engines: BTreeMap<ServiceName, EngineFigures>,
+    pub(crate) engines: BTreeMap<ServiceName, EngineCapacity>,
     pub(crate) unused_loads: UnusedLoads,
     /// Tells this daemon from others where each is to decide another way.
     pub(crate) seed: u64,
@@ -87,7 +87,7 @@
     /// earlier life is forgotten, and none comes after a later one.
     pub fn put(&mut self, record: BackendRecord, now: Timestamp) {
         let id = record.id.clone();
-        if self.has_later_life(&id) {
+        if self.has_later_incarnation(&id) {
             return;
         }
         let listed = self.listed.insert(id.clone(), record.service.clone());
@@ -112,7 +112,7 @@
     }
 
     /// Whether a server is known to have started again since this life: whatever it had is lost.
-    pub fn has_later_life(&self, id: &BackendId) -> bool {
+    pub fn has_later_incarnation(&self, id: &BackendId) -> bool {
         let later = (Bound::Excluded(id), Bound::Unbounded);
         self.listed.range(later).next().is_some_and(|(next, _)| next.name == id.name)
     }
@@ -151,7 +151,7 @@
     }
 
     /// Whether a server, in this life, has ended or is about to: discovery or it itself said so.
-    pub fn is_gone(&self, id: &BackendId) -> bool {
+    pub fn is_leaving_or_gone(&self, id: &BackendId) -> bool {
         self.server(id).is_none_or(Server::is_ending)
     }
 
@@ -166,8 +166,8 @@
     }
 
     /// Servers looked at so far, whatever was asked: what choices cost grows with these.
-    pub fn looked_at(&self) -> u64 {
-        self.services.values().map(ServiceServers::looked_at).sum()
+    pub fn servers_examined(&self) -> u64 {
+        self.services.values().map(ServiceServers::servers_examined).sum()
     }
 
     /// Attempts of this daemon at a service that have not ended.
@@ -176,7 +176,7 @@
     }
 
     /// Chooses a server. On [`Choice::Use`] the attempt counts as begun.
-    pub fn choose(&mut self, ask: &Ask<'_>, now: Timestamp) -> Choice {
+    pub fn choose(&mut self, ask: &ChoiceRequest<'_>, now: Timestamp) -> Choice {
         self.settle_cold(ask, now);
         self.silent.look(now);
         let Some((id, basis)) = self.pick(ask, now) else {
@@ -191,7 +191,7 @@
         }) else {
             return Choice::NoBackend { retry_after: NO_BACKEND_RETRY };
         };
-        servers.begin(&id, &self.settings, now);
+        servers.begin_attempt(&id, &self.settings, now);
         if let Some(server) = ask.size.and_then(|size| Some((size, servers.get_mut(&id)?))) {
             let (size, server) = server;
             server.reserve(size);
@@ -206,14 +206,14 @@
 
     /// Takes in that other daemons saw attempts at a server fail. They count as this daemon's own:
     /// with many daemons each meets a server rarely.
-    pub fn heard_failures(&mut self, id: &BackendId, failures: u8, now: Timestamp) {
+    pub fn add_reported_failures(&mut self, id: &BackendId, failures: u8, now: Timestamp) {
         if let Some((server, settings)) = self.server_mut(id) {
             server.add_failures(f64::from(failures), settings, now);
         }
     }
 
     /// Takes in how an attempt ended.
-    pub fn end(&mut self, id: &BackendId, end: AttemptEnd, now: Timestamp) {
+    pub fn end_attempt(&mut self, id: &BackendId, end: AttemptEnd, now: Timestamp) {
         if matches!(end, AttemptEnd::Broken | AttemptEnd::Failed) {
             self.tell_failure(id, now);
         }
@@ -221,29 +221,29 @@
             self.note_answering_zone(id);
         }
         if let Some((servers, settings)) = self.servers_of(id) {
-            servers.end(id, end, settings, now);
+            servers.end_attempt(id, end, settings, now);
         }
     }
 
     /// Takes in how long a server took until its answer began.
-    pub fn answered_in(&mut self, id: &BackendId, time: Duration, now: Timestamp) {
+    pub fn record_response_time(&mut self, id: &BackendId, time: Duration, now: Timestamp) {
         let Some((servers, settings)) = self.servers_of(id) else { return };
-        servers.sample(id, settings, |server| server.answered_in(time, settings, now));
+        servers.sample(id, settings, |server| server.record_response_time(time, settings, now));
         let Some(server) = self.server(id) else { return };
         let (service, zone) = (server.record.service.clone(), server.record.zone.clone());
-        let reach = self.topology.reach(&zone);
+        let distance = self.topology.distance(&zone);
         let overflow = self.overflow.entry(service.clone()).or_default();
-        overflow.answered_in(reach != Reach::OtherRegion, time, now);
-        if reach != Reach::OtherRegion {
+        overflow.record_response_time(distance != Distance::OtherRegion, time, now);
+        if distance != Distance::OtherRegion {
             let nearness = self.nearness.entry(service).or_default();
-            nearness.answered_in(reach == Reach::Zone, time, now);
+            nearness.record_response_time(distance == Distance::SameZone, time, now);
         }
     }
 
     /// Takes in that an attempt ended without an answer after this time.
-    pub fn silent_for(&mut self, id: &BackendId, time: Duration, now: Timestamp) {
+    pub fn record_unanswered(&mut self, id: &BackendId, time: Duration, now: Timestamp) {
         if let Some((servers, settings)) = self.servers_of(id) {
-            servers.sample(id, settings, |server| server.silent_for(time, settings, now));
+            servers.sample(id, settings, |server| server.record_unanswered(time, settings, now));
         }
     }
 
--- a/crates/backends/src/topology.rs
+++ b/crates/backends/src/topology.rs
@@ -46,21 +46,21 @@
 
 /// How far away a server is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Reach {
+pub enum Distance {
     /// In the own zone.
-    Zone,
+    SameZone,
     /// In another zone of the own region.
-    Region,
+    SameRegion,
     /// In another region.
     OtherRegion,
 }
 
-impl Reach {
+impl Distance {
     /// Its name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
-            Self::Zone => "zone",
-            Self::Region => "region",
+            Self::SameZone => "zone",
+            Self::SameRegion => "region",
             Self::OtherRegion => "other-region",
         }
     }
@@ -84,15 +84,15 @@
 
     /// A zone that no region is told of counts as near: it was added since the settings were written,
     /// and its servers would stand idle otherwise.
-    pub(crate) fn reach(&self, zone: &Zone) -> Reach {
+    pub(crate) fn distance(&self, zone: &Zone) -> Distance {
         let Regions(regions) = &self.regions;
         let own = regions.get(&self.zone);
         if *zone == self.zone {
-            Reach::Zone
+            Distance::SameZone
         } else if regions.get(zone).is_none_or(|region| Some(region) == own) {
-            Reach::Region
+            Distance::SameRegion
         } else {
-            Reach::OtherRegion
+            Distance::OtherRegion
         }
     }
 }
--- a/crates/backends/tests/choice.rs
+++ b/crates/backends/tests/choice.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddr;
 
 use dahlia_backends::{
-    Affinity, Ask, AttemptEnd, BackendId, BackendRecord, BackendSettings, BackendState, Backends,
-    Choice, ServiceName, SharedPrompt,
+    Affinity, AttemptEnd, BackendId, BackendRecord, BackendSettings, BackendState, Backends,
+    Choice, ChoiceRequest, ServiceName, SharedPrompt,
 };
 use dahlia_types::{Duration, Timestamp, Zone};
 
@@ -36,8 +36,8 @@
     backends
 }
 
-fn ask<'a>(service: &'a ServiceName, tried: &'a [BackendId]) -> Ask<'a> {
-    Ask { service, affinity: None, preferred: None, tried, size: None }
+fn ask<'a>(service: &'a ServiceName, tried: &'a [BackendId]) -> ChoiceRequest<'a> {
+    ChoiceRequest { service, affinity: None, preferred: None, tried, size: None }
 }
 
 fn used(choice: Choice) -> Option<BackendId> {
@@ -66,7 +66,8 @@
         let mut one = table(&servers);
         let mut other = Backends::new(BackendSettings::default(), Zone::new("hall-c"), 99);
         servers.iter().rev().for_each(|(name, zone)| other.put(record(name, zone), START));
-        let ask = Ask { affinity: Some(Affinity::Program(program)), ..ask(&service, &[]) };
+        let ask =
+            ChoiceRequest { affinity: Some(Affinity::Program(program)), ..ask(&service, &[]) };
         let chosen = used(one.choose(&ask, START));
         assert_eq!(chosen, used(other.choose(&ask, START)));
         *counts.entry(chosen.expect("servers are idle")).or_default() += 1;
@@ -115,7 +116,7 @@
         }
     }
     let program = Some(Affinity::Program(1));
-    let ask = Ask { affinity: program, preferred: Some(home), ..ask(&service, &[]) };
+    let ask = ChoiceRequest { affinity: program, preferred: Some(home), ..ask(&service, &[]) };
     used(backends.choose(&ask, START + Duration::from_secs(2))) == Some(home.clone())
 }
 
@@ -139,10 +140,11 @@
         for (prompt, per_tick) in prompts {
             for _ in 0..*per_tick {
                 let affinity = Some(Affinity::SharedPrompt(long(*prompt)));
-                let id = used(backends.choose(&Ask { affinity, ..ask(&service, &[]) }, now));
+                let id =
+                    used(backends.choose(&ChoiceRequest { affinity, ..ask(&service, &[]) }, now));
                 let id = id.expect("there is room");
                 *chosen.entry(*prompt).or_default().entry(id.clone()).or_default() += 1;
-                backends.end(&id, AttemptEnd::Answered, now + Duration::from_millis(90));
+                backends.end_attempt(&id, AttemptEnd::Answered, now + Duration::from_millis(90));
             }
         }
     }
@@ -185,7 +187,7 @@
 
     let mut by_its_word = table(&[("a", "hall-a")]);
     let id = used(by_its_word.choose(&ask(&service, &[]), START)).expect("it is idle");
-    by_its_word.end(&id, AttemptEnd::Leaving, START);
+    by_its_word.end_attempt(&id, AttemptEnd::Leaving, START);
     // Discovery lags: it still says ready, also later.
     by_its_word.put(record("a", "hall-a"), START + Duration::from_secs(1));
     let later = START + Duration::from_secs(2);
@@ -202,7 +204,7 @@
     let mut backends = table(&[("a", "hall-a")]);
     let service = service();
     let id = used(backends.choose(&ask(&service, &[]), START)).expect("it is idle");
-    backends.end(&id, AttemptEnd::Refused, START);
+    backends.end_attempt(&id, AttemptEnd::Refused, START);
     let Choice::Full { retry_after } = backends.choose(&ask(&service, &[]), START) else {
         panic!("the only server just refused");
     };
@@ -219,17 +221,17 @@
     let mut pauses = Vec::new();
     for _ in 0..3 {
         let id = used(backends.choose(&ask(&service, &[]), now)).expect("its pause is over");
-        backends.end(&id, AttemptEnd::Unreachable, now);
+        backends.end_attempt(&id, AttemptEnd::Unreachable, now);
         let failed = now;
         while used(backends.choose(&ask(&service, &[]), now)).is_none() {
             now = now + Duration::from_millis(50);
         }
-        backends.end(&id, AttemptEnd::Cancelled, now);
+        backends.end_attempt(&id, AttemptEnd::Cancelled, now);
         pauses.push(now.since(failed).as_millis());
     }
     assert_eq!(pauses, [250, 500, 1_000]);
     let id = used(backends.choose(&ask(&service, &[]), now)).expect("its pause is over");
-    backends.end(&id, AttemptEnd::Answered, now);
+    backends.end_attempt(&id, AttemptEnd::Answered, now);
     assert_eq!(used(backends.choose(&ask(&service, &[]), now)), Some(id));
 }
 
@@ -240,14 +242,14 @@
     let good = [BackendId::from("good")];
     for _ in 0..3 {
         let id = used(backends.choose(&ask(&service, &good), START)).expect("it is idle");
-        backends.end(&id, AttemptEnd::Broken, START);
+        backends.end_attempt(&id, AttemptEnd::Broken, START);
     }
     assert_eq!(used(backends.choose(&ask(&service, &[]), START)), Some(good[0].clone()));
     // Better than none: the other one was tried already.
     let last = used(backends.choose(&ask(&service, &good), START));
     assert_eq!(last, Some(BackendId::from("bad")));
-    backends.end(&BackendId::from("bad"), AttemptEnd::Cancelled, START);
-    backends.end(&good[0], AttemptEnd::Answered, START);
+    backends.end_attempt(&BackendId::from("bad"), AttemptEnd::Cancelled, START);
+    backends.end_attempt(&good[0], AttemptEnd::Answered, START);
     let later = START + Duration::from_secs(30);
     let again = used(backends.choose(&ask(&service, &[]), later));
     assert_eq!(again, Some(BackendId::from("bad")), "the near one is sound again");
@@ -258,8 +260,8 @@
     let mut backends = table(&[("a", "hall-a"), ("b", "hall-a"), ("c", "hall-a")]);
     let id = |name: &str| BackendId::from(name);
     backends.put(BackendRecord { state: BackendState::Draining, ..record("a", "hall-a") }, START);
-    backends.end(&id("b"), AttemptEnd::Leaving, START);
-    let gone = ["a", "b", "c", "d"].map(|name| backends.is_gone(&id(name)));
+    backends.end_attempt(&id("b"), AttemptEnd::Leaving, START);
+    let gone = ["a", "b", "c", "d"].map(|name| backends.is_leaving_or_gone(&id(name)));
     assert_eq!(gone, [true, true, false, true]);
 }
 
@@ -303,13 +305,14 @@
     let mut slow = 0;
     for index in 0..count {
         let now = begun + Duration::from_millis(index * 10);
-        let asked = Ask { affinity: affinity.map(Affinity::Program), ..ask(&service, &[]) };
+        let asked =
+            ChoiceRequest { affinity: affinity.map(Affinity::Program), ..ask(&service, &[]) };
         let id = used(backends.choose(&asked, now)).expect("there are idle ones");
         let is_slow = id.name == "slow";
         slow += usize::from(is_slow);
         let time = Duration::from_millis(if is_slow { slow_ms } else { 50 });
-        backends.answered_in(&id, time, now);
-        backends.end(&id, AttemptEnd::Answered, now);
+        backends.record_response_time(&id, time, now);
+        backends.end_attempt(&id, AttemptEnd::Answered, now);
     }
     slow
 }
@@ -338,12 +341,12 @@
     let (hangs, good) = (BackendId::from("hangs"), BackendId::from("good"));
     let service = service();
     for _ in 0..5 {
-        backends.answered_in(&good, Duration::from_millis(50), START);
-        backends.silent_for(&hangs, Duration::from_secs(4), START);
+        backends.record_response_time(&good, Duration::from_millis(50), START);
+        backends.record_unanswered(&hangs, Duration::from_secs(4), START);
     }
     let first = used(backends.choose(&ask(&service, &[]), START));
     assert_eq!(first, Some(hangs.clone()), "it is tried, and then left");
-    backends.end(&hangs, AttemptEnd::Cancelled, START);
+    backends.end_attempt(&hangs, AttemptEnd::Cancelled, START);
     assert_eq!(used(backends.choose(&ask(&service, &[]), START)), Some(good));
 }
 
@@ -352,11 +355,11 @@
     let mut backends = table(&[("grey", "hall-a"), ("sound", "hall-b")]);
     let (service, grey) = (service(), BackendId::from("grey"));
     assert_eq!(used(backends.choose(&ask(&service, &[]), START)), Some(grey.clone()));
-    backends.heard_failures(&grey, 2, START);
+    backends.add_reported_failures(&grey, 2, START);
     let next = used(backends.choose(&ask(&service, &[]), START));
     assert_eq!(next, Some(BackendId::from("sound")));
     // However many others saw, it is tried again before long.
-    backends.heard_failures(&grey, 200, START);
+    backends.add_reported_failures(&grey, 200, START);
     let later = START + Duration::from_secs(8);
     assert_eq!(used(backends.choose(&ask(&service, &[]), later)), Some(grey));
 }
@@ -368,11 +371,11 @@
     backends.on_failure(Box::new(move |id| told.send(id.clone()).expect("the test listens")));
     let grey = BackendId::from("grey");
     for end in [AttemptEnd::Answered, AttemptEnd::Cancelled, AttemptEnd::Refused] {
-        backends.end(&grey, end, START);
+        backends.end_attempt(&grey, end, START);
     }
     assert_eq!(tellings.try_iter().count(), 0, "neither its own nor the caller's doing");
     for end in [AttemptEnd::Broken, AttemptEnd::Failed, AttemptEnd::Broken] {
-        backends.end(&grey, end, START);
+        backends.end_attempt(&grey, end, START);
     }
     assert_eq!(tellings.try_iter().collect::<Vec<_>>(), vec![grey.clone(), grey]);
 }
@@ -382,7 +385,7 @@
     let servers = [("a", "hall-a"), ("b", "hall-a"), ("c", "hall-a"), ("d", "hall-b")];
     let service = service();
     let choose = |backends: &mut Backends, object| {
-        let ask = Ask { affinity: Some(Affinity::Object(object)), ..ask(&service, &[]) };
+        let ask = ChoiceRequest { affinity: Some(Affinity::Object(object)), ..ask(&service, &[]) };
         used(backends.choose(&ask, START)).expect("one takes it")
     };
     let mut one = table(&servers);
@@ -394,8 +397,8 @@
     for object in 0..200 {
         let (first, second) = (choose(&mut one, object), choose(&mut other, object));
         differ += u32::from(first != second);
-        one.end(&first, AttemptEnd::Answered, START);
-        other.end(&second, AttemptEnd::Answered, START);
+        one.end_attempt(&first, AttemptEnd::Answered, START);
+        other.end_attempt(&second, AttemptEnd::Answered, START);
     }
     // One choice in eight of each looks at far servers, too, and goes by load.
     assert!(differ <= 200 / 3, "{differ} of 200 objects at different servers");
--- a/crates/backends/tests/cold_shares.rs
+++ b/crates/backends/tests/cold_shares.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddr;
 
 use dahlia_backends::{
-    Affinity, Ask, AttemptEnd, BackendId, BackendRecord, BackendSettings, BackendState, Backends,
-    Choice, ColdChange, ColdLimit, Gateways, ServiceName, SharedPrompt,
+    Affinity, AttemptEnd, BackendId, BackendRecord, BackendSettings, BackendState, Backends,
+    Choice, ChoiceRequest, ColdChange, ColdLimit, Gateways, ServiceName, SharedPrompt,
 };
 use dahlia_types::{Duration, Timestamp, Zone};
 use proptest::prelude::*;
@@ -47,7 +47,10 @@
 fn choose(backends: &mut Backends, preferred: Option<&BackendId>, now: Timestamp) -> Choice {
     let service = service();
     let affinity = Some(Affinity::SharedPrompt(SharedPrompt { hash: 7, tokens: 512 }));
-    backends.choose(&Ask { service: &service, affinity, preferred, tried: &[], size: None }, now)
+    backends.choose(
+        &ChoiceRequest { service: &service, affinity, preferred, tried: &[], size: None },
+        now,
+    )
 }
 
 /// A burst: so many requests at each gateway at once, some time after the server is cold.
@@ -81,7 +84,7 @@
                 let Choice::Use { server, .. } = choose(backends, None, now) else { continue };
                 sent.push(now);
                 let end = now + Duration::from_millis(burst.ends_after_ms);
-                backends.end(&server.id, AttemptEnd::Answered, end);
+                backends.end_attempt(&server.id, AttemptEnd::Answered, end);
             }
         }
     }
@@ -150,7 +153,7 @@
         panic!("it has no share");
     };
     assert_eq!(retry_after, Duration::from_millis(2_000));
-    assert_eq!(backends.cold_readings(later).turned_away, 1);
+    assert_eq!(backends.cold_stats(later).turned_away, 1);
     let warm = START + COLD;
     assert!(matches!(choose(&mut backends, None, warm), Choice::Use { .. }));
 }
@@ -186,7 +189,7 @@
         panic!("another one is warm");
     };
     assert_eq!(server.id.name, "i-2");
-    assert_eq!(backends.cold_readings(START).cold, 1);
+    assert_eq!(backends.cold_stats(START).cold, 1);
 }
 
 #[test]
@@ -195,10 +198,10 @@
     let id = BackendId::new("i-1", 1);
     let change = |is_cold| vec![ColdChange { server: id.clone(), is_cold }];
     backends.put(record("i-1", 1, "hall-a", COLD), START);
-    assert_eq!(backends.cold_changes(START), change(true));
+    assert_eq!(backends.take_cold_changes(START), change(true));
     backends.put(record("i-1", 1, "hall-a", Duration::ZERO), START + Duration::from_millis(10));
-    assert_eq!(backends.cold_changes(START + Duration::from_millis(2_999)), []);
-    assert_eq!(backends.cold_changes(START + COLD), change(false));
+    assert_eq!(backends.take_cold_changes(START + Duration::from_millis(2_999)), []);
+    assert_eq!(backends.take_cold_changes(START + COLD), change(false));
 }
 
 #[test]
@@ -208,7 +211,7 @@
     backends.put(record("i-2", 1, "hall-b", Duration::ZERO), START);
     backends.presume_cold(&Zone::new("hall-b"), START);
     let change = ColdChange { server: BackendId::new("i-2", 1), is_cold: true };
-    assert_eq!(backends.cold_changes(START), [change]);
+    assert_eq!(backends.take_cold_changes(START), [change]);
 }
 
 #[test]
@@ -219,7 +222,7 @@
     for _ in 0..10 {
         assert!(matches!(choose(&mut backends, None, START), Choice::Use { .. }));
     }
-    assert_eq!(backends.cold_readings(START).cold, 0);
+    assert_eq!(backends.cold_stats(START).cold, 0);
 }
 
 /// Gateways that each have some load send their first request to a new server at different moments: to
@@ -239,7 +242,7 @@
             let Choice::Use { server, .. } = choose(&mut backends, None, now) else {
                 panic!("room")
             };
-            backends.end(&server.id, AttemptEnd::Answered, now + Duration::from_millis(90));
+            backends.end_attempt(&server.id, AttemptEnd::Answered, now + Duration::from_millis(90));
         }
         let now = START + Duration::from_millis(10_000);
         let new = record("i-new", 2, "hall-a", Duration::ZERO);
--- a/crates/backends/tests/connections.rs
+++ b/crates/backends/tests/connections.rs
@@ -10,8 +10,8 @@
 use std::net::SocketAddr;
 
 use dahlia_backends::{
-    Affinity, Ask, AttemptEnd, BackendId, BackendRecord, BackendSettings, BackendState, Backends,
-    Choice, ServiceName, SharedPrompt,
+    Affinity, AttemptEnd, BackendId, BackendRecord, BackendSettings, BackendState, Backends,
+    Choice, ChoiceRequest, ServiceName, SharedPrompt,
 };
 use dahlia_types::{Duration, Timestamp, Zone};
 use rand::{Rng, SeedableRng};
@@ -145,7 +145,7 @@
 
     fn turn(&mut self, gateway: usize, holder: Option<usize>, left: usize, now: Timestamp) {
         let preferred = holder.map(|server| record(server, BackendState::Ready).id);
-        let ask = Ask {
+        let ask = ChoiceRequest {
             service: &service(),
             affinity: Some(PROMPT),
             preferred: preferred.as_ref(),
@@ -169,13 +169,13 @@
         };
         counts[number] += 1;
         let time = Duration::from_millis(30);
-        self.gateways[gateway].answered_in(&server.id, time, now + time);
+        self.gateways[gateway].record_response_time(&server.id, time, now + time);
         self.put(now + TURN, Happening::Ends { gateway, server: number, left: left - 1 });
     }
 
     fn ends(&mut self, gateway: usize, server: usize, left: usize, now: Timestamp) {
         let id = record(server, BackendState::Ready).id;
-        self.gateways[gateway].end(&id, AttemptEnd::Answered, now);
+        self.gateways[gateway].end_attempt(&id, AttemptEnd::Answered, now);
         if let Some(connections) = self.connections.get_mut(&(gateway, server)) {
             connections.busy -= 1;
         }
--- a/crates/backends/tests/evacuation.rs
+++ b/crates/backends/tests/evacuation.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddr;
 
 use dahlia_backends::{
-    Affinity, Ask, AttemptEnd, BackendId, BackendRecord, BackendSettings, BackendState, Backends,
-    Choice, ServiceName, SharedPrompt, ZoneOrders,
+    Affinity, AttemptEnd, BackendId, BackendRecord, BackendSettings, BackendState, Backends,
+    Choice, ChoiceRequest, EvacuationOrders, ServiceName, SharedPrompt,
 };
 use dahlia_types::{Duration, Timestamp, Zone};
 use proptest::prelude::*;
@@ -32,20 +32,20 @@
 }
 
 /// A list, or another daemon's document: all orders as of a revision.
-fn view(history: &History, revisions: usize) -> ZoneOrders {
-    ZoneOrders::new(revisions as u64, truth(history, revisions))
+fn view(history: &History, revisions: usize) -> EvacuationOrders {
+    EvacuationOrders::new(revisions as u64, truth(history, revisions))
 }
 
 /// Changes between two revisions, as a watch or a report tells them.
-fn watch(orders: &mut ZoneOrders, history: &History, after: usize, at: usize) {
+fn watch(orders: &mut EvacuationOrders, history: &History, after: usize, at: usize) {
     for (place, (zone, is_ordered)) in history.iter().enumerate().take(at).skip(after) {
         let (zone, revision) = (Zone::new(ZONES[*zone]), place as u64 + 1);
         match is_ordered {
-            true => orders.ordered(zone, revision),
-            false => orders.withdrawn(&zone, revision),
+            true => orders.record_order(zone, revision),
+            false => orders.record_withdrawal(&zone, revision),
         }
     }
-    orders.complete_to(at as u64);
+    orders.mark_complete_to(at as u64);
 }
 
 fn zones(names: &[&str]) -> BTreeSet<Zone> {
@@ -60,7 +60,7 @@
         history in prop::collection::vec((0..ZONES.len(), any::<bool>()), 1..12),
         arrivals in prop::collection::vec(any::<prop::sample::Index>(), 1..8),
     ) {
-        let mut orders = ZoneOrders::default();
+        let mut orders = EvacuationOrders::default();
         let mut newest = 0;
         for arrival in arrivals {
             let revisions = arrival.index(history.len() + 1);
@@ -76,10 +76,10 @@
         history in prop::collection::vec((0..ZONES.len(), any::<bool>()), 1..12),
         steps in prop::collection::vec((any::<bool>(), any::<prop::sample::Index>()), 1..10),
     ) {
-        let mut orders = ZoneOrders::default();
+        let mut orders = EvacuationOrders::default();
         for (is_view, place) in steps {
             let place = place.index(history.len() + 1);
-            let known = orders.known_to() as usize;
+            let known = orders.known_revision() as usize;
             match is_view {
                 true => orders.merge(&view(&history, place)),
                 // A watch that began before something newer was heard repeats what is known.
@@ -113,25 +113,25 @@
         Self::OrderedAndWithdrawn,
     ];
 
-    fn tell(self, orders: &mut ZoneOrders) {
+    fn tell(self, orders: &mut EvacuationOrders) {
         let zone = Zone::new("a");
         match self {
-            Self::ListBefore => orders.merge(&ZoneOrders::new(3, [])),
-            Self::ListWithOrder => orders.merge(&ZoneOrders::new(6, [(zone, 5)])),
-            Self::ListAfterWithdrawal => orders.merge(&ZoneOrders::new(9, [])),
+            Self::ListBefore => orders.merge(&EvacuationOrders::new(3, [])),
+            Self::ListWithOrder => orders.merge(&EvacuationOrders::new(6, [(zone, 5)])),
+            Self::ListAfterWithdrawal => orders.merge(&EvacuationOrders::new(9, [])),
             Self::Ordered => {
-                orders.ordered(zone, 5);
-                orders.complete_to(5);
+                orders.record_order(zone, 5);
+                orders.mark_complete_to(5);
             }
             Self::OrderedAndWithdrawn => {
-                orders.ordered(zone.clone(), 5);
-                orders.withdrawn(&zone, 8);
-                orders.complete_to(8);
+                orders.record_order(zone.clone(), 5);
+                orders.record_withdrawal(&zone, 8);
+                orders.mark_complete_to(8);
             }
         }
     }
 
-    fn known_to(self) -> u64 {
+    fn known_revision(self) -> u64 {
         match self {
             Self::ListBefore => 3,
             Self::ListWithOrder => 6,
@@ -146,10 +146,10 @@
 fn of_two_words_in_each_order_the_newer_counts() {
     for first in Word::ALL {
         for second in Word::ALL {
-            let mut orders = ZoneOrders::default();
+            let mut orders = EvacuationOrders::default();
             first.tell(&mut orders);
             second.tell(&mut orders);
-            let newest = first.known_to().max(second.known_to());
+            let newest = first.known_revision().max(second.known_revision());
             let is_ordered = (5..8).contains(&newest);
             let expected = if is_ordered { zones(&["a"]) } else { BTreeSet::new() };
             assert_eq!(orders.zones(), expected, "{first:?}, then {second:?}");
@@ -159,15 +159,15 @@
 
 #[test]
 fn an_order_met_while_a_list_was_read_holds_until_the_watch_tells_more() {
-    let mut orders = ZoneOrders::default();
+    let mut orders = EvacuationOrders::default();
     // The list's first page was as of 10; on a later page stood an order of revision 13.
-    orders.merge(&ZoneOrders::new(10, [(Zone::new("a"), 13)]));
+    orders.merge(&EvacuationOrders::new(10, [(Zone::new("a"), 13)]));
     assert_eq!((orders.zones(), orders.is_complete()), (zones(&["a"]), false));
-    orders.withdrawn(&Zone::new("a"), 11);
+    orders.record_withdrawal(&Zone::new("a"), 11);
     assert_eq!(orders.zones(), zones(&["a"]), "that was an earlier order's withdrawal");
-    orders.complete_to(14);
+    orders.mark_complete_to(14);
     assert!(orders.is_complete());
-    orders.withdrawn(&Zone::new("a"), 15);
+    orders.record_withdrawal(&Zone::new("a"), 15);
     assert_eq!(orders.zones(), BTreeSet::new());
 }
 
@@ -207,7 +207,13 @@
 ) -> Choice {
     let preferred = preferred.map(BackendId::from);
     let service = service();
-    let ask = Ask { service: &service, affinity, preferred: preferred.as_ref(), tried, size: None };
+    let ask = ChoiceRequest {
+        service: &service,
+        affinity,
+        preferred: preferred.as_ref(),
+        tried,
+        size: None,
+    };
     backends.choose(&ask, NOW)
 }
 
@@ -262,7 +268,7 @@
         let first = used(choose(&mut backends, program, Some("b-1"), &[]));
         assert_eq!(first.name, "b-1");
         backends.evacuate(zones(&["b"]));
-        backends.end(&first, AttemptEnd::Broken, NOW);
+        backends.end_attempt(&first, AttemptEnd::Broken, NOW);
         let second = used(choose(&mut backends, program, Some("b-1"), &[first]));
         assert!(!second.name.starts_with('b'), "{second}");
         backends.evacuate(BTreeSet::new());
@@ -294,8 +300,8 @@
     };
     let nowhere = || ("nowhere".to_owned(), 0, 0);
     assert_eq!(left(&backends), vec![("b".to_owned(), SERVERS_PER_ZONE, 1), nowhere()]);
-    assert!(!backends.is_gone(&server), "it is only to get nothing further");
-    backends.end(&server, AttemptEnd::Answered, NOW);
+    assert!(!backends.is_leaving_or_gone(&server), "it is only to get nothing further");
+    backends.end_attempt(&server, AttemptEnd::Answered, NOW);
     assert_eq!(left(&backends), vec![("b".to_owned(), SERVERS_PER_ZONE, 0), nowhere()]);
     // A server that appears there later counts at once.
     backends.put(record("nowhere-0".to_owned(), "nowhere"), NOW);
@@ -319,7 +325,7 @@
             let preferred = format!("c-{}", program % SERVERS_PER_ZONE as u64);
             let tie = Some(Affinity::SharedPrompt(prompt));
             let server = used(choose(&mut backends, tie, Some(&preferred), &[]));
-            backends.end(&server, AttemptEnd::Answered, NOW);
+            backends.end_attempt(&server, AttemptEnd::Answered, NOW);
             *moved.entry(server).or_default() += 1;
         }
     }
--- a/crates/backends/tests/fleet.rs
+++ b/crates/backends/tests/fleet.rs
@@ -5,8 +5,8 @@
 use std::net::SocketAddr;
 
 use dahlia_backends::{
-    Affinity, Ask, AttemptEnd, BackendId, BackendRecord, BackendSettings, BackendState, Backends,
-    Choice, ServiceName, SharedPrompt,
+    Affinity, AttemptEnd, BackendId, BackendRecord, BackendSettings, BackendState, Backends,
+    Choice, ChoiceRequest, ServiceName, SharedPrompt,
 };
 use dahlia_types::{Duration, Timestamp, Zone};
 use rand::{Rng, SeedableRng};
@@ -43,7 +43,8 @@
 fn choose(daemon: &mut Backends, prompt: SharedPrompt, now: Timestamp) -> BackendId {
     let service = service();
     let affinity = Some(Affinity::SharedPrompt(prompt));
-    let ask = Ask { service: &service, affinity, preferred: None, tried: &[], size: None };
+    let ask =
+        ChoiceRequest { service: &service, affinity, preferred: None, tried: &[], size: None };
     let Choice::Use { server, .. } = daemon.choose(&ask, now) else {
         panic!("there is room");
     };
@@ -65,7 +66,7 @@
             let prompt = random.random_range(0..PROMPTS);
             let shared = SharedPrompt { hash: prompt, tokens: LONG_PROMPT };
             let server = choose(daemon, shared, now);
-            daemon.end(&server, AttemptEnd::Answered, now + Duration::from_millis(90));
+            daemon.end_attempt(&server, AttemptEnd::Answered, now + Duration::from_millis(90));
             readers.entry(prompt).or_default().insert(server);
         }
     }
@@ -102,7 +103,7 @@
     for _ in 0..REQUESTS {
         while under_way.peek().is_some_and(|Reverse((end, ..))| *end <= now) {
             let Some(Reverse((end, daemon, server))) = under_way.pop() else { break };
-            daemons[daemon].end(&server, AttemptEnd::Answered, end);
+            daemons[daemon].end_attempt(&server, AttemptEnd::Answered, end);
         }
         let daemon = random.random_range(0..daemon_count);
         let hash = random.random_range(0..PROMPTS);
--- a/crates/backends/tests/large.rs
+++ b/crates/backends/tests/large.rs
@@ -10,8 +10,8 @@
 use std::net::SocketAddr;
 
 use dahlia_backends::{
-    Affinity, Ask, AttemptEnd, BackendId, BackendRecord, BackendSettings, BackendState, Backends,
-    Choice, ChoiceWay, Gateways, ServiceName, SharedPrompt,
+    Affinity, AttemptEnd, BackendId, BackendRecord, BackendSettings, BackendState, Backends,
+    Choice, ChoiceReason, ChoiceRequest, Gateways, ServiceName, SharedPrompt,
 };
 use dahlia_types::{Duration, Timestamp, Zone};
 use rand::{Rng, SeedableRng};
@@ -76,26 +76,38 @@
 fn costs(servers: usize, affinity: Option<Affinity>, load: u64) -> (f64, f64) {
     const CHOICES: u64 = 400;
     let mut backends = gateway(0, 1, 6, servers);
-    let listing = backends.looked_at() as f64 / servers as f64;
+    let listing = backends.servers_examined() as f64 / servers as f64;
     // Under way, so that the service does not count as idle: a share of all slots.
     let mut now = Timestamp(1_000_000);
     for number in 0..load {
         let affinity = another(affinity, number);
-        let ask = Ask { service: &service(), affinity, preferred: None, tried: &[], size: None };
+        let ask = ChoiceRequest {
+            service: &service(),
+            affinity,
+            preferred: None,
+            tried: &[],
+            size: None,
+        };
         backends.choose(&ask, now);
     }
     now = now + Duration::from_secs(30);
-    let before = backends.looked_at();
+    let before = backends.servers_examined();
     for turn in 0..CHOICES {
         now = now + Duration::from_millis(20);
         let affinity = another(affinity, turn);
-        let ask = Ask { service: &service(), affinity, preferred: None, tried: &[], size: None };
+        let ask = ChoiceRequest {
+            service: &service(),
+            affinity,
+            preferred: None,
+            tried: &[],
+            size: None,
+        };
         if let Some(server) = used(backends.choose(&ask, now)) {
-            backends.answered_in(&server, Duration::from_millis(40), now);
-            backends.end(&server, AttemptEnd::Answered, now);
+            backends.record_response_time(&server, Duration::from_millis(40), now);
+            backends.end_attempt(&server, AttemptEnd::Answered, now);
         }
     }
-    ((backends.looked_at() - before) as f64 / CHOICES as f64, listing)
+    ((backends.servers_examined() - before) as f64 / CHOICES as f64, listing)
 }
 
 /// A gateway has an eighth of a core: a request that looks at each of ten thousand servers some six times
@@ -197,12 +209,12 @@
             Step::End { gateway, server } => {
                 at_once[server] -= 1;
                 *idle.entry((gateway, server)).or_default() += 1;
-                gateways[gateway].end(&id(server), AttemptEnd::Answered, now);
+                gateways[gateway].end_attempt(&id(server), AttemptEnd::Answered, now);
             }
             Step::Turn { gateway, last, left } => {
                 outcome.requests += 1;
                 let preferred = last.map(id);
-                let ask = Ask {
+                let ask = ChoiceRequest {
                     service: &service(),
                     affinity: Some(PROMPT),
                     preferred: preferred.as_ref(),
@@ -216,7 +228,8 @@
                 };
                 let server: usize = server.id.name[2..].parse().expect("a number");
                 assert!(!(has_ended && load.ends.contains(&server)), "{server} has ended");
-                outcome.moved += usize::from(last.is_some() && basis.way != ChoiceWay::Preferred);
+                outcome.moved +=
+                    usize::from(last.is_some() && basis.reason != ChoiceReason::Preferred);
                 let is_far = server % load.zones != gateway % load.zones;
                 outcome.far += usize::from(last.is_none() && is_far);
                 outcome.per_server[server] += 1;
@@ -226,7 +239,7 @@
                     Some(idle) => *idle -= 1,
                     None => outcome.new_connections += 1,
                 }
-                gateways[gateway].answered_in(&id(server), Duration::from_millis(40), now);
+                gateways[gateway].record_response_time(&id(server), Duration::from_millis(40), now);
                 order += 1;
                 agenda.push(Reverse((now + TURN, order, Step::End { gateway, server })));
                 if left > 1 {
--- a/crates/backends/tests/lives.rs
+++ b/crates/backends/tests/lives.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 
 use dahlia_backends::{
-    Ask, AttemptEnd, BackendId, BackendRecord, BackendSettings, BackendState, Backends, Choice,
-    ServiceName,
+    AttemptEnd, BackendId, BackendRecord, BackendSettings, BackendState, Backends, Choice,
+    ChoiceRequest, ServiceName,
 };
 use dahlia_types::{Duration, Timestamp, Zone};
 
@@ -34,7 +34,8 @@
 
 fn chosen(backends: &mut Backends, tried: &[BackendId]) -> Option<BackendId> {
     let service = service("assistant");
-    let ask = Ask { service: &service, affinity: None, preferred: None, tried, size: None };
+    let ask =
+        ChoiceRequest { service: &service, affinity: None, preferred: None, tried, size: None };
     match backends.choose(&ask, NOW) {
         Choice::Use { server, .. } => Some(server.id),
         _ => None,
@@ -56,15 +57,15 @@
         },
         Learnt {
             name: "it could not be reached",
-            learn: |backends, id| backends.end(id, AttemptEnd::Unreachable, NOW),
+            learn: |backends, id| backends.end_attempt(id, AttemptEnd::Unreachable, NOW),
         },
         Learnt {
             name: "it said that it leaves",
-            learn: |backends, id| backends.end(id, AttemptEnd::Leaving, NOW),
+            learn: |backends, id| backends.end_attempt(id, AttemptEnd::Leaving, NOW),
         },
         Learnt {
             name: "it broke answers, by others' word",
-            learn: |backends, id| backends.heard_failures(id, 200, NOW),
+            learn: |backends, id| backends.add_reported_failures(id, 200, NOW),
         },
     ];
     for Learnt { name, learn } in cases {
@@ -86,11 +87,11 @@
     backends.put(life(20), NOW);
     assert_eq!(chosen(&mut backends, &[]), Some(second.clone()));
     let ends = [AttemptEnd::Broken, AttemptEnd::Leaving, AttemptEnd::Unreachable];
-    ends.into_iter().for_each(|end| backends.end(&first, end, NOW));
-    backends.heard_failures(&first, 200, NOW);
-    backends.silent_for(&first, Duration::from_secs(60), NOW);
+    ends.into_iter().for_each(|end| backends.end_attempt(&first, end, NOW));
+    backends.add_reported_failures(&first, 200, NOW);
+    backends.record_unanswered(&first, Duration::from_secs(60), NOW);
     assert_eq!(backends.in_flight(&service("assistant")), 1, "the attempt at the later life");
-    assert!(!backends.is_suspect(&second, NOW) && !backends.is_gone(&second));
+    assert!(!backends.is_suspect(&second, NOW) && !backends.is_leaving_or_gone(&second));
     assert_eq!(chosen(&mut backends, &[]), Some(second));
 }
 
@@ -99,7 +100,7 @@
     let (first, second) = (life(10).id, life(20).id);
     let mut backends = table(vec![life(20), life(10)]);
     assert_eq!(backends.ids().collect::<Vec<_>>(), [&second]);
-    assert!(backends.has_later_life(&first) && !backends.has_later_life(&second));
+    assert!(backends.has_later_incarnation(&first) && !backends.has_later_incarnation(&second));
     backends.remove(&first, NOW);
     assert_eq!(chosen(&mut backends, &[]), Some(second.clone()), "the end of the first is late");
     backends.remove(&second, NOW);
@@ -110,7 +111,7 @@
 fn names_that_begin_alike_are_other_servers() {
     let other = BackendRecord { id: BackendId::new("i-10", 5), ..life(0) };
     let mut backends = table(vec![life(10), other.clone()]);
-    assert!(!backends.has_later_life(&life(10).id));
+    assert!(!backends.has_later_incarnation(&life(10).id));
     backends.put(life(20), NOW);
     assert_eq!(backends.ids().collect::<Vec<_>>(), [&life(20).id, &other.id]);
 }
@@ -122,7 +123,7 @@
     assert_eq!(chosen(&mut backends, &[]), Some(id.clone()));
     backends.withdraw(&id);
     assert_eq!(chosen(&mut backends, &[]), None);
-    assert!(!backends.is_gone(&id), "what it runs counts against the most of a request");
+    assert!(!backends.is_leaving_or_gone(&id), "what it runs counts against the most of a request");
     assert_eq!(backends.in_flight(&service("assistant")), 1);
     backends.put(life(10), NOW);
     assert_eq!(chosen(&mut backends, &[]), Some(id.clone()));
--- a/crates/backends/tests/load_view.rs
+++ b/crates/backends/tests/load_view.rs
@@ -5,9 +5,9 @@
 use std::ops::RangeInclusive;
 
 use dahlia_backends::{
-    Affinity, Ask, AttemptEnd, BackendId, BackendRecord, BackendSettings, BackendState, Backends,
-    Choice, ChoiceBasis, ChoiceWay, EngineFigures, Gateways, LoadView, ServerDigest, ServerLoad,
-    ServiceName, TokenTimes, TurnSize,
+    Affinity, AttemptEnd, BackendId, BackendRecord, BackendSettings, BackendState, Backends,
+    Choice, ChoiceBasis, ChoiceReason, ChoiceRequest, EngineCapacity, Gateways, LoadView,
+    ServerDigest, ServerLoad, ServiceName, TokenTimes, TurnSize,
 };
 use dahlia_types::{Duration, Timestamp, Tokens, Zone};
 
@@ -29,8 +29,8 @@
 
 fn table(servers: usize, settings: BackendSettings) -> Backends {
     let mut backends = Backends::new(settings, Zone::new("hall-a"), 7);
-    let engine = EngineFigures { memory: Tokens(MEMORY) };
-    backends.set_engines(BTreeMap::from([(service(), engine)]));
+    let engine = EngineCapacity { memory: Tokens(MEMORY) };
+    backends.set_engine_capacities(BTreeMap::from([(service(), engine)]));
     for server in 0..servers {
         let record = BackendRecord {
             id: id(server),
@@ -51,7 +51,7 @@
     let mut backends = table(paces.len(), BackendSettings::default());
     for (server, micros) in paces.iter().enumerate() {
         let times = TokenTimes { tokens: 500, micros: 500 * micros };
-        backends.tokens_came(&id(server), times, NOW);
+        backends.record_token_times(&id(server), times, NOW);
     }
     backends
 }
@@ -77,7 +77,8 @@
 ) -> (usize, ChoiceBasis) {
     let service = service();
     let affinity = Some(Affinity::Program(1));
-    let ask = Ask { service: &service, affinity, preferred, tried: &[], size: Some(SIZE) };
+    let ask =
+        ChoiceRequest { service: &service, affinity, preferred, tried: &[], size: Some(SIZE) };
     let Choice::Use { server, basis } = backends.choose(&ask, now) else { panic!("one is free") };
     (server.id.name[2..].parse().expect("a number"), basis)
 }
@@ -95,17 +96,17 @@
 #[test]
 fn own_loads_are_told_while_they_last_and_times_once() {
     let mut backends = paced(&[FAST, FAST]);
-    assert_eq!(backends.own_loads(NOW).len(), 2, "times of both");
-    assert_eq!(backends.own_loads(NOW), []);
+    assert_eq!(backends.take_own_loads(NOW).len(), 2, "times of both");
+    assert_eq!(backends.take_own_loads(NOW), []);
     let (server, _) = choose_for(&mut backends, None, NOW);
     let told = ServerLoad { in_flight: 1, tokens: 1_280, ..load(server, 0, 0) };
-    assert_eq!(backends.own_loads(NOW), [told]);
-    assert_eq!(backends.own_loads(NOW), [told], "it has not ended");
+    assert_eq!(backends.take_own_loads(NOW), [told]);
+    assert_eq!(backends.take_own_loads(NOW), [told], "it has not ended");
     let times = TokenTimes { tokens: 13, micros: 40_000 };
-    backends.tokens_came(&id(server), times, NOW);
+    backends.record_token_times(&id(server), times, NOW);
     backends.end_turn(&id(server), SIZE, AttemptEnd::Answered, NOW);
-    assert_eq!(backends.own_loads(NOW), [ServerLoad { times, ..load(server, 0, 0) }]);
-    assert_eq!(backends.own_loads(NOW), []);
+    assert_eq!(backends.take_own_loads(NOW), [ServerLoad { times, ..load(server, 0, 0) }]);
+    assert_eq!(backends.take_own_loads(NOW), []);
 }
 
 /// What a caller states may be any number.
@@ -116,11 +117,12 @@
     let service = service();
     for size in [SIZE, HUGE] {
         let size = Some(size);
-        let ask = Ask { service: &service, affinity: None, preferred: None, tried: &[], size };
+        let ask =
+            ChoiceRequest { service: &service, affinity: None, preferred: None, tried: &[], size };
         assert!(matches!(backends.choose(&ask, NOW), Choice::Use { .. }));
     }
     backends.end_turn(&id(0), HUGE, AttemptEnd::Answered, NOW);
-    let left = backends.own_loads(NOW);
+    let left = backends.take_own_loads(NOW);
     assert_eq!(left.iter().map(|load| load.tokens).collect::<Vec<_>>(), [1_280]);
 }
 
@@ -128,7 +130,7 @@
 fn slow_servers_are_left_alone_until_the_fast_ones_are_full() {
     let mut backends = paced(&[FAST, SLOW, FAST]);
     assert_eq!(chosen(&mut backends, None), BTreeSet::from([0, 2]));
-    backends.heard_loads(&view(vec![load(0, 30, 30_000), load(2, 30, 30_000)]), NOW);
+    backends.apply_load_view(&view(vec![load(0, 30, 30_000), load(2, 30, 30_000)]), NOW);
     assert_eq!(chosen(&mut backends, None), BTreeSet::from([1]));
 }
 
@@ -142,10 +144,10 @@
 #[test]
 fn a_server_without_room_in_its_memory_comes_last() {
     let mut backends = paced(&[FAST, SLOW]);
-    backends.heard_loads(&view(vec![load(0, 4, MEMORY as u32 - 100)]), NOW);
+    backends.apply_load_view(&view(vec![load(0, 4, MEMORY as u32 - 100)]), NOW);
     assert_eq!(chosen(&mut backends, None), BTreeSet::from([1]));
     let both = vec![load(0, 4, MEMORY as u32), load(1, 4, MEMORY as u32)];
-    backends.heard_loads(&view(both), NOW + Duration::from_millis(1));
+    backends.apply_load_view(&view(both), NOW + Duration::from_millis(1));
     assert_eq!(chosen(&mut backends, None), BTreeSet::from([0]), "one of them must take it");
 }
 
@@ -162,11 +164,11 @@
     let busy = view(vec![load(0, 30, 30_000)]);
     let later = NOW + Duration::from_millis(1_500);
     let mut backends = paced(&[FAST, FAST]);
-    backends.heard_loads(&busy, NOW);
+    backends.apply_load_view(&busy, NOW);
     let (_, basis) = choose_for(&mut backends, None, NOW);
-    assert_eq!(basis.expected.expect("it decides").view_age, Some(Duration::from_millis(20)));
+    assert_eq!(basis.estimate.expect("it decides").view_age, Some(Duration::from_millis(20)));
     let (_, basis) = choose_for(&mut backends, None, later);
-    assert_eq!(basis.expected.expect("it decides").view_age, None);
+    assert_eq!(basis.estimate.expect("it decides").view_age, None);
 }
 
 /// A server of which nothing was heard is no emptier than the others, as far as anyone knows.
@@ -176,7 +178,7 @@
     for server in [0, 1] {
         let loads = vec![load(server, 16, 20_000)];
         let own = loads[0].server;
-        backends.heard_loads(&LoadView { range: own..=own, ..view(loads) }, NOW);
+        backends.apply_load_view(&LoadView { range: own..=own, ..view(loads) }, NOW);
     }
     assert_eq!(chosen(&mut backends, None), BTreeSet::from([0, 1, 2]));
 }
@@ -187,7 +189,7 @@
     let after = view(vec![load(1, 30, 30_000)]);
     for views in [[&before, &after], [&after, &before]] {
         let mut backends = paced(&[FAST, FAST]);
-        views.into_iter().for_each(|view| backends.heard_loads(view, NOW));
+        views.into_iter().for_each(|view| backends.apply_load_view(view, NOW));
         assert_eq!(chosen(&mut backends, None), BTreeSet::from([0]));
     }
 }
@@ -220,7 +222,7 @@
     ];
     for BadView { name, view } in cases {
         let mut backends = paced(&[FAST, FAST]);
-        backends.heard_loads(&view, NOW);
+        backends.apply_load_view(&view, NOW);
         assert_eq!(chosen(&mut backends, None), BTreeSet::from([0, 1]), "{name}");
     }
 }
@@ -230,7 +232,7 @@
     let mut backends = paced(&[FAST, FAST]);
     let before = load(0, 30, 30_000);
     backends.remove(&id(0), NOW);
-    backends.heard_loads(&view(vec![before]), NOW);
+    backends.apply_load_view(&view(vec![before]), NOW);
     let next = BackendId::new("i-0", 2);
     let record = BackendRecord {
         id: next.clone(),
@@ -242,7 +244,7 @@
         cold_for: Duration::ZERO,
     };
     backends.put(record, NOW);
-    backends.heard_loads(&view(vec![before]), NOW);
+    backends.apply_load_view(&view(vec![before]), NOW);
     assert_eq!(chosen(&mut backends, None), BTreeSet::from([0, 1]));
 }
 
@@ -250,25 +252,26 @@
 fn only_what_asks_for_it_is_chosen_by_expected_end() {
     let ways = |backends: &mut Backends, size| {
         let service = service();
-        let ask = Ask { service: &service, affinity: None, preferred: None, tried: &[], size };
+        let ask =
+            ChoiceRequest { service: &service, affinity: None, preferred: None, tried: &[], size };
         let Choice::Use { basis, .. } = backends.choose(&ask, NOW) else { panic!("one is free") };
-        basis.way
+        basis.reason
     };
-    assert_eq!(ways(&mut paced(&[FAST, SLOW]), Some(SIZE)), ChoiceWay::ExpectedEnd);
-    assert_eq!(ways(&mut paced(&[FAST, SLOW]), None), ChoiceWay::Load);
+    assert_eq!(ways(&mut paced(&[FAST, SLOW]), Some(SIZE)), ChoiceReason::ExpectedEnd);
+    assert_eq!(ways(&mut paced(&[FAST, SLOW]), None), ChoiceReason::Load);
     let mut plain = paced(&[FAST, SLOW]);
-    plain.set_engines(BTreeMap::new());
-    assert_eq!(ways(&mut plain, Some(SIZE)), ChoiceWay::Load);
+    plain.set_engine_capacities(BTreeMap::new());
+    assert_eq!(ways(&mut plain, Some(SIZE)), ChoiceReason::Load);
     let mut unknown = table(2, BackendSettings::default());
-    assert_eq!(ways(&mut unknown, Some(SIZE)), ChoiceWay::Load);
+    assert_eq!(ways(&mut unknown, Some(SIZE)), ChoiceReason::Load);
     let fewest = BackendSettings::default().expected_end_gateways as u64;
     let mut few = paced(&[FAST, SLOW]);
     few.set_gateways(Gateways::new(0, 0..fewest - 1));
-    assert_eq!(ways(&mut few, Some(SIZE)), ChoiceWay::Load, "each gateway sees enough itself");
+    assert_eq!(ways(&mut few, Some(SIZE)), ChoiceReason::Load, "each gateway sees enough itself");
     few.set_gateways(Gateways::new(0, 0..fewest));
-    assert_eq!(ways(&mut few, Some(SIZE)), ChoiceWay::ExpectedEnd);
+    assert_eq!(ways(&mut few, Some(SIZE)), ChoiceReason::ExpectedEnd);
     let off = BackendSettings { by_expected_end: false, ..BackendSettings::default() };
     let mut off = table(2, off);
-    off.tokens_came(&id(0), TokenTimes { tokens: 500, micros: 1_000_000 }, NOW);
-    assert_eq!(ways(&mut off, Some(SIZE)), ChoiceWay::Load);
+    off.record_token_times(&id(0), TokenTimes { tokens: 500, micros: 1_000_000 }, NOW);
+    assert_eq!(ways(&mut off, Some(SIZE)), ChoiceReason::Load);
 }
--- a/crates/backends/tests/regions.rs
+++ b/crates/backends/tests/regions.rs
@@ -9,8 +9,8 @@
 use std::net::SocketAddr;
 
 use dahlia_backends::{
-    Affinity, Ask, AttemptEnd, BackendId, BackendRecord, BackendSettings, BackendState, Backends,
-    Choice, Regions, ServiceName, SharedPrompt,
+    Affinity, AttemptEnd, BackendId, BackendRecord, BackendSettings, BackendState, Backends,
+    Choice, ChoiceRequest, Regions, ServiceName, SharedPrompt,
 };
 use dahlia_types::{Duration, Region, Timestamp, Zone};
 use rand::{Rng, SeedableRng};
@@ -229,7 +229,7 @@
     fn choose(&mut self, gateway: usize, now: Timestamp) -> usize {
         let mut tried = Vec::new();
         loop {
-            let ask = Ask {
+            let ask = ChoiceRequest {
                 service: &service(),
                 affinity: Some(PROMPT),
                 preferred: None,
@@ -244,7 +244,7 @@
                 return number;
             }
             self.outcome.in_vain += 1;
-            self.gateways[gateway].end(&server.id, AttemptEnd::Unreachable, now);
+            self.gateways[gateway].end_attempt(&server.id, AttemptEnd::Unreachable, now);
             tried.push(server.id);
         }
     }
@@ -265,12 +265,12 @@
         if turn.gateway.is_multiple_of(REGIONS) && (HAPPENS..IS_OVER).contains(&turn.sent) {
             self.outcome.waits.push(waited.as_secs_f64() * 1e3);
         }
-        self.gateways[turn.gateway].answered_in(&server_id(server), waited, answer);
+        self.gateways[turn.gateway].record_response_time(&server_id(server), waited, answer);
         self.put(now + TURN, Happening::Ends { server, gateway: turn.gateway });
     }
 
     fn ends(&mut self, server: usize, gateway: usize, now: Timestamp) {
-        self.gateways[gateway].end(&server_id(server), AttemptEnd::Answered, now);
+        self.gateways[gateway].end_attempt(&server_id(server), AttemptEnd::Answered, now);
         self.running[server] -= 1;
         if let Some(next) = self.queues[server].pop_front() {
             self.starts(server, next, now);
@@ -469,7 +469,7 @@
             gateway.put(record(server, BackendState::Draining), now);
         }
         let preferred = preferred.map(server_id);
-        let ask = Ask {
+        let ask = ChoiceRequest {
             service: &service(),
             affinity,
             preferred: preferred.as_ref(),
@@ -489,7 +489,13 @@
 fn gateways_of_all_zones_of_a_region_prefer_the_same_server_for_a_program() {
     for program in 0..200 {
         let affinity = Some(Affinity::Program(program));
-        let ask = Ask { service: &service(), affinity, preferred: None, tried: &[], size: None };
+        let ask = ChoiceRequest {
+            service: &service(),
+            affinity,
+            preferred: None,
+            tried: &[],
+            size: None,
+        };
         let chosen = |number: usize| {
             let mut gateway = gateway(number, BackendSettings::default());
             match gateway.choose(&ask, Timestamp(1_000_000)) {
@@ -508,7 +514,13 @@
     let mut tried = Vec::new();
     for _ in 0..SERVERS / REGIONS / 2 {
         let affinity = Some(Affinity::Program(5));
-        let ask = Ask { service: &service(), affinity, preferred: None, tried: &tried, size: None };
+        let ask = ChoiceRequest {
+            service: &service(),
+            affinity,
+            preferred: None,
+            tried: &tried,
+            size: None,
+        };
         let Choice::Use { server, .. } = gateway.choose(&ask, Timestamp(1_000_000)) else {
             panic!("there are servers");
         };
--- a/crates/backends/tests/silent_zones.rs
+++ b/crates/backends/tests/silent_zones.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddr;
 
 use dahlia_backends::{
-    Affinity, Ask, AttemptEnd, BackendId, BackendRecord, BackendSettings, BackendState, Backends,
-    Choice, ServiceName,
+    Affinity, AttemptEnd, BackendId, BackendRecord, BackendSettings, BackendState, Backends,
+    Choice, ChoiceRequest, ServiceName,
 };
 use dahlia_types::{Duration, Timestamp, Zone};
 
@@ -51,7 +51,7 @@
     now: Timestamp,
 ) -> Option<(String, BackendId)> {
     let service = service();
-    let ask = Ask {
+    let ask = ChoiceRequest {
         service: &service,
         affinity: Some(Affinity::Program(7)),
         preferred,
@@ -73,7 +73,7 @@
     while let Some((zone, server)) = choose(&mut backends, Some(&kept)).filter(|_| met < 20) {
         met += 1;
         assert_eq!(zone, "a");
-        backends.end(&server, AttemptEnd::Answered, NOW);
+        backends.end_attempt(&server, AttemptEnd::Answered, NOW);
     }
     assert_eq!(met, 20);
     backends.set_silent_zones(BTreeSet::new());
@@ -100,9 +100,9 @@
     let kept = BackendId::new("b-0", 0);
     let (zone, other) = choose(&mut backends, Some(&kept)).expect("a server");
     assert_ne!(zone, "b");
-    backends.end(&other, AttemptEnd::Answered, NOW);
+    backends.end_attempt(&other, AttemptEnd::Answered, NOW);
     assert_ne!(choose(&mut backends, Some(&kept)).expect("a server").0, "b", "still silent");
-    backends.end(&server, AttemptEnd::Answered, NOW);
+    backends.end_attempt(&server, AttemptEnd::Answered, NOW);
     assert_eq!(choose(&mut backends, Some(&kept)).expect("a server").1, kept);
 }
 
@@ -119,7 +119,7 @@
         if zone == "b" {
             sent_there.push(step);
         }
-        backends.end(&server, AttemptEnd::Dropped, now);
+        backends.end_attempt(&server, AttemptEnd::Dropped, now);
         // Told again, as when another zone changes.
         backends.set_silent_zones(silent(&["b"]));
     }
@@ -127,6 +127,6 @@
     let later = NOW + Duration::from_secs(5);
     let (_, tried) = choose_at(&mut backends, Some(&kept), later).expect("a server");
     assert_ne!(choose_at(&mut backends, Some(&kept), later).expect("a server").0, "b");
-    backends.end(&tried, AttemptEnd::Answered, later);
+    backends.end_attempt(&tried, AttemptEnd::Answered, later);
     assert_eq!(choose_at(&mut backends, Some(&kept), later).expect("a server").1, kept);
 }
--- a/crates/backends/tests/support/mod.rs
+++ b/crates/backends/tests/support/mod.rs
@@ -8,8 +8,8 @@
 use std::net::SocketAddr;
 
 use dahlia_backends::{
-    Affinity, Ask, AttemptEnd, BackendId, BackendRecord, BackendSettings, BackendState, Backends,
-    Choice, ColdLimit, Gateways, ServiceName, SharedPrompt,
+    Affinity, AttemptEnd, BackendId, BackendRecord, BackendSettings, BackendState, Backends,
+    Choice, ChoiceRequest, ColdLimit, Gateways, ServiceName, SharedPrompt,
 };
 use dahlia_types::{Duration, Timestamp, Zone};
 use rand::{Rng, SeedableRng};
@@ -290,7 +290,7 @@
         let mut tried = closed.clone();
         let kept = last.clone().filter(|last| !closed.contains(last));
         while tried.len() < closed.len() + MOST_TRIES {
-            let ask = Ask {
+            let ask = ChoiceRequest {
                 service: &service(),
                 affinity: Some(Affinity::SharedPrompt(PROMPT)),
                 preferred: kept.as_ref(),
@@ -316,7 +316,7 @@
     fn arrives(&mut self, id: &BackendId, gateway: usize, now: Timestamp) -> bool {
         let machine = self.machines.get_mut(id).expect("it was there once");
         if !machine.is_up {
-            self.gateways[gateway].end(id, AttemptEnd::Unreachable, now);
+            self.gateways[gateway].end_attempt(id, AttemptEnd::Unreachable, now);
             return false;
         }
         machine.arrivals.push(now);
@@ -331,7 +331,7 @@
         } else if machine.queue.len() < QUEUE {
             machine.queue.push_back((gateway, now));
         } else {
-            self.gateways[gateway].end(id, AttemptEnd::Refused, now);
+            self.gateways[gateway].end_attempt(id, AttemptEnd::Refused, now);
             return false;
         }
         true
@@ -341,12 +341,12 @@
         self.machines.get_mut(id).expect("it is there").running += 1;
         let waited = now.since(sent);
         self.waits.push(waited.as_secs_f64() * 1e3);
-        self.gateways[gateway].answered_in(id, waited, now);
+        self.gateways[gateway].record_response_time(id, waited, now);
         self.put(now + TURN, Happening::Ends { server: id.clone(), gateway });
     }
 
     fn ends(&mut self, id: &BackendId, gateway: usize, now: Timestamp) {
-        self.gateways[gateway].end(id, AttemptEnd::Answered, now);
+        self.gateways[gateway].end_attempt(id, AttemptEnd::Answered, now);
         if let Some(seen) = self.seen.get_mut(&(gateway, id.clone())) {
             seen.1 += 1;
         }
--- a/crates/backends/tests/turns/mod.rs
+++ b/crates/backends/tests/turns/mod.rs
@@ -8,9 +8,9 @@
 use std::net::SocketAddr;
 
 use dahlia_backends::{
-    Affinity, Ask, AttemptEnd, BackendId, BackendRecord, BackendSettings, BackendState, Backends,
-    Choice, EngineFigures, LoadView, ServerDigest, ServerLoad, ServiceName, SharedPrompt,
-    TokenTimes, TurnSize,
+    Affinity, AttemptEnd, BackendId, BackendRecord, BackendSettings, BackendState, Backends,
+    Choice, ChoiceRequest, EngineCapacity, LoadView, ServerDigest, ServerLoad, ServiceName,
+    SharedPrompt, TokenTimes, TurnSize,
 };
 use dahlia_types::{Duration, Timestamp, Tokens, Zone};
 use rand::{Rng, SeedableRng};
@@ -199,8 +199,8 @@
         ..BackendSettings::default()
     };
     let mut backends = Backends::new(settings, zone(number % ZONES), 100 + number as u64);
-    let engine = EngineFigures { memory: Tokens(scenario.memory) };
-    backends.set_engines(BTreeMap::from([(service(), engine)]));
+    let engine = EngineCapacity { memory: Tokens(scenario.memory) };
+    backends.set_engine_capacities(BTreeMap::from([(service(), engine)]));
     for server in 0..SERVERS {
         let record = BackendRecord {
             id: id(server),
@@ -349,7 +349,7 @@
         }
         let prompt = SharedPrompt { hash: program as u64 % 9, tokens: SHARED_TOKENS };
         let preferred = last.map(id);
-        let ask = Ask {
+        let ask = ChoiceRequest {
             service: &service(),
             affinity: Some(match last {
                 None => Affinity::SharedPrompt(prompt),
@@ -451,11 +451,11 @@
         self.turns[turn].last_event = now;
         let backends = &mut self.gateways[gateway];
         if made == 0 {
-            backends.answered_in(&id(server), now.since(sent), now);
+            backends.record_response_time(&id(server), now.since(sent), now);
         } else {
             let micros = now.since(last_event).as_micros() as u32;
             let times = TokenTimes { tokens: EVENT_TOKENS as u32, micros };
-            backends.tokens_came(&id(server), times, now);
+            backends.record_token_times(&id(server), times, now);
         }
         if made + 1 == events {
             return self.ends(turn, now);
@@ -491,7 +491,7 @@
     }
 
     fn tell(&mut self, now: Timestamp) {
-        let told = self.gateways.iter_mut().map(|gateway| gateway.own_loads(now)).collect();
+        let told = self.gateways.iter_mut().map(|gateway| gateway.take_own_loads(now)).collect();
         self.told.push(told);
         let heard = now + Duration::from_millis(self.scenario.view_ms);
         self.put(heard, Happening::Heard(self.told.len() - 1));
@@ -518,7 +518,7 @@
             }
             let range = ServerDigest(0)..=ServerDigest(u64::MAX);
             let view = LoadView { range, loads: sum.into_values().collect(), age };
-            self.gateways[hearer].heard_loads(&view, now);
+            self.gateways[hearer].apply_load_view(&view, now);
         }
     }
 
--- a/crates/backends/tests/zones.rs
+++ b/crates/backends/tests/zones.rs
@@ -10,8 +10,8 @@
 use std::net::SocketAddr;
 
 use dahlia_backends::{
-    Affinity, Ask, AttemptEnd, BackendId, BackendRecord, BackendSettings, BackendState, Backends,
-    Choice, ServiceName, SharedPrompt,
+    Affinity, AttemptEnd, BackendId, BackendRecord, BackendSettings, BackendState, Backends,
+    Choice, ChoiceRequest, ServiceName, SharedPrompt,
 };
 use dahlia_types::{Duration, Timestamp, Zone};
 use rand::{Rng, SeedableRng};
@@ -126,7 +126,13 @@
         }
         let gateway = self.random.random_range(0..GATEWAYS) * ZONES + zone;
         let affinity = Some(Affinity::SharedPrompt(PROMPT));
-        let ask = Ask { service: &service(), affinity, preferred: None, tried: &[], size: None };
+        let ask = ChoiceRequest {
+            service: &service(),
+            affinity,
+            preferred: None,
+            tried: &[],
+            size: None,
+        };
         let Choice::Use { server, .. } = self.gateways[gateway].choose(&ask, now) else {
             panic!("no server takes a turn");
         };
@@ -148,13 +154,13 @@
             self.outcome.waits.push(waited.as_secs_f64() * 1e3);
         }
         let id = BackendId::new(format!("i-{server}"), 0);
-        self.gateways[waiting.gateway].answered_in(&id, waited, now);
+        self.gateways[waiting.gateway].record_response_time(&id, waited, now);
         self.put(now + TURN, Happening::Ends { server, gateway: waiting.gateway });
     }
 
     fn ends(&mut self, server: usize, gateway: usize, now: Timestamp) {
         let id = BackendId::new(format!("i-{server}"), 0);
-        self.gateways[gateway].end(&id, AttemptEnd::Answered, now);
+        self.gateways[gateway].end_attempt(&id, AttemptEnd::Answered, now);
         self.running[server] -= 1;
         if let Some(next) = self.queues[server].pop_front() {
             self.starts(server, next, now);
--- a/crates/daemon/src/failure_reports.rs
+++ b/crates/daemon/src/failure_reports.rs
@@ -64,7 +64,7 @@
         let (backend, now) = (BackendId::from(backend.as_str()), clock.now());
         let mut backends = backends.lock().unwrap_or_else(PoisonError::into_inner);
         let was_suspect = backends.is_suspect(&backend, now);
-        backends.heard_failures(&backend, failures, now);
+        backends.add_reported_failures(&backend, failures, now);
         let is_suspect = backends.is_suspect(&backend, now);
         log::info!(
             target: "backends",
--- a/crates/daemon/src/load_sharing.rs
+++ b/crates/daemon/src/load_sharing.rs
@@ -91,7 +91,7 @@
     async fn tell(&mut self, is_telling: bool) {
         let was_telling = std::mem::replace(&mut self.is_telling, is_telling);
         if is_telling {
-            let own = lock(&self.backends).own_loads(self.clock.now());
+            let own = lock(&self.backends).take_own_loads(self.clock.now());
             self.core.event(Event::OwnLoads(own.iter().map(item_load).collect())).await;
         } else if was_telling {
             self.core.event(Event::OwnLoadsEnd).await;
@@ -120,7 +120,7 @@
 ) {
     while let Some(heard) = heard.recv().await {
         let view = load_view(heard);
-        lock(&backends).heard_loads(&view, clock.now());
+        lock(&backends).apply_load_view(&view, clock.now());
     }
 }
 
--- a/crates/relay/src/decisions.rs
+++ b/crates/relay/src/decisions.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 use dahlia_admission::QueuedRequest;
-use dahlia_backends::{AttemptEnd, BackendId, ChoiceBasis, ExpectedTurn, ServiceName};
+use dahlia_backends::{AttemptEnd, BackendId, ChoiceBasis, ServiceName, TurnEstimate};
 use dahlia_types::Duration;
 use http::{HeaderValue, StatusCode};
 use tokio::time::Instant;
@@ -136,23 +136,23 @@
         sends_before: usize,
         bytes: usize,
     ) {
-        self.metrics.chosen(basis.way, basis.reach, bytes);
-        let expected = basis.expected;
+        self.metrics.chosen(basis.reason, basis.distance, bytes);
+        let expected = basis.estimate;
         let view_age = expected.and_then(|expected| expected.view_age);
         log::info!(
             target: "relay",
             request = self.request(),
             server:% = server,
-            way = basis.way.name(),
-            reach = basis.reach.name(),
+            way = basis.reason.name(),
+            reach = basis.distance.name(),
             in_flight = basis.in_flight,
-            sound = basis.sound,
+            sound = basis.healthy,
             usable = basis.usable,
             listed = basis.listed,
-            expected_ms:% = OrNone(expected.map(|expected| expected.takes.as_millis())),
-            token_us:% = OrNone(expected.map(|expected| expected.token.as_micros())),
+            expected_ms:% = OrNone(expected.map(|expected| expected.duration.as_millis())),
+            token_us:% = OrNone(expected.map(|expected| expected.time_per_token.as_micros())),
             attempts:% = OrNone(expected.map(|expected| expected.attempts)),
-            keeps_prompt:% = OrNone(expected.map(|expected| expected.keeps_prompt)),
+            keeps_prompt:% = OrNone(expected.map(|expected| expected.holds_prompt)),
             view_age_ms:% = OrNone(view_age.map(Duration::as_millis)),
             sends_before = sends_before,
             age_ms = self.age_ms();
@@ -161,9 +161,9 @@
     }
 
     /// An answer ended whole after this time, where another time had been expected.
-    pub(crate) fn turn_took(&self, expected: ExpectedTurn, time: Duration) {
+    pub(crate) fn turn_took(&self, expected: TurnEstimate, time: Duration) {
         if let Some(service) = &self.service {
-            self.metrics.turn_took(service, expected.takes, time);
+            self.metrics.turn_took(service, expected.duration, time);
         }
     }
 
--- a/crates/relay/src/exchange.rs
+++ b/crates/relay/src/exchange.rs
@@ -5,8 +5,8 @@
 use bytes::Bytes;
 use dahlia_admission::Stage;
 use dahlia_backends::{
-    Affinity, Ask, AttemptEnd, BackendAddress, BackendId, Choice, ChoiceBasis, SharedPrompt,
-    TurnSize,
+    Affinity, AttemptEnd, BackendAddress, BackendId, Choice, ChoiceBasis, ChoiceRequest,
+    SharedPrompt, TurnSize,
 };
 use dahlia_types::{Duration, Timestamp, Tokens};
 use tokio::time::Instant;
@@ -232,7 +232,7 @@
 
     /// Asks for a server. One that is given counts as used.
     pub(crate) fn choose(&self) -> Choice {
-        let ask = Ask {
+        let ask = ChoiceRequest {
             service: self.matched.service_name(),
             affinity: self.affinity(),
             preferred: self.preferred.as_ref(),
@@ -250,7 +250,7 @@
 
     /// What is kept of a choice until its attempt ends.
     pub(crate) fn chosen(&self, server: BackendAddress, basis: &ChoiceBasis) -> Chosen {
-        Chosen { server, size: self.size(), expected: basis.expected }
+        Chosen { server, size: self.size(), expected: basis.estimate }
     }
 
     /// How large the request is to a model server; none when it does not say.
@@ -394,7 +394,7 @@
     async fn is_out_of_reach(&self, server: &BackendAddress) -> bool {
         let is_gone = {
             let backends = self.shared.backends.lock().unwrap_or_else(PoisonError::into_inner);
-            backends.is_gone(&server.id)
+            backends.is_leaving_or_gone(&server.id)
         };
         if is_gone || self.shared.heard.is_silent(&server.id) {
             return true;
--- a/crates/relay/src/live.rs
+++ b/crates/relay/src/live.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use dahlia_backends::{
-    AttemptEnd, BackendAddress, BackendId, Backends, ExpectedTurn, TokenTimes, TurnSize,
+    AttemptEnd, BackendAddress, BackendId, Backends, TokenTimes, TurnEstimate, TurnSize,
 };
 use dahlia_types::Timestamp;
 use http::response;
@@ -41,7 +41,7 @@
     /// How large the request is, as the choice was told.
     pub(crate) size: Option<TurnSize>,
     /// What was expected of the server, where that decided.
-    pub(crate) expected: Option<ExpectedTurn>,
+    pub(crate) expected: Option<TurnEstimate>,
 }
 
 /// Tells [`Backends`] how an attempt ended; that the caller left, when nothing else was said.
@@ -54,7 +54,7 @@
     /// How large its request is, as the choice was told.
     size: TurnSize,
     /// What was expected of it, where that decided.
-    expected: Option<ExpectedTurn>,
+    expected: Option<TurnEstimate>,
     began: Timestamp,
     /// When the attempt was sent; none before, and once its answer has begun.
     waits_since: Option<Timestamp>,
@@ -105,7 +105,7 @@
     fn tokens_came(&self, times: TokenTimes) {
         let now = (self.clock)();
         let mut backends = self.backends.lock().unwrap_or_else(PoisonError::into_inner);
-        backends.tokens_came(&self.server, times, now);
+        backends.record_token_times(&self.server, times, now);
     }
 
     /// Whether the server's zone is being emptied.
@@ -124,7 +124,7 @@
         let now = (self.clock)();
         if let Some(since) = self.waits_since.take() {
             let mut backends = self.backends.lock().unwrap_or_else(PoisonError::into_inner);
-            backends.answered_in(&self.server, now.since(since), now);
+            backends.record_response_time(&self.server, now.since(since), now);
         }
     }
 }
@@ -135,7 +135,7 @@
         let mut backends = self.backends.lock().unwrap_or_else(PoisonError::into_inner);
         let waited = self.waits_since.map(|since| now.since(since));
         if let Some(waited) = waited.filter(|_| self.end == AttemptEnd::Cancelled) {
-            backends.silent_for(&self.server, waited, now);
+            backends.record_unanswered(&self.server, waited, now);
         }
         backends.end_turn(&self.server, self.size, self.end, now);
         drop(backends);
--- a/crates/relay/src/metrics.rs
+++ b/crates/relay/src/metrics.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use dahlia_backends::{AttemptEnd, ChoiceWay, ColdReadings, Reach, ServiceName};
+use dahlia_backends::{AttemptEnd, ChoiceReason, ColdStats, Distance, ServiceName};
 use prometheus::core::Collector;
 use prometheus::{
     Histogram, HistogramOpts, HistogramVec, IntCounterVec, IntGaugeVec, Opts, Registry,
@@ -169,7 +169,7 @@
     }
 
     /// Takes over what is known of cold servers; asked before each reading.
-    pub(crate) fn refresh_cold(&self, readings: ColdReadings) {
+    pub(crate) fn refresh_cold(&self, readings: ColdStats) {
         self.now.with_label_values(&["cold_servers"]).set(readings.cold as i64);
         let turned = self.events.with_label_values(&["turned_from_cold_server"]);
         turned.inc_by(readings.turned_away.saturating_sub(turned.get()));
@@ -187,7 +187,7 @@
         self.wait_seconds.observe(time.as_secs_f64());
     }
 
-    pub(crate) fn chosen(&self, way: ChoiceWay, reach: Reach, bytes: usize) {
+    pub(crate) fn chosen(&self, way: ChoiceReason, reach: Distance, bytes: usize) {
         self.choices.with_label_values(&[way.name()]).inc();
         self.sends.with_label_values(&[reach.name()]).inc();
         self.sent_bytes.with_label_values(&[reach.name()]).inc_by(bytes as u64);
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -178,7 +178,7 @@
         self.shared.metrics.refresh(&self.counters());
         let now = (self.shared.clock)();
         let backends = self.shared.backends.lock().unwrap_or_else(PoisonError::into_inner);
-        self.shared.metrics.refresh_cold(backends.cold_readings(now));
+        self.shared.metrics.refresh_cold(backends.cold_stats(now));
         drop(backends);
         self.shared.metrics.refresh_waiting(&self.shared.waiting.by_rank());
     }
--- a/crates/relay/src/routes.rs
+++ b/crates/relay/src/routes.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use dahlia_backends::{ColdLimit, EngineFigures, ServiceName};
+use dahlia_backends::{ColdLimit, EngineCapacity, ServiceName};
 use dahlia_limits::RateLimit;
 use dahlia_types::{Duration, KeyDigest, TenantId, Tokens};
 use serde::{Deserialize, Serialize};
@@ -132,10 +132,10 @@
 
 impl RouteTable {
     /// What the model servers of services have.
-    pub fn engines(&self) -> BTreeMap<ServiceName, EngineFigures> {
+    pub fn engines(&self) -> BTreeMap<ServiceName, EngineCapacity> {
         let engine = |service: &Service| {
             let memory = service.engine.as_ref()?.memory;
-            Some((service.name.clone(), EngineFigures { memory }))
+            Some((service.name.clone(), EngineCapacity { memory }))
         };
         self.services.iter().filter_map(engine).collect()
     }
--- a/crates/relay/src/silence.rs
+++ b/crates/relay/src/silence.rs
@@ -217,7 +217,7 @@
         loop {
             sleep(LIFE_POLL).await;
             let backends = self.backends.lock().unwrap_or_else(PoisonError::into_inner);
-            if backends.has_later_life(&self.server.id) {
+            if backends.has_later_incarnation(&self.server.id) {
                 return;
             }
         }
--- a/crates/relay/tests/evacuation.rs
+++ b/crates/relay/tests/evacuation.rs
@@ -195,7 +195,7 @@
     let limit = ColdLimit { lasts: Duration::from_secs(3), per_s: 24.0 };
     let limits = BTreeMap::from([(service_name(), limit)]);
     bed.backends.lock().expect("whole").set_cold_limits(limits);
-    let cold = || bed.backends.lock().expect("whole").cold_readings(Timestamp::ZERO).cold;
+    let cold = || bed.backends.lock().expect("whole").cold_stats(Timestamp::ZERO).cold;
     bed.relay.evacuate(zones(&["a"]));
     assert_eq!(cold(), 0);
     bed.relay.evacuate(BTreeSet::new());
--- a/crates/relay/tests/failures.rs
+++ b/crates/relay/tests/failures.rs
@@ -7,7 +7,7 @@
 use common::caller::{Caller, Reply, call, post};
 use common::stand_in::{Got, StandIn, Step, answer, ok, shed};
 use common::{Bed, once, route, table, until};
-use dahlia_backends::{Affinity, Ask, BackendId, Choice};
+use dahlia_backends::{Affinity, BackendId, Choice, ChoiceRequest};
 use dahlia_relay::{RelaySettings, Route};
 use dahlia_types::{Duration, Timestamp};
 use socket2::{Domain, Socket, Type};
@@ -200,12 +200,12 @@
     bed.add("other", std::net::SocketAddr::from(([127, 0, 0, 1], 9)));
     let (service, other) = (common::service_name(), [BackendId::from("other")]);
     let mut backends = bed.backends.lock().expect("whole");
-    if backends.is_gone(&BackendId::from(id)) {
+    if backends.is_leaving_or_gone(&BackendId::from(id)) {
         return Fitness::Gone;
     }
     // Nothing has faded at the very beginning, and no pause is over.
     let mut chosen = |preferred, tried| {
-        let ask = Ask {
+        let ask = ChoiceRequest {
             service: &service,
             affinity: Some(Affinity::Program(1)),
             preferred,
--- a/crates/relay/tests/streams.rs
+++ b/crates/relay/tests/streams.rs
@@ -112,7 +112,7 @@
     second.release();
     assert_eq!(caller.chunk().await.as_deref(), Some(""));
     until("all is settled", || bed.relay.in_progress() == 0).await;
-    let told = bed.backends.lock().expect("whole").own_loads(Timestamp(0));
+    let told = bed.backends.lock().expect("whole").take_own_loads(Timestamp(0));
     assert_eq!(told.iter().map(|load| load.times.tokens).sum::<u32>(), 0, "{told:?}");
 }
 
