--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -29,6 +29,6 @@
 mod returns;
 mod settings;
 
-pub use queue::{AdmissionQueue, Joined, NoPlace};
+pub use queue::{AdmissionQueue, QueueEntry, QueueRejection};
 pub use queued_request::{QueuedRequest, Stage, TenantKey, Ticket};
 pub use settings::WaitingSettings;
--- a/crates/admission/src/queue.rs
+++ b/crates/admission/src/queue.rs
@@ -14,7 +14,7 @@
 
 /// Why a request does not wait. It has not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
-pub enum NoPlace {
+pub enum QueueRejection {
     /// As many wait as may, and it would be the last of them.
     #[snafu(display("as many requests wait as may, and all go before it"))]
     QueueFull,
@@ -23,19 +23,19 @@
     TooLate,
     /// It waited for as long as its caller can do without.
     #[snafu(display("it waited for as long as it may"))]
-    Waited,
+    WaitTimeout,
     /// One that goes before it took its place.
     #[snafu(display("a more urgent request took its place"))]
     Displaced,
 }
 
-impl NoPlace {
+impl QueueRejection {
     /// Its name in metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::QueueFull => "queue-full",
             Self::TooLate => "turn-too-late",
-            Self::Waited => "waited",
+            Self::WaitTimeout => "waited",
             Self::Displaced => "displaced",
         }
     }
@@ -43,7 +43,7 @@
 
 /// A request has joined a queue.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Joined {
+pub struct QueueEntry {
     /// Its place.
     pub ticket: Ticket,
     /// Those that had to leave for it.
@@ -98,14 +98,14 @@
     }
 
     /// How many wait of each rank.
-    pub fn by_rank(&self) -> BTreeMap<u32, usize> {
+    pub fn len_by_rank(&self) -> BTreeMap<u32, usize> {
         let mut counts = BTreeMap::new();
         self.waiting.values().for_each(|request| *counts.entry(request.rank).or_default() += 1);
         counts
     }
 
     /// Whether a request may try to go at once: all that wait go after it.
-    pub fn goes_first(&self, request: &QueuedRequest, now: Timestamp) -> bool {
+    pub fn may_skip_queue(&self, request: &QueuedRequest, now: Timestamp) -> bool {
         if !self.may_go(request, now) {
             return false;
         }
@@ -115,19 +115,19 @@
     }
 
     /// A request arrived that has not been here before.
-    pub fn came(&mut self, request: &QueuedRequest, now: Timestamp) {
+    pub fn record_arrival(&mut self, request: &QueuedRequest, now: Timestamp) {
         if request.stage == Stage::First {
             self.programs.came(request.rank, request.due.since(now));
         }
     }
 
     /// A request goes to a server, whether it waited or not.
-    pub fn went(&mut self, request: &QueuedRequest, now: Timestamp) {
+    pub fn record_dispatch(&mut self, request: &QueuedRequest, now: Timestamp) {
         self.programs.went(request, self.settings.programs_half_life(), now);
     }
 
     /// All servers were full for a request.
-    pub fn was_full(&mut self, now: Timestamp) {
+    pub fn record_servers_full(&mut self, now: Timestamp) {
         self.scarce_until = now + self.settings.scarce();
     }
 
@@ -135,11 +135,15 @@
     ///
     /// # Errors
     /// It is better refused at once.
-    pub fn join(&mut self, request: QueuedRequest, now: Timestamp) -> Result<Joined, NoPlace> {
+    pub fn enqueue(
+        &mut self,
+        request: QueuedRequest,
+        now: Timestamp,
+    ) -> Result<QueueEntry, QueueRejection> {
         if self.expected_wait(&request, now) > request.leave_by.since(now) {
-            return Err(NoPlace::TooLate);
+            return Err(QueueRejection::TooLate);
         }
-        let leaving = self.leaving_for(&request, now).ok_or(NoPlace::QueueFull)?;
+        let leaving = self.leaving_for(&request, now).ok_or(QueueRejection::QueueFull)?;
         for ticket in &leaving {
             self.take_out(*ticket);
         }
@@ -147,11 +151,11 @@
         self.last_ticket = ticket.0;
         self.bytes += request.bytes;
         self.waiting.insert(ticket, request);
-        Ok(Joined { ticket, displaced: leaving })
+        Ok(QueueEntry { ticket, displaced: leaving })
     }
 
     /// The one that goes next leaves the queue, at its tenant's cost.
-    pub fn next(&mut self, now: Timestamp) -> Option<Ticket> {
+    pub fn dequeue(&mut self, now: Timestamp) -> Option<Ticket> {
         let order =
             |(ticket, request): &(&Ticket, &QueuedRequest)| self.order(request, **ticket, now);
         let may_go = self.waiting.iter().filter(|(_, request)| self.may_go(request, now));
@@ -174,21 +178,21 @@
     }
 
     /// One that waits leaves, served or not. Gives whether it was still there.
-    pub fn leave(&mut self, ticket: Ticket) -> bool {
+    pub fn remove(&mut self, ticket: Ticket) -> bool {
         let was_there = self.take_out(ticket).is_some();
         self.forget_shares_if_empty();
         was_there
     }
 
     /// An attempt at a server ended after so long.
-    pub fn ended(&mut self, took: Duration, now: Timestamp) {
+    pub fn record_attempt_end(&mut self, took: Duration, now: Timestamp) {
         self.drain.ended(took, self.settings.drain_half_life(), now);
         self.programs.ended(self.settings.programs_half_life(), now);
     }
 
     /// When a request that is refused now should come back: behind those that wait and those that were
     /// told to come back, of its rank and earlier ones. `least` is what is known from elsewhere.
-    pub fn come_back(
+    pub fn retry_after(
         &mut self,
         request: &QueuedRequest,
         least: Duration,
--- a/crates/admission/tests/queue.rs
+++ b/crates/admission/tests/queue.rs
@@ -1,7 +1,7 @@
 //! One queue, decision by decision.
 
 use dahlia_admission::{
-    AdmissionQueue, NoPlace, QueuedRequest, Stage, TenantKey, Ticket, WaitingSettings,
+    AdmissionQueue, QueueRejection, QueuedRequest, Stage, TenantKey, Ticket, WaitingSettings,
 };
 use dahlia_types::{Duration, Timestamp, Tokens};
 
@@ -24,11 +24,11 @@
 }
 
 fn join(queue: &mut AdmissionQueue, request: QueuedRequest) -> Ticket {
-    queue.join(request, NOW).expect("there is room").ticket
+    queue.enqueue(request, NOW).expect("there is room").ticket
 }
 
 fn all(mut queue: AdmissionQueue) -> Vec<Ticket> {
-    std::iter::from_fn(|| queue.next(NOW)).collect()
+    std::iter::from_fn(|| queue.dequeue(NOW)).collect()
 }
 
 #[test]
@@ -45,7 +45,7 @@
 #[test]
 fn what_can_no_longer_be_in_time_goes_after_what_can() {
     let mut queue = queue(8);
-    queue.ended(Duration::from_secs(2), NOW);
+    queue.record_attempt_end(Duration::from_secs(2), NOW);
     let late = join(&mut queue, QueuedRequest { due: NOW + Duration::from_secs(1), ..request() });
     let in_time = join(&mut queue, request());
     assert_eq!(all(queue), [in_time, late]);
@@ -65,8 +65,8 @@
     let mut queue = queue(2);
     let first = join(&mut queue, QueuedRequest { stage: Stage::UnderWay, ..request() });
     let last = join(&mut queue, request());
-    assert_eq!(queue.join(request(), NOW), Err(NoPlace::QueueFull));
-    let urgent = queue.join(QueuedRequest { rank: 0, ..request() }, NOW).expect("it goes first");
+    assert_eq!(queue.enqueue(request(), NOW), Err(QueueRejection::QueueFull));
+    let urgent = queue.enqueue(QueuedRequest { rank: 0, ..request() }, NOW).expect("it goes first");
     assert_eq!(urgent.displaced, [last]);
     assert_eq!(all(queue), [urgent.ticket, first]);
 }
@@ -77,7 +77,7 @@
     let others = QueuedRequest { tenant: TenantKey(1), ..request() };
     join(&mut queue, others);
     let many = [0; 3].map(|_| join(&mut queue, request()));
-    let joined = queue.join(others, NOW).expect("it wants less");
+    let joined = queue.enqueue(others, NOW).expect("it wants less");
     assert_eq!(joined.displaced, [many[2]]);
 }
 
@@ -87,30 +87,30 @@
     let mut queue = AdmissionQueue::new(settings);
     join(&mut queue, request());
     let long = QueuedRequest { bytes: 1_500, ..request() };
-    assert_eq!(queue.join(long, NOW), Err(NoPlace::QueueFull));
+    assert_eq!(queue.enqueue(long, NOW), Err(QueueRejection::QueueFull));
     assert_eq!(queue.len(), 1);
 }
 
 #[test]
 fn a_queue_of_none_refuses_at_once() {
-    assert_eq!(queue(0).join(request(), NOW), Err(NoPlace::QueueFull));
+    assert_eq!(queue(0).enqueue(request(), NOW), Err(QueueRejection::QueueFull));
 }
 
 #[test]
 fn who_cannot_have_its_turn_in_time_is_refused_at_once() {
     let mut queue = queue(64);
-    (0..4).for_each(|_| queue.ended(Duration::from_millis(100), NOW));
-    (0..20).for_each(|_| drop(queue.join(request(), NOW)));
+    (0..4).for_each(|_| queue.record_attempt_end(Duration::from_millis(100), NOW));
+    (0..20).for_each(|_| drop(queue.enqueue(request(), NOW)));
     let hurried = QueuedRequest { leave_by: NOW + Duration::from_millis(100), ..request() };
-    assert_eq!(queue.join(hurried, NOW), Err(NoPlace::TooLate));
+    assert_eq!(queue.enqueue(hurried, NOW), Err(QueueRejection::TooLate));
 }
 
 #[test]
 fn those_who_are_refused_come_back_one_after_the_other_by_rank() {
     let mut queue = queue(0);
-    (0..20).for_each(|_| queue.ended(Duration::from_millis(100), NOW));
+    (0..20).for_each(|_| queue.record_attempt_end(Duration::from_millis(100), NOW));
     let mut told =
-        |rank| queue.come_back(&QueuedRequest { rank, ..request() }, Duration::ZERO, NOW);
+        |rank| queue.retry_after(&QueuedRequest { rank, ..request() }, Duration::ZERO, NOW);
     let (first, second, urgent, third) = (told(1), told(1), told(0), told(1));
     assert!(urgent <= first && first < second && second < third);
 }
@@ -120,15 +120,15 @@
     let mut queue = queue(64);
     let under_way = QueuedRequest { stage: Stage::UnderWay, ..request() };
     for _ in 0..10 {
-        queue.went(&request(), NOW);
-        (0..3).for_each(|_| queue.went(&under_way, NOW));
+        queue.record_dispatch(&request(), NOW);
+        (0..3).for_each(|_| queue.record_dispatch(&under_way, NOW));
     }
-    assert!(queue.goes_first(&request(), NOW), "there was room for all");
-    queue.was_full(NOW);
-    assert!(!queue.goes_first(&request(), NOW));
-    assert!(queue.goes_first(&under_way, NOW));
-    (0..45).for_each(|_| queue.ended(Duration::from_millis(50), NOW));
-    assert!(queue.goes_first(&request(), NOW), "what was promised is served");
+    assert!(queue.may_skip_queue(&request(), NOW), "there was room for all");
+    queue.record_servers_full(NOW);
+    assert!(!queue.may_skip_queue(&request(), NOW));
+    assert!(queue.may_skip_queue(&under_way, NOW));
+    (0..45).for_each(|_| queue.record_attempt_end(Duration::from_millis(50), NOW));
+    assert!(queue.may_skip_queue(&request(), NOW), "what was promised is served");
 }
 
 #[test]
--- a/crates/admission/tests/support/mod.rs
+++ b/crates/admission/tests/support/mod.rs
@@ -142,15 +142,15 @@
 
     fn ask(&mut self, program: usize, now: u64) {
         let request = self.request(program, now);
-        self.queue.came(&request, moment(now));
-        if self.queue.goes_first(&request, moment(now)) {
+        self.queue.record_arrival(&request, moment(now));
+        if self.queue.may_skip_queue(&request, moment(now)) {
             if self.running.len() < self.slots {
                 self.run(program, now);
                 return;
             }
-            self.queue.was_full(moment(now));
+            self.queue.record_servers_full(moment(now));
         }
-        match self.queue.join(request, moment(now)) {
+        match self.queue.enqueue(request, moment(now)) {
             Err(_) => self.refuse(program, now),
             Ok(joined) => {
                 let leave_at = request.leave_by.0 / 1_000;
@@ -165,7 +165,7 @@
 
     fn run(&mut self, program: usize, now: u64) {
         let request = self.request(program, now);
-        self.queue.went(&request, moment(now));
+        self.queue.record_dispatch(&request, moment(now));
         let Program { arrival, was_refused, .. } = &mut self.programs[program];
         self.report.came_back_served += u32::from(std::mem::take(was_refused));
         self.running.push((now + arrival.kind.turn_ms, program));
@@ -173,7 +173,7 @@
 
     fn refuse(&mut self, program: usize, now: u64) {
         let request = self.request(program, now);
-        let wait = self.queue.come_back(&request, Duration::ZERO, moment(now)).as_millis();
+        let wait = self.queue.retry_after(&request, Duration::ZERO, moment(now)).as_millis();
         let program_state = &mut self.programs[program];
         program_state.tries_left -= 1;
         if program_state.tries_left > 0 && wait <= program_state.arrival.kind.patience_ms / 3 {
@@ -196,7 +196,7 @@
         for (_, program) in ended {
             let Program { arrival, turns_left, tries_left, .. } = &mut self.programs[program];
             let kind = arrival.kind;
-            self.queue.ended(Duration::from_millis(kind.turn_ms), moment(now));
+            self.queue.record_attempt_end(Duration::from_millis(kind.turn_ms), moment(now));
             *turns_left -= 1;
             *tries_left = kind.tries;
             if *turns_left > 0 {
@@ -217,14 +217,14 @@
         due.sort_unstable();
         for ticket in due {
             let (program, _) = self.tickets.remove(&ticket).expect("it waited");
-            self.queue.leave(ticket);
+            self.queue.remove(ticket);
             self.refuse(program, now);
         }
     }
 
     fn fill(&mut self, now: u64) {
         while self.running.len() < self.slots {
-            let Some(ticket) = self.queue.next(moment(now)) else { return };
+            let Some(ticket) = self.queue.dequeue(moment(now)) else { return };
             let (program, _) = self.tickets.remove(&ticket).expect("it waited");
             self.run(program, now);
         }
--- a/crates/relay/src/place.rs
+++ b/crates/relay/src/place.rs
@@ -1,7 +1,7 @@
 //! A place at a server, before step 4. While there is none, the request waits for its turn, for no longer than
 //! its caller can do without; then it is refused, and its caller told when to come back.
 
-use dahlia_admission::{NoPlace, QueuedRequest, Stage, TenantKey};
+use dahlia_admission::{QueueRejection, QueuedRequest, Stage, TenantKey};
 use dahlia_backends::Choice;
 use dahlia_types::{Duration, Timestamp};
 use tokio::select;
@@ -87,7 +87,7 @@
             let told = select! {
                 biased;
                 told = place.told() => told,
-                () = time::sleep_until(end) => Wakeup::Reject(NoPlace::Waited),
+                () = time::sleep_until(end) => Wakeup::Reject(QueueRejection::WaitTimeout),
                 () = sleep(LOOK_AGAIN) => {
                     place.look_again();
                     continue;
@@ -101,7 +101,12 @@
         }
     }
 
-    fn refuse_place(&self, waiter: &QueuedRequest, why: NoPlace, least: Duration) -> Refusal {
+    fn refuse_place(
+        &self,
+        waiter: &QueuedRequest,
+        why: QueueRejection,
+        least: Duration,
+    ) -> Refusal {
         let service = self.matched.service_name();
         let retry_after = self.shared.waiting.come_back(service, waiter, least);
         self.told_to_come_back();
--- a/crates/relay/src/refusal.rs
+++ b/crates/relay/src/refusal.rs
@@ -4,7 +4,7 @@
 //! nothing. A refusal is answered at once, never held back.
 
 use bytes::Bytes;
-use dahlia_admission::NoPlace;
+use dahlia_admission::QueueRejection;
 use dahlia_types::Duration;
 use http::header::{CONNECTION, CONTENT_TYPE, RETRY_AFTER, WWW_AUTHENTICATE};
 use http::{HeaderValue, Response, StatusCode};
@@ -37,7 +37,7 @@
     Busy { retry_after: Duration },
     /// It did not get its turn at a server in time.
     #[snafu(display("{why}"))]
-    NoPlace { why: NoPlace, retry_after: Duration },
+    NoPlace { why: QueueRejection, retry_after: Duration },
     /// What is held for callers and servers leaves no room for it.
     #[snafu(display("this gateway has no memory for the request; ask again elsewhere"))]
     MemoryFull { retry_after: Duration },
--- a/crates/relay/src/waiting.rs
+++ b/crates/relay/src/waiting.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-use dahlia_admission::{AdmissionQueue, NoPlace, QueuedRequest, Ticket, WaitingSettings};
+use dahlia_admission::{AdmissionQueue, QueueRejection, QueuedRequest, Ticket, WaitingSettings};
 use dahlia_backends::{AttemptEnd, ServiceName};
 use dahlia_types::{Duration, Timestamp};
 use tokio::sync::oneshot;
@@ -16,7 +16,7 @@
     /// Its turn has come.
     Dispatch,
     /// It will not get one.
-    Reject(NoPlace),
+    Reject(QueueRejection),
 }
 
 /// The queues of all services.
@@ -38,22 +38,22 @@
 
     /// A request arrived that has not been here before.
     pub(crate) fn came(&self, service: &ServiceName, request: &QueuedRequest) {
-        self.with(service, |service, now| service.queue.came(request, now));
+        self.with(service, |service, now| service.queue.record_arrival(request, now));
     }
 
     /// Whether a request may try to go at once.
     pub(crate) fn goes_first(&self, service: &ServiceName, request: &QueuedRequest) -> bool {
-        self.with(service, |service, now| service.queue.goes_first(request, now))
+        self.with(service, |service, now| service.queue.may_skip_queue(request, now))
     }
 
     /// A request goes to a server.
     pub(crate) fn went(&self, service: &ServiceName, request: &QueuedRequest) {
-        self.with(service, |service, now| service.queue.went(request, now));
+        self.with(service, |service, now| service.queue.record_dispatch(request, now));
     }
 
     /// All servers were full for a request.
     pub(crate) fn was_full(&self, service: &ServiceName) {
-        self.with(service, |service, now| service.queue.was_full(now));
+        self.with(service, |service, now| service.queue.record_servers_full(now));
     }
 
     /// When a request that is refused now should come back.
@@ -63,7 +63,7 @@
         request: &QueuedRequest,
         least: Duration,
     ) -> Duration {
-        self.with(service, |service, now| service.queue.come_back(request, least, now))
+        self.with(service, |service, now| service.queue.retry_after(request, least, now))
     }
 
     /// A request waits from now on.
@@ -74,12 +74,12 @@
         self: &Arc<Self>,
         service: &ServiceName,
         request: QueuedRequest,
-    ) -> Result<Place, NoPlace> {
+    ) -> Result<Place, QueueRejection> {
         let (sender, told) = oneshot::channel();
         let ticket = self.with(service, |service, now| {
-            let joined = service.queue.join(request, now)?;
+            let joined = service.queue.enqueue(request, now)?;
             joined.displaced.iter().for_each(|ticket| {
-                service.tell(*ticket, Wakeup::Reject(NoPlace::Displaced));
+                service.tell(*ticket, Wakeup::Reject(QueueRejection::Displaced));
             });
             service.told.insert(joined.ticket, sender);
             Ok(joined.ticket)
@@ -93,7 +93,7 @@
     fn ended(&self, service: &ServiceName, served_in: Option<Duration>) {
         self.with(service, |service, now| {
             if let Some(took) = served_in {
-                service.queue.ended(took, now);
+                service.queue.record_attempt_end(took, now);
             }
             service.let_next_go(now);
         });
@@ -103,7 +103,7 @@
     pub(crate) fn by_rank(&self) -> BTreeMap<u32, usize> {
         let mut counts = BTreeMap::new();
         for service in self.lock().values() {
-            for (rank, count) in service.queue.by_rank() {
+            for (rank, count) in service.queue.len_by_rank() {
                 *counts.entry(rank).or_default() += count;
             }
         }
@@ -132,7 +132,7 @@
 
 impl ServiceQueue {
     fn let_next_go(&mut self, now: Timestamp) {
-        while let Some(ticket) = self.queue.next(now) {
+        while let Some(ticket) = self.queue.dequeue(now) {
             if self.tell(ticket, Wakeup::Dispatch) {
                 return;
             }
@@ -157,7 +157,7 @@
 impl Place {
     /// Waits to be told.
     pub(crate) async fn told(&mut self) -> Wakeup {
-        (&mut self.told).await.unwrap_or(Wakeup::Reject(NoPlace::Waited))
+        (&mut self.told).await.unwrap_or(Wakeup::Reject(QueueRejection::WaitTimeout))
     }
 
     /// Looks for a place at a server although nobody ended: a pause may be over. Only who is next does.
@@ -181,7 +181,7 @@
         let (ticket, passes_on) = (self.ticket, self.passes_on);
         self.waiting.with(&self.service, |service, now| {
             service.told.remove(&ticket);
-            if !service.queue.leave(ticket) && passes_on {
+            if !service.queue.remove(ticket) && passes_on {
                 service.let_next_go(now);
             }
         });
