--- a/crates/daemon/src/group_services.rs
+++ b/crates/daemon/src/group_services.rs
@@ -1,7 +1,7 @@
 //! What a relay needs of the owners of replica groups, in one place.
 
 use dahlia_ledger::{LedgerCommand, LedgerReply};
-use dahlia_limits::{KnownLimit, ProgramKey};
+use dahlia_limits::{ProgramKey, VersionedLimit};
 use dahlia_relay::{LedgerUnavailable, LimitReached, TenantLimits, TurnLedger};
 use dahlia_types::{Duration, TenantId};
 
@@ -39,7 +39,7 @@
     async fn admit(
         &self,
         tenant: &TenantId,
-        limit: KnownLimit,
+        limit: VersionedLimit,
         program: Option<ProgramKey>,
         most_wait: Duration,
     ) -> Result<(), LimitReached> {
--- a/crates/daemon/src/limit_client.rs
+++ b/crates/daemon/src/limit_client.rs
@@ -4,8 +4,8 @@
 
 use dahlia_ledger::group_of_tenant;
 use dahlia_limits::{
-    Admission, Answered, KeeperTerm, KnownLimit, LimitCommand, LimitGateway, LimitReply,
-    LimitSettings, ProgramKey, Report, Waited,
+    Admission, DelayedRequest, KeeperAnswer, KeeperTerm, LimitCommand, LimitGateway, LimitReply,
+    LimitSettings, ProgramKey, UsageReport, VersionedLimit,
 };
 use dahlia_node::request::{Request, Response};
 use dahlia_relay::{LimitReached, TenantLimits};
@@ -44,7 +44,7 @@
     ) -> Self {
         let own = core.own();
         let gateway = LimitGateway::new(settings, own.daemon, own.incarnation);
-        Self::of(gateway.after_an_earlier_life(clock.now()), core, clock, groups)
+        Self::of(gateway.after_restart(clock.now()), core, clock, groups)
     }
 
     fn of(gateway: LimitGateway, core: CoreHandle, clock: Clock, groups: u32) -> Self {
@@ -62,9 +62,9 @@
                 sharers_due = Instant::now() + SHARERS_INTERVAL;
                 let daemons = self.core.status().await.live_daemons;
                 let now = self.clock.now();
-                self.gateway().set_sharers(daemons as u32, now);
+                self.gateway().set_gateway_count(daemons as u32, now);
             }
-            let reports = self.gateway().reports(self.clock.now());
+            let reports = self.gateway().due_reports(self.clock.now());
             for (keeper, report) in reports {
                 self.send(keeper, report);
             }
@@ -73,7 +73,7 @@
 
     /// Reports to one keeper at once.
     fn report_now(&self, keeper: GroupId) {
-        let report = self.gateway().report(keeper, self.clock.now());
+        let report = self.gateway().due_report(keeper, self.clock.now());
         if let Some(report) = report {
             self.send(keeper, report);
         }
@@ -81,26 +81,26 @@
 
     /// Reports what was admitted while a report was on its way, if it cannot wait.
     fn report_what_is_due(&self, keeper: GroupId) {
-        if self.gateway().is_due(keeper, self.clock.now()) {
+        if self.gateway().is_report_due(keeper, self.clock.now()) {
             self.report_now(keeper);
         }
     }
 
-    fn send(&self, keeper: GroupId, report: Report) {
+    fn send(&self, keeper: GroupId, report: UsageReport) {
         let client = self.clone();
         tokio::spawn(async move { client.report(keeper, report).await });
     }
 
-    async fn report(&self, keeper: GroupId, report: Report) {
-        let number = report.number;
+    async fn report(&self, keeper: GroupId, report: UsageReport) {
+        let number = report.sequence;
         let command = LimitCommand::Report(report);
-        let was_silent = self.gateway().is_silent(keeper, self.clock.now());
+        let was_silent = self.gateway().is_keeper_unresponsive(keeper, self.clock.now());
         match self.ask(keeper, command).await {
             Ok(reply) => {
                 if was_silent {
                     log::info!(target: "limits", group:% = keeper; "A keeper of limits is back.");
                 }
-                self.gateway().counted(keeper, number, &reply, self.clock.now());
+                self.gateway().handle_acknowledgement(keeper, number, &reply, self.clock.now());
                 self.report_what_is_due(keeper);
             }
             Err(cause) => {
@@ -109,7 +109,7 @@
                     group:% = keeper, report = number, cause = cause.as_str();
                     "A report of admitted requests had no answer."
                 );
-                self.gateway().unanswered(keeper);
+                self.gateway().mark_report_failed(keeper);
             }
         }
     }
@@ -127,20 +127,21 @@
         &self,
         keeper: GroupId,
         tenant: &TenantId,
-        limit: KnownLimit,
+        limit: VersionedLimit,
         program: Option<ProgramKey>,
         most_wait: Duration,
     ) -> (Admission, Option<KeeperTerm>) {
-        let command = LimitCommand::Ask { tenant: tenant.clone(), limit, program, most_wait };
-        let patience = self.gateway().patience(keeper, most_wait, self.clock.now());
+        let command =
+            LimitCommand::Ask { tenant: tenant.clone(), limit, program, max_wait: most_wait };
+        let patience = self.gateway().answer_timeout(keeper, most_wait, self.clock.now());
         let patience = time::Duration::from_micros(patience.as_micros());
         let answer = timeout(patience, self.ask(keeper, command)).await;
         let now = self.clock.now();
         let mut gateway = self.gateway();
         let cause = match answer {
             Ok(Ok(LimitReply::Answer { verdict, is_scarce, keeper: counted_by })) => {
-                let answer = Answered { verdict, is_scarce, keeper: counted_by };
-                let admission = gateway.answered(keeper, tenant, program, answer, now);
+                let answer = KeeperAnswer { verdict, is_scarce, keeper: counted_by };
+                let admission = gateway.handle_answer(keeper, tenant, program, answer, now);
                 drop(gateway);
                 self.report_what_is_due(keeper);
                 return (admission, Some(counted_by));
@@ -149,7 +150,7 @@
             Ok(Err(cause)) => cause,
             Err(_) => "no answer in time".to_owned(),
         };
-        let admission = gateway.admit_alone(keeper, tenant, limit, program, now);
+        let admission = gateway.admit_without_keeper(keeper, tenant, limit, program, now);
         log::warn!(
             target: "limits",
             tenant = tenant.as_str(), group:% = keeper, cause = cause.as_str(),
@@ -184,7 +185,7 @@
     async fn admit(
         &self,
         tenant: &TenantId,
-        limit: KnownLimit,
+        limit: VersionedLimit,
         program: Option<ProgramKey>,
         most_wait: Duration,
     ) -> Result<(), LimitReached> {
@@ -211,8 +212,8 @@
                 sleep(time::Duration::from_micros(wait.as_micros())).await;
                 waiting.has_passed = true;
                 if let Some(counted_by) = counted_by {
-                    let waited = Waited { counted_by, program };
-                    self.gateway().passed_after_wait(keeper, tenant, waited);
+                    let waited = DelayedRequest { counted_by, program };
+                    self.gateway().record_delayed(keeper, tenant, waited);
                 }
             }
             Admission::Refuse { retry_after } => return Err(reached(tenant, retry_after)),
@@ -223,7 +224,7 @@
 
     fn give_back(&self, tenant: &TenantId, program: Option<ProgramKey>) {
         let keeper = group_of_tenant(tenant, self.groups);
-        if self.gateway().give_back(keeper, tenant, program, self.clock.now()) {
+        if self.gateway().refund(keeper, tenant, program, self.clock.now()) {
             self.report_now(keeper);
         }
     }
--- a/crates/limits/src/gateway.rs
+++ b/crates/limits/src/gateway.rs
@@ -8,8 +8,8 @@
 use crate::history::History;
 use crate::own::{FreeEach, Own};
 use crate::{
-    Earlier, KeeperTerm, KnownLimit, LimitReply, LimitSettings, ProgramKey, RateLimit, Report,
-    Tolerance, Usage, Verdict, Waited,
+    DelayedRequest, KeeperTerm, LimitReply, LimitSettings, PastRequests, ProgramKey, RateLimit,
+    TenantUsage, Tolerance, UsageReport, Verdict, VersionedLimit,
 };
 
 /// Requests after which a gateway reports at once, whatever the limit. Most gateways see few of a small
@@ -65,7 +65,7 @@
 
 /// What a keeper said to a question.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Answered {
+pub struct KeeperAnswer {
     /// Whether the request may pass.
     pub verdict: Verdict,
     /// Whether permits are scarce.
@@ -94,7 +94,7 @@
 struct Keeper {
     tenants: BTreeMap<TenantId, Held>,
     /// The report that has no answer yet, and when it was made.
-    unanswered: Option<(Report, Timestamp)>,
+    unanswered: Option<(UsageReport, Timestamp)>,
     /// Since when it is on its way.
     sent_at: Option<Timestamp>,
     /// Since when nothing was answered.
@@ -133,11 +133,11 @@
 
 #[derive(Debug)]
 struct Held {
-    limit: KnownLimit,
+    limit: VersionedLimit,
     admitted: Vec<(Timestamp, Option<ProgramKey>)>,
     /// Those that the unanswered report tells with their time.
     told_late: Vec<Timestamp>,
-    waited: Vec<Waited>,
+    waited: Vec<DelayedRequest>,
     unused: Vec<Option<ProgramKey>>,
     scarce_until: Timestamp,
     /// Until then, permits are known not to be scarce.
@@ -187,7 +187,7 @@
 }
 
 impl Held {
-    fn new(limit: KnownLimit, now: Timestamp) -> Self {
+    fn new(limit: VersionedLimit, now: Timestamp) -> Self {
         Self {
             limit,
             admitted: Vec::new(),
@@ -220,13 +220,13 @@
         &mut self,
         too_old: Duration,
         now: Timestamp,
-    ) -> (Vec<Option<ProgramKey>>, Vec<Earlier>) {
+    ) -> (Vec<Option<ProgramKey>>, Vec<PastRequests>) {
         let mut admitted = std::mem::take(&mut self.admitted);
         admitted.retain(|(at, _)| now.since(*at) < too_old);
         let is_late = |at: &Timestamp| self.own.is_kept() && now.since(*at) >= REPORTED_LATE;
         let told_late: Vec<_> = admitted.iter().map(|(at, _)| *at).filter(is_late).collect();
         admitted.retain(|(at, _)| !is_late(at));
-        let told = told_late.iter().map(|at| Earlier { ago: now.since(*at), requests: 1 });
+        let told = told_late.iter().map(|at| PastRequests { age: now.since(*at), requests: 1 });
         let late = told.collect();
         self.told_late = told_late;
         (admitted.into_iter().map(|(_, program)| program).collect(), late)
@@ -295,7 +295,7 @@
     }
 
     /// The same that begins now, after an earlier life may have let requests pass.
-    pub fn after_an_earlier_life(self, now: Timestamp) -> Self {
+    pub fn after_restart(self, now: Timestamp) -> Self {
         Self { forgot_at: Some(now), ..self }
     }
 
@@ -307,7 +307,7 @@
 
     /// How long a request waits for the keeper's verdict. A gateway that has forgotten what passed
     /// and has not heard a keeper since could only refuse it, so it waits as long as it may.
-    pub fn patience(&self, keeper: GroupId, most_wait: Duration, now: Timestamp) -> Duration {
+    pub fn answer_timeout(&self, keeper: GroupId, most_wait: Duration, now: Timestamp) -> Duration {
         let usual = Duration::from_millis(self.settings.answer_timeout_ms);
         match self.knows_nothing(keeper, now) {
             true => usual.max(most_wait),
@@ -323,7 +323,7 @@
 
     /// How many gateways share the limits, for the time when the keeper is silent. Fewer count only
     /// after some time: those that are not heard of may be as many beside this one behind a cut.
-    pub fn set_sharers(&mut self, sharers: u32, now: Timestamp) {
+    pub fn set_gateway_count(&mut self, sharers: u32, now: Timestamp) {
         let sharers = sharers.max(1);
         if sharers >= self.sharers {
             self.fewer_since = None;
@@ -341,12 +341,12 @@
         &mut self,
         keeper: GroupId,
         tenant: &TenantId,
-        limit: KnownLimit,
+        limit: VersionedLimit,
         program: Option<ProgramKey>,
         now: Timestamp,
     ) -> Admission {
-        if self.is_silent(keeper, now) {
-            return self.admit_alone(keeper, tenant, limit, program, now);
+        if self.is_keeper_unresponsive(keeper, now) {
+            return self.admit_without_keeper(keeper, tenant, limit, program, now);
         }
         let report_share = self.settings.report_share;
         let must_ask = self.is_small(limit) || self.forgot_ago(now).is_some();
@@ -371,23 +371,23 @@
     }
 
     /// Whether one request of each gateway that the keeper does not know of would be too many.
-    fn is_small(&self, limit: KnownLimit) -> bool {
+    fn is_small(&self, limit: VersionedLimit) -> bool {
         self.unseen_each(limit) < 1.0
     }
 
     /// Requests that each gateway may let pass unknown to the keeper.
-    fn unseen_each(&self, limit: KnownLimit) -> f64 {
+    fn unseen_each(&self, limit: VersionedLimit) -> f64 {
         let spare = self.settings.tolerance().map(|tolerance| tolerance.spare(limit.limit));
         spare.map_or(1.0, |spare| spare / f64::from(self.sharers))
     }
 
     /// Decides a request without the keeper: as many pass as usual here, and a little more. What all
     /// gateways let pass so stays near what they did before.
-    pub fn admit_alone(
+    pub fn admit_without_keeper(
         &mut self,
         keeper: GroupId,
         tenant: &TenantId,
-        limit: KnownLimit,
+        limit: VersionedLimit,
         program: Option<ProgramKey>,
         now: Timestamp,
     ) -> Admission {
@@ -409,15 +409,15 @@
     }
 
     /// A keeper answered a question. It has counted a request that it lets pass.
-    pub fn answered(
+    pub fn handle_answer(
         &mut self,
         keeper: GroupId,
         tenant: &TenantId,
         program: Option<ProgramKey>,
-        answer: Answered,
+        answer: KeeperAnswer,
         now: Timestamp,
     ) -> Admission {
-        let Answered { verdict, is_scarce, keeper: term } = answer;
+        let KeeperAnswer { verdict, is_scarce, keeper: term } = answer;
         let (scarce_time, window) = (self.settings.scarce_time(), self.settings.window());
         let free = self.free_share();
         let known = self.keepers.get_mut(&keeper).and_then(|known| {
@@ -443,16 +443,16 @@
     }
 
     /// A request that was to wait for its turn has passed.
-    pub fn passed_after_wait(&mut self, keeper: GroupId, tenant: &TenantId, waited: Waited) {
+    pub fn record_delayed(&mut self, keeper: GroupId, tenant: &TenantId, request: DelayedRequest) {
         let known = self.keepers.get_mut(&keeper).and_then(|keeper| keeper.tenants.get_mut(tenant));
         if let Some(held) = known {
-            held.waited.push(waited);
+            held.waited.push(request);
         }
     }
 
     /// A request that was let pass has not run and never will: its permit goes back. Gives whether
     /// to report at once, since others wait for permits.
-    pub fn give_back(
+    pub fn refund(
         &mut self,
         keeper: GroupId,
         tenant: &TenantId,
@@ -466,16 +466,19 @@
     }
 
     /// The reports that are due: to each keeper what is new, or what it has not answered.
-    pub fn reports(&mut self, now: Timestamp) -> Vec<(GroupId, Report)> {
+    pub fn due_reports(&mut self, now: Timestamp) -> Vec<(GroupId, UsageReport)> {
         let keepers: Vec<GroupId> = self.keepers.keys().copied().collect();
-        keepers.into_iter().filter_map(|keeper| Some((keeper, self.report(keeper, now)?))).collect()
+        keepers
+            .into_iter()
+            .filter_map(|keeper| Some((keeper, self.due_report(keeper, now)?)))
+            .collect()
     }
 
     /// The report that is due to one keeper.
-    pub fn report(&mut self, keeper: GroupId, now: Timestamp) -> Option<Report> {
-        let (from, life, window) = (self.own, self.life, self.settings.window());
+    pub fn due_report(&mut self, keeper: GroupId, now: Timestamp) -> Option<UsageReport> {
+        let (gateway, incarnation, window) = (self.own, self.life, self.settings.window());
         let too_old = window.max(TOO_OLD_TO_COUNT);
-        let forgotten = self.forgot_ago(now).map(Earlier::forgotten_before);
+        let forgotten = self.forgot_ago(now).map(PastRequests::forgotten_before);
         let known = self.keepers.get_mut(&keeper)?;
         if known.is_under_way(now) {
             return None;
@@ -493,7 +496,7 @@
             }
             known.told = known.term;
             known.last_number += 1;
-            let report = Report { from, life, number: known.last_number, usage };
+            let report = UsageReport { gateway, incarnation, sequence: known.last_number, usage };
             known.unanswered = Some((report, now));
         }
         known.sent_at = Some(now);
@@ -503,7 +506,7 @@
 
     /// Whether a report is due at once: of what was admitted while the last one was on its way.
     /// Calls of one program come many at a time, and the keeper is to know of all of them.
-    pub fn is_due(&self, keeper: GroupId, now: Timestamp) -> bool {
+    pub fn is_report_due(&self, keeper: GroupId, now: Timestamp) -> bool {
         let report_share = self.settings.report_share;
         let known = self.keepers.get(&keeper).filter(|known| !known.is_under_way(now));
         known.is_some_and(|known| {
@@ -512,26 +515,32 @@
     }
 
     /// A report had no answer: it is due again, under the same number.
-    pub fn unanswered(&mut self, keeper: GroupId) {
+    pub fn mark_report_failed(&mut self, keeper: GroupId) {
         if let Some(known) = self.keepers.get_mut(&keeper) {
             known.sent_at = None;
         }
     }
 
     /// A keeper has counted a report.
-    pub fn counted(&mut self, keeper: GroupId, number: u64, reply: &LimitReply, now: Timestamp) {
+    pub fn handle_acknowledgement(
+        &mut self,
+        keeper: GroupId,
+        number: u64,
+        reply: &LimitReply,
+        now: Timestamp,
+    ) {
         let (scarce_time, window) = (self.settings.scarce_time(), self.settings.window());
         let free = self.free_share();
         let Some(known) = self.keepers.get_mut(&keeper) else { return };
         known.silent_since = None;
         known.sent_at = None;
-        let counted = known.unanswered.take_if(|(report, _)| report.number <= number);
+        let counted = known.unanswered.take_if(|(report, _)| report.sequence <= number);
         let LimitReply::Counted { scarce, keeper } = reply else { return };
         // The first report says everything, before it is known to whom.
         known.told = known.told.or(Some(*keeper));
         known.heard(*keeper, now);
         for usage in counted.into_iter().flat_map(|(report, _)| report.usage) {
-            let passed = (usage.requests.len() + usage.waited.len()) as u32;
+            let passed = (usage.requests.len() + usage.delayed.len()) as u32;
             if let Some(held) = known.tenants.get_mut(&usage.tenant) {
                 for at in std::mem::take(&mut held.told_late) {
                     held.history.note_late(at, *keeper);
@@ -557,7 +566,7 @@
     }
 
     /// Whether a keeper has said nothing for too long to go by.
-    pub fn is_silent(&self, keeper: GroupId, now: Timestamp) -> bool {
+    pub fn is_keeper_unresponsive(&self, keeper: GroupId, now: Timestamp) -> bool {
         let since = self.keepers.get(&keeper).and_then(|keeper| keeper.silent_since);
         since.is_some_and(|since| now.since(since) >= self.settings.silence())
     }
@@ -571,7 +580,7 @@
         &mut self,
         keeper: GroupId,
         tenant: &TenantId,
-        limit: KnownLimit,
+        limit: VersionedLimit,
         now: Timestamp,
     ) -> &mut Held {
         let free = self.free_share();
@@ -598,11 +607,11 @@
     /// Who is to be told what others counted.
     keeper: Option<KeeperTerm>,
     /// What this gateway cannot tell it.
-    forgotten: Option<Earlier>,
+    forgotten: Option<PastRequests>,
 }
 
 impl Untold {
-    fn of(&self, held: &Held, now: Timestamp) -> Vec<Earlier> {
+    fn of(&self, held: &Held, now: Timestamp) -> Vec<PastRequests> {
         let counted = self.keeper.map_or(Vec::new(), |term| held.history.unknown_to(term, now));
         self.forgotten.into_iter().chain(counted).collect()
     }
@@ -615,17 +624,17 @@
     untold: &Untold,
     too_old: Duration,
     now: Timestamp,
-) -> Vec<Usage> {
+) -> Vec<TenantUsage> {
     tenants.retain(|_, held| held.has_news() || now.since(held.used_at) < FORGOTTEN_AFTER);
     let usage = tenants.iter_mut().map(|(tenant, held)| {
         let (requests, late) = held.take_admitted(too_old, now);
-        Usage {
+        TenantUsage {
             tenant: tenant.clone(),
             limit: held.limit,
             requests,
-            waited: std::mem::take(&mut held.waited),
-            unused: std::mem::take(&mut held.unused),
-            earlier: untold.of(held, now).into_iter().chain(late).collect(),
+            delayed: std::mem::take(&mut held.waited),
+            refunded: std::mem::take(&mut held.unused),
+            past: untold.of(held, now).into_iter().chain(late).collect(),
         }
     });
     usage.filter(|usage| !usage.is_empty()).collect()
--- a/crates/limits/src/history.rs
+++ b/crates/limits/src/history.rs
@@ -7,7 +7,7 @@
 
 use dahlia_types::{Duration, Timestamp};
 
-use crate::{Earlier, KeeperTerm};
+use crate::{KeeperTerm, PastRequests};
 
 /// Requests that passed within so long are told in one figure.
 const PART: Duration = Duration::from_millis(50);
@@ -61,10 +61,10 @@
     }
 
     /// What a keeper has not counted itself.
-    pub(crate) fn unknown_to(&self, keeper: KeeperTerm, now: Timestamp) -> Vec<Earlier> {
+    pub(crate) fn unknown_to(&self, keeper: KeeperTerm, now: Timestamp) -> Vec<PastRequests> {
         let others = self.passed.iter().filter(|passed| passed.counted_by != keeper);
         others
-            .map(|passed| Earlier { ago: now.since(passed.at), requests: passed.requests })
+            .map(|passed| PastRequests { age: now.since(passed.at), requests: passed.requests })
             .collect()
     }
 }
--- a/crates/limits/src/keeper.rs
+++ b/crates/limits/src/keeper.rs
@@ -12,8 +12,8 @@
 use crate::programs::Needs;
 use crate::window::TOLD_AFTER;
 use crate::{
-    KeeperTerm, KnownLimit, LimitCommand, LimitReply, LimitSettings, ProgramKey, Report, Usage,
-    Verdict,
+    KeeperTerm, LimitCommand, LimitReply, LimitSettings, ProgramKey, TenantUsage, UsageReport,
+    Verdict, VersionedLimit,
 };
 
 /// A tenant that sent nothing for so long is forgotten. Its bucket is full by then, unless its limit
@@ -42,8 +42,8 @@
 
 #[derive(Debug, Clone, Copy)]
 struct LastReport {
-    life: Incarnation,
-    number: u64,
+    incarnation: Incarnation,
+    sequence: u64,
     heard_at: Timestamp,
 }
 
@@ -71,20 +71,20 @@
         self.forget_idle(now);
         match command {
             LimitCommand::Report(report) => self.count(report, now),
-            LimitCommand::Ask { tenant, limit, program, most_wait } => {
-                self.answer(tenant, limit, program, most_wait, now)
+            LimitCommand::Ask { tenant, limit, program, max_wait } => {
+                self.answer(tenant, limit, program, max_wait, now)
             }
         }
     }
 
     /// How many gateways there are, whether they are heard or not.
-    pub fn set_gateways(&mut self, gateways: usize) {
+    pub fn set_gateway_count(&mut self, gateways: usize) {
         self.gateways = gateways;
     }
 
     /// Which share of the gateways is out of reach. They go on with what passed at each of them before,
     /// so that much is left to them.
-    pub fn set_unheard(&mut self, share: f64, now: Timestamp) {
+    pub fn set_unreachable_share(&mut self, share: f64, now: Timestamp) {
         if share <= 0.0 {
             // Until they have told what passed there.
             let since = *self.all_heard_since.get_or_insert(now);
@@ -97,16 +97,17 @@
     }
 
     /// Permits of a tenant now, for operators and tests; none when it sent nothing of late.
-    pub fn level(&mut self, tenant: &TenantId, now: Timestamp) -> Option<f64> {
+    pub fn available_permits(&mut self, tenant: &TenantId, now: Timestamp) -> Option<f64> {
         self.tenants.get_mut(tenant).map(|kept| kept.level(now))
     }
 
-    fn count(&mut self, report: Report, now: Timestamp) -> LimitReply {
-        let Report { from, life, number, .. } = report;
-        let last = self.reports.get(&from);
-        let is_repeated = last.is_some_and(|last| last.life == life && last.number >= number);
+    fn count(&mut self, report: UsageReport, now: Timestamp) -> LimitReply {
+        let UsageReport { gateway, incarnation, sequence, .. } = report;
+        let last = self.reports.get(&gateway);
+        let is_repeated =
+            last.is_some_and(|last| last.incarnation == incarnation && last.sequence >= sequence);
         if !is_repeated {
-            self.reports.insert(from, LastReport { life, number, heard_at: now });
+            self.reports.insert(gateway, LastReport { incarnation, sequence, heard_at: now });
             self.memories.note(&report, now);
         }
         let mut scarce = Vec::new();
@@ -122,27 +123,27 @@
         LimitReply::Counted { scarce, keeper: self.term }
     }
 
-    fn count_usage(&mut self, usage: Usage, now: Timestamp) {
+    fn count_usage(&mut self, usage: TenantUsage, now: Timestamp) {
         let term = self.term;
         let kept = self.tenants.entry(usage.tenant);
         let kept = kept.or_insert_with(|| Kept::new(&self.settings, usage.limit, self.since, now));
         kept.learn_limit(usage.limit, now);
         kept.set_forgotten(self.memories.forgotten(now));
         kept.set_lost(self.lost);
-        let others = usage.waited.into_iter().filter(|waited| waited.counted_by != term);
+        let others = usage.delayed.into_iter().filter(|waited| waited.counted_by != term);
         let others = others.map(|waited| waited.program);
         let passed: Vec<Option<ProgramKey>> = usage.requests.into_iter().chain(others).collect();
-        kept.count_earlier(&usage.earlier, now);
-        kept.count(&passed, &usage.unused, now);
+        kept.count_earlier(&usage.past, now);
+        kept.count(&passed, &usage.refunded, now);
         kept.forget_ended(&self.settings, &mut self.needs, now);
     }
 
     fn answer(
         &mut self,
         tenant: TenantId,
-        limit: KnownLimit,
+        limit: VersionedLimit,
         program: Option<ProgramKey>,
-        most_wait: Duration,
+        max_wait: Duration,
         now: Timestamp,
     ) -> LimitReply {
         let kept = self.tenants.entry(tenant);
@@ -162,7 +163,7 @@
             Some(program) => kept.place(program, &self.needs, &self.settings, now),
             None => kept.next_permit(now),
         };
-        let verdict = kept.decide(program, place, most_wait, now);
+        let verdict = kept.decide(program, place, max_wait, now);
         // A refused program would have sent more than the request that asked for it.
         let is_refused = matches!(verdict, Verdict::Refuse { .. });
         kept.note_asked(if is_refused { self.needs.requests() } else { 1.0 });
--- a/crates/limits/src/kept.rs
+++ b/crates/limits/src/kept.rs
@@ -10,7 +10,7 @@
 use crate::memory::Forgotten;
 use crate::permits::Permits;
 use crate::programs::{Needs, Programs};
-use crate::{Earlier, KnownLimit, LimitSettings, ProgramKey, Verdict};
+use crate::{LimitSettings, PastRequests, ProgramKey, Verdict, VersionedLimit};
 
 /// The longest time that a caller is told. Callers that are told a later one do not come at it.
 const LONGEST_TOLD: Duration = Duration::from_secs(60);
@@ -65,7 +65,7 @@
     /// A tenant that nothing is known of, by a keeper that has been there since a moment.
     pub(crate) fn new(
         settings: &LimitSettings,
-        known: KnownLimit,
+        known: VersionedLimit,
         since: Timestamp,
         now: Timestamp,
     ) -> Self {
@@ -82,7 +82,7 @@
     }
 
     /// The newest limit is in force, whoever names it.
-    pub(crate) fn learn_limit(&mut self, known: KnownLimit, now: Timestamp) {
+    pub(crate) fn learn_limit(&mut self, known: VersionedLimit, now: Timestamp) {
         self.used_at = now;
         if self.generation < known.generation {
             self.generation = known.generation;
@@ -135,9 +135,9 @@
     }
 
     /// Keepers before this one counted requests.
-    pub(crate) fn count_earlier(&mut self, earlier: &[Earlier], now: Timestamp) {
+    pub(crate) fn count_earlier(&mut self, earlier: &[PastRequests], now: Timestamp) {
         for passed in earlier.iter().filter(|earlier| !earlier.is_forgotten()) {
-            self.permits.take_earlier(f64::from(passed.requests), passed.ago, now);
+            self.permits.take_earlier(f64::from(passed.requests), passed.age, now);
         }
     }
 
--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -45,13 +45,13 @@
 mod unheard;
 mod window;
 
-pub use gateway::{Admission, Answered, LimitGateway};
+pub use gateway::{Admission, KeeperAnswer, LimitGateway};
 pub use keeper::LimitKeeper;
 pub use message::{
-    Earlier, KeeperTerm, KnownLimit, LimitCommand, LimitReply, ProgramKey, Report, Usage, Verdict,
-    Waited,
+    DelayedRequest, KeeperTerm, LimitCommand, LimitReply, PastRequests, ProgramKey, TenantUsage,
+    UsageReport, Verdict, VersionedLimit,
 };
-pub use own::LEFT_FOR;
+pub use own::UNREACHABLE_RESERVATION_TIME;
 pub use rate::{InvalidRate, RateLimit};
 pub use settings::LimitSettings;
 pub(crate) use tolerance::Tolerance;
--- a/crates/limits/src/memory.rs
+++ b/crates/limits/src/memory.rs
@@ -7,7 +7,7 @@
 
 use dahlia_types::{DaemonId, Duration, Incarnation, Timestamp};
 
-use crate::{Earlier, Report, Usage};
+use crate::{PastRequests, TenantUsage, UsageReport};
 
 /// What may have passed before a keeper began and is not counted.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -40,14 +40,14 @@
 
     /// A gateway has reported. Its first report here may have been made for the keeper before: it says
     /// what it has forgotten once it knows that there is another one.
-    pub(crate) fn note(&mut self, report: &Report, now: Timestamp) {
-        let first_life = *self.gateways.entry(report.from).or_insert(report.life);
-        if now >= self.since + self.window || first_life != report.life {
+    pub(crate) fn note(&mut self, report: &UsageReport, now: Timestamp) {
+        let first_life = *self.gateways.entry(report.gateway).or_insert(report.incarnation);
+        if now >= self.since + self.window || first_life != report.incarnation {
             return;
         }
         let began = forgotten_ago(report).map(|ago| (now - ago).min(self.since));
         if let Some(began) = began {
-            self.forgetful.insert(report.from);
+            self.forgetful.insert(report.gateway);
             self.forgot_at = self.forgot_at.max(began);
         }
     }
@@ -66,8 +66,9 @@
 
 /// How long ago the gateway began its life, if it says that it has forgotten what passed before. It says
 /// so first of each tenant; older builds tell of parts of time without requests in other places.
-fn forgotten_ago(report: &Report) -> Option<Duration> {
-    let first = |usage: &Usage| usage.earlier.first().copied().filter(Earlier::is_forgotten);
-    let forgotten: Option<Vec<Earlier>> = report.usage.iter().map(first).collect();
-    forgotten?.into_iter().map(|earlier| earlier.ago).max()
+fn forgotten_ago(report: &UsageReport) -> Option<Duration> {
+    let first =
+        |usage: &TenantUsage| usage.past.first().copied().filter(PastRequests::is_forgotten);
+    let forgotten: Option<Vec<PastRequests>> = report.usage.iter().map(first).collect();
+    forgotten?.into_iter().map(|earlier| earlier.age).max()
 }
--- a/crates/limits/src/message.rs
+++ b/crates/limits/src/message.rs
@@ -7,7 +7,7 @@
 
 /// A tenant's limit as a gateway knows it. A keeper goes by the newest that it was told.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KnownLimit {
+pub struct VersionedLimit {
     /// The generation of the configuration that says so.
     pub generation: u64,
     /// The limit.
@@ -27,7 +27,7 @@
 /// A request that waited for its turn and has passed. The keeper that gave it the turn has counted
 /// it; one that came after has not.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Waited {
+pub struct DelayedRequest {
     /// Who counted it.
     pub counted_by: KeeperTerm,
     /// Its program, if it has one.
@@ -36,18 +36,18 @@
 
 /// Requests that passed before a keeper began, which it cannot know of.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Earlier {
+pub struct PastRequests {
     /// How long ago.
-    pub ago: Duration,
+    pub age: Duration,
     /// How many. 0, as a tenant's first entry: an earlier life of the gateway may have let more pass
     /// before, which it has forgotten.
     pub requests: u32,
 }
 
-impl Earlier {
+impl PastRequests {
     /// The gateway's life began so long ago.
-    pub(crate) fn forgotten_before(ago: Duration) -> Self {
-        Self { ago, requests: 0 }
+    pub(crate) fn forgotten_before(age: Duration) -> Self {
+        Self { age, requests: 0 }
     }
 
     pub(crate) fn is_forgotten(&self) -> bool {
@@ -57,57 +57,57 @@
 
 /// Requests of one tenant that a gateway admitted.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Usage {
+pub struct TenantUsage {
     /// The tenant.
     pub tenant: TenantId,
     /// Its limit.
-    pub limit: KnownLimit,
+    pub limit: VersionedLimit,
     /// Without asking: one entry a request, its program if it has one.
     pub requests: Vec<Option<ProgramKey>>,
     /// After a wait.
-    pub waited: Vec<Waited>,
+    pub delayed: Vec<DelayedRequest>,
     /// Earlier requests, asked for or reported, that no server has run or will run, in the same way.
-    pub unused: Vec<Option<ProgramKey>>,
+    pub refunded: Vec<Option<ProgramKey>>,
     /// What this keeper has not counted: what others before it counted and what this gateway has
     /// forgotten, in the first report that it gets, and what passed unasked some time ago.
-    pub earlier: Vec<Earlier>,
+    pub past: Vec<PastRequests>,
 }
 
-impl Usage {
+impl TenantUsage {
     pub(crate) fn is_empty(&self) -> bool {
-        let Self { requests, waited, unused, earlier, .. } = self;
-        requests.is_empty() && waited.is_empty() && unused.is_empty() && earlier.is_empty()
+        let Self { requests, delayed, refunded, past, .. } = self;
+        requests.is_empty() && delayed.is_empty() && refunded.is_empty() && past.is_empty()
     }
 }
 
 /// What a gateway admitted since its last report to a keeper.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Report {
+pub struct UsageReport {
     /// The gateway.
-    pub from: DaemonId,
+    pub gateway: DaemonId,
     /// Its life.
-    pub life: Incarnation,
+    pub incarnation: Incarnation,
     /// Rises with each report of this life to this keeper. A report that comes twice counts once.
-    pub number: u64,
+    pub sequence: u64,
     /// By tenant.
-    pub usage: Vec<Usage>,
+    pub usage: Vec<TenantUsage>,
 }
 
 /// What is put to a keeper.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LimitCommand {
     /// Count what was admitted.
-    Report(Report),
+    Report(UsageReport),
     /// Whether one more request may pass.
     Ask {
         /// The tenant.
         tenant: TenantId,
         /// Its limit.
-        limit: KnownLimit,
+        limit: VersionedLimit,
         /// The request's program.
         program: Option<ProgramKey>,
         /// How long it may wait for its turn.
-        most_wait: Duration,
+        max_wait: Duration,
     },
 }
 
--- a/crates/limits/src/own.rs
+++ b/crates/limits/src/own.rs
@@ -15,13 +15,13 @@
 const MOST_OF_NEED: f64 = 4.0;
 
 /// How long a keeper leaves permits to gateways that are out of reach, and these go by them.
-pub const LEFT_FOR: Duration = Duration::from_secs(60);
+pub const UNREACHABLE_RESERVATION_TIME: Duration = Duration::from_secs(60);
 
 /// A gateway's part of what a keeper left free when it was heard last.
 pub(crate) struct FreeEach {
     /// Permits beyond those in use here.
     pub(crate) now: f64,
-    /// Permits for the time after [`LEFT_FOR`].
+    /// Permits for the time after [`UNREACHABLE_RESERVATION_TIME`].
     pub(crate) spare: f64,
     /// Whether permits were scarce.
     pub(crate) is_scarce: bool,
@@ -72,7 +72,7 @@
         now: Timestamp,
     ) -> Duration {
         self.forget(window, now);
-        if now.since(self.heard_at) >= LEFT_FOR {
+        if now.since(self.heard_at) >= UNREACHABLE_RESERVATION_TIME {
             self.most = self.most.min(self.most_later);
             self.is_scarce = true;
         }
--- a/crates/limits/tests/fleet/mod.rs
+++ b/crates/limits/tests/fleet/mod.rs
@@ -11,8 +11,8 @@
 use std::collections::BinaryHeap;
 
 use dahlia_limits::{
-    Admission, Answered, KeeperTerm, KnownLimit, LimitCommand, LimitGateway, LimitKeeper,
-    LimitReply, LimitSettings, ProgramKey, RateLimit, Report, Verdict, Waited,
+    Admission, DelayedRequest, KeeperAnswer, KeeperTerm, LimitCommand, LimitGateway, LimitKeeper,
+    LimitReply, LimitSettings, ProgramKey, RateLimit, UsageReport, Verdict, VersionedLimit,
 };
 use dahlia_types::{DaemonId, Duration, GroupId, Incarnation, TenantId, Timestamp};
 use rand::Rng;
@@ -276,7 +276,7 @@
     term: u64,
     gateways: Vec<LimitGateway>,
     shares: Vec<(f64, Timestamp)>,
-    reports: Vec<Report>,
+    reports: Vec<UsageReport>,
     programs: Vec<Program>,
     agenda: BinaryHeap<Reverse<(Timestamp, u64, Happening)>>,
     answered: std::collections::BTreeSet<Request>,
@@ -295,7 +295,7 @@
         let gateway = |number| {
             let settings = plan.settings.clone();
             let mut gateway = LimitGateway::new(settings, DaemonId(number), Incarnation(1));
-            gateway.set_sharers(plan.gateways, Timestamp::ZERO);
+            gateway.set_gateway_count(plan.gateways, Timestamp::ZERO);
             gateway
         };
         let mut fleet = Self {
@@ -318,7 +318,7 @@
             outcome: Outcome::default(),
             plan,
         };
-        fleet.keeper.as_mut().expect("it is there").set_gateways(fleet.plan.gateways as usize);
+        fleet.keeper.as_mut().expect("it is there").set_gateway_count(fleet.plan.gateways as usize);
         fleet.plan_ahead(&mut rng);
         while let Some(Reverse((now, _, happening))) = fleet.agenda.pop() {
             fleet.now = now;
@@ -415,7 +415,7 @@
             let life = Incarnation(2);
             let settings = self.plan.settings.clone();
             let gateway = LimitGateway::new(settings, DaemonId(number as u32), life);
-            self.gateways[number] = gateway.after_an_earlier_life(self.now);
+            self.gateways[number] = gateway.after_restart(self.now);
         }
     }
 
@@ -424,10 +424,12 @@
         self.agenda.push(Reverse((moment, self.steps, happening)));
     }
 
-    fn known(&self) -> KnownLimit {
+    fn known(&self) -> VersionedLimit {
         match self.plan.change {
-            Some((moment, limit)) if self.now >= at(moment) => KnownLimit { generation: 2, limit },
-            _ => KnownLimit { generation: 1, limit: self.plan.limit },
+            Some((moment, limit)) if self.now >= at(moment) => {
+                VersionedLimit { generation: 2, limit }
+            }
+            _ => VersionedLimit { generation: 1, limit: self.plan.limit },
         }
     }
 
@@ -446,7 +448,7 @@
             Happening::AskArrives(request) => {
                 let (tenant, limit) = (self.tenant.clone(), self.known());
                 let program = Some(ProgramKey(request.program));
-                let ask = LimitCommand::Ask { tenant, limit, program, most_wait: HONOURED };
+                let ask = LimitCommand::Ask { tenant, limit, program, max_wait: HONOURED };
                 let Some(keeper) = &mut self.keeper else {
                     // The node asks again until there is an owner, or the gateway has decided.
                     if !self.answered.contains(&request) {
@@ -480,10 +482,11 @@
                     false => Verdict::Refuse { retry_after: Duration::from_micros(wait) },
                 };
                 let gateway = &mut self.gateways[request.gateway];
-                let answer = Answered { verdict, is_scarce, keeper: KeeperTerm(term) };
+                let answer = KeeperAnswer { verdict, is_scarce, keeper: KeeperTerm(term) };
                 let program = Some(ProgramKey(request.program));
-                let decided = gateway.answered(KEEPER, &self.tenant, program, answer, self.now);
-                if self.gateways[request.gateway].is_due(KEEPER, self.now) {
+                let decided =
+                    gateway.handle_answer(KEEPER, &self.tenant, program, answer, self.now);
+                if self.gateways[request.gateway].is_report_due(KEEPER, self.now) {
                     self.put(self.now, Happening::Flush(request.gateway));
                 }
                 match decided {
@@ -498,24 +501,29 @@
                 if self.answered.insert(request) {
                     let (limit, program) = (self.known(), Some(ProgramKey(request.program)));
                     let gateway = &mut self.gateways[request.gateway];
-                    let decided =
-                        gateway.admit_alone(KEEPER, &self.tenant, limit, program, self.now);
+                    let decided = gateway.admit_without_keeper(
+                        KEEPER,
+                        &self.tenant,
+                        limit,
+                        program,
+                        self.now,
+                    );
                     self.decided(request, decided);
                 }
             }
             Happening::Passes(request, counted_by) => {
                 if let Some(term) = counted_by {
                     let program = Some(ProgramKey(request.program));
-                    let waited = Waited { counted_by: KeeperTerm(term), program };
+                    let waited = DelayedRequest { counted_by: KeeperTerm(term), program };
                     let gateway = &mut self.gateways[request.gateway];
-                    gateway.passed_after_wait(KEEPER, &self.tenant, waited);
+                    gateway.record_delayed(KEEPER, &self.tenant, waited);
                 }
                 self.passed(request);
             }
             Happening::Flush(gateway) => {
-                for (_, mut report) in self.gateways[gateway].reports(self.now) {
+                for (_, mut report) in self.gateways[gateway].due_reports(self.now) {
                     if !self.plan.tells {
-                        report.usage.iter_mut().for_each(|usage| usage.earlier.clear());
+                        report.usage.iter_mut().for_each(|usage| usage.past.clear());
                     }
                     self.outcome.messages += 1;
                     self.reports.push(report);
@@ -529,7 +537,7 @@
             }
             Happening::ReportArrives(gateway, number) => {
                 let report = self.reports[number].clone();
-                let counted = report.number;
+                let counted = report.sequence;
                 let Some(keeper) = &mut self.keeper else {
                     // The node asks again until there is an owner.
                     let again = Happening::ReportArrives(gateway, number);
@@ -545,29 +553,31 @@
             Happening::Counted(gateway, number, is_scarce, term) => {
                 let scarce = if is_scarce { vec![self.tenant.clone()] } else { Vec::new() };
                 let reply = LimitReply::Counted { scarce, keeper: KeeperTerm(term) };
-                self.gateways[gateway].counted(KEEPER, number, &reply, self.now);
-                if self.gateways[gateway].is_due(KEEPER, self.now) {
+                self.gateways[gateway].handle_acknowledgement(KEEPER, number, &reply, self.now);
+                if self.gateways[gateway].is_report_due(KEEPER, self.now) {
                     self.put(self.now, Happening::Flush(gateway));
                 }
             }
-            Happening::ReportLost(gateway) => self.gateways[gateway].unanswered(KEEPER),
+            Happening::ReportLost(gateway) => self.gateways[gateway].mark_report_failed(KEEPER),
             Happening::KeeperDies => self.keeper = None,
             Happening::Unheard(percent) => {
                 if let Some(keeper) = &mut self.keeper {
-                    keeper.set_unheard(f64::from(percent) / 100.0, self.now);
+                    keeper.set_unreachable_share(f64::from(percent) / 100.0, self.now);
                 }
             }
             Happening::GatewaysEnd(stopped) => self.gateways_end(stopped),
             Happening::GatewaysBegin(stopped) => self.gateways_begin(stopped),
             Happening::SharersKnown => {
                 let (sharers, now) = (self.plan.gateways, self.now);
-                self.gateways.iter_mut().for_each(|gateway| gateway.set_sharers(sharers, now));
+                self.gateways
+                    .iter_mut()
+                    .for_each(|gateway| gateway.set_gateway_count(sharers, now));
             }
             Happening::NewKeeper => {
                 self.term += 1;
                 let settings = self.plan.settings.clone();
                 let mut keeper = LimitKeeper::new(settings, KeeperTerm(self.term), self.now);
-                keeper.set_gateways(self.plan.gateways as usize);
+                keeper.set_gateway_count(self.plan.gateways as usize);
                 self.keeper = Some(keeper);
             }
         }
@@ -606,7 +616,8 @@
             Admission::Ask => {
                 self.outcome.asked += 1;
                 self.outcome.messages += 1;
-                let patience = self.gateways[request.gateway].patience(KEEPER, HONOURED, self.now);
+                let patience =
+                    self.gateways[request.gateway].answer_timeout(KEEPER, HONOURED, self.now);
                 if self.is_cut(request.gateway) {
                     self.put(self.now + patience, Happening::AskTimesOut(request));
                 }
--- a/crates/limits/tests/keeper.rs
+++ b/crates/limits/tests/keeper.rs
@@ -1,17 +1,17 @@
 //! What a keeper counts, by single commands.
 
 use dahlia_limits::{
-    Earlier, KeeperTerm, KnownLimit, LimitCommand, LimitKeeper, LimitReply, LimitSettings,
-    ProgramKey, RateLimit, Report, Usage, Verdict, Waited,
+    DelayedRequest, KeeperTerm, LimitCommand, LimitKeeper, LimitReply, LimitSettings, PastRequests,
+    ProgramKey, RateLimit, TenantUsage, UsageReport, Verdict, VersionedLimit,
 };
 use dahlia_types::{DaemonId, Duration, Incarnation, TenantId, Timestamp};
 
 const AT_ONCE: Verdict = Verdict::Pass { after: Duration::ZERO };
 const START: Timestamp = Timestamp(1_000_000_000);
 
-fn limit(generation: u64, per_second: f64, burst: f64) -> KnownLimit {
+fn limit(generation: u64, per_second: f64, burst: f64) -> VersionedLimit {
     let limit = RateLimit::new(per_second, burst).expect("a limit").expect("some");
-    KnownLimit { generation, limit }
+    VersionedLimit { generation, limit }
 }
 
 fn oak() -> TenantId {
@@ -23,23 +23,28 @@
     LimitKeeper::new(LimitSettings::default(), KeeperTerm(1), Timestamp(0))
 }
 
-fn report(number: u64, limit: KnownLimit, requests: usize, unused: usize) -> LimitCommand {
+fn report(sequence: u64, limit: VersionedLimit, requests: usize, refunded: usize) -> LimitCommand {
     let program = Some(ProgramKey(7));
-    let usage = Usage {
+    let usage = TenantUsage {
         tenant: oak(),
         limit,
         requests: vec![program; requests],
-        waited: Vec::new(),
-        unused: vec![program; unused],
-        earlier: Vec::new(),
+        delayed: Vec::new(),
+        refunded: vec![program; refunded],
+        past: Vec::new(),
     };
     let usage = vec![usage];
-    LimitCommand::Report(Report { from: DaemonId(1), life: Incarnation(1), number, usage })
+    LimitCommand::Report(UsageReport {
+        gateway: DaemonId(1),
+        incarnation: Incarnation(1),
+        sequence,
+        usage,
+    })
 }
 
-fn ask(limit: KnownLimit, program: Option<u64>) -> LimitCommand {
-    let (program, most_wait) = (program.map(ProgramKey), Duration::from_millis(600));
-    LimitCommand::Ask { tenant: oak(), limit, program, most_wait }
+fn ask(limit: VersionedLimit, program: Option<u64>) -> LimitCommand {
+    let (program, max_wait) = (program.map(ProgramKey), Duration::from_millis(600));
+    LimitCommand::Ask { tenant: oak(), limit, program, max_wait }
 }
 
 fn verdict(keeper: &mut LimitKeeper, command: LimitCommand, now: Timestamp) -> Verdict {
@@ -50,7 +55,7 @@
 }
 
 fn level(keeper: &mut LimitKeeper, now: Timestamp) -> f64 {
-    keeper.level(&oak(), now).expect("it is known")
+    keeper.available_permits(&oak(), now).expect("it is known")
 }
 
 #[test]
@@ -66,7 +71,7 @@
     assert_eq!(level(&mut keeper, START), 65.0, "nor does the newer one after it");
     let mut next_life = report(1, limit, 5, 0);
     if let LimitCommand::Report(report) = &mut next_life {
-        report.life = Incarnation(2);
+        report.incarnation = Incarnation(2);
     }
     keeper.serve(next_life, START);
     assert_eq!(level(&mut keeper, START), 60.0, "a new life counts from one again");
@@ -120,9 +125,9 @@
 fn who_waited_for_a_turn_of_an_earlier_keeper_is_counted_by_the_present_one() {
     let (mut keeper, limit) = (keeper(), limit(1, 10.0, 100.0));
     let mut report = report(1, limit, 0, 0);
-    let waited = |term| Waited { counted_by: KeeperTerm(term), program: None };
+    let waited = |term| DelayedRequest { counted_by: KeeperTerm(term), program: None };
     if let LimitCommand::Report(report) = &mut report {
-        report.usage[0].waited = vec![waited(1), waited(1), waited(0)];
+        report.usage[0].delayed = vec![waited(1), waited(1), waited(0)];
     }
     keeper.serve(report, START);
     assert_eq!(level(&mut keeper, START), 99.0);
@@ -169,11 +174,11 @@
     keeper.serve(report(1, limit(1, 10.0, 10.0), 1, 0), START);
     let mut second = report(2, limit(1, 10.0, 10.0), 0, 0);
     if let LimitCommand::Report(report) = &mut second {
-        let earlier = told.iter().map(|(ago_ms, requests)| Earlier {
-            ago: Duration::from_millis(*ago_ms),
+        let earlier = told.iter().map(|(ago_ms, requests)| PastRequests {
+            age: Duration::from_millis(*ago_ms),
             requests: *requests,
         });
-        report.usage[0].earlier = earlier.collect();
+        report.usage[0].past = earlier.collect();
     }
     keeper.serve(second, START);
     level(&mut keeper, START + Duration::from_secs(2))
--- a/crates/node/src/limits.rs
+++ b/crates/node/src/limits.rs
@@ -5,7 +5,7 @@
 
 use std::collections::BTreeMap;
 
-use dahlia_limits::{KeeperTerm, LEFT_FOR, LimitCommand, LimitKeeper};
+use dahlia_limits::{KeeperTerm, LimitCommand, LimitKeeper, UNREACHABLE_RESERVATION_TIME};
 use dahlia_replication::membership::{Health, Member, MemberState};
 use dahlia_types::{Duration, GroupId, Term, Timestamp};
 
@@ -57,7 +57,9 @@
             match member.record.health {
                 // A zone falls silent before its members are suspected.
                 Health::Alive => self.is_silent_zone(&member.record.info.zone),
-                Health::Suspect | Health::Dead => now.since(member.since) < LEFT_FOR,
+                Health::Suspect | Health::Dead => {
+                    now.since(member.since) < UNREACHABLE_RESERVATION_TIME
+                }
             }
         };
         let unheard = members.iter().filter(is_gateway).filter(is_unheard).count();
@@ -72,8 +74,8 @@
         }
         keepers.unheard = share;
         for (_, keeper) in keepers.by_group.values_mut() {
-            keeper.set_gateways(gateways);
-            keeper.set_unheard(share, now);
+            keeper.set_gateway_count(gateways);
+            keeper.set_unreachable_share(share, now);
         }
     }
 
--- a/crates/node/tests/limits.rs
+++ b/crates/node/tests/limits.rs
@@ -4,7 +4,8 @@
 
 use cluster::{Cluster, GATEWAY, GROUP, LINK, OTHER_GATEWAYS};
 use dahlia_limits::{
-    KeeperTerm, KnownLimit, LimitCommand, LimitReply, ProgramKey, RateLimit, Report, Usage, Verdict,
+    KeeperTerm, LimitCommand, LimitReply, ProgramKey, RateLimit, TenantUsage, UsageReport, Verdict,
+    VersionedLimit,
 };
 use dahlia_node::request::{Request, RequestId, Response};
 use dahlia_replication::group::GroupSettings;
@@ -13,9 +14,9 @@
 /// To the owner and back.
 const TWO_LINKS: Duration = Duration::from_micros(2 * LINK.as_micros());
 
-fn known() -> KnownLimit {
+fn known() -> VersionedLimit {
     let limit = RateLimit::new(10.0, 100.0).expect("a limit").expect("some");
-    KnownLimit { generation: 1, limit }
+    VersionedLimit { generation: 1, limit }
 }
 
 fn put(cluster: &mut Cluster, command: LimitCommand) -> RequestId {
@@ -31,20 +32,20 @@
 
 fn question() -> LimitCommand {
     let (tenant, limit) = (TenantId::new("oak"), known());
-    LimitCommand::Ask { tenant, limit, program: None, most_wait: Duration::ZERO }
+    LimitCommand::Ask { tenant, limit, program: None, max_wait: Duration::ZERO }
 }
 
 fn report(requests: usize) -> LimitCommand {
-    let usage = Usage {
+    let usage = TenantUsage {
         tenant: TenantId::new("oak"),
         limit: known(),
         requests: vec![Some(ProgramKey(1)); requests],
-        waited: Vec::new(),
-        unused: Vec::new(),
-        earlier: Vec::new(),
+        delayed: Vec::new(),
+        refunded: Vec::new(),
+        past: Vec::new(),
     };
-    let (from, life) = (DaemonId(GATEWAY), Incarnation(1));
-    LimitCommand::Report(Report { from, life, number: 1, usage: vec![usage] })
+    let (gateway, incarnation) = (DaemonId(GATEWAY), Incarnation(1));
+    LimitCommand::Report(UsageReport { gateway, incarnation, sequence: 1, usage: vec![usage] })
 }
 
 fn ask(cluster: &mut Cluster) -> (Verdict, KeeperTerm, Duration) {
--- a/crates/node/tests/wire_forms.rs
+++ b/crates/node/tests/wire_forms.rs
@@ -18,7 +18,8 @@
     TurnId, TurnInput, TurnRefusal,
 };
 use dahlia_limits::{
-    KeeperTerm, KnownLimit, LimitCommand, LimitReply, ProgramKey, RateLimit, Report, Usage, Verdict,
+    KeeperTerm, LimitCommand, LimitReply, ProgramKey, RateLimit, TenantUsage, UsageReport, Verdict,
+    VersionedLimit,
 };
 use dahlia_node::feed::{FeedMessage, SourceReport};
 use dahlia_node::load_sharing::{ItemLoad, LoadMessage, LoadPart, TellerState};
@@ -294,27 +295,27 @@
 
 fn check_limits(checker: &mut Checker) {
     let limit = RateLimit::new(12.5, 20.0).expect("a limit can be kept").expect("there is one");
-    let limit = KnownLimit { generation: 4, limit };
+    let limit = VersionedLimit { generation: 4, limit };
     let tenant = TenantId::new("bayou");
-    let usage = Usage {
+    let usage = TenantUsage {
         tenant: tenant.clone(),
         limit,
         requests: vec![Some(ProgramKey(9)), None],
-        waited: Vec::new(),
-        unused: vec![None],
-        earlier: Vec::new(),
+        delayed: Vec::new(),
+        refunded: vec![None],
+        past: Vec::new(),
     };
-    let report = Report {
-        from: DaemonId(7),
-        life: Incarnation(1_800_000_000_123),
-        number: 3,
+    let report = UsageReport {
+        gateway: DaemonId(7),
+        incarnation: Incarnation(1_800_000_000_123),
+        sequence: 3,
         usage: vec![usage],
     };
     let ask = LimitCommand::Ask {
         tenant: tenant.clone(),
         limit,
         program: Some(ProgramKey(9)),
-        most_wait: Duration::from_millis(150),
+        max_wait: Duration::from_millis(150),
     };
     for (name, command) in [("limits-report", LimitCommand::Report(report)), ("limits-ask", ask)] {
         let request = Request::Limits { group: GroupId(5), command };
--- a/crates/relay/src/limits.rs
+++ b/crates/relay/src/limits.rs
@@ -3,7 +3,7 @@
 
 use std::future::Future;
 
-use dahlia_limits::{KnownLimit, ProgramKey};
+use dahlia_limits::{ProgramKey, VersionedLimit};
 use dahlia_types::{Duration, TenantId};
 use snafu::Snafu;
 
@@ -25,7 +25,7 @@
     fn admit(
         &self,
         tenant: &TenantId,
-        limit: KnownLimit,
+        limit: VersionedLimit,
         program: Option<ProgramKey>,
         most_wait: Duration,
     ) -> impl Future<Output = Result<(), LimitReached>> + Send;
--- a/crates/relay/src/tenant.rs
+++ b/crates/relay/src/tenant.rs
@@ -4,7 +4,7 @@
 //! keepers of limits are told the tenant's name.
 
 use dahlia_ledger::ProgramName;
-use dahlia_limits::{KnownLimit, ProgramKey};
+use dahlia_limits::{ProgramKey, VersionedLimit};
 use dahlia_types::{Duration, TenantId};
 use tokio::time::Instant;
 
@@ -58,7 +58,7 @@
     ) -> Result<Option<Self>, Refusal> {
         let Some(tenant) = matched.tenant() else { return Ok(None) };
         let Some(limit) = tenant.limit else { return Ok(None) };
-        let known = KnownLimit { generation: matched.generation(), limit };
+        let known = VersionedLimit { generation: matched.generation(), limit };
         let program = head.program(&shared.headers, Some(&tenant.name))?;
         let program = program.as_ref().map(program_key);
         let left = deadline.saturating_duration_since(Instant::now()) / WAITED_PART;
--- a/crates/relay/tests/common/ledger.rs
+++ b/crates/relay/tests/common/ledger.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex};
 
 use dahlia_ledger::{CloseTurn, LedgerCommand, LedgerReply, OpenTurn, OpenedTurn, TurnEnd};
-use dahlia_limits::{KnownLimit, ProgramKey};
+use dahlia_limits::{ProgramKey, VersionedLimit};
 use dahlia_relay::{LedgerUnavailable, LimitReached, TenantLimits, TurnLedger};
 use dahlia_types::{Duration, TenantId};
 use tokio::sync::watch;
@@ -19,7 +19,7 @@
     closes: Arc<Mutex<VecDeque<Reply>>>,
     answers_opens: Arc<watch::Sender<bool>>,
     answers_closes: Arc<watch::Sender<bool>>,
-    admissions: Arc<Mutex<Vec<(TenantId, KnownLimit)>>>,
+    admissions: Arc<Mutex<Vec<(TenantId, VersionedLimit)>>>,
     given_back: Arc<Mutex<Vec<TenantId>>>,
     limits: Arc<Mutex<VecDeque<LimitReached>>>,
 }
@@ -82,7 +82,7 @@
     }
 
     /// Requests that were counted against a limit.
-    pub fn admissions(&self) -> Vec<(TenantId, KnownLimit)> {
+    pub fn admissions(&self) -> Vec<(TenantId, VersionedLimit)> {
         self.admissions.lock().expect("whole").clone()
     }
 
@@ -121,7 +121,7 @@
     async fn admit(
         &self,
         tenant: &TenantId,
-        limit: KnownLimit,
+        limit: VersionedLimit,
         _program: Option<ProgramKey>,
         _most_wait: Duration,
     ) -> Result<(), LimitReached> {
--- a/crates/relay/tests/tenants.rs
+++ b/crates/relay/tests/tenants.rs
@@ -9,7 +9,7 @@
 use common::stand_in::{Got, StandIn, chunk, event, last_chunk, ok, shed, stream_head};
 use common::{Bed, resumable, route, table, turns, until};
 use dahlia_ledger::{LedgerReply, ProgramName, TurnEnd, TurnId, TurnRefusal};
-use dahlia_limits::{KnownLimit, RateLimit};
+use dahlia_limits::{RateLimit, VersionedLimit};
 use dahlia_relay::{RelaySettings, Route, RouteTable, Tenant};
 use dahlia_types::{Duration, KeyDigest, TenantId};
 
@@ -329,9 +329,9 @@
     assert_eq!(bed.ledger.closed()[1].turn, opened[1].turn);
 }
 
-fn limited(tenant: Tenant) -> (Tenant, KnownLimit) {
+fn limited(tenant: Tenant) -> (Tenant, VersionedLimit) {
     let limit = RateLimit::new(10.0, 5.0).expect("a limit").expect("some");
-    (Tenant { limit: Some(limit), ..tenant }, KnownLimit { generation: 1, limit })
+    (Tenant { limit: Some(limit), ..tenant }, VersionedLimit { generation: 1, limit })
 }
 
 #[tokio::test]
