--- a/crates/backends/src/choice.rs
+++ b/crates/backends/src/choice.rs
@@ -1,61 +1,64 @@
-//! What is asked of the choice of servers, and what comes out.
+//! The request for a choice of a server, and its result.
 
 use dahlia_types::Duration;
 
 use crate::{BackendAddress, BackendId, Distance, ServiceName, TurnSize};
 
-/// Asks for a server.
+/// A request for a server.
 #[derive(Debug, Clone)]
 pub struct ChoiceRequest<'a> {
     /// The service.
     pub service: &'a ServiceName,
-    /// What the request should stay together with; none when nothing.
+    /// What the request should share a server with, if anything.
     pub affinity: Option<Affinity>,
     /// A server that is known to hold what the request needs.
     pub preferred: Option<&'a BackendId>,
-    /// Servers that the request was sent to before.
+    /// Servers that the request was already sent to.
     pub tried: &'a [BackendId],
-    /// For model servers: how large the request is; none when it does not say.
+    /// For model servers: the size of the request, if the request states it.
     pub size: Option<TurnSize>,
 }
 
-/// What requests should stay together.
+/// Which requests should go to the same server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Affinity {
-    /// Those of one program or session, by a hash of its name: one server holds what they need.
+    /// Requests of one program or session, by a hash of its name. One server holds what they need.
     Program(u64),
-    /// Those that concern one object, by a hash of its name: a server that has seen it works faster.
+    /// Requests for one object, by a hash of its name. A server that has seen the object works
+    /// faster.
     Object(u64),
-    /// Those whose prompts begin with the same parts. A few servers hold these, as many as their
-    /// share of the load needs; the shorter they are, the more.
+    /// Requests whose prompts begin with the same parts. A few servers hold these parts, as many as
+    /// their share of the load needs; the shorter the parts, the more servers.
     SharedPrompt(SharedPrompt),
 }
 
-/// The parts that prompts begin with and that other requests have too.
+/// The parts at the beginning of a prompt that other requests have too.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SharedPrompt {
-    /// A hash of the last part; those before it are the same wherever it stands.
+    /// A hash of the last part. The same last part always follows the same earlier parts.
     pub hash: u64,
-    /// Tokens of all of them.
+    /// The tokens of all parts.
     pub tokens: u64,
 }
 
-/// By what a server was chosen.
+/// The rule by which a server was chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ChoiceReason {
-    /// It is known to hold what the request needs.
+    /// The server is known to hold what the request needs.
     Preferred,
-    /// All daemons prefer it for this affinity.
+    /// All daemons prefer the server for this affinity.
     Affinity,
-    /// It is the least loaded of those that all daemons prefer for these parts of a prompt.
+    /// The least loaded of the servers that all daemons prefer for this shared prompt.
     SharedPrompt,
-    /// Those preferred have far more than the mean load: it is the least loaded.
+    /// The preferred servers have far more than the mean load, so the least loaded server was
+    /// chosen.
     LeastLoaded,
-    /// Nothing ties the request to a server: it is the least loaded, its zone considered.
+    /// The request has no affinity: the least loaded server was chosen, taking zones into account.
     Load,
-    /// The service has room to spare: it is the first free one of the few that this daemon uses.
+    /// The service has spare capacity: the first idle server of the few that this daemon uses was
+    /// chosen.
     Subset,
-    /// The request is expected to end there first, or nearly so.
+    /// The request is expected to end first at this server, or nearly so.
     ExpectedEnd,
 }
 
@@ -74,81 +77,83 @@
     }
 }
 
-/// What a choice rested on.
+/// The details of a choice, for logs and metrics.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ChoiceBasis {
-    /// By what it was chosen.
+    /// The rule by which the server was chosen.
     pub reason: ChoiceReason,
-    /// Servers of the service that discovery lists.
+    /// The number of servers that discovery lists for the service.
     pub listed: usize,
-    /// Of these, servers that take the request now; where there are many, of those looked at.
+    /// How many of these take the request now. In a large service, only examined servers are
+    /// counted.
     pub usable: usize,
-    /// Of these, servers that neither failed of late nor are slow.
+    /// How many of these neither failed recently nor are slow.
     pub healthy: usize,
-    /// Attempts of this daemon that the chosen one had before.
+    /// This daemon's attempts at the chosen server before this one.
     pub in_flight: u32,
-    /// How far away the chosen one is.
+    /// The distance of the chosen server.
     pub distance: Distance,
-    /// What was expected of the chosen one, where that decided.
+    /// The estimate for the chosen server, if the choice was made by estimates.
     pub estimate: Option<TurnEstimate>,
 }
 
-/// What is expected of a request at a server.
+/// The estimate for a request at a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TurnEstimate {
-    /// Until the end of its answer.
+    /// The time until the end of the answer.
     pub duration: Duration,
-    /// Attempts there, this daemon's and others'.
+    /// Attempts at the server, of this daemon and of others.
     pub attempts: u32,
-    /// How long a token takes there.
+    /// The time per token at the server.
     pub time_per_token: Duration,
     /// Whether the server holds what the request needs.
     pub holds_prompt: bool,
-    /// How old the news of others' attempts are; none when there are none that count.
+    /// The age of the report of other daemons' attempts, if there is a recent one.
     pub view_age: Option<Duration>,
 }
 
-/// Where a request goes.
+/// The result of a choice.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Choice {
-    /// To this server. The attempt counts as begun.
+    /// Send the request to this server. The attempt counts as begun.
     Use {
         /// The server.
         server: BackendAddress,
-        /// Why this one.
+        /// The reasons for the choice.
         basis: ChoiceBasis,
     },
-    /// Every server has as much work as it takes.
+    /// Every server has the maximum work that it takes.
     Full {
         /// When it is worth coming back.
         retry_after: Duration,
     },
-    /// No server that was not tried takes work.
+    /// No server takes work, apart from those already tried.
     NoBackend {
         /// When it is worth coming back.
         retry_after: Duration,
     },
 }
 
-/// How an attempt ended, as far as the server's fitness is concerned.
+/// How an attempt ended, as far as it concerns the server's health.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// It answered, whatever the answer, unless that tells of its own failure.
+    /// The server answered. The content does not matter unless it reports a failure of the server.
     Answered,
-    /// It answered that it failed itself.
+    /// The server answered that it failed.
     Failed,
-    /// It said that it did not run the attempt because it is full.
+    /// The server reported that it did not run the attempt because it is full.
     Refused,
-    /// It said that it did not run the attempt because it leaves or is another server.
+    /// The server reported that it did not run the attempt because it is leaving, or because it is
+    /// another server.
     Leaving,
-    /// It could not be reached; nothing was sent.
+    /// The server could not be reached, and nothing was sent.
     Unreachable,
-    /// The answer broke off, was not whole, or belonged to another attempt.
+    /// The answer broke off, was incomplete, or belonged to another attempt.
     Broken,
-    /// It was sent on a kept connection that the server had dropped: that says nothing of its
-    /// fitness.
+    /// The request was sent on an idle connection that the server had closed, which says nothing
+    /// about its health.
     Dropped,
-    /// The caller left.
+    /// The caller disconnected.
     Cancelled,
 }
 
--- a/crates/backends/src/engine.rs
+++ b/crates/backends/src/engine.rs
@@ -1,31 +1,32 @@
-//! What is known of the model servers of a service, and how large a request for them is.
+//! The capacity of a service's model servers, and the size of a request for them.
 
 use dahlia_types::Tokens;
 
-/// Tokens that a request counts for at most. Callers state any number, and the sum of all attempts
-/// must stay exact: a sum cut short would lose others' tokens when one ends.
-const MOST_TURN_TOKENS: u64 = u32::MAX as u64;
+/// The maximum number of tokens that a request counts for. Callers may state any number, and the sum
+/// over all attempts must stay exact: if it saturated, the end of one attempt would also subtract
+/// tokens of others.
+const MAX_TURN_TOKENS: u64 = u32::MAX as u64;
 
-/// What each model server of a service has.
+/// The capacity of each model server of a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EngineCapacity {
     /// Memory for prompts and answers.
     pub memory: Tokens,
 }
 
-/// The size of a request for a model server, as far as the request says it.
+/// The size of a request for a model server, as far as the request states it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct TurnSize {
-    /// Tokens of its prompt.
+    /// The tokens of its prompt.
     pub prompt: Tokens,
-    /// Tokens that its answer is expected to have.
+    /// The expected number of tokens of its answer.
     pub generated: Tokens,
 }
 
 impl TurnSize {
-    /// Tokens of memory that it needs at its end, within bounds.
+    /// Returns the tokens of memory that the request needs when it ends, limited to a maximum.
     pub fn total(self) -> u64 {
         let Self { prompt: Tokens(prompt), generated: Tokens(generated) } = self;
-        prompt.saturating_add(generated).min(MOST_TURN_TOKENS)
+        prompt.saturating_add(generated).min(MAX_TURN_TOKENS)
     }
 }
--- a/crates/backends/src/evacuated_zones.rs
+++ b/crates/backends/src/evacuated_zones.rs
@@ -1,4 +1,4 @@
-//! Zones whose servers get nothing further, as the choice of servers sees them.
+//! Zones that are being evacuated: their servers receive no new requests.
 
 use std::collections::BTreeSet;
 
@@ -6,45 +6,46 @@
 
 use crate::BackendRecord;
 
-/// The zones that are being emptied.
+/// The zones that are being evacuated.
 #[derive(Debug, Default)]
 pub(crate) struct EvacuatedZones(BTreeSet<Zone>);
 
 impl EvacuatedZones {
-    /// Replaces them all.
+    /// Replaces all zones.
     pub(crate) fn set(&mut self, zones: BTreeSet<Zone>) {
         self.0 = zones;
     }
 
-    /// Whether a server lies in one of them.
-    pub(crate) fn has(&self, server: &BackendRecord) -> bool {
+    /// Whether a server lies in an evacuated zone.
+    pub(crate) fn contains(&self, server: &BackendRecord) -> bool {
         self.0.contains(&server.zone)
     }
 
-    /// Each of them with what this daemon has left there.
-    pub(crate) fn survey<'a>(
+    /// Returns the progress of each evacuation. `servers` yields all servers with this daemon's
+    /// attempts there.
+    pub(crate) fn progress<'a>(
         &'a self,
         servers: impl Iterator<Item = (&'a BackendRecord, u32)> + Clone,
     ) -> Vec<EvacuatedZone> {
-        let survey_one = |zone: &Zone| {
-            let there = servers.clone().filter(|(record, _)| record.zone == *zone);
+        let progress_of = |zone: &Zone| {
+            let in_zone = servers.clone().filter(|(record, _)| record.zone == *zone);
             EvacuatedZone {
                 zone: zone.clone(),
-                servers: there.clone().count(),
-                in_flight: there.map(|(_, in_flight)| in_flight).sum(),
+                servers: in_zone.clone().count(),
+                in_flight: in_zone.map(|(_, in_flight)| in_flight).sum(),
             }
         };
-        self.0.iter().map(survey_one).collect()
+        self.0.iter().map(progress_of).collect()
     }
 }
 
-/// How far a zone is emptied, for operators.
+/// The progress of a zone's evacuation, for operators.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EvacuatedZone {
     /// The zone.
     pub zone: Zone,
-    /// Servers that discovery lists there; none where the zone is not known.
+    /// The servers that discovery lists there; 0 if the zone is not known.
     pub servers: usize,
-    /// Attempts of this daemon there that have not ended.
+    /// This daemon's attempts there that have not ended.
     pub in_flight: u32,
 }
--- a/crates/backends/src/latency.rs
+++ b/crates/backends/src/latency.rs
@@ -1,13 +1,14 @@
-//! A faded mean of the time that a server takes to answer.
+//! A moving average of the time until a server's answers begin.
 
 use dahlia_types::{Duration, Timestamp};
 
 use crate::BackendSettings;
 
-/// The least weight of a new sample, so that a single one decides nothing.
-const LEAST_WEIGHT: f64 = 0.2;
+/// The minimum weight of a new sample. It is well below 1, so that a single sample decides nothing.
+const MIN_WEIGHT: f64 = 0.2;
 
-/// A mean that forgets: by samples under load, by time when samples are rare.
+/// An exponential moving average. Under load, old samples lose weight with each new one; when
+/// samples are rare, they lose it with time.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct Latency {
     /// Microseconds.
@@ -17,7 +18,7 @@
 }
 
 impl Latency {
-    pub(crate) fn add(&mut self, time: Duration, settings: &BackendSettings, now: Timestamp) {
+    pub(crate) fn record(&mut self, time: Duration, settings: &BackendSettings, now: Timestamp) {
         let sample = time.as_micros() as f64;
         let weight = match self.samples {
             0 => 1.0,
@@ -28,7 +29,7 @@
         self.sampled_at = now;
     }
 
-    /// The mean, once there are samples enough.
+    /// Returns the mean, or `None` while there are too few samples.
     pub(crate) fn mean(&self, settings: &BackendSettings) -> Option<Duration> {
         (self.samples >= settings.slow_samples).then(|| Duration::from_micros(self.mean as u64))
     }
@@ -40,6 +41,6 @@
     fn weight(&self, settings: &BackendSettings, now: Timestamp) -> f64 {
         let half_life = Duration::from_millis(settings.latency_half_life_ms).as_secs_f64();
         let age = now.since(self.sampled_at).as_secs_f64();
-        (1.0 - 0.5_f64.powf(age / half_life)).max(LEAST_WEIGHT)
+        (1.0 - 0.5_f64.powf(age / half_life)).max(MIN_WEIGHT)
     }
 }
--- a/crates/backends/src/lib.rs
+++ b/crates/backends/src/lib.rs
@@ -1,76 +1,76 @@
-//! Which servers of a service there are, how loaded they are, and which one a request goes to.
+//! Chooses the server for a routed request, from the servers of its service and their loads.
 //!
-//! A deterministic state machine without I/O: records of servers, ends of attempts and moments go
-//! in; choices come out. Many daemons choose at once and none knows what the others have sent, so
-//! a choice rests on the daemon's own attempts, on what servers said when they refused, on what other
-//! daemons told of their loads, and on rendezvous hashing, which lets all daemons prefer the same
-//! server for the same program without a word between them.
+//! A deterministic state machine without I/O: its inputs are server records, ends of attempts and
+//! timestamps, and its outputs are choices. Many daemons choose at once, and none knows what the
+//! others have sent. A choice therefore uses the daemon's own attempts, the servers' refusals, the
+//! loads that other daemons reported, and rendezvous hashing, by which all daemons prefer the same
+//! server for the same program without communication.
 //!
-//! | module | job |
+//! | module | purpose |
 //! |---|---|
-//! | `record` | what is known of a server from discovery |
-//! | `choice` | what is asked, and what comes out |
+//! | `record` | what discovery knows about a server |
+//! | `choice` | the request for a choice, and its result |
 //! | `table` | all servers of all services |
 //! | `service_servers` | the servers of one service, by identifier and by zone |
-//! | `pick` | the choice among them for one request |
-//! | `server` | one server: this daemon's attempts there, its failures |
-//! | `loads` | servers compared by how much of this daemon's load they carry |
-//! | `topology` | how far away a zone is: own zone, own region, another region |
-//! | `nearness` | whether servers of the own zone answer as soon as others of the region |
-//! | `overflow` | which share of the requests other regions take |
-//! | `faded_mean` | a mean of times that forgets |
-//! | `cold` | servers that started of late, and this daemon's share of what they bear |
-//! | `cold_table` | cold servers among all of them |
-//! | `gateways` | which gateways share that |
-//! | `load_report` | what daemons tell each other of servers' loads |
-//! | `load_table` | what is told and heard of loads, for all servers |
-//! | `heard_load` | what others told of one server's load |
-//! | `pace` | how soon a server's tokens come |
-//! | `engine` | what model servers have, and how large a request for them is |
-//! | `expected_end` | the choice by where a request ends first |
-//! | `latency` | how long a server takes to answer |
-//! | `rendezvous` | a rank of servers that all daemons agree on |
-//! | `silent_zones` | zones taken for cut off, and when a request may go there |
-//! | `shares` | which shares of the load fall to which shared prompts |
-//! | `smoothed` | a count averaged over time |
-//! | `settings` | settings of the choice |
-//! | `evacuation_orders` | which zones are ordered to be emptied, merged from several observers |
-//! | `evacuated_zones` | zones whose servers get nothing further |
+//! | `selection` | the selection of a server for one request |
+//! | `server` | one server: this daemon's attempts there, and its failures |
+//! | `load_comparison` | the comparison of servers by how much of this daemon's load they carry |
+//! | `topology` | the distance of a zone: own zone, own region, another region |
+//! | `zone_preference` | whether servers of the own zone answer as soon as others of the region |
+//! | `region_overflow` | the share of requests that goes to other regions |
+//! | `decaying_mean` | an exponentially decaying mean of durations |
+//! | `cold_limiter` | limits for servers that started recently, and this gateway's shares of them |
+//! | `cold_servers` | cold servers among all servers |
+//! | `gateways` | the gateways that share these limits |
+//! | `load_report` | the reports of server loads that daemons exchange |
+//! | `load_exchange` | this daemon's reports, and the reports of others, for all servers |
+//! | `reported_load` | the load of one server that other daemons reported |
+//! | `time_per_token` | the time per token of a server's streams |
+//! | `engine` | the capacity of model servers, and the size of a request for them |
+//! | `expected_end` | the choice by where a request is expected to end first |
+//! | `latency` | the time until a server's answers begin |
+//! | `rendezvous` | a ranking of servers that is the same at all daemons |
+//! | `silent_zones` | zones that are presumed cut off, and their probes |
+//! | `prompt_shares` | the share of the load that each shared prompt has |
+//! | `smoothed_count` | a count averaged over time |
+//! | `settings` | the settings of the choice |
+//! | `evacuation_orders` | orders to evacuate zones, merged from several observers |
+//! | `evacuated_zones` | zones whose servers receive no new requests |
 
 mod choice;
-mod cold;
-mod cold_table;
+mod cold_limiter;
+mod cold_servers;
+mod decaying_mean;
 mod engine;
 mod evacuated_zones;
 mod evacuation_orders;
 mod expected_end;
-mod faded_mean;
 mod gateways;
-mod heard_load;
 mod latency;
+mod load_comparison;
+mod load_exchange;
 mod load_report;
-mod load_table;
-mod loads;
-mod nearness;
-mod overflow;
-mod pace;
-mod pick;
+mod prompt_shares;
 mod record;
+mod region_overflow;
 mod rendezvous;
+mod reported_load;
+mod selection;
 mod server;
 mod service_servers;
 mod settings;
-mod shares;
 mod silent_zones;
-mod smoothed;
+mod smoothed_count;
 mod table;
+mod time_per_token;
 mod topology;
+mod zone_preference;
 
 pub use choice::{
     Affinity, AttemptEnd, Choice, ChoiceBasis, ChoiceReason, ChoiceRequest, SharedPrompt,
     TurnEstimate,
 };
-pub use cold::{ColdChange, ColdLimit, ColdStats};
+pub use cold_limiter::{ColdChange, ColdLimit, ColdStats};
 pub use engine::{EngineCapacity, TurnSize};
 pub use evacuated_zones::EvacuatedZone;
 pub use evacuation_orders::EvacuationOrders;
--- a/crates/backends/src/load_report.rs
+++ b/crates/backends/src/load_report.rs
@@ -1,6 +1,7 @@
-//! What daemons tell each other of servers' loads: their own attempts there, and how soon tokens came.
+//! Reports of server loads that daemons exchange: their own attempts at each server, and the times
+//! between tokens.
 //!
-//! All figures add up, so that a daemon can sum what several others told it and tell the sum on.
+//! All figures are additive, so that a daemon can forward the sum of several reports.
 
 use std::ops::RangeInclusive;
 
@@ -10,51 +11,52 @@
 use crate::BackendId;
 use crate::rendezvous::weight;
 
-/// Salts the hash of servers' identifiers. Any number does, the same at all daemons.
-const DIGEST_HASH: u64 = 0x6c6f_6164;
+/// Salts the hash of servers' identifiers. The value is arbitrary but must be the same at all
+/// daemons.
+const DIGEST_SALT: u64 = 0x6c6f_6164;
 
-/// One life of a server, in few bytes: a hash of its identifier, the same at all daemons.
+/// A short identifier of one incarnation of a server: a hash that is the same at all daemons.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ServerDigest(pub u64);
 
 impl ServerDigest {
-    /// The digest of a server's life.
+    /// Returns the digest of a server's incarnation.
     pub fn of(id: &BackendId) -> Self {
-        Self(weight(DIGEST_HASH, id))
+        Self(weight(DIGEST_SALT, id))
     }
 }
 
-/// How soon the tokens of some streams came.
+/// The times between tokens of some streams.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TokenTimes {
-    /// Tokens that came behind the first event of their stream.
+    /// The number of tokens, without those of each stream's first event.
     pub tokens: u32,
-    /// Microseconds of the pauses before them, in all.
+    /// The sum of the pauses before these tokens, in microseconds.
     pub micros: u32,
 }
 
-/// The load of one server, as far as the attempts of some daemons make it.
+/// The load that the attempts of some daemons cause at one server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerLoad {
-    /// The server, in this life.
+    /// The server, in its current incarnation.
     pub server: ServerDigest,
     /// Attempts that have not ended.
     pub in_flight: u16,
-    /// Tokens of their prompts and of what they may still generate.
+    /// Tokens of their prompts, and tokens that they may still generate.
     pub tokens: u32,
-    /// Of the tokens that came since the load was told last.
+    /// Times of the tokens that arrived since the previous report.
     pub times: TokenTimes,
 }
 
-/// The loads of some servers as other daemons make them. A server in the range that is not among them
-/// has no attempt of theirs.
+/// The loads that other daemons cause at some servers. A server in the range without an entry has
+/// none of their attempts.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadView {
-    /// Which servers it is about.
+    /// The servers that the view covers.
     pub range: RangeInclusive<ServerDigest>,
-    /// In the order of their digests, each once.
+    /// The loads, ordered by digest, without duplicates.
     pub loads: Vec<ServerLoad>,
-    /// How long ago the oldest of its figures were true.
+    /// The age of the oldest figure.
     pub age: Duration,
 }
--- a/crates/backends/src/record.rs
+++ b/crates/backends/src/record.rs
@@ -1,4 +1,4 @@
-//! What is known of a server from discovery.
+//! What discovery knows about a server.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -6,7 +6,7 @@
 use dahlia_types::{Duration, Zone};
 use serde::{Deserialize, Serialize};
 
-/// A service: several servers that can each serve the same requests.
+/// A service: several servers, each of which can serve the same requests.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ServiceName(pub String);
@@ -17,35 +17,36 @@
     }
 }
 
-/// One life (incarnation) of one server: from its start to its end.
+/// One incarnation of a server: from its start to its end.
 ///
-/// A server may start again under the name that it had. It then holds and knows nothing of before, so
-/// whatever is learnt of a server, kept at it or sent to it belongs to one life. As text, `NAME@BORN`;
-/// the name alone where its server does not tell of its lives.
+/// A server may start again under the same name. It has then lost all its state, so whatever is
+/// learnt about a server, stored at it or sent to it belongs to one incarnation. The text form is
+/// `NAME@BORN`, or the name alone if the server does not report its start time.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct BackendId {
-    /// The server's name, the same in all its lives.
+    /// The server's name, the same in all incarnations.
     pub name: String,
-    /// When this life began, in milliseconds since the Unix epoch; 0 where the server does not tell.
+    /// When this incarnation started, in milliseconds since the Unix epoch; 0 if the server does
+    /// not report it.
     pub born: u64,
 }
 
-/// Stands between name and birth in the text form.
+/// Separates the name and the start time in the text form.
 const BORN_SEPARATOR: char = '@';
 
 impl BackendId {
-    /// The life of the server `name` that began at `born`.
+    /// Creates the identifier of the incarnation of `name` that started at `born`.
     pub fn new(name: impl Into<String>, born: u64) -> Self {
         Self { name: name.into(), born }
     }
 }
 
 impl From<&str> for BackendId {
-    /// Reads the text form. Every text is one: without a birth it is a name.
+    /// Parses the text form. Every text is valid: without a start time it is a name.
     fn from(text: &str) -> Self {
-        let with_birth = text.rsplit_once(BORN_SEPARATOR);
-        let with_birth = with_birth.and_then(|(name, born)| Some((name, born.parse().ok()?)));
-        let (name, born) = with_birth.unwrap_or((text, 0));
+        let with_born = text.rsplit_once(BORN_SEPARATOR);
+        let with_born = with_born.and_then(|(name, born)| Some((name, born.parse().ok()?)));
+        let (name, born) = with_born.unwrap_or((text, 0));
         Self::new(name, born)
     }
 }
@@ -63,35 +64,37 @@
 /// Whether a server takes new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum BackendState {
-    /// It takes new work.
+    /// The server takes new work.
     Ready,
-    /// It ends what it has and takes no new work.
+    /// The server finishes its running work and takes no new work.
     Draining,
 }
 
 /// A server as discovery describes it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BackendRecord {
-    /// The server, in this life.
+    /// The server, in its current incarnation.
     pub id: BackendId,
-    /// Its service.
+    /// The service that it belongs to.
     pub service: ServiceName,
     /// Where it listens.
     pub address: SocketAddr,
-    /// Its zone.
+    /// The zone that it lies in.
     pub zone: Zone,
-    /// Requests that it works on at once.
+    /// The number of requests that it can run at once.
     pub slots: u32,
     /// Whether it takes new work.
     pub state: BackendState,
-    /// How much longer it bears only few requests, as it said last: it started of late.
+    /// How much longer the server can handle only few requests, because it started recently. This
+    /// is the server's last report.
     pub cold_for: Duration,
 }
 
-/// Where an attempt is sent.
+/// The destination of an attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BackendAddress {
-    /// The server, in this life. The server refuses the attempt unrun if it is another one.
+    /// The server, in its current incarnation. Another incarnation refuses the attempt without
+    /// running it.
     pub id: BackendId,
     /// Where it listens.
     pub address: SocketAddr,
--- a/crates/backends/src/rendezvous.rs
+++ b/crates/backends/src/rendezvous.rs
@@ -1,8 +1,9 @@
-//! Rendezvous hashing (Thaler and Ravishankar 1998): all daemons rank the servers alike.
+//! Rendezvous hashing (Thaler and Ravishankar 1998): all daemons compute the same ranking of servers.
 
 use crate::BackendId;
 
-/// Rank of a server for what has this hash; the largest is preferred.
+/// Returns the weight of a server for a key with this hash. The server with the largest weight is
+/// preferred.
 pub(crate) fn weight(hash: u64, server: &BackendId) -> u64 {
     let of_name = server.name.bytes().fold(mix(hash), |state, byte| mix(state ^ u64::from(byte)));
     match server.born {
--- a/crates/backends/src/server.rs
+++ b/crates/backends/src/server.rs
@@ -1,52 +1,51 @@
-//! One server as this daemon knows it: its record, this daemon's attempts there, its failures.
+//! One server as this daemon knows it: its record, this daemon's attempts there, and its failures.
 
 use dahlia_types::{Duration, Timestamp};
 
-use crate::cold::Warmth;
-use crate::heard_load::HeardLoad;
+use crate::cold_limiter::ColdState;
 use crate::latency::Latency;
-use crate::pace::Pace;
-use crate::smoothed::SmoothedCount;
+use crate::reported_load::ReportedLoad;
+use crate::smoothed_count::SmoothedCount;
+use crate::time_per_token::TimePerToken;
 use crate::{
     AttemptEnd, BackendRecord, BackendSettings, BackendState, ServerDigest, ServerLoad, TokenTimes,
     TurnSize,
 };
 
-/// Doublings of the pause after which it no longer grows; bounds the shift.
-const MOST_DOUBLINGS: u32 = 10;
-/// Failures that are counted at most, as a multiple of those that make a server suspect.
-const MOST_FAILURES: f64 = 3.0;
+/// The number of doublings after which the pause no longer grows; it bounds the shift.
+const MAX_DOUBLINGS: u32 = 10;
+/// The maximum count of failures, as a multiple of the count that makes a server suspect.
+const MAX_FAILURES_FACTOR: f64 = 3.0;
 
 /// One server.
 #[derive(Debug, Clone)]
 pub(crate) struct Server {
     pub record: BackendRecord,
-    /// Attempts of this daemon that have not ended.
+    /// This daemon's attempts that have not ended.
     pub in_flight: u32,
-    /// Tokens of memory that they need at their ends.
-    tokens: u64,
-    /// The same attempts, averaged over the time before.
-    usual: SmoothedCount,
-    /// It said itself that it leaves, or that another server has its address.
-    said_leaving: bool,
-    /// What discovery says of it cannot be used at present.
+    /// The tokens of memory that these attempts need when they end.
+    reserved_tokens: u64,
+    /// `in_flight`, averaged over time.
+    average_in_flight: SmoothedCount,
+    /// Whether the server itself reported that it is leaving, or that another server has its
+    /// address.
+    reported_leaving: bool,
+    /// Whether the current record from discovery cannot be used.
     pub is_withdrawn: bool,
-    /// It is left alone until then.
+    /// The server receives no requests until then.
     paused_until: Timestamp,
-    unreachable_in_a_row: u32,
+    consecutive_unreachable: u32,
     failures: f64,
-    failures_at: Timestamp,
+    failures_updated_at: Timestamp,
     latency: Latency,
-    /// From then on it may be tried although it is slow.
-    try_again_at: Timestamp,
-    /// Whether it is cold.
-    pub warmth: Warmth,
-    /// How soon its tokens come.
-    pub pace: Pace,
-    /// Of streams of this daemon, since others were told.
-    untold: TokenTimes,
-    /// What others told of their load of it.
-    heard: Option<HeardLoad>,
+    /// From then on the server may be tried although it is slow.
+    slow_retry_at: Timestamp,
+    pub cold_state: ColdState,
+    pub time_per_token: TimePerToken,
+    /// The times of this daemon's tokens that other daemons have not received yet.
+    unreported_times: TokenTimes,
+    /// The load that other daemons reported.
+    reported_load: Option<ReportedLoad>,
 }
 
 impl Server {
@@ -54,20 +53,20 @@
         Self {
             record,
             in_flight: 0,
-            tokens: 0,
-            usual: SmoothedCount::default(),
-            said_leaving: false,
+            reserved_tokens: 0,
+            average_in_flight: SmoothedCount::default(),
+            reported_leaving: false,
             is_withdrawn: false,
             paused_until: Timestamp::ZERO,
-            unreachable_in_a_row: 0,
+            consecutive_unreachable: 0,
             failures: 0.0,
-            failures_at: now,
+            failures_updated_at: now,
             latency: Latency::default(),
-            try_again_at: Timestamp::ZERO,
-            warmth: Warmth::default(),
-            pace: Pace::default(),
-            untold: TokenTimes::default(),
-            heard: None,
+            slow_retry_at: Timestamp::ZERO,
+            cold_state: ColdState::default(),
+            time_per_token: TimePerToken::default(),
+            unreported_times: TokenTimes::default(),
+            reported_load: None,
         }
     }
 
@@ -75,120 +74,126 @@
         ServerDigest::of(&self.record.id)
     }
 
-    /// Whether it takes new work.
+    /// Whether the server takes new work.
     pub(crate) fn takes_work(&self) -> bool {
         !self.is_ending() && !self.is_withdrawn
     }
 
-    /// Whether it is about to end, by discovery and by its own word; the stricter one counts.
+    /// Whether the server is about to end. Either discovery or the server itself may say so.
     pub(crate) fn is_ending(&self) -> bool {
-        self.record.state != BackendState::Ready || self.said_leaving
+        self.record.state != BackendState::Ready || self.reported_leaving
     }
 
-    /// Whether it is left alone for a moment.
+    /// Whether the server receives no requests for a moment.
     pub(crate) fn is_paused(&self, now: Timestamp) -> bool {
         now < self.paused_until
     }
 
-    /// How long it is still left alone.
-    pub(crate) fn pause_left(&self, now: Timestamp) -> Duration {
+    /// Returns the remaining time of the pause.
+    pub(crate) fn remaining_pause(&self, now: Timestamp) -> Duration {
         self.paused_until.since(now)
     }
 
-    /// Whether this daemon has as many attempts there as it may have.
+    /// Whether this daemon has the maximum number of attempts there.
     pub(crate) fn is_full(&self, settings: &BackendSettings) -> bool {
         f64::from(self.in_flight) >= f64::from(self.record.slots) * settings.most_per_slot
     }
 
-    /// Whether it failed so often of late that others are better.
+    /// Whether the server failed so often recently that others are better.
     pub(crate) fn is_suspect(&self, settings: &BackendSettings, now: Timestamp) -> bool {
-        self.faded(settings, now) >= settings.suspect_failures
+        self.decayed_failures(settings, now) >= settings.suspect_failures
     }
 
-    /// Attempts of this daemon for each slot.
+    /// Returns this daemon's attempts per slot.
     pub(crate) fn load(&self) -> f64 {
         f64::from(self.in_flight) / f64::from(self.record.slots.max(1))
     }
 
-    /// Attempts of this daemon, averaged over the time before.
-    pub(crate) fn usual_attempts(&self, settings: &BackendSettings, now: Timestamp) -> f64 {
-        self.usual.at(self.in_flight, settings.load_span(), now)
+    /// Returns this daemon's attempts, averaged over time.
+    pub(crate) fn average_attempts(&self, settings: &BackendSettings, now: Timestamp) -> f64 {
+        self.average_in_flight.average_at(self.in_flight, settings.load_span(), now)
     }
 
-    /// Takes its place among others as if it had carried this load before. To every daemon it would
-    /// look emptiest at the same moment otherwise.
-    pub(crate) fn join_with(&mut self, usual_attempts: f64, now: Timestamp) {
-        self.usual = SmoothedCount::starting_at(usual_attempts, now);
+    /// Sets the average of this daemon's attempts, as if the server had carried that load before.
+    /// Otherwise a new server would look idle to all daemons at the same moment.
+    pub(crate) fn assume_average_load(&mut self, average_attempts: f64, now: Timestamp) {
+        self.average_in_flight = SmoothedCount::with_average(average_attempts, now);
     }
 
-    /// Its mean time to an answer, once there are samples enough.
+    /// Returns the mean time to an answer, or `None` while there are too few samples.
     pub(crate) fn latency(&self, settings: &BackendSettings) -> Option<Duration> {
         self.latency.mean(settings)
     }
 
-    /// Whether it is left to others because it answers later than `bound`. Now and then it is
-    /// tried all the same, to find out whether it has recovered.
+    /// Whether the server is avoided because it answers later than `threshold`. It is still tried
+    /// now and then, to find out whether it has recovered.
     pub(crate) fn is_slow(
         &self,
-        bound: Option<Duration>,
+        threshold: Option<Duration>,
         settings: &BackendSettings,
         now: Timestamp,
     ) -> bool {
-        let is_late = self.latency(settings).zip(bound).is_some_and(|(mean, bound)| mean > bound);
-        is_late && now < self.try_again_at
+        let is_late =
+            self.latency(settings).zip(threshold).is_some_and(|(mean, threshold)| mean > threshold);
+        is_late && now < self.slow_retry_at
     }
 
-    /// What others told of their load of it, unless that was longer ago than `most`.
-    pub(crate) fn others(&self, most: Duration, now: Timestamp) -> Option<HeardLoad> {
-        self.heard.filter(|heard| heard.age(most, now).is_some())
+    /// Returns the load that other daemons reported, unless the report is older than `max_age`.
+    pub(crate) fn recent_reported_load(
+        &self,
+        max_age: Duration,
+        now: Timestamp,
+    ) -> Option<ReportedLoad> {
+        self.reported_load.filter(|load| load.age(max_age, now).is_some())
     }
 
-    /// Takes in others' load of it. Of two the later one counts, in whichever order they arrive.
-    pub(crate) fn heard(&mut self, load: HeardLoad) {
-        if self.heard.is_none_or(|before| before.at <= load.at) {
-            self.heard = Some(load);
+    /// Records the load of other daemons. Of two reports the later one counts, whatever the order of
+    /// their arrival.
+    pub(crate) fn record_reported_load(&mut self, load: ReportedLoad) {
+        if self.reported_load.is_none_or(|before| before.measured_at <= load.measured_at) {
+            self.reported_load = Some(load);
         }
     }
 
-    /// Tokens of memory that this daemon's attempts need at their ends.
-    pub(crate) fn tokens(&self) -> u64 {
-        self.tokens
+    /// Returns the tokens of memory that this daemon's attempts need when they end.
+    pub(crate) fn reserved_tokens(&self) -> u64 {
+        self.reserved_tokens
     }
 
-    /// An attempt needs so much memory.
+    /// Reserves the memory of an attempt.
     pub(crate) fn reserve(&mut self, size: TurnSize) {
-        self.tokens = self.tokens.saturating_add(size.total());
+        self.reserved_tokens = self.reserved_tokens.saturating_add(size.total());
     }
 
-    /// An attempt needs its memory no longer.
+    /// Releases the memory of an attempt.
     pub(crate) fn release(&mut self, size: TurnSize) {
-        self.tokens = self.tokens.saturating_sub(size.total());
+        self.reserved_tokens = self.reserved_tokens.saturating_sub(size.total());
     }
 
-    /// Tokens of a stream of this daemon came.
+    /// Records the times between tokens of one of this daemon's streams.
     pub(crate) fn record_token_times(&mut self, times: TokenTimes, now: Timestamp) {
-        self.pace.add(times, now);
-        let untold = &mut self.untold;
-        untold.tokens = untold.tokens.saturating_add(times.tokens);
-        untold.micros = untold.micros.saturating_add(times.micros);
+        self.time_per_token.record(times, now);
+        let unreported = &mut self.unreported_times;
+        unreported.tokens = unreported.tokens.saturating_add(times.tokens);
+        unreported.micros = unreported.micros.saturating_add(times.micros);
     }
 
-    /// This daemon's load of it, for others; times are told once.
-    pub(crate) fn tell_load(&mut self) -> ServerLoad {
+    /// Returns the load that this daemon causes, for other daemons. Token times are reported once.
+    pub(crate) fn take_load_report(&mut self) -> ServerLoad {
         ServerLoad {
             server: self.digest(),
             in_flight: self.in_flight.try_into().unwrap_or(u16::MAX),
-            tokens: self.tokens.try_into().unwrap_or(u32::MAX),
-            times: std::mem::take(&mut self.untold),
+            tokens: self.reserved_tokens.try_into().unwrap_or(u32::MAX),
+            times: std::mem::take(&mut self.unreported_times),
         }
     }
 
     pub(crate) fn begin_attempt(&mut self, settings: &BackendSettings, now: Timestamp) {
-        self.warmth.note_sent(now);
-        self.usual.note(self.in_flight, settings.load_span(), now);
+        self.cold_state.record_sent(now);
+        self.average_in_flight.record(self.in_flight, settings.load_span(), now);
         self.in_flight += 1;
-        if now >= self.try_again_at {
-            self.try_again_at = now + Duration::from_millis(settings.slow_retry_ms);
+        if now >= self.slow_retry_at {
+            self.slow_retry_at = now + Duration::from_millis(settings.slow_retry_ms);
         }
     }
 
@@ -198,10 +203,11 @@
         settings: &BackendSettings,
         now: Timestamp,
     ) {
-        self.latency.add(time, settings, now);
+        self.latency.record(time, settings, now);
     }
 
-    /// An answer that did not come says only that it takes longer than this.
+    /// Records that an attempt ended without an answer after this time. It shows only that an answer
+    /// takes longer.
     pub(crate) fn record_unanswered(
         &mut self,
         time: Duration,
@@ -209,7 +215,7 @@
         now: Timestamp,
     ) {
         if self.latency.is_at_most(time) {
-            self.latency.add(time, settings, now);
+            self.latency.record(time, settings, now);
         }
     }
 
@@ -219,16 +225,16 @@
         settings: &BackendSettings,
         now: Timestamp,
     ) {
-        self.usual.note(self.in_flight, settings.load_span(), now);
+        self.average_in_flight.record(self.in_flight, settings.load_span(), now);
         self.in_flight = self.in_flight.saturating_sub(1);
         if self.in_flight == 0 {
-            self.tokens = 0;
+            self.reserved_tokens = 0;
         }
         match end {
-            AttemptEnd::Answered => self.unreachable_in_a_row = 0,
+            AttemptEnd::Answered => self.consecutive_unreachable = 0,
             AttemptEnd::Dropped | AttemptEnd::Cancelled => {}
             AttemptEnd::Refused => self.pause(settings.refused_pause_ms, now),
-            AttemptEnd::Leaving => self.said_leaving = true,
+            AttemptEnd::Leaving => self.reported_leaving = true,
             AttemptEnd::Broken | AttemptEnd::Failed => {
                 self.add_failures(1.0, settings, now);
             }
@@ -236,18 +242,18 @@
         }
     }
 
-    /// Failures that this daemon or another one saw.
+    /// Adds failures that this daemon or another one saw.
     pub(crate) fn add_failures(&mut self, count: f64, settings: &BackendSettings, now: Timestamp) {
-        // Bounded, so that a back end which is sound again is tried again before long.
-        let most = settings.suspect_failures * MOST_FAILURES;
-        self.failures = (self.faded(settings, now) + count).min(most);
-        self.failures_at = now;
+        // The count is bounded, so that a server that has recovered is soon tried again.
+        let max_failures = settings.suspect_failures * MAX_FAILURES_FACTOR;
+        self.failures = (self.decayed_failures(settings, now) + count).min(max_failures);
+        self.failures_updated_at = now;
     }
 
     fn pause_unreachable(&mut self, settings: &BackendSettings, now: Timestamp) {
-        let doublings = self.unreachable_in_a_row.min(MOST_DOUBLINGS);
+        let doublings = self.consecutive_unreachable.min(MAX_DOUBLINGS);
         let pause = settings.unreachable_pause_ms << doublings;
-        self.unreachable_in_a_row += 1;
+        self.consecutive_unreachable += 1;
         self.pause(pause.min(settings.longest_pause_ms), now);
     }
 
@@ -256,9 +262,9 @@
         self.paused_until = self.paused_until.max(until);
     }
 
-    fn faded(&self, settings: &BackendSettings, now: Timestamp) -> f64 {
+    fn decayed_failures(&self, settings: &BackendSettings, now: Timestamp) -> f64 {
         let half_life = Duration::from_millis(settings.failure_half_life_ms).as_secs_f64();
-        let age = now.since(self.failures_at).as_secs_f64();
+        let age = now.since(self.failures_updated_at).as_secs_f64();
         self.failures * 0.5_f64.powf(age / half_life)
     }
 }
--- a/crates/backends/src/service_servers.rs
+++ b/crates/backends/src/service_servers.rs
@@ -1,6 +1,7 @@
 //! The servers of one service: found by identifier, and by zone in an order that all daemons share.
-//! What is asked about all of them together is counted as they change, so that no question walks
-//! over thousands of servers.
+//!
+//! Aggregates over all of them are updated with each change, so that no query iterates over
+//! thousands of servers.
 
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -8,52 +9,52 @@
 
 use dahlia_types::{Duration, Timestamp, Zone};
 
-use crate::heard_load::HeardLoad;
-use crate::pace::Pace;
 use crate::rendezvous::weight;
+use crate::reported_load::ReportedLoad;
 use crate::server::Server;
-use crate::smoothed::SmoothedCount;
+use crate::smoothed_count::SmoothedCount;
+use crate::time_per_token::TimePerToken;
 use crate::{
     AttemptEnd, BackendId, BackendRecord, BackendSettings, ServerDigest, ServerLoad, TokenTimes,
 };
 
-/// Where a server is kept; of use until the server is taken out.
+/// An index into the arena, valid until the server is removed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct ServerKey(usize);
 
-/// Ranks servers on their rings. Any number does, the same at all daemons.
-const RING_HASH: u64 = 0;
-/// What this daemon has under way is averaged over this time before it is taken for its usual load:
-/// many times the time between two of its requests, in the largest fleets one or two a second.
-const LOAD_SPAN: Duration = Duration::from_millis(10_000);
+/// Ranks servers on their rings. The value is arbitrary but must be the same at all daemons.
+const RING_SALT: u64 = 0;
+/// The time over which this daemon's attempts are averaged. It is many times the interval between
+/// two of its requests; in the largest fleets a daemon has one or two a second.
+const LOAD_TIME_CONSTANT: Duration = Duration::from_millis(10_000);
 
 /// The servers of one service.
 #[derive(Debug, Default)]
 pub(crate) struct ServiceServers {
     arena: Vec<Option<Server>>,
-    /// Keys that are free to be used again.
+    /// Keys that can be reused.
     free: Vec<ServerKey>,
     by_id: BTreeMap<BackendId, ServerKey>,
     by_digest: BTreeMap<ServerDigest, ServerKey>,
     zones: BTreeMap<Zone, ZoneServers>,
-    /// Servers whose load others are to be told.
-    telling: BTreeSet<ServerKey>,
-    /// How soon the tokens of all of them come.
-    pace: Pace,
-    /// Servers whose time to an answer is known.
-    timed: BTreeSet<ServerKey>,
-    /// Attempts of this daemon that have not ended.
+    /// Servers whose load must be reported to other daemons.
+    to_report: BTreeSet<ServerKey>,
+    /// The time per token over all servers.
+    time_per_token: TimePerToken,
+    /// Servers with a known latency.
+    with_latency: BTreeSet<ServerKey>,
+    /// This daemon's attempts that have not ended.
     in_flight: u32,
-    /// The same, averaged over the time before.
-    usual: SmoothedCount,
-    /// Servers looked at so far: what all questions cost.
+    /// `in_flight`, averaged over time.
+    average_in_flight: SmoothedCount,
+    /// The number of servers examined so far, which is the cost of all queries.
     servers_examined: Cell<u64>,
 }
 
 /// The servers of one zone.
 #[derive(Debug, Default)]
 struct ZoneServers {
-    /// By the hash of their identifiers.
+    /// Ordered by the hash of their identifiers.
     ring: BTreeSet<(u64, ServerKey)>,
     slots: u64,
 }
@@ -67,47 +68,47 @@
         self.by_id.is_empty()
     }
 
-    /// In the order of their identifiers.
+    /// Iterates in the order of identifiers.
     pub(crate) fn iter(&self) -> impl Iterator<Item = &Server> + Clone {
-        self.by_id.values().filter_map(|key| self.at(*key))
+        self.by_id.values().filter_map(|key| self.get_by_key(*key))
     }
 
-    /// In no order.
+    /// Iterates in no particular order.
     pub(crate) fn iter_mut(&mut self) -> impl Iterator<Item = &mut Server> {
         self.servers_examined.set(self.servers_examined.get() + self.by_id.len() as u64);
         self.arena.iter_mut().flatten()
     }
 
     pub(crate) fn get(&self, id: &BackendId) -> Option<&Server> {
-        self.at(*self.by_id.get(id)?)
+        self.get_by_key(*self.by_id.get(id)?)
     }
 
     pub(crate) fn get_mut(&mut self, id: &BackendId) -> Option<&mut Server> {
-        let ServerKey(place) = *self.by_id.get(id)?;
-        self.arena.get_mut(place)?.as_mut()
+        let ServerKey(index) = *self.by_id.get(id)?;
+        self.arena.get_mut(index)?.as_mut()
     }
 
-    /// Takes a record in. Returns whether its server is new.
+    /// Inserts or updates a record. Returns whether its server is new.
     pub(crate) fn put(&mut self, record: BackendRecord, now: Timestamp) -> bool {
         let Some(&key) = self.by_id.get(&record.id) else {
             self.insert(Server::new(record, now));
             return true;
         };
-        self.leave_ring(key);
+        self.remove_from_ring(key);
         if let Some(server) = self.arena[key.0].as_mut() {
             server.record = record;
             server.is_withdrawn = false;
         }
-        self.join_ring(key);
+        self.add_to_ring(key);
         false
     }
 
     pub(crate) fn remove(&mut self, id: &BackendId) {
         let Some(&key) = self.by_id.get(id) else { return };
-        self.leave_ring(key);
+        self.remove_from_ring(key);
         self.by_id.remove(id);
-        self.timed.remove(&key);
-        self.telling.remove(&key);
+        self.with_latency.remove(&key);
+        self.to_report.remove(&key);
         self.free.push(key);
         if let Some(server) = self.arena[key.0].take() {
             self.by_digest.remove(&server.digest());
@@ -115,7 +116,7 @@
         }
     }
 
-    /// An attempt begins at a server.
+    /// Records the start of an attempt at a server.
     pub(crate) fn begin_attempt(
         &mut self,
         id: &BackendId,
@@ -125,12 +126,12 @@
         let before = self.in_flight;
         let Some(server) = self.get_mut(id) else { return };
         server.begin_attempt(settings, now);
-        self.usual.note(before, LOAD_SPAN, now);
+        self.average_in_flight.record(before, LOAD_TIME_CONSTANT, now);
         self.in_flight += 1;
-        self.telling.extend(self.by_id.get(id).copied());
+        self.to_report.extend(self.by_id.get(id).copied());
     }
 
-    /// An attempt ended at a server.
+    /// Records the end of an attempt at a server.
     pub(crate) fn end_attempt(
         &mut self,
         id: &BackendId,
@@ -143,53 +144,54 @@
         let at_server = server.in_flight;
         server.end_attempt(end, settings, now);
         let ended = at_server - server.in_flight;
-        self.usual.note(before, LOAD_SPAN, now);
+        self.average_in_flight.record(before, LOAD_TIME_CONSTANT, now);
         self.in_flight -= ended;
     }
 
-    /// Takes in how a server's time to an answer was sampled.
-    pub(crate) fn sample(
+    /// Applies `record` to a server, which adds a sample of its latency.
+    pub(crate) fn record_latency_sample(
         &mut self,
         id: &BackendId,
         settings: &BackendSettings,
-        take_in: impl FnOnce(&mut Server),
+        record: impl FnOnce(&mut Server),
     ) {
         let Some(&key) = self.by_id.get(id) else { return };
         let Some(server) = self.arena[key.0].as_mut() else { return };
-        take_in(server);
+        record(server);
         if server.latency(settings).is_some() {
-            self.timed.insert(key);
+            self.with_latency.insert(key);
         }
     }
 
-    /// Tokens of a stream of this daemon came.
+    /// Records the times between tokens of one of this daemon's streams.
     pub(crate) fn record_token_times(&mut self, id: &BackendId, times: TokenTimes, now: Timestamp) {
         let Some(&key) = self.by_id.get(id) else { return };
         let Some(server) = self.arena[key.0].as_mut() else { return };
         server.record_token_times(times, now);
-        self.pace.add(times, now);
-        self.telling.insert(key);
+        self.time_per_token.record(times, now);
+        self.to_report.insert(key);
     }
 
-    /// Microseconds a token at all of them; none while nothing is known.
-    pub(crate) fn usual_pace(&self) -> Option<f64> {
-        self.pace.general()
+    /// Returns the mean microseconds per token over all servers, or `None` without samples.
+    pub(crate) fn mean_token_micros(&self) -> Option<f64> {
+        self.time_per_token.long_term_micros()
     }
 
-    /// This daemon's load of those that have any, or whose tokens came since the last call.
+    /// Returns this daemon's load of servers that have any, or whose tokens arrived since the last
+    /// call.
     pub(crate) fn take_own_loads(&mut self) -> Vec<ServerLoad> {
-        let mut loads = Vec::with_capacity(self.telling.len());
+        let mut loads = Vec::with_capacity(self.to_report.len());
         let arena = &mut self.arena;
-        self.telling.retain(|ServerKey(place)| {
-            let Some(server) = arena[*place].as_mut() else { return false };
-            loads.push(server.tell_load());
+        self.to_report.retain(|ServerKey(index)| {
+            let Some(server) = arena[*index].as_mut() else { return false };
+            loads.push(server.take_load_report());
             server.in_flight > 0
         });
         loads.retain(|load| load.in_flight > 0 || load.times != TokenTimes::default());
         loads
     }
 
-    /// The servers whose digests lie in a range, in their order.
+    /// Returns the servers whose digests lie in a range, in the order of digests.
     pub(crate) fn keys_in(
         &self,
         range: &RangeInclusive<ServerDigest>,
@@ -197,69 +199,75 @@
         self.by_digest.range(range.clone()).map(|(digest, key)| (*digest, *key)).collect()
     }
 
-    /// Takes in others' load of a server as it was `at` a moment. Returns whether it could have it.
-    pub(crate) fn heard_load(
+    /// Applies a report of other daemons' load of a server. Returns `false` if the server cannot
+    /// have that load.
+    pub(crate) fn apply_load_report(
         &mut self,
         key: ServerKey,
         load: &ServerLoad,
-        at: Timestamp,
+        measured_at: Timestamp,
         now: Timestamp,
     ) -> bool {
         let Some(server) = self.arena[key.0].as_mut() else { return false };
-        let Some(heard) = HeardLoad::read(load, server.record.slots, at) else { return false };
-        server.heard(heard);
+        let Some(reported) = ReportedLoad::from_report(load, server.record.slots, measured_at)
+        else {
+            return false;
+        };
+        server.record_reported_load(reported);
         if load.times.tokens > 0 {
-            // Times are told once and at once, so that they are younger than the loads beside them.
-            server.pace.add(load.times, now);
-            self.pace.add(load.times, now);
+            // Token times are reported once and without delay, so they are more recent than the
+            // loads in the same view.
+            server.time_per_token.record(load.times, now);
+            self.time_per_token.record(load.times, now);
         }
         true
     }
 
-    /// None of the others used a server at a moment.
-    pub(crate) fn heard_none(&mut self, key: ServerKey, at: Timestamp) {
+    /// Records that other daemons had no attempts at a server.
+    pub(crate) fn apply_idle_report(&mut self, key: ServerKey, measured_at: Timestamp) {
         if let Some(server) = self.arena[key.0].as_mut() {
-            server.heard(HeardLoad::none(at));
+            server.record_reported_load(ReportedLoad::idle(measured_at));
         }
     }
 
-    /// Servers whose time to an answer is known.
-    pub(crate) fn all_timed(&self) -> impl Iterator<Item = &Server> {
-        self.timed.iter().filter_map(|key| self.at(*key))
+    /// Iterates over the servers with a known latency.
+    pub(crate) fn servers_with_latency(&self) -> impl Iterator<Item = &Server> {
+        self.with_latency.iter().filter_map(|key| self.get_by_key(*key))
     }
 
-    /// Attempts of this daemon that have not ended.
+    /// Returns this daemon's attempts that have not ended.
     pub(crate) fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// The same, averaged over the time before.
-    pub(crate) fn usual_in_flight(&self, now: Timestamp) -> f64 {
-        self.usual.at(self.in_flight, LOAD_SPAN, now)
+    /// Returns this daemon's attempts, averaged over time.
+    pub(crate) fn average_in_flight(&self, now: Timestamp) -> f64 {
+        self.average_in_flight.average_at(self.in_flight, LOAD_TIME_CONSTANT, now)
     }
 
-    /// Zones that have servers, with the slots of all servers there.
+    /// Iterates over the zones that have servers, with the sum of their slots.
     pub(crate) fn zones(&self) -> impl Iterator<Item = (&Zone, u64)> {
         self.zones.iter().map(|(zone, servers)| (zone, servers.slots))
     }
 
-    /// Servers looked at so far, over all questions.
+    /// Returns the number of servers examined so far, over all queries.
     pub(crate) fn servers_examined(&self) -> u64 {
         self.servers_examined.get()
     }
 
-    /// The servers of a zone, each once, from the place of a hash on. All daemons see the same order.
-    pub(crate) fn from(&self, zone: &Zone, hash: u64) -> impl Iterator<Item = &Server> {
+    /// Iterates once over the servers of a zone, starting at the position of a hash on the zone's
+    /// ring. The order is the same at all daemons.
+    pub(crate) fn ring_from(&self, zone: &Zone, hash: u64) -> impl Iterator<Item = &Server> {
         let ring = self.zones.get(zone).map(|servers| &servers.ring);
         let first = (hash, ServerKey(0));
-        let behind = ring.into_iter().flat_map(move |ring| ring.range(first..));
+        let after = ring.into_iter().flat_map(move |ring| ring.range(first..));
         let before = ring.into_iter().flat_map(move |ring| ring.range(..first));
-        behind.chain(before).filter_map(|(_, key)| self.at(*key))
+        after.chain(before).filter_map(|(_, key)| self.get_by_key(*key))
     }
 
-    fn at(&self, ServerKey(place): ServerKey) -> Option<&Server> {
+    fn get_by_key(&self, ServerKey(index): ServerKey) -> Option<&Server> {
         self.servers_examined.set(self.servers_examined.get() + 1);
-        self.arena.get(place)?.as_ref()
+        self.arena.get(index)?.as_ref()
     }
 
     fn insert(&mut self, server: Server) {
@@ -272,22 +280,22 @@
         self.arena[key.0] = Some(server);
         self.by_id.insert(id, key);
         self.by_digest.insert(digest, key);
-        self.join_ring(key);
+        self.add_to_ring(key);
     }
 
-    fn join_ring(&mut self, key: ServerKey) {
+    fn add_to_ring(&mut self, key: ServerKey) {
         let Some(server) = self.arena[key.0].as_ref() else { return };
-        let place = (weight(RING_HASH, &server.record.id), key);
+        let position = (weight(RING_SALT, &server.record.id), key);
         let zone = self.zones.entry(server.record.zone.clone()).or_default();
-        zone.ring.insert(place);
+        zone.ring.insert(position);
         zone.slots += u64::from(server.record.slots);
     }
 
-    fn leave_ring(&mut self, key: ServerKey) {
+    fn remove_from_ring(&mut self, key: ServerKey) {
         let Some(server) = self.arena[key.0].as_ref() else { return };
-        let place = (weight(RING_HASH, &server.record.id), key);
+        let position = (weight(RING_SALT, &server.record.id), key);
         let Some(zone) = self.zones.get_mut(&server.record.zone) else { return };
-        zone.ring.remove(&place);
+        zone.ring.remove(&position);
         zone.slots -= u64::from(server.record.slots);
         if zone.ring.is_empty() {
             self.zones.remove(&server.record.zone);
--- a/crates/backends/src/settings.rs
+++ b/crates/backends/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the choice of servers, checked at load.
+//! Settings of the choice of servers, validated when they are loaded.
 
 use dahlia_types::{Duration, InvalidSetting, check_range};
 use serde::{Deserialize, Serialize};
@@ -7,70 +7,74 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct BackendSettings {
-    /// A server may have this many times the mean load of its service before a program that
-    /// prefers it goes elsewhere (consistent hashing with bounded loads, Mirrokni and others 2018).
+    /// The maximum load of a server, as a multiple of the mean load of its service. A program that
+    /// prefers a server above it goes elsewhere (consistent hashing with bounded loads, Mirrokni
+    /// and others 2018).
     pub load_bound: f64,
-    /// The same for a program that has a server which holds its prompt.
+    /// The same for a program whose prompt a server holds.
     pub keep_bound: f64,
-    /// Servers that read the same long shared prompt, as a multiple of those that its share of the
-    /// load fills: among more of them the least loaded one is less loaded.
+    /// The number of servers that read the same long shared prompt, as a multiple of the servers
+    /// that its share of the load fills. The least loaded of more servers is less loaded.
     pub prompt_spread: f64,
-    /// Tokens from which on a shared prompt is long. A shorter one is read at more servers, so that
-    /// as many tokens are read for it in all.
+    /// The number of tokens from which a shared prompt is long. A shorter one is read at more
+    /// servers, such that the total number of tokens read for it stays the same.
     pub long_prompt_tokens: u64,
-    /// The least number of them.
+    /// The minimum number of servers that read the same shared prompt.
     pub least_prompt_servers: u32,
-    /// Milliseconds over which loads are averaged.
+    /// The time constant for averaging loads, in milliseconds.
     pub load_span_ms: u64,
-    /// Attempts of this daemon that one server may have, as a multiple of its slots.
+    /// The maximum number of this daemon's attempts at one server, as a multiple of its slots.
     pub most_per_slot: f64,
-    /// What a server in another zone must be less loaded to be chosen, in shares of its slots.
+    /// How much less loaded a server in another zone must be to be chosen, as a share of its slots.
     pub zone_penalty: f64,
-    /// Milliseconds that servers of another region must answer sooner, the way included, before they
-    /// are sent work while the own region's take it: what the bytes between regions are worth.
+    /// By how many milliseconds servers of another region must answer sooner, round trip included,
+    /// to receive work while the own region's servers take it. This is what the bytes between
+    /// regions are worth.
     pub region_margin_ms: u64,
-    /// Milliseconds that a server is left alone after it refused an attempt as full.
+    /// How long a server receives no requests after it refused an attempt as full, in milliseconds.
     pub refused_pause_ms: u64,
-    /// Milliseconds that a server is left alone after it could not be reached; doubles each time.
+    /// How long a server receives no requests after it could not be reached, in milliseconds.
+    /// Doubles with each further failure to reach it.
     pub unreachable_pause_ms: u64,
-    /// The longest such pause in milliseconds.
+    /// The maximum of that pause, in milliseconds.
     pub longest_pause_ms: u64,
-    /// Failed answers, faded, from which on a server is chosen only if there is no other.
+    /// The decayed count of failed answers from which a server is chosen only if there is no other.
     pub suspect_failures: f64,
-    /// Milliseconds in which the count of failed answers fades to a half.
+    /// The half-life of the count of failed answers, in milliseconds.
     pub failure_half_life_ms: u64,
-    /// A server that takes this many times the median time of its service to answer is chosen
-    /// only if there is no other.
+    /// A server that takes more than this many times the median time of its service to answer is
+    /// chosen only if there is no other.
     pub slow_factor: f64,
-    /// Answers before a server's time says anything.
+    /// The number of answers from which a server's mean time is used.
     pub slow_samples: u32,
-    /// Milliseconds below which a server never counts as slow.
+    /// A server that answers within this many milliseconds never counts as slow.
     pub slow_floor_ms: u64,
-    /// Milliseconds after which a slow server is tried again, once.
+    /// The interval at which a slow server is tried once, in milliseconds.
     pub slow_retry_ms: u64,
-    /// Milliseconds in which an old answer's weight fades to a half.
+    /// The half-life of the weight of an old answer, in milliseconds.
     pub latency_half_life_ms: u64,
-    /// What all gateways together may send to a cold server in a second, as a multiple of what its
-    /// service says that it bears.
+    /// The maximum number of requests per second from all gateways to a cold server, as a multiple
+    /// of what its service states that it can handle.
     pub cold_excess: f64,
-    /// Requests a second beyond that.
+    /// Requests per second in addition to `cold_excess`.
     pub cold_slack: f64,
-    /// Whether requests for model servers go where they are expected to end first.
+    /// Whether requests for model servers go to the server where they are expected to end first.
     pub by_expected_end: bool,
-    /// Gateways from which on they do. Where there are fewer, each sees enough of a server's load by its own
-    /// attempts, and a program is better served where its prompt is.
+    /// The number of gateways from which they do. With fewer, each gateway sees enough of a
+    /// server's load in its own attempts, and a program is better served where its prompt is.
     pub expected_end_gateways: usize,
-    /// Prompt tokens that a model server reads in a millisecond.
+    /// The number of prompt tokens that a model server reads in a millisecond.
     pub read_tokens_per_ms: f64,
-    /// A program leaves the server that holds its prompt where a turn costs this many times as much there as
-    /// elsewhere, the reading of its prompt included.
+    /// A program leaves the server that holds its prompt if a turn costs this many times as much
+    /// there as elsewhere, including the time to read the prompt elsewhere.
     pub leave_factor: f64,
-    /// Of two servers, one where a request ends later by this share of the least expected time is drawn
-    /// 1/e times as often.
+    /// Of two servers, the one where a request ends later by this share of the lowest expected time
+    /// is drawn 1/e times as often.
     pub near_end_share: f64,
-    /// Milliseconds that a request must end sooner in another zone to go there.
+    /// By how many milliseconds a request must end sooner in another zone to go there.
     pub zone_margin_ms: u64,
-    /// Milliseconds after which what others told of their loads counts for nothing.
+    /// The maximum age of loads that other daemons reported, in milliseconds. Older reports are
+    /// ignored.
     pub view_bound_ms: u64,
 }
 
@@ -81,13 +85,15 @@
             keep_bound: 3.0,
             load_span_ms: 500,
             prompt_spread: 4.0,
-            // The prompts for which the spread was found. One of 512 tokens takes 8 ms of a server
-            // that reads 65 in a millisecond, so all may read it.
+            // The length of the prompts for which `prompt_spread` was determined. A prompt of 512
+            // tokens takes a server that reads 65 in a millisecond 8 ms, so all servers may read
+            // it.
             long_prompt_tokens: 12_600,
             least_prompt_servers: 2,
             most_per_slot: 2.0,
             zone_penalty: 0.4,
-            // A caller notices tenths of a second; a turn sent there pays for its bytes each time.
+            // A caller notices tenths of a second. A turn sent to another region pays for its bytes
+            // each time.
             region_margin_ms: 50,
             refused_pause_ms: 100,
             unreachable_pause_ms: 250,
@@ -107,7 +113,7 @@
             leave_factor: 3.0,
             near_end_share: 0.2,
             zone_margin_ms: 5,
-            // By then most of the attempts that it tells of have ended.
+            // By then most of the reported attempts have ended.
             view_bound_ms: 1_000,
         }
     }
@@ -122,10 +128,10 @@
         Duration::from_millis(self.load_span_ms)
     }
 
-    /// Checks every field.
+    /// Validates every field.
     ///
     /// # Errors
-    /// The first field with a value that is not allowed.
+    /// The first field with an invalid value.
     pub fn check(&self) -> Result<(), InvalidSetting> {
         check_range("backends.load_bound", self.load_bound, 1.0, 100.0)?;
         check_range("backends.keep_bound", self.keep_bound, 1.0, 100.0)?;
--- a/crates/backends/src/silent_zones.rs
+++ b/crates/backends/src/silent_zones.rs
@@ -1,8 +1,9 @@
-//! Zones that daemons take for cut off, as the choice of servers sees them.
+//! Zones that are presumed cut off, because none of their daemons answers.
 //!
-//! Their servers are chosen when no other one takes the request, as with servers that failed of late, but
-//! for one request now and then: a zone that lost only its daemons has sound servers, and one that answers
-//! shows that its zone is within reach, whatever its daemons do.
+//! Servers of a silent zone are chosen only when no other server takes the request, like servers
+//! that failed recently. The exception is a probe: one request now and then goes there. A zone that
+//! lost only its daemons has healthy servers, and one that answers shows that its zone can be
+//! reached, whatever the state of its daemons.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,47 +11,49 @@
 
 use crate::BackendRecord;
 
-/// A request may go to a silent zone so long after the last one. Seldom enough that a cut costs few callers
-/// a second attempt, and often enough that others don't bear the load of a sound zone for long.
-const TRIED_EACH: Duration = Duration::from_secs(1);
+/// The time between two probes of a silent zone. It is long enough that a cut costs few callers a
+/// second attempt, and short enough that other zones soon stop carrying the load of a healthy zone.
+const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The zones of which nobody answers, with when a request may be sent there again; none as long as
-/// nobody has looked.
+/// The zones none of whose daemons answers, each with the time of its next probe. The time is `None`
+/// until the next choice.
 #[derive(Debug, Default)]
 pub(crate) struct SilentZones(BTreeMap<Zone, Option<Timestamp>>);
 
 impl SilentZones {
-    /// Replaces them all.
+    /// Replaces all zones. Zones that were silent before keep the time of their next probe.
     pub(crate) fn set(&mut self, zones: BTreeSet<Zone>) {
         let mut before = std::mem::take(&mut self.0);
-        let kept = |zone: Zone| {
-            let try_at = before.remove(&zone).flatten();
-            (zone, try_at)
+        let with_probe = |zone: Zone| {
+            let probe_at = before.remove(&zone).flatten();
+            (zone, probe_at)
         };
-        self.0 = zones.into_iter().map(kept).collect();
+        self.0 = zones.into_iter().map(with_probe).collect();
     }
 
-    /// A choice is about to be made: zones that are new here are tried after a while.
-    pub(crate) fn look(&mut self, now: Timestamp) {
-        for try_at in self.0.values_mut() {
-            try_at.get_or_insert(now + TRIED_EACH);
+    /// Schedules the first probe of zones that have become silent since the last choice.
+    pub(crate) fn schedule_probes(&mut self, now: Timestamp) {
+        for probe_at in self.0.values_mut() {
+            probe_at.get_or_insert(now + PROBE_INTERVAL);
         }
     }
 
-    /// Whether a server lies in one of them, and it is not time to try it.
-    pub(crate) fn passes_over(&self, server: &BackendRecord, now: Timestamp) -> bool {
-        self.0.get(&server.zone).is_some_and(|try_at| try_at.is_none_or(|try_at| now < try_at))
+    /// Whether a server lies in a silent zone whose next probe is not due.
+    pub(crate) fn excludes(&self, server: &BackendRecord, now: Timestamp) -> bool {
+        self.0
+            .get(&server.zone)
+            .is_some_and(|probe_at| probe_at.is_none_or(|probe_at| now < probe_at))
     }
 
-    /// A request is sent to a zone.
-    pub(crate) fn sent(&mut self, zone: &Zone, now: Timestamp) {
-        if let Some(try_at) = self.0.get_mut(zone) {
-            *try_at = Some(now + TRIED_EACH);
+    /// Records that a request is sent to a zone, which postpones the zone's next probe.
+    pub(crate) fn record_sent(&mut self, zone: &Zone, now: Timestamp) {
+        if let Some(probe_at) = self.0.get_mut(zone) {
+            *probe_at = Some(now + PROBE_INTERVAL);
         }
     }
 
-    /// A server of a zone answered.
-    pub(crate) fn heard(&mut self, zone: &Zone) {
+    /// Records that a server of a zone answered: the zone is no longer silent.
+    pub(crate) fn record_answer(&mut self, zone: &Zone) {
         self.0.remove(zone);
     }
 }
--- a/crates/backends/src/table.rs
+++ b/crates/backends/src/table.rs
@@ -8,23 +8,24 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-use crate::cold::ColdStart;
+use crate::cold_limiter::ColdLimiter;
 use crate::evacuated_zones::EvacuatedZones;
-use crate::load_table::UnusedLoads;
-use crate::nearness::Nearness;
-use crate::overflow::Overflow;
-use crate::pick::NO_BACKEND_RETRY;
+use crate::load_exchange::RejectedLoads;
+use crate::prompt_shares::PromptShares;
+use crate::region_overflow::RegionOverflow;
+use crate::selection::NO_BACKEND_RETRY;
 use crate::server::Server;
 use crate::service_servers::ServiceServers;
-use crate::shares::PromptShares;
 use crate::silent_zones::SilentZones;
 use crate::topology::Topology;
+use crate::zone_preference::ZonePreference;
 use crate::{
     AttemptEnd, BackendAddress, BackendId, BackendRecord, BackendSettings, Choice, ChoiceRequest,
     Distance, EngineCapacity, EvacuatedZone, Regions, ServiceName,
 };
 
-/// Told of each attempt of this daemon that a server failed while it was not suspect.
+/// Called with the server of each of this daemon's failed attempts, unless the server was already
+/// suspect.
 pub type FailureListener = Box<dyn Fn(&BackendId) + Send>;
 
 /// All servers that this daemon knows.
@@ -33,18 +34,18 @@
     pub(crate) topology: Topology,
     pub(crate) random: ChaCha8Rng,
     pub(crate) services: BTreeMap<ServiceName, ServiceServers>,
-    pub(crate) nearness: BTreeMap<ServiceName, Nearness>,
-    pub(crate) overflow: BTreeMap<ServiceName, Overflow>,
-    /// Where each server is listed, so that ends of attempts find it.
-    pub(crate) listed: BTreeMap<BackendId, ServiceName>,
-    pub(crate) shares: PromptShares,
-    evacuated: EvacuatedZones,
-    silent: SilentZones,
-    pub(crate) cold: ColdStart,
-    /// What the model servers of services have.
+    pub(crate) zone_preferences: BTreeMap<ServiceName, ZonePreference>,
+    pub(crate) region_overflows: BTreeMap<ServiceName, RegionOverflow>,
+    /// The service that lists each server, to find the server when an attempt ends.
+    pub(crate) service_by_id: BTreeMap<BackendId, ServiceName>,
+    pub(crate) prompt_shares: PromptShares,
+    evacuated_zones: EvacuatedZones,
+    silent_zones: SilentZones,
+    pub(crate) cold_limiter: ColdLimiter,
+    /// The capacity of the model servers of each service.
     pub(crate) engines: BTreeMap<ServiceName, EngineCapacity>,
-    pub(crate) unused_loads: UnusedLoads,
-    /// Tells this daemon from others where each is to decide another way.
+    pub(crate) rejected_loads: RejectedLoads,
+    /// Differs between daemons, for choices that should differ between them.
     pub(crate) seed: u64,
     on_failure: Option<FailureListener>,
 }
@@ -56,208 +57,218 @@
 }
 
 impl Backends {
-    /// A table without servers, for a daemon in `own_zone`.
+    /// Creates a table without servers, for a daemon in `own_zone`.
     pub fn new(settings: BackendSettings, own_zone: Zone, seed: u64) -> Self {
         Self {
             settings,
             topology: Topology::new(own_zone, Regions::default()),
             random: ChaCha8Rng::seed_from_u64(seed),
             services: BTreeMap::new(),
-            nearness: BTreeMap::new(),
-            overflow: BTreeMap::new(),
-            listed: BTreeMap::new(),
-            shares: PromptShares::default(),
-            evacuated: EvacuatedZones::default(),
-            silent: SilentZones::default(),
-            cold: ColdStart::default(),
+            zone_preferences: BTreeMap::new(),
+            region_overflows: BTreeMap::new(),
+            service_by_id: BTreeMap::new(),
+            prompt_shares: PromptShares::default(),
+            evacuated_zones: EvacuatedZones::default(),
+            silent_zones: SilentZones::default(),
+            cold_limiter: ColdLimiter::default(),
             engines: BTreeMap::new(),
-            unused_loads: UnusedLoads::default(),
+            rejected_loads: RejectedLoads::default(),
             seed,
             on_failure: None,
         }
     }
 
-    /// The same in a deployment of several regions.
+    /// Sets the regions, for a deployment of several regions.
     pub fn with_regions(mut self, regions: Regions) -> Self {
         self.topology = Topology::new(self.topology.own_zone().clone(), regions);
         self
     }
 
-    /// Takes in what discovery says of a server. What this daemon learnt of that life stays; an
-    /// earlier life is forgotten, and none comes after a later one.
+    /// Applies a record from discovery. What this daemon learnt about that incarnation is kept;
+    /// earlier incarnations are removed. A record of an earlier incarnation than the known one is
+    /// ignored.
     pub fn put(&mut self, record: BackendRecord, now: Timestamp) {
         let id = record.id.clone();
         if self.has_later_incarnation(&id) {
             return;
         }
-        let listed = self.listed.insert(id.clone(), record.service.clone());
-        if listed.is_some_and(|service| service != record.service) {
-            self.take_out(&id);
+        let previous = self.service_by_id.insert(id.clone(), record.service.clone());
+        if previous.is_some_and(|service| service != record.service) {
+            self.remove_from_services(&id);
         }
-        self.forget_earlier_lives(&id);
+        self.remove_earlier_incarnations(&id);
         let servers = self.services.entry(record.service.clone()).or_default();
         let cold_for = record.cold_for;
         if servers.put(record, now) {
-            self.join(&id, now);
+            self.assume_initial_load(&id, now);
         }
-        self.heard_cold(&id, cold_for, now);
+        self.record_cold_for(&id, cold_for, now);
     }
 
-    /// What discovery says of a server cannot be used: it gets no new work until it is put again. It
-    /// has not ended, so what it may still be running counts.
+    /// Suspends a server whose record from discovery cannot be used: it gets no new work until the
+    /// next [`Self::put`]. It has not ended, so attempts that it may still be running count.
     pub fn withdraw(&mut self, id: &BackendId) {
         if let Some((server, _)) = self.server_mut(id) {
             server.is_withdrawn = true;
         }
     }
 
-    /// Whether a server is known to have started again since this life: whatever it had is lost.
+    /// Whether a later incarnation of the server is known. Everything that this incarnation held is
+    /// lost then.
     pub fn has_later_incarnation(&self, id: &BackendId) -> bool {
         let later = (Bound::Excluded(id), Bound::Unbounded);
-        self.listed.range(later).next().is_some_and(|(next, _)| next.name == id.name)
+        self.service_by_id.range(later).next().is_some_and(|(next, _)| next.name == id.name)
     }
 
-    /// Discovery no longer lists a server: it gets no new work.
+    /// Removes a server that discovery no longer lists: it gets no new work.
     pub fn remove(&mut self, id: &BackendId, _now: Timestamp) {
-        self.take_out(id);
-        self.listed.remove(id);
+        self.remove_from_services(id);
+        self.service_by_id.remove(id);
     }
 
-    /// Servers of these zones, now or later, get nothing further; those of all others may.
+    /// Sets the evacuated zones. Their servers, including those added later, get no new requests;
+    /// servers of all other zones may get them again.
     pub fn evacuate(&mut self, zones: BTreeSet<Zone>) {
-        self.evacuated.set(zones);
+        self.evacuated_zones.set(zones);
     }
 
-    /// Nobody of these zones answers this daemon, and of all others somebody does: servers there get
-    /// work only while no others take it, but for a request now and then, until one of them answers.
+    /// Sets the silent zones: no daemon there answers this one, while every other zone has one that
+    /// does. Servers there get work only while no other server takes it, except for an occasional
+    /// probe, until one of them answers.
     pub fn set_silent_zones(&mut self, zones: BTreeSet<Zone>) {
-        self.silent.set(zones);
+        self.silent_zones.set(zones);
     }
 
-    /// Whether a server lies in a zone of which nobody answers, and is not to be tried now.
+    /// Whether a server lies in a silent zone whose next probe is not due.
     pub(crate) fn is_in_silent_zone(&self, server: &Server, now: Timestamp) -> bool {
-        self.silent.passes_over(&server.record, now)
+        self.silent_zones.excludes(&server.record, now)
     }
 
-    /// Whether a server lies in a zone that is being emptied.
+    /// Whether a server lies in an evacuated zone.
     pub fn is_evacuated(&self, id: &BackendId) -> bool {
-        self.server(id).is_some_and(|server| self.evacuated.has(&server.record))
+        self.server(id).is_some_and(|server| self.evacuated_zones.contains(&server.record))
     }
 
-    /// The zones that are being emptied, and what is left there.
+    /// Returns the evacuated zones with their remaining attempts.
     pub fn evacuations(&self) -> Vec<EvacuatedZone> {
         let servers = self.services.values().flat_map(ServiceServers::iter);
-        self.evacuated.survey(servers.map(|server| (&server.record, server.in_flight)))
+        self.evacuated_zones.progress(servers.map(|server| (&server.record, server.in_flight)))
     }
 
-    /// Whether a server, in this life, has ended or is about to: discovery or it itself said so.
+    /// Whether this incarnation of a server has ended or is about to, as reported by discovery or by
+    /// the server itself.
     pub fn is_leaving_or_gone(&self, id: &BackendId) -> bool {
         self.server(id).is_none_or(Server::is_ending)
     }
 
-    /// Whether a server failed so often of late that others are better.
+    /// Whether a server failed so often recently that others are better.
     pub fn is_suspect(&self, id: &BackendId, now: Timestamp) -> bool {
         self.server(id).is_some_and(|server| server.is_suspect(&self.settings, now))
     }
 
-    /// All servers listed, in the order of their identifiers.
+    /// Iterates over all listed servers, in the order of their identifiers.
     pub fn ids(&self) -> impl Iterator<Item = &BackendId> {
-        self.listed.keys()
+        self.service_by_id.keys()
     }
 
-    /// Servers looked at so far, whatever was asked: what choices cost grows with these.
+    /// Returns the number of servers examined so far, over all calls. The cost of choices grows with
+    /// it.
     pub fn servers_examined(&self) -> u64 {
         self.services.values().map(ServiceServers::servers_examined).sum()
     }
 
-    /// Attempts of this daemon at a service that have not ended.
+    /// Returns this daemon's attempts at a service that have not ended.
     pub fn in_flight(&self, service: &ServiceName) -> u32 {
         self.services.get(service).map_or(0, ServiceServers::in_flight)
     }
 
     /// Chooses a server. On [`Choice::Use`] the attempt counts as begun.
-    pub fn choose(&mut self, ask: &ChoiceRequest<'_>, now: Timestamp) -> Choice {
-        self.settle_cold(ask, now);
-        self.silent.look(now);
-        let Some((id, basis)) = self.pick(ask, now) else {
-            return self.refuse(ask, now);
+    pub fn choose(&mut self, request: &ChoiceRequest<'_>, now: Timestamp) -> Choice {
+        self.update_cold_state(request, now);
+        self.silent_zones.schedule_probes(now);
+        let Some((id, basis)) = self.select(request, now) else {
+            return self.refuse(request, now);
         };
-        let servers = self.services.get_mut(ask.service);
+        let servers = self.services.get_mut(request.service);
         let Some((servers, address)) = servers.and_then(|servers| {
             let record = &servers.get(&id)?.record;
-            self.silent.sent(&record.zone, now);
+            self.silent_zones.record_sent(&record.zone, now);
             let address = record.address;
             Some((servers, address))
         }) else {
             return Choice::NoBackend { retry_after: NO_BACKEND_RETRY };
         };
         servers.begin_attempt(&id, &self.settings, now);
-        if let Some(server) = ask.size.and_then(|size| Some((size, servers.get_mut(&id)?))) {
+        if let Some(server) = request.size.and_then(|size| Some((size, servers.get_mut(&id)?))) {
             let (size, server) = server;
             server.reserve(size);
         }
         Choice::Use { server: BackendAddress { id, address }, basis }
     }
 
-    /// Sets who is told of failures, so that other daemons hear of them.
+    /// Sets the listener for failures, which reports them to other daemons.
     pub fn on_failure(&mut self, listener: FailureListener) {
         self.on_failure = Some(listener);
     }
 
-    /// Takes in that other daemons saw attempts at a server fail. They count as this daemon's own:
-    /// with many daemons each meets a server rarely.
+    /// Adds failures that other daemons reported. They count like this daemon's own, because with
+    /// many daemons each one rarely uses a given server.
     pub fn add_reported_failures(&mut self, id: &BackendId, failures: u8, now: Timestamp) {
         if let Some((server, settings)) = self.server_mut(id) {
             server.add_failures(f64::from(failures), settings, now);
         }
     }
 
-    /// Takes in how an attempt ended.
+    /// Records how an attempt ended.
     pub fn end_attempt(&mut self, id: &BackendId, end: AttemptEnd, now: Timestamp) {
         if matches!(end, AttemptEnd::Broken | AttemptEnd::Failed) {
-            self.tell_failure(id, now);
+            self.report_failure(id, now);
         }
         if end == AttemptEnd::Answered {
-            self.note_answering_zone(id);
+            self.record_zone_answer(id);
         }
         if let Some((servers, settings)) = self.servers_of(id) {
             servers.end_attempt(id, end, settings, now);
         }
     }
 
-    /// Takes in how long a server took until its answer began.
+    /// Records the time until a server's answer began.
     pub fn record_response_time(&mut self, id: &BackendId, time: Duration, now: Timestamp) {
         let Some((servers, settings)) = self.servers_of(id) else { return };
-        servers.sample(id, settings, |server| server.record_response_time(time, settings, now));
+        servers.record_latency_sample(id, settings, |server| {
+            server.record_response_time(time, settings, now)
+        });
         let Some(server) = self.server(id) else { return };
         let (service, zone) = (server.record.service.clone(), server.record.zone.clone());
         let distance = self.topology.distance(&zone);
-        let overflow = self.overflow.entry(service.clone()).or_default();
+        let overflow = self.region_overflows.entry(service.clone()).or_default();
         overflow.record_response_time(distance != Distance::OtherRegion, time, now);
         if distance != Distance::OtherRegion {
-            let nearness = self.nearness.entry(service).or_default();
-            nearness.record_response_time(distance == Distance::SameZone, time, now);
+            let zone_preference = self.zone_preferences.entry(service).or_default();
+            zone_preference.record_response_time(distance == Distance::SameZone, time, now);
         }
     }
 
-    /// Takes in that an attempt ended without an answer after this time.
+    /// Records that an attempt ended without an answer after this time.
     pub fn record_unanswered(&mut self, id: &BackendId, time: Duration, now: Timestamp) {
         if let Some((servers, settings)) = self.servers_of(id) {
-            servers.sample(id, settings, |server| server.record_unanswered(time, settings, now));
+            servers.record_latency_sample(id, settings, |server| {
+                server.record_unanswered(time, settings, now)
+            });
         }
     }
 
-    fn note_answering_zone(&mut self, id: &BackendId) {
+    fn record_zone_answer(&mut self, id: &BackendId) {
         if let Some(zone) = self.server(id).map(|server| server.record.zone.clone()) {
-            self.silent.heard(&zone);
+            self.silent_zones.record_answer(&zone);
         }
     }
 
-    fn tell_failure(&self, id: &BackendId, now: Timestamp) {
+    fn report_failure(&self, id: &BackendId, now: Timestamp) {
         let server = self.server(id);
-        // Others know of one that is suspect here, or soon will.
-        let is_news = server.is_some_and(|server| !server.is_suspect(&self.settings, now));
-        if let Some(listener) = self.on_failure.as_ref().filter(|_| is_news) {
+        // If the server is suspect here, other daemons know of it already or soon will.
+        let is_new = server.is_some_and(|server| !server.is_suspect(&self.settings, now));
+        if let Some(listener) = self.on_failure.as_ref().filter(|_| is_new) {
             listener(id);
         }
     }
@@ -266,7 +277,7 @@
         &mut self,
         id: &BackendId,
     ) -> Option<(&mut ServiceServers, &BackendSettings)> {
-        let service = self.listed.get(id)?;
+        let service = self.service_by_id.get(id)?;
         Some((self.services.get_mut(service)?, &self.settings))
     }
 
@@ -276,26 +287,29 @@
     }
 
     fn server(&self, id: &BackendId) -> Option<&Server> {
-        self.services.get(self.listed.get(id)?)?.get(id)
+        self.services.get(self.service_by_id.get(id)?)?.get(id)
     }
 
-    /// Whether a server takes new work, and its zone is not being emptied.
+    /// Whether a server takes new work and its zone is not evacuated.
     pub(crate) fn takes_work(&self, server: &Server) -> bool {
-        server.takes_work() && !self.evacuated.has(&server.record)
+        server.takes_work() && !self.evacuated_zones.contains(&server.record)
     }
 
-    fn forget_earlier_lives(&mut self, id: &BackendId) {
+    fn remove_earlier_incarnations(&mut self, id: &BackendId) {
         let first = BackendId::new(id.name.clone(), 0);
-        let earlier: Vec<BackendId> =
-            self.listed.range(first..id.clone()).map(|(earlier, _)| earlier.clone()).collect();
+        let earlier: Vec<BackendId> = self
+            .service_by_id
+            .range(first..id.clone())
+            .map(|(earlier, _)| earlier.clone())
+            .collect();
         for earlier in earlier {
-            self.take_out(&earlier);
-            self.listed.remove(&earlier);
+            self.remove_from_services(&earlier);
+            self.service_by_id.remove(&earlier);
         }
     }
 
-    fn take_out(&mut self, id: &BackendId) {
-        self.cold.forget(id);
+    fn remove_from_services(&mut self, id: &BackendId) {
+        self.cold_limiter.remove(id);
         for servers in self.services.values_mut() {
             servers.remove(id);
         }
--- a/crates/backends/src/topology.rs
+++ b/crates/backends/src/topology.rs
@@ -1,20 +1,21 @@
-//! How far away a zone is: the own zone, another zone of the own region, another region.
+//! The distance of a zone: the own zone, another zone of the own region, or another region.
 //!
-//! Links inside a region are short and cheap. Between regions a way takes milliseconds, and bytes are
-//! dear. Which zones a region has is told by settings; a deployment that tells none has one region.
+//! Links inside a region are short and cheap. Between regions, a message takes milliseconds and
+//! bytes are expensive. Settings assign zones to regions; a deployment without such settings has a
+//! single region.
 
 use std::collections::BTreeMap;
 
 use dahlia_types::{InvalidSetting, Region, Zone};
 use serde::{Deserialize, Serialize};
 
-/// The region of each zone. Empty where a deployment has one region only.
+/// The region of each zone; empty if a deployment has a single region.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Regions(pub BTreeMap<Zone, Region>);
 
 impl Regions {
-    /// Checks the table of a daemon that lies in `own_zone` and `own_region`.
+    /// Checks the regions for a daemon in `own_zone` and `own_region`.
     ///
     /// # Errors
     /// A name is empty, or the own zone is missing or in another region.
@@ -35,16 +36,16 @@
         if self.0.is_empty() {
             return Ok(());
         }
-        let told = self.0.get(own_zone).map_or("", Region::as_str);
-        if told != own_region.as_str() {
+        let configured = self.0.get(own_zone).map_or("", Region::as_str);
+        if configured != own_region.as_str() {
             let allowed = format!("{:?}, as `daemon.region` says", own_region.as_str());
-            return invalid(format!("regions.{own_zone}"), told, allowed);
+            return invalid(format!("regions.{own_zone}"), configured, allowed);
         }
         Ok(())
     }
 }
 
-/// How far away a server is.
+/// The distance of a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Distance {
     /// In the own zone.
@@ -66,7 +67,7 @@
     }
 }
 
-/// Zones as seen from one of them.
+/// The zones and regions as seen from the own zone.
 #[derive(Debug, Clone)]
 pub(crate) struct Topology {
     zone: Zone,
@@ -82,8 +83,8 @@
         &self.zone
     }
 
-    /// A zone that no region is told of counts as near: it was added since the settings were written,
-    /// and its servers would stand idle otherwise.
+    /// Returns the distance of a zone. A zone without a region counts as part of the own region: it
+    /// was added after the settings were written, and its servers would otherwise stay idle.
     pub(crate) fn distance(&self, zone: &Zone) -> Distance {
         let Regions(regions) = &self.regions;
         let own = regions.get(&self.zone);
