--- a/crates/backends/src/choice.rs
+++ b/crates/backends/src/choice.rs
@@ -124,12 +124,12 @@
     },
     /// Every server has the maximum work that it takes.
     Full {
-        /// When it is worth coming back.
+        /// The delay after which a retry is worthwhile.
         retry_after: Duration,
     },
     /// No server takes work, apart from those already tried.
     NoBackend {
-        /// When it is worth coming back.
+        /// The delay after which a retry is worthwhile.
         retry_after: Duration,
     },
 }
--- a/crates/backends/src/settings.rs
+++ b/crates/backends/src/settings.rs
@@ -11,7 +11,7 @@
     /// prefers a server above it goes elsewhere (consistent hashing with bounded loads, Mirrokni
     /// and others 2018).
     pub load_bound: f64,
-    /// The same for a program whose prompt a server holds.
+    /// The same for the server that holds a program's prompt.
     pub keep_bound: f64,
     /// The number of servers that read the same long shared prompt, as a multiple of the servers
     /// that its share of the load fills. The least loaded of more servers is less loaded.
@@ -45,7 +45,7 @@
     /// A server that takes more than this many times the median time of its service to answer is
     /// chosen only if there is no other.
     pub slow_factor: f64,
-    /// The number of answers from which a server's mean time is used.
+    /// The number of answers that a server's mean time needs before it is used.
     pub slow_samples: u32,
     /// A server that answers within this many milliseconds never counts as slow.
     pub slow_floor_ms: u64,
--- a/crates/backends/tests/cold.rs
+++ b/crates/backends/tests/cold.rs
@@ -1,20 +1,20 @@
-//! What all gateways together send to a cold server.
+//! Bounds the requests that all gateways together send to a cold server.
 
-mod support;
+mod cold_fleet;
 
-use support::{Event, Fleet, MOST, PER_S, Scenario, Way};
+use cold_fleet::{COLD_PER_S, ColdPolicy, Fleet, Incident, MAX_COLD_PER_S, Scenario};
 
 const FLEETS: [usize; 4] = [30, 78, 259, 370];
 const LOADS: [f64; 4] = [0.3, 0.6, 1.0, 1.5];
 
-const USUAL: Scenario = Scenario {
-    way: Way::Shares,
-    event: Event::ZoneBack,
+const BASE: Scenario = Scenario {
+    policy: ColdPolicy::Shares,
+    incident: Incident::ZoneBack,
     gateways: 78,
     load: 0.3,
     burst: 1.0,
-    blind: 0,
-    unknown: 0,
+    uninformed: 0,
+    unknown_gateways: 0,
     seed: 1,
 };
 
@@ -25,65 +25,73 @@
 
 fn cases() -> [Case; 5] {
     [
-        Case { name: "a zone back under a burst", scenario: Scenario { burst: 2.5, ..USUAL } },
-        Case { name: "one new server", scenario: Scenario { event: Event::OneNew, ..USUAL } },
+        Case { name: "a zone returns under a burst", scenario: Scenario { burst: 2.5, ..BASE } },
+        Case { name: "one new server", scenario: Scenario { incident: Incident::OneNew, ..BASE } },
         Case {
             name: "a release one by one",
-            scenario: Scenario { event: Event::Release, ..USUAL },
+            scenario: Scenario { incident: Incident::Release, ..BASE },
         },
-        // Nobody can keep a bound for a server that turns cold unheard while it is loaded beyond that
-        // bound: so far, and no more, does a blind third matter.
+        // No policy can bound the requests to a server that becomes cold unnoticed while its load
+        // is already above the bound. A third of uninformed gateways therefore matters only up to
+        // that point.
         Case {
-            name: "a zone turns cold, a third blind",
-            scenario: Scenario { event: Event::TurnsCold, ..USUAL },
+            name: "a zone becomes cold, a third uninformed",
+            scenario: Scenario { incident: Incident::TurnsCold, ..BASE },
         },
         Case {
-            name: "a zone back, gateways know not all others",
-            scenario: Scenario { unknown: 12, burst: 2.5, ..USUAL },
+            name: "a zone returns, gateways do not know all others",
+            scenario: Scenario { unknown_gateways: 12, burst: 2.5, ..BASE },
         },
     ]
 }
 
-/// One new server drew four times what others got: at each gateway the next first turn
-/// went to it, since it looked emptiest to all of them at the same moment, and then the programs' next
-/// turns, whose prompts it held.
+/// Guards against a new server that received four times the requests of others. It looked idle to
+/// all gateways at the same moment, so each sent it its next first turn, and then the programs'
+/// next turns followed because it held their prompts.
 #[test]
-fn one_new_server_in_a_busy_second_gets_no_more_than_it_bears() {
-    let worst = |way: Way| {
+fn a_new_server_under_load_gets_no_more_than_it_can_handle() {
+    let max_over_seeds = |policy: ColdPolicy| {
         let run = |seed| {
-            let event = Event::OneNew;
-            Fleet::run(Scenario { way, event, load: 1.0, seed, ..USUAL }).most
+            let incident = Incident::OneNew;
+            Fleet::run(Scenario { policy, incident, load: 1.0, seed, ..BASE }).max_cold_per_s
         };
         (0..4).map(run).max().unwrap_or(0)
     };
-    let (off, shares) = (worst(Way::Off), worst(Way::Shares));
-    println!("most in a second: {off} without shares, {shares} with them");
-    assert!(off > MOST, "the load shows nothing: {off}");
-    assert!(shares <= PER_S as usize, "{shares}");
+    let (off, shares) = (max_over_seeds(ColdPolicy::Off), max_over_seeds(ColdPolicy::Shares));
+    println!("maximum in a second: {off} without shares, {shares} with them");
+    assert!(off > MAX_COLD_PER_S, "the load is too low to exceed the limit: {off}");
+    assert!(shares <= COLD_PER_S as usize, "{shares}");
 }
 
-/// The comparison of the design note.
+/// Prints the comparison in the design note.
 #[test]
-#[ignore = "a table for people: run with --ignored --nocapture"]
-fn compare_the_ways() {
-    println!("case | gateways | load | way: most/s, cold use/s, refused %, wait ms, busiest/mean");
-    // Beyond what any way can do for gateways that do not know: see the design note.
-    let beyond = Case {
-        name: "a zone turns cold, a third blind, burst",
-        scenario: Scenario { event: Event::TurnsCold, burst: 2.5, ..USUAL },
+#[ignore = "prints a table: run with --ignored --nocapture"]
+fn compare_policies() {
+    println!(
+        "case | gateways | load | policy: max/s, cold turns/s, refused %, wait ms, busiest/mean"
+    );
+    // No policy can keep the bound here, because uninformed gateways do not know that servers are
+    // cold; see the design note.
+    let over_limit = Case {
+        name: "a zone becomes cold, a third uninformed, burst",
+        scenario: Scenario { incident: Incident::TurnsCold, burst: 2.5, ..BASE },
     };
-    for case in cases().into_iter().chain([beyond]) {
+    for case in cases().into_iter().chain([over_limit]) {
         for gateways in FLEETS {
             for load in LOADS {
                 print!("{} | {gateways} | {load}", case.name);
-                for way in [Way::Off, Way::ByAnswers, Way::Shares] {
-                    let blind = if case.name.contains("blind") { gateways / 3 } else { 0 };
-                    let scenario = Scenario { way, gateways, load, blind, ..case.scenario };
+                for policy in [ColdPolicy::Off, ColdPolicy::ByAnswers, ColdPolicy::Shares] {
+                    let uninformed =
+                        if case.name.contains("uninformed") { gateways / 3 } else { 0 };
+                    let scenario = Scenario { policy, gateways, load, uninformed, ..case.scenario };
                     let outcome = Fleet::run(scenario);
-                    let refused = outcome.refused as f64 / outcome.asked as f64 * 100.0;
+                    let refused = outcome.refused as f64 / outcome.requests as f64 * 100.0;
                     print!(
-                        " | {way:?}: {}, {:.1}, {refused:.1}, {:.0}, {:.2}",
-                        outcome.most, outcome.cold_use, outcome.wait_ms, outcome.evenness
+                        " | {policy:?}: {}, {:.1}, {refused:.1}, {:.0}, {:.2}",
+                        outcome.max_cold_per_s,
+                        outcome.cold_turns_per_s,
+                        outcome.wait_ms,
+                        outcome.busiest_to_mean
                     );
                 }
                 println!();
@@ -93,15 +101,19 @@
 }
 
 #[test]
-fn no_second_is_beyond_the_bound_whatever_the_fleet_and_the_load() {
+fn no_cold_server_exceeds_its_limit_in_any_second() {
     for case in cases() {
         for gateways in FLEETS {
             for load in [0.3, 1.5] {
-                let blind = if case.name.contains("blind") { gateways / 3 } else { 0 };
-                let scenario = Scenario { gateways, load, blind, ..case.scenario };
-                let most = Fleet::run(scenario).most;
-                println!("{}, {gateways} gateways, load {load}: {most}", case.name);
-                assert!(most <= MOST, "{}, {gateways} gateways, load {load}: {most}", case.name);
+                let uninformed = if case.name.contains("uninformed") { gateways / 3 } else { 0 };
+                let scenario = Scenario { gateways, load, uninformed, ..case.scenario };
+                let max_per_s = Fleet::run(scenario).max_cold_per_s;
+                println!("{}, {gateways} gateways, load {load}: {max_per_s}", case.name);
+                assert!(
+                    max_per_s <= MAX_COLD_PER_S,
+                    "{}, {gateways} gateways, load {load}: {max_per_s}",
+                    case.name
+                );
             }
         }
     }
--- a/crates/backends/tests/cold_shares.rs
+++ b/crates/backends/tests/cold_shares.rs
@@ -1,4 +1,4 @@
-//! Shares of what a cold server bears: rules that hold for any fleet, and single decisions.
+//! Shares of what a cold server can handle: invariants for any fleet, and single decisions.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,11 +11,11 @@
 use proptest::prelude::*;
 
 const START: Timestamp = Timestamp(1_000_000);
-const COLD: Duration = Duration::from_millis(3_000);
-const PER_S: f64 = 24.0;
-const EXCESS: f64 = 1.5;
-const SLACK: f64 = 5.0;
-const MOST: usize = 41;
+const COLD_DURATION: Duration = Duration::from_millis(3_000);
+const COLD_PER_S: f64 = 24.0;
+const COLD_EXCESS: f64 = 1.5;
+const COLD_SLACK: f64 = 5.0;
+const MAX_PER_S: usize = 41;
 
 fn service() -> ServiceName {
     ServiceName("assistant".to_owned())
@@ -33,12 +33,15 @@
     }
 }
 
-/// The gateway `own` of so many.
+/// Creates the gateway `own` among `all`.
 fn gateway(own: u64, all: impl IntoIterator<Item = u64>, per_s: Option<f64>) -> Backends {
-    let settings =
-        BackendSettings { cold_excess: EXCESS, cold_slack: SLACK, ..BackendSettings::default() };
+    let settings = BackendSettings {
+        cold_excess: COLD_EXCESS,
+        cold_slack: COLD_SLACK,
+        ..BackendSettings::default()
+    };
     let mut backends = Backends::new(settings, Zone::new("hall-a"), own);
-    let limit = per_s.map(|per_s| (service(), ColdLimit { lasts: COLD, per_s }));
+    let limit = per_s.map(|per_s| (service(), ColdLimit { lasts: COLD_DURATION, per_s }));
     backends.set_cold_limits(BTreeMap::from_iter(limit));
     backends.set_gateways(Gateways::new(own, all));
     backends
@@ -53,7 +56,7 @@
     )
 }
 
-/// A burst: so many requests at each gateway at once, some time after the server is cold.
+/// A burst of requests at each gateway at once, some time after the server became cold.
 #[derive(Debug, Clone)]
 struct Burst {
     at_ms: u64,
@@ -61,18 +64,24 @@
     ends_after_ms: u64,
 }
 
-/// All that gateways send to a cold server that is the only one.
-fn sends(per_s: Option<f64>, gateways: u64, unknown: &[u64], bursts: &[Burst]) -> Vec<Timestamp> {
-    // A tenth of the others at most, and other ones at each gateway.
-    let unknown = &unknown[..unknown.len().min(gateways as usize / 10)];
+/// Returns when gateways send requests to a cold server that is the only one.
+fn simulate_bursts(
+    per_s: Option<f64>,
+    gateways: u64,
+    unknown_gateways: &[u64],
+    bursts: &[Burst],
+) -> Vec<Timestamp> {
+    // Each gateway does not know up to a tenth of the others, and which ones differs between
+    // gateways.
+    let unknown_gateways = &unknown_gateways[..unknown_gateways.len().min(gateways as usize / 10)];
     let known = |own: u64| {
-        let is_known = move |other: &u64| !unknown.contains(&((other + own) % gateways));
+        let is_known = move |other: &u64| !unknown_gateways.contains(&((other + own) % gateways));
         (0..gateways).filter(is_known)
     };
     let mut fleet: Vec<Backends> =
         (0..gateways).map(|own| gateway(own, known(own), per_s)).collect();
     for backends in &mut fleet {
-        backends.put(record("i-1", 1, "hall-a", COLD), START);
+        backends.put(record("i-1", 1, "hall-a", COLD_DURATION), START);
     }
     let mut bursts = bursts.to_vec();
     bursts.sort_by_key(|burst| burst.at_ms);
@@ -91,14 +100,14 @@
     sent
 }
 
-fn most_in_a_second(at: &[Timestamp]) -> usize {
-    let in_second = |first: &Timestamp| {
-        at.iter().filter(|at| *at >= first && at.since(*first) < Duration::from_secs(1)).count()
+fn max_per_second(times: &[Timestamp]) -> usize {
+    let count_from = |first: &Timestamp| {
+        times.iter().filter(|at| *at >= first && at.since(*first) < Duration::from_secs(1)).count()
     };
-    at.iter().map(in_second).max().unwrap_or(0)
+    times.iter().map(count_from).max().unwrap_or(0)
 }
 
-fn burst() -> impl Strategy<Value = Burst> {
+fn any_burst() -> impl Strategy<Value = Burst> {
     (0..2_900_u64, 1..30_usize, 1..400_u64).prop_map(|(at_ms, requests, ends_after_ms)| Burst {
         at_ms,
         requests,
@@ -109,63 +118,63 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(64))]
 
-    /// Whatever callers do, and with each gateway not knowing some others.
+    /// Holds for any bursts, and with some gateways unknown to each gateway.
     #[test]
-    fn no_second_is_beyond_the_bound(
+    fn bursts_never_exceed_the_limit_in_any_second(
         gateways in 1..370_u64,
         per_s in 0.5..100.0_f64,
-        unknown in proptest::collection::vec(0..370_u64, 0..4),
-        bursts in proptest::collection::vec(burst(), 1..12),
+        unknown_gateways in proptest::collection::vec(0..370_u64, 0..4),
+        bursts in proptest::collection::vec(any_burst(), 1..12),
     ) {
-        let most = most_in_a_second(&sends(Some(per_s), gateways, &unknown, &bursts));
-        let bound = per_s * EXCESS + SLACK;
-        prop_assert!(most as f64 <= bound, "{most} of {bound}");
+        let max = max_per_second(&simulate_bursts(Some(per_s), gateways, &unknown_gateways, &bursts));
+        let bound = per_s * COLD_EXCESS + COLD_SLACK;
+        prop_assert!(max as f64 <= bound, "{max} of {bound}");
     }
 }
 
-/// The teeth of the rule above.
+/// Shows that the invariant above can fail: without a limit, one burst exceeds the bound.
 #[test]
-fn without_a_limit_one_burst_is_beyond_the_bound() {
+fn without_a_limit_one_burst_exceeds_the_bound() {
     let bursts = [Burst { at_ms: 100, requests: 1, ends_after_ms: 200 }];
-    let most = most_in_a_second(&sends(None, 78, &[], &bursts));
-    assert!(most > MOST, "{most}");
-    assert!(most_in_a_second(&sends(Some(PER_S), 78, &[], &bursts)) <= MOST);
+    let max = max_per_second(&simulate_bursts(None, 78, &[], &bursts));
+    assert!(max > MAX_PER_S, "{max}");
+    assert!(max_per_second(&simulate_bursts(Some(COLD_PER_S), 78, &[], &bursts)) <= MAX_PER_S);
 }
 
 #[test]
-fn what_a_cold_server_bears_is_used_whatever_the_number_of_gateways() {
+fn the_capacity_of_a_cold_server_is_used_whatever_the_number_of_gateways() {
     for gateways in [1, 7, 30, 78, 370] {
         let bursts: Vec<Burst> =
             (0..29).map(|at| Burst { at_ms: at * 100, requests: 30, ends_after_ms: 50 }).collect();
-        let sent = sends(Some(PER_S), gateways, &[], &bursts).len();
+        let sent = simulate_bursts(Some(COLD_PER_S), gateways, &[], &bursts).len();
         println!("{gateways} gateways: {sent} requests in 2.9 s");
         assert!(sent >= 60, "{gateways} gateways: {sent}");
     }
 }
 
 #[test]
-fn a_gateway_that_does_not_know_the_others_leaves_cold_servers_alone_and_says_until_when() {
-    let mut backends = gateway(0, [], Some(PER_S));
+fn a_gateway_that_knows_no_others_avoids_cold_servers_and_returns_the_remaining_time() {
+    let mut backends = gateway(0, [], Some(COLD_PER_S));
     backends.set_gateways(Gateways::default());
-    backends.put(record("i-1", 1, "hall-a", COLD), START);
+    backends.put(record("i-1", 1, "hall-a", COLD_DURATION), START);
     let later = START + Duration::from_millis(1_000);
     let Choice::Full { retry_after } = choose(&mut backends, None, later) else {
         panic!("it has no share");
     };
     assert_eq!(retry_after, Duration::from_millis(2_000));
     assert_eq!(backends.cold_stats(later).turned_away, 1);
-    let warm = START + COLD;
+    let warm = START + COLD_DURATION;
     assert!(matches!(choose(&mut backends, None, warm), Choice::Use { .. }));
 }
 
 #[test]
-fn a_spent_share_says_when_it_is_worth_coming_back() {
+fn an_exhausted_share_returns_a_retry_delay() {
     let mut backends = gateway(0, [0], Some(1.0));
-    backends.put(record("i-1", 1, "hall-a", COLD), START);
+    backends.put(record("i-1", 1, "hall-a", COLD_DURATION), START);
     assert!(matches!(choose(&mut backends, None, START), Choice::Use { .. }));
     let later = START + Duration::from_millis(500);
     let Choice::Full { retry_after } = choose(&mut backends, None, later) else {
-        panic!("its share is spent");
+        panic!("its share is exhausted");
     };
     assert_eq!(retry_after, Duration::from_millis(750));
     let then = later + retry_after;
@@ -173,19 +182,19 @@
 }
 
 #[test]
-fn a_turn_whose_cold_server_is_closed_goes_elsewhere() {
-    let mut backends = gateway(0, [], Some(PER_S));
+fn a_turn_whose_preferred_server_is_cold_and_closed_goes_elsewhere() {
+    let mut backends = gateway(0, [], Some(COLD_PER_S));
     backends.set_gateways(Gateways::default());
     backends.put(record("i-1", 1, "hall-a", Duration::ZERO), START);
     backends.put(record("i-2", 1, "hall-a", Duration::ZERO), START);
-    let kept = BackendId::new("i-1", 1);
-    let Choice::Use { server, .. } = choose(&mut backends, Some(&kept), START) else {
+    let preferred = BackendId::new("i-1", 1);
+    let Choice::Use { server, .. } = choose(&mut backends, Some(&preferred), START) else {
         panic!("it is warm");
     };
-    assert_eq!(server.id, kept);
-    // It turns cold in the same life, with that turn on its way.
-    backends.put(record("i-1", 1, "hall-a", COLD), START);
-    let Choice::Use { server, .. } = choose(&mut backends, Some(&kept), START) else {
+    assert_eq!(server.id, preferred);
+    // The server becomes cold within the same incarnation, while that turn is running.
+    backends.put(record("i-1", 1, "hall-a", COLD_DURATION), START);
+    let Choice::Use { server, .. } = choose(&mut backends, Some(&preferred), START) else {
         panic!("another one is warm");
     };
     assert_eq!(server.id.name, "i-2");
@@ -193,20 +202,20 @@
 }
 
 #[test]
-fn servers_turn_cold_and_warm_once_each_and_a_zero_heard_late_does_not_warm_one() {
-    let mut backends = gateway(0, [0], Some(PER_S));
+fn each_cold_change_is_reported_once_and_a_late_zero_does_not_end_a_cold_period() {
+    let mut backends = gateway(0, [0], Some(COLD_PER_S));
     let id = BackendId::new("i-1", 1);
     let change = |is_cold| vec![ColdChange { server: id.clone(), is_cold }];
-    backends.put(record("i-1", 1, "hall-a", COLD), START);
+    backends.put(record("i-1", 1, "hall-a", COLD_DURATION), START);
     assert_eq!(backends.take_cold_changes(START), change(true));
     backends.put(record("i-1", 1, "hall-a", Duration::ZERO), START + Duration::from_millis(10));
     assert_eq!(backends.take_cold_changes(START + Duration::from_millis(2_999)), []);
-    assert_eq!(backends.take_cold_changes(START + COLD), change(false));
+    assert_eq!(backends.take_cold_changes(START + COLD_DURATION), change(false));
 }
 
 #[test]
-fn a_zone_that_may_have_turned_cold_unseen_is_presumed_so_and_others_are_not() {
-    let mut backends = gateway(0, [0], Some(PER_S));
+fn only_servers_of_the_presumed_cold_zone_become_cold() {
+    let mut backends = gateway(0, [0], Some(COLD_PER_S));
     backends.put(record("i-1", 1, "hall-a", Duration::ZERO), START);
     backends.put(record("i-2", 1, "hall-b", Duration::ZERO), START);
     backends.presume_cold(&Zone::new("hall-b"), START);
@@ -215,23 +224,23 @@
 }
 
 #[test]
-fn where_no_limit_is_set_cold_servers_are_as_others() {
+fn without_a_limit_cold_servers_are_treated_like_others() {
     let mut backends = gateway(0, [], None);
     backends.set_gateways(Gateways::default());
-    backends.put(record("i-1", 1, "hall-a", COLD), START);
+    backends.put(record("i-1", 1, "hall-a", COLD_DURATION), START);
     for _ in 0..10 {
         assert!(matches!(choose(&mut backends, None, START), Choice::Use { .. }));
     }
     assert_eq!(backends.cold_stats(START).cold, 0);
 }
 
-/// Gateways that each have some load send their first request to a new server at different moments: to
-/// all of them it looks emptiest at once.
+/// Guards against a new server that looks idle to all gateways at the same moment. Gateways that
+/// have some load of their own must send their first request to it at different moments.
 #[test]
-fn a_new_server_without_a_limit_does_not_draw_all_gateways_at_once() {
+fn a_new_server_without_a_limit_does_not_attract_all_gateways_at_once() {
     const GATEWAYS: u64 = 78;
     const OTHERS: u64 = 48;
-    let mut first = 0;
+    let mut first_choices = 0;
     for own in 0..GATEWAYS {
         let mut backends = gateway(own, 0..GATEWAYS, None);
         (0..OTHERS).for_each(|n| {
@@ -248,8 +257,8 @@
         let new = record("i-new", 2, "hall-a", Duration::ZERO);
         backends.put(new.clone(), now);
         let Choice::Use { server, .. } = choose(&mut backends, None, now) else { panic!("room") };
-        first += usize::from(server.id == new.id);
+        first_choices += usize::from(server.id == new.id);
     }
-    println!("{first} of {GATEWAYS} gateways send their next request to the new server");
-    assert!(first <= 10, "{first}");
+    println!("{first_choices} of {GATEWAYS} gateways send their next request to the new server");
+    assert!(first_choices <= 10, "{first_choices}");
 }
--- a/crates/backends/tests/evacuation.rs
+++ b/crates/backends/tests/evacuation.rs
@@ -1,4 +1,4 @@
-//! Zones that are to be emptied: whose word counts, and where requests go then.
+//! Evacuated zones: how reports of orders are merged, and where requests go.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -14,32 +14,32 @@
 const ZONES: [&str; 3] = ["a", "b", "c"];
 const SERVERS_PER_ZONE: usize = 4;
 
-/// What the source of orders did: the zone, and whether it was ordered or withdrawn. Places count
-/// from revision 1.
+/// The changes at the source of orders: the zone, and whether it was ordered or withdrawn. The
+/// first change has revision 1.
 type History = Vec<(usize, bool)>;
 
-/// The zones that are ordered after the first `revisions` of a history.
-fn truth(history: &History, revisions: usize) -> BTreeMap<Zone, u64> {
+/// Returns the orders in force after the first `revisions` changes, with their revisions.
+fn orders_after(history: &History, revisions: usize) -> BTreeMap<Zone, u64> {
     let mut orders = BTreeMap::new();
-    for (place, (zone, is_ordered)) in history.iter().take(revisions).enumerate() {
+    for (index, (zone, is_ordered)) in history.iter().take(revisions).enumerate() {
         let zone = Zone::new(ZONES[*zone]);
         match is_ordered {
-            true => orders.insert(zone, place as u64 + 1),
+            true => orders.insert(zone, index as u64 + 1),
             false => orders.remove(&zone),
         };
     }
     orders
 }
 
-/// A list, or another daemon's document: all orders as of a revision.
-fn view(history: &History, revisions: usize) -> EvacuationOrders {
-    EvacuationOrders::new(revisions as u64, truth(history, revisions))
+/// A listing, or another daemon's document: all orders as of a revision.
+fn view_at(history: &History, revisions: usize) -> EvacuationOrders {
+    EvacuationOrders::new(revisions as u64, orders_after(history, revisions))
 }
 
-/// Changes between two revisions, as a watch or a report tells them.
-fn watch(orders: &mut EvacuationOrders, history: &History, after: usize, at: usize) {
-    for (place, (zone, is_ordered)) in history.iter().enumerate().take(at).skip(after) {
-        let (zone, revision) = (Zone::new(ZONES[*zone]), place as u64 + 1);
+/// Applies the changes between two revisions, as a watch or a report does.
+fn apply_changes(orders: &mut EvacuationOrders, history: &History, after: usize, at: usize) {
+    for (index, (zone, is_ordered)) in history.iter().enumerate().take(at).skip(after) {
+        let (zone, revision) = (Zone::new(ZONES[*zone]), index as u64 + 1);
         match is_ordered {
             true => orders.record_order(zone, revision),
             false => orders.record_withdrawal(&zone, revision),
@@ -48,15 +48,15 @@
     orders.mark_complete_to(at as u64);
 }
 
-fn zones(names: &[&str]) -> BTreeSet<Zone> {
+fn zone_set(names: &[&str]) -> BTreeSet<Zone> {
     names.iter().map(|name| Zone::new(*name)).collect()
 }
 
 proptest! {
-    /// Views of any age in any order, each perhaps more than once: what is known is what was so at
-    /// the newest of them.
+    /// Views of any age arrive in any order, possibly more than once. The result equals the newest
+    /// of them.
     #[test]
-    fn the_newest_view_counts_in_whatever_order_views_arrive(
+    fn the_newest_view_counts_whatever_the_order_of_arrival(
         history in prop::collection::vec((0..ZONES.len(), any::<bool>()), 1..12),
         arrivals in prop::collection::vec(any::<prop::sample::Index>(), 1..8),
     ) {
@@ -65,46 +65,46 @@
         for arrival in arrivals {
             let revisions = arrival.index(history.len() + 1);
             newest = newest.max(revisions);
-            orders.merge(&view(&history, revisions));
-            prop_assert_eq!(&orders, &view(&history, newest));
+            orders.merge(&view_at(&history, revisions));
+            prop_assert_eq!(&orders, &view_at(&history, newest));
         }
     }
 
-    /// Views and watches that follow on what is known, mixed.
+    /// Views are mixed with watches that continue from the known revision.
     #[test]
-    fn changes_and_views_together_tell_the_truth(
+    fn changes_and_views_together_yield_the_current_orders(
         history in prop::collection::vec((0..ZONES.len(), any::<bool>()), 1..12),
         steps in prop::collection::vec((any::<bool>(), any::<prop::sample::Index>()), 1..10),
     ) {
         let mut orders = EvacuationOrders::default();
-        for (is_view, place) in steps {
-            let place = place.index(history.len() + 1);
+        for (is_view, index) in steps {
+            let index = index.index(history.len() + 1);
             let known = orders.known_revision() as usize;
             match is_view {
-                true => orders.merge(&view(&history, place)),
-                // A watch that began before something newer was heard repeats what is known.
-                false => watch(&mut orders, &history, place.min(known), place),
+                true => orders.merge(&view_at(&history, index)),
+                // A watch that began before a newer view arrived repeats known changes.
+                false => apply_changes(&mut orders, &history, index.min(known), index),
             }
-            let expected = view(&history, known.max(place));
+            let expected = view_at(&history, known.max(index));
             prop_assert_eq!(&orders, &expected);
             prop_assert!(orders.is_complete());
         }
     }
 }
 
-/// A word of one kind about the zone `a`, which was ordered at 5 and withdrawn at 8.
+/// A report about the zone `a`, which was ordered at revision 5 and withdrawn at 8.
 #[derive(Debug, Clone, Copy)]
-enum Word {
+enum OrderReport {
     ListBefore,
     ListWithOrder,
     ListAfterWithdrawal,
-    /// The watch from a list at 3 on, up to the order.
+    /// A watch from a listing at 3 up to the order.
     Ordered,
-    /// The same, up to the withdrawal.
+    /// The same watch up to the withdrawal.
     OrderedAndWithdrawn,
 }
 
-impl Word {
+impl OrderReport {
     const ALL: [Self; 5] = [
         Self::ListBefore,
         Self::ListWithOrder,
@@ -113,7 +113,7 @@
         Self::OrderedAndWithdrawn,
     ];
 
-    fn tell(self, orders: &mut EvacuationOrders) {
+    fn apply_to(self, orders: &mut EvacuationOrders) {
         let zone = Zone::new("a");
         match self {
             Self::ListBefore => orders.merge(&EvacuationOrders::new(3, [])),
@@ -143,28 +143,29 @@
 }
 
 #[test]
-fn of_two_words_in_each_order_the_newer_counts() {
-    for first in Word::ALL {
-        for second in Word::ALL {
+fn the_newer_of_two_reports_counts_in_either_order() {
+    for first in OrderReport::ALL {
+        for second in OrderReport::ALL {
             let mut orders = EvacuationOrders::default();
-            first.tell(&mut orders);
-            second.tell(&mut orders);
+            first.apply_to(&mut orders);
+            second.apply_to(&mut orders);
             let newest = first.known_revision().max(second.known_revision());
             let is_ordered = (5..8).contains(&newest);
-            let expected = if is_ordered { zones(&["a"]) } else { BTreeSet::new() };
+            let expected = if is_ordered { zone_set(&["a"]) } else { BTreeSet::new() };
             assert_eq!(orders.zones(), expected, "{first:?}, then {second:?}");
         }
     }
 }
 
 #[test]
-fn an_order_met_while_a_list_was_read_holds_until_the_watch_tells_more() {
+fn an_order_seen_during_a_listing_holds_until_a_later_withdrawal() {
     let mut orders = EvacuationOrders::default();
-    // The list's first page was as of 10; on a later page stood an order of revision 13.
+    // The first page of the listing was read at revision 10, and a later page contained an order of
+    // revision 13.
     orders.merge(&EvacuationOrders::new(10, [(Zone::new("a"), 13)]));
-    assert_eq!((orders.zones(), orders.is_complete()), (zones(&["a"]), false));
+    assert_eq!((orders.zones(), orders.is_complete()), (zone_set(&["a"]), false));
     orders.record_withdrawal(&Zone::new("a"), 11);
-    assert_eq!(orders.zones(), zones(&["a"]), "that was an earlier order's withdrawal");
+    assert_eq!(orders.zones(), zone_set(&["a"]), "that withdrawal belongs to an earlier order");
     orders.mark_complete_to(14);
     assert!(orders.is_complete());
     orders.record_withdrawal(&Zone::new("a"), 15);
@@ -187,8 +188,8 @@
     }
 }
 
-/// Servers `a-0` and so on of three zones, for a daemon in the zone of that number.
-fn fleet(own_zone: usize, seed: u64) -> Backends {
+/// Creates servers `a-0` and so on in three zones, for a daemon in the zone with that index.
+fn build_backends(own_zone: usize, seed: u64) -> Backends {
     let own_zone = Zone::new(ZONES[own_zone]);
     let mut backends = Backends::new(BackendSettings::default(), own_zone, seed);
     for zone in ZONES {
@@ -207,25 +208,25 @@
 ) -> Choice {
     let preferred = preferred.map(BackendId::from);
     let service = service();
-    let ask = ChoiceRequest {
+    let request = ChoiceRequest {
         service: &service,
         affinity,
         preferred: preferred.as_ref(),
         tried,
         size: None,
     };
-    backends.choose(&ask, NOW)
+    backends.choose(&request, NOW)
 }
 
-fn used(choice: Choice) -> BackendId {
+fn chosen_server(choice: Choice) -> BackendId {
     match choice {
         Choice::Use { server, .. } => server.id,
         other => panic!("no server was chosen: {other:?}"),
     }
 }
 
-/// Whatever ties a request to a server.
-fn ties() -> [Option<Affinity>; 4] {
+/// Returns every kind of affinity, and none.
+fn affinities() -> [Option<Affinity>; 4] {
     [
         None,
         Some(Affinity::Program(3)),
@@ -235,7 +236,7 @@
 }
 
 #[test]
-fn nothing_new_goes_to_an_evacuated_zone_whatever_ties_it_there() {
+fn no_new_request_goes_to_an_evacuated_zone_whatever_its_affinity() {
     struct Case {
         name: &'static str,
         evacuated: &'static [&'static str],
@@ -243,88 +244,88 @@
     }
     let cases = [
         Case { name: "the daemon's own zone", evacuated: &["a"], preferred: None },
-        Case { name: "where the prompt lies", evacuated: &["b"], preferred: Some("b-1") },
+        Case { name: "the zone that holds the prompt", evacuated: &["b"], preferred: Some("b-1") },
         Case { name: "two zones", evacuated: &["a", "c"], preferred: Some("c-0") },
         Case { name: "a zone without servers", evacuated: &["nowhere"], preferred: None },
     ];
     for Case { name, evacuated, preferred } in cases {
-        for tie in ties() {
-            let mut backends = fleet(0, 7);
-            backends.evacuate(zones(evacuated));
+        for affinity in affinities() {
+            let mut backends = build_backends(0, 7);
+            backends.evacuate(zone_set(evacuated));
             for _ in 0..20 {
-                let server = used(choose(&mut backends, tie, preferred, &[]));
+                let server = chosen_server(choose(&mut backends, affinity, preferred, &[]));
                 let (zone, _) = server.name.split_once('-').expect("named by zone");
-                assert!(!evacuated.contains(&zone), "{name}, {tie:?}: {server}");
+                assert!(!evacuated.contains(&zone), "{name}, {affinity:?}: {server}");
             }
         }
     }
 }
 
 #[test]
-fn a_second_try_goes_elsewhere_and_a_zone_taken_back_is_used_again() {
+fn a_second_attempt_goes_elsewhere_and_a_restored_zone_is_used_again() {
     for program in 0..20 {
-        let mut backends = fleet(0, 7);
+        let mut backends = build_backends(0, 7);
         let program = Some(Affinity::Program(program));
-        let first = used(choose(&mut backends, program, Some("b-1"), &[]));
+        let first = chosen_server(choose(&mut backends, program, Some("b-1"), &[]));
         assert_eq!(first.name, "b-1");
-        backends.evacuate(zones(&["b"]));
+        backends.evacuate(zone_set(&["b"]));
         backends.end_attempt(&first, AttemptEnd::Broken, NOW);
-        let second = used(choose(&mut backends, program, Some("b-1"), &[first]));
+        let second = chosen_server(choose(&mut backends, program, Some("b-1"), &[first]));
         assert!(!second.name.starts_with('b'), "{second}");
         backends.evacuate(BTreeSet::new());
-        assert_eq!(used(choose(&mut backends, program, Some("b-2"), &[])).name, "b-2");
+        assert_eq!(chosen_server(choose(&mut backends, program, Some("b-2"), &[])).name, "b-2");
     }
 }
 
 #[test]
-fn with_all_zones_evacuated_a_request_is_refused_at_once_with_a_time_to_come_back() {
-    let mut backends = fleet(0, 7);
-    backends.evacuate(zones(&ZONES));
-    for tie in ties() {
-        match choose(&mut backends, tie, Some("a-0"), &[]) {
+fn with_all_zones_evacuated_a_request_is_refused_with_a_retry_delay() {
+    let mut backends = build_backends(0, 7);
+    backends.evacuate(zone_set(&ZONES));
+    for affinity in affinities() {
+        match choose(&mut backends, affinity, Some("a-0"), &[]) {
             Choice::NoBackend { retry_after } => assert!(retry_after > Duration::ZERO),
-            other => panic!("{tie:?}: {other:?}"),
+            other => panic!("{affinity:?}: {other:?}"),
         }
     }
 }
 
 #[test]
-fn what_is_under_way_in_an_evacuated_zone_is_counted_until_it_ends() {
-    let mut backends = fleet(0, 7);
+fn running_attempts_in_an_evacuated_zone_are_counted_until_they_end() {
+    let mut backends = build_backends(0, 7);
     let program = Some(Affinity::Program(3));
-    let server = used(choose(&mut backends, program, Some("b-1"), &[]));
-    backends.evacuate(zones(&["b", "nowhere"]));
-    let left = |backends: &Backends| -> Vec<(String, usize, u32)> {
+    let server = chosen_server(choose(&mut backends, program, Some("b-1"), &[]));
+    backends.evacuate(zone_set(&["b", "nowhere"]));
+    let remaining = |backends: &Backends| -> Vec<(String, usize, u32)> {
         let evacuations = backends.evacuations().into_iter();
         evacuations.map(|zone| (zone.zone.to_string(), zone.servers, zone.in_flight)).collect()
     };
     let nowhere = || ("nowhere".to_owned(), 0, 0);
-    assert_eq!(left(&backends), vec![("b".to_owned(), SERVERS_PER_ZONE, 1), nowhere()]);
-    assert!(!backends.is_leaving_or_gone(&server), "it is only to get nothing further");
+    assert_eq!(remaining(&backends), vec![("b".to_owned(), SERVERS_PER_ZONE, 1), nowhere()]);
+    assert!(!backends.is_leaving_or_gone(&server), "it only gets no new requests");
     backends.end_attempt(&server, AttemptEnd::Answered, NOW);
-    assert_eq!(left(&backends), vec![("b".to_owned(), SERVERS_PER_ZONE, 0), nowhere()]);
-    // A server that appears there later counts at once.
+    assert_eq!(remaining(&backends), vec![("b".to_owned(), SERVERS_PER_ZONE, 0), nowhere()]);
+    // A server that is added there later counts at once.
     backends.put(record("nowhere-0".to_owned(), "nowhere"), NOW);
-    assert_eq!(left(&backends)[1], ("nowhere".to_owned(), 1, 0));
+    assert_eq!(remaining(&backends)[1], ("nowhere".to_owned(), 1, 0));
     assert!(backends.is_evacuated(&BackendId::from("nowhere-0")));
 }
 
-/// Programs whose prompts lay in one zone, moved all at once by daemons of all zones that know nothing
-/// of each other: no server may get half more than its share. Drawn at random, 900 programs give each of
-/// 8 servers 112 with a deviation of 10.
+/// Programs whose prompts are held in one zone are moved all at once, by daemons of all zones that
+/// do not coordinate. No server may receive half more than its share. If drawn at random, 900
+/// programs give each of 8 servers 112 with a standard deviation of 10.
 #[test]
-fn what_moves_spreads_evenly_over_the_other_servers() {
+fn moved_programs_spread_evenly_over_the_other_servers() {
     const DAEMONS: u64 = 18;
     const PROGRAMS: u64 = 50;
     let mut moved: BTreeMap<BackendId, u64> = BTreeMap::new();
     for daemon in 0..DAEMONS {
-        let mut backends = fleet(daemon as usize % ZONES.len(), daemon);
-        backends.evacuate(zones(&["c"]));
+        let mut backends = build_backends(daemon as usize % ZONES.len(), daemon);
+        backends.evacuate(zone_set(&["c"]));
         for program in 0..PROGRAMS {
             let prompt = SharedPrompt { hash: program % 3, tokens: 512 };
             let preferred = format!("c-{}", program % SERVERS_PER_ZONE as u64);
-            let tie = Some(Affinity::SharedPrompt(prompt));
-            let server = used(choose(&mut backends, tie, Some(&preferred), &[]));
+            let affinity = Some(Affinity::SharedPrompt(prompt));
+            let server = chosen_server(choose(&mut backends, affinity, Some(&preferred), &[]));
             backends.end_attempt(&server, AttemptEnd::Answered, NOW);
             *moved.entry(server).or_default() += 1;
         }
--- a/crates/backends/tests/large.rs
+++ b/crates/backends/tests/large.rs
@@ -1,9 +1,9 @@
-//! Services of thousands of servers: what a choice costs, and what gateways that each see little of the
-//! load do together.
+//! Services with thousands of servers: the cost of a choice, and the combined behaviour of gateways
+//! that each see little of the load.
 //!
-//! The pattern is a fleet that was sized for its peak: hundreds of gateways, some eight servers for each,
-//! one or two requests a second at each gateway. A choice that looks at each server, or that spreads over
-//! all of them, is fine with fifty servers and breaks with thousands.
+//! The scenario is a fleet sized for its peak: hundreds of gateways, some eight servers for each,
+//! and one or two requests a second at each gateway. A choice that examines each server, or that
+//! spreads over all of them, works with fifty servers and fails with thousands.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -18,7 +18,7 @@
 use rand_chacha::ChaCha8Rng;
 
 const SLOTS: u32 = 6;
-const TURN: Duration = Duration::from_millis(150);
+const TURN_DURATION: Duration = Duration::from_millis(150);
 const PROMPT: Affinity = Affinity::SharedPrompt(SharedPrompt { hash: 7, tokens: 512 });
 
 fn service() -> ServiceName {
@@ -29,13 +29,13 @@
     Zone::new(format!("hall-{number}"))
 }
 
-fn id(server: usize) -> BackendId {
+fn server_id(server: usize) -> BackendId {
     BackendId::new(format!("i-{server}"), 0)
 }
 
 fn record(server: usize, zones: usize, state: BackendState) -> BackendRecord {
     BackendRecord {
-        id: id(server),
+        id: server_id(server),
         service: service(),
         address: SocketAddr::from(([127, 0, 0, 1], 9)),
         zone: zone(server % zones),
@@ -55,15 +55,15 @@
     backends
 }
 
-fn used(choice: Choice) -> Option<BackendId> {
+fn chosen_server(choice: Choice) -> Option<BackendId> {
     match choice {
         Choice::Use { server, .. } => Some(server.id),
         Choice::Full { .. } | Choice::NoBackend { .. } => None,
     }
 }
 
-/// The same of another program or object.
-fn another(affinity: Option<Affinity>, number: u64) -> Option<Affinity> {
+/// Returns the affinity of another program or object of the same kind.
+fn with_other_hash(affinity: Option<Affinity>, number: u64) -> Option<Affinity> {
     let hash = (number + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     match affinity {
         Some(Affinity::Program(_)) => Some(Affinity::Program(hash)),
@@ -72,49 +72,49 @@
     }
 }
 
-/// Servers looked at for each choice, and for each record taken in.
-fn costs(servers: usize, affinity: Option<Affinity>, load: u64) -> (f64, f64) {
+/// Returns the servers examined per choice, and per record.
+fn measure_examined(servers: usize, affinity: Option<Affinity>, load: u64) -> (f64, f64) {
     const CHOICES: u64 = 400;
     let mut backends = gateway(0, 1, 6, servers);
-    let listing = backends.servers_examined() as f64 / servers as f64;
-    // Under way, so that the service does not count as idle: a share of all slots.
+    let examined_per_record = backends.servers_examined() as f64 / servers as f64;
+    // Starts `load` attempts, so that the service does not count as idle.
     let mut now = Timestamp(1_000_000);
     for number in 0..load {
-        let affinity = another(affinity, number);
-        let ask = ChoiceRequest {
+        let affinity = with_other_hash(affinity, number);
+        let request = ChoiceRequest {
             service: &service(),
             affinity,
             preferred: None,
             tried: &[],
             size: None,
         };
-        backends.choose(&ask, now);
+        backends.choose(&request, now);
     }
     now = now + Duration::from_secs(30);
     let before = backends.servers_examined();
     for turn in 0..CHOICES {
         now = now + Duration::from_millis(20);
-        let affinity = another(affinity, turn);
-        let ask = ChoiceRequest {
+        let affinity = with_other_hash(affinity, turn);
+        let request = ChoiceRequest {
             service: &service(),
             affinity,
             preferred: None,
             tried: &[],
             size: None,
         };
-        if let Some(server) = used(backends.choose(&ask, now)) {
+        if let Some(server) = chosen_server(backends.choose(&request, now)) {
             backends.record_response_time(&server, Duration::from_millis(40), now);
             backends.end_attempt(&server, AttemptEnd::Answered, now);
         }
     }
-    ((backends.servers_examined() - before) as f64 / CHOICES as f64, listing)
+    ((backends.servers_examined() - before) as f64 / CHOICES as f64, examined_per_record)
 }
 
-/// A gateway has an eighth of a core: a request that looks at each of ten thousand servers some six times
-/// takes it 10 ms and more, and a start that compares each new server with all others takes it twenty
-/// seconds.
+/// A gateway has an eighth of a core. If a request examined each of ten thousand servers some six
+/// times, it would take 10 ms or more, and a start that compared each new server with all others
+/// would take twenty seconds.
 #[test]
-fn a_choice_costs_no_more_with_ten_thousand_servers_than_with_a_thousand() {
+fn a_choice_examines_no_more_of_ten_thousand_servers_than_of_a_thousand() {
     struct Case {
         name: &'static str,
         affinity: Option<Affinity>,
@@ -122,11 +122,15 @@
         is_loaded: bool,
     }
     let cases = [
-        Case { name: "a call, idle", affinity: None, is_loaded: false },
-        Case { name: "a call, loaded", affinity: None, is_loaded: true },
-        Case { name: "a first turn by its prompt, idle", affinity: Some(PROMPT), is_loaded: false },
+        Case { name: "a request without affinity, idle", affinity: None, is_loaded: false },
+        Case { name: "a request without affinity, loaded", affinity: None, is_loaded: true },
         Case {
-            name: "a first turn by its prompt, loaded",
+            name: "a first turn with a shared prompt, idle",
+            affinity: Some(PROMPT),
+            is_loaded: false,
+        },
+        Case {
+            name: "a first turn with a shared prompt, loaded",
             affinity: Some(PROMPT),
             is_loaded: true,
         },
@@ -139,27 +143,30 @@
             true => servers as u64 * u64::from(SLOTS) / 5,
             false => 0,
         };
-        let (small, small_listing) = costs(1_000, affinity, load(1_000));
-        let (large, large_listing) = costs(10_000, affinity, load(10_000));
-        println!("{name}: {small:.1} of 1,000, {large:.1} of 10,000 servers looked at");
-        assert!(large <= small * 1.5 + 1.0, "{name}: {small} and {large} servers looked at");
-        assert!(large_listing <= small_listing * 1.5, "{small_listing} and {large_listing}");
-        assert!(large_listing <= 10.0, "{large_listing} servers looked at for each listed");
+        let (small, small_per_record) = measure_examined(1_000, affinity, load(1_000));
+        let (large, large_per_record) = measure_examined(10_000, affinity, load(10_000));
+        println!("{name}: {small:.1} of 1,000, {large:.1} of 10,000 servers examined");
+        assert!(large <= small * 1.5 + 1.0, "{name}: {small} and {large} servers examined");
+        assert!(
+            large_per_record <= small_per_record * 1.5,
+            "{small_per_record} and {large_per_record}"
+        );
+        assert!(large_per_record <= 10.0, "{large_per_record} servers examined for each record");
     }
 }
 
-/// What a fleet did.
+/// The results of a simulation.
 #[derive(Debug, Default)]
 struct Outcome {
     requests: usize,
     new_connections: usize,
-    /// Most requests at one server at once.
-    most_at_once: usize,
+    /// The maximum number of concurrent requests at one server.
+    max_concurrent: usize,
     /// Turns that left the server that holds their program's prompt.
-    moved: usize,
+    moved_turns: usize,
     refused: usize,
     /// First turns that left their zone.
-    far: usize,
+    first_outside_zone: usize,
     per_server: Vec<usize>,
 }
 
@@ -167,89 +174,112 @@
     gateways: usize,
     zones: usize,
     servers: usize,
-    /// Requests a second at each gateway.
-    per_gateway: f64,
+    /// The requests per second at each gateway.
+    requests_per_s: f64,
     seconds: f64,
-    /// Servers that end at half time; of them gateways are told.
-    ends: BTreeSet<usize>,
+    /// Servers that drain at half time. Gateways are notified.
+    draining_servers: BTreeSet<usize>,
 }
 
-/// Programs of five turns that come back to their gateway in nine cases of ten.
-fn play(load: &Load) -> Outcome {
+/// Simulates programs of five turns, which return to their gateway in nine cases of ten.
+fn simulate(load: &Load) -> Outcome {
     #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
     enum Step {
-        End { gateway: usize, server: usize },
-        Turn { gateway: usize, last: Option<usize>, left: u32 },
+        TurnEnd { gateway: usize, server: usize },
+        TurnStart { gateway: usize, last: Option<usize>, remaining: u32 },
     }
     let mut random = ChaCha8Rng::seed_from_u64(42);
     let new = |number| gateway(number, load.gateways, load.zones, load.servers);
     let mut gateways: Vec<Backends> = (0..load.gateways).map(new).collect();
-    let mut agenda = BinaryHeap::new();
-    let mut order = 0_u64;
-    let mut idle: BTreeMap<(usize, usize), usize> = BTreeMap::new();
-    let mut at_once = vec![0_usize; load.servers];
+    let mut event_queue = BinaryHeap::new();
+    let mut sequence = 0_u64;
+    let mut idle_connections: BTreeMap<(usize, usize), usize> = BTreeMap::new();
+    let mut concurrent = vec![0_usize; load.servers];
     let mut outcome = Outcome { per_server: vec![0; load.servers], ..Outcome::default() };
-    let programs = load.per_gateway * load.gateways as f64 * load.seconds / 5.0;
+    let programs = load.requests_per_s * load.gateways as f64 * load.seconds / 5.0;
     for _ in 0..programs as usize {
         let at = Timestamp((random.random::<f64>() * load.seconds * 1e6) as u64);
         let gateway = random.random_range(0..load.gateways);
-        order += 1;
-        agenda.push(Reverse((at, order, Step::Turn { gateway, last: None, left: 5 })));
+        sequence += 1;
+        event_queue.push(Reverse((
+            at,
+            sequence,
+            Step::TurnStart { gateway, last: None, remaining: 5 },
+        )));
     }
     let half = Timestamp((load.seconds * 5e5) as u64);
-    let mut has_ended = false;
-    while let Some(Reverse((now, _, step))) = agenda.pop() {
-        if now >= half && !std::mem::replace(&mut has_ended, true) {
-            for server in &load.ends {
+    let mut has_drained = false;
+    while let Some(Reverse((now, _, step))) = event_queue.pop() {
+        if now >= half && !std::mem::replace(&mut has_drained, true) {
+            for server in &load.draining_servers {
                 let draining = record(*server, load.zones, BackendState::Draining);
                 gateways.iter_mut().for_each(|gateway| gateway.put(draining.clone(), now));
             }
         }
         match step {
-            Step::End { gateway, server } => {
-                at_once[server] -= 1;
-                *idle.entry((gateway, server)).or_default() += 1;
-                gateways[gateway].end_attempt(&id(server), AttemptEnd::Answered, now);
+            Step::TurnEnd { gateway, server } => {
+                concurrent[server] -= 1;
+                *idle_connections.entry((gateway, server)).or_default() += 1;
+                gateways[gateway].end_attempt(&server_id(server), AttemptEnd::Answered, now);
             }
-            Step::Turn { gateway, last, left } => {
+            Step::TurnStart { gateway, last, remaining } => {
                 outcome.requests += 1;
-                let preferred = last.map(id);
-                let ask = ChoiceRequest {
+                let preferred = last.map(server_id);
+                let request = ChoiceRequest {
                     service: &service(),
                     affinity: Some(PROMPT),
                     preferred: preferred.as_ref(),
                     tried: &[],
                     size: None,
                 };
-                let choice = gateways[gateway].choose(&ask, now);
+                let choice = gateways[gateway].choose(&request, now);
                 let Choice::Use { server, basis } = choice else {
                     outcome.refused += 1;
                     continue;
                 };
                 let server: usize = server.id.name[2..].parse().expect("a number");
-                assert!(!(has_ended && load.ends.contains(&server)), "{server} has ended");
-                outcome.moved +=
+                assert!(
+                    !(has_drained && load.draining_servers.contains(&server)),
+                    "{server} is draining"
+                );
+                outcome.moved_turns +=
                     usize::from(last.is_some() && basis.reason != ChoiceReason::Preferred);
-                let is_far = server % load.zones != gateway % load.zones;
-                outcome.far += usize::from(last.is_none() && is_far);
+                let is_other_zone = server % load.zones != gateway % load.zones;
+                outcome.first_outside_zone += usize::from(last.is_none() && is_other_zone);
                 outcome.per_server[server] += 1;
-                at_once[server] += 1;
-                outcome.most_at_once = outcome.most_at_once.max(at_once[server]);
-                match idle.get_mut(&(gateway, server)).filter(|idle| **idle > 0) {
+                concurrent[server] += 1;
+                outcome.max_concurrent = outcome.max_concurrent.max(concurrent[server]);
+                match idle_connections.get_mut(&(gateway, server)).filter(|idle| **idle > 0) {
                     Some(idle) => *idle -= 1,
                     None => outcome.new_connections += 1,
                 }
-                gateways[gateway].record_response_time(&id(server), Duration::from_millis(40), now);
-                order += 1;
-                agenda.push(Reverse((now + TURN, order, Step::End { gateway, server })));
-                if left > 1 {
+                gateways[gateway].record_response_time(
+                    &server_id(server),
+                    Duration::from_millis(40),
+                    now,
+                );
+                sequence += 1;
+                event_queue.push(Reverse((
+                    now + TURN_DURATION,
+                    sequence,
+                    Step::TurnEnd { gateway, server },
+                )));
+                if remaining > 1 {
                     let next = match random.random_bool(0.9) {
                         true => gateway,
                         false => random.random_range(0..load.gateways),
                     };
-                    let turn = Step::Turn { gateway: next, last: Some(server), left: left - 1 };
-                    order += 1;
-                    agenda.push(Reverse((now + TURN + TURN, order, turn)));
+                    let turn = Step::TurnStart {
+                        gateway: next,
+                        last: Some(server),
+                        remaining: remaining - 1,
+                    };
+                    sequence += 1;
+                    event_queue.push(Reverse((
+                        now + TURN_DURATION + TURN_DURATION,
+                        sequence,
+                        turn,
+                    )));
                 }
             }
         }
@@ -257,58 +287,66 @@
     outcome
 }
 
-/// Each gateway meets one server after the other where it spreads its requests, and each server met is a
-/// connection made. Where servers are free anyway, a gateway needs as many as it has requests at once.
+/// Guards against gateways that spread their requests and open a connection to one server after the
+/// other. While servers are idle anyway, a gateway needs only as many as it has concurrent
+/// requests.
 #[test]
-fn gateways_of_an_idle_fleet_keep_to_few_servers() {
+fn gateways_of_an_idle_fleet_use_few_servers() {
     let load = Load {
         gateways: 120,
         zones: 6,
         servers: 960,
-        per_gateway: 2.0,
+        requests_per_s: 2.0,
         seconds: 25.0,
-        ends: BTreeSet::new(),
+        draining_servers: BTreeSet::new(),
     };
-    let outcome = play(&load);
+    let outcome = simulate(&load);
     let per_request = outcome.new_connections as f64 / outcome.requests as f64;
-    println!("{per_request:.3} new connections a request, {} at once", outcome.most_at_once);
-    // One for the two or three requests that a gateway has at once in fifty, and one for each turn
-    // that comes to another gateway, one in ten.
+    println!("{per_request:.3} new connections a request, {} concurrent", outcome.max_concurrent);
+    // Of fifty requests of a gateway, two or three run concurrently and need a connection each, and
+    // one turn in ten arrives at another gateway and needs a new one.
     assert!(per_request < 0.2, "{per_request} new connections a request");
-    assert!(outcome.most_at_once <= SLOTS as usize, "{} at once", outcome.most_at_once);
+    assert!(outcome.max_concurrent <= SLOTS as usize, "{} concurrent", outcome.max_concurrent);
     assert_eq!(outcome.refused, 0);
-    assert!(outcome.moved * 100 <= outcome.requests, "{} moved", outcome.moved);
-    assert_eq!(outcome.far, 0, "first turns in another zone");
+    assert!(outcome.moved_turns * 100 <= outcome.requests, "{} moved", outcome.moved_turns);
+    assert_eq!(outcome.first_outside_zone, 0, "first turns in another zone");
 }
 
-/// With half of the slots in use, who sends where matters again.
+/// With half of the slots in use, the choice of the server matters again.
 #[test]
 fn gateways_of_a_loaded_fleet_spread_over_all_servers() {
     let (gateways, servers) = (120, 960);
-    // Half of the slots: 0.15 s for each request.
-    let per_gateway = 0.5 * f64::from(SLOTS) * servers as f64 / 0.15 / gateways as f64;
-    let load =
-        Load { gateways, zones: 6, servers, per_gateway, seconds: 3.0, ends: BTreeSet::new() };
-    let outcome = play(&load);
+    // This fills half of the slots, with 0.15 s for each request.
+    let requests_per_s = 0.5 * f64::from(SLOTS) * servers as f64 / 0.15 / gateways as f64;
+    let load = Load {
+        gateways,
+        zones: 6,
+        servers,
+        requests_per_s,
+        seconds: 3.0,
+        draining_servers: BTreeSet::new(),
+    };
+    let outcome = simulate(&load);
     let mean = outcome.requests as f64 / servers as f64;
     let busiest = *outcome.per_server.iter().max().expect("servers") as f64 / mean;
-    println!("busiest/mean {busiest:.2}, {} at once", outcome.most_at_once);
+    println!("busiest/mean {busiest:.2}, {} concurrent", outcome.max_concurrent);
     assert!(busiest < 2.0, "busiest/mean {busiest}");
     assert_eq!(outcome.refused, 0);
 }
 
-/// A release takes servers that gateways keep to: they go on at others, with nothing refused.
+/// A release drains servers that gateways use. The gateways continue at other servers, and nothing
+/// is refused.
 #[test]
-fn servers_of_an_idle_fleet_may_end() {
+fn servers_of_an_idle_fleet_can_be_drained() {
     let load = Load {
         gateways: 60,
         zones: 6,
         servers: 900,
-        per_gateway: 2.0,
+        requests_per_s: 2.0,
         seconds: 10.0,
-        ends: (0..900).filter(|server| server % 7 != 0).collect(),
+        draining_servers: (0..900).filter(|server| server % 7 != 0).collect(),
     };
-    let outcome = play(&load);
+    let outcome = simulate(&load);
     assert_eq!(outcome.refused, 0);
-    assert!(outcome.most_at_once <= SLOTS as usize, "{} at once", outcome.most_at_once);
+    assert!(outcome.max_concurrent <= SLOTS as usize, "{} concurrent", outcome.max_concurrent);
 }
--- a/crates/backends/tests/regions.rs
+++ b/crates/backends/tests/regions.rs
@@ -1,8 +1,8 @@
-//! Where turns go in a fleet of three regions: inside the region while its servers can bear it, to
-//! others when they cannot.
+//! Where turns go in a fleet of three regions: they stay in the region while its servers can handle
+//! them, and go to others when they cannot.
 //!
-//! 72 gateways before 42 servers of eight slots; a turn takes 270 ms of a slot, a way between regions
-//! 8 ms. Usual load fills 45 in 100 of the slots.
+//! The fleet has 72 gateways and 42 servers of eight slots; a turn occupies a slot for 270 ms, and
+//! a message between regions takes 8 ms. Normal load fills 45 in 100 of the slots.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -21,17 +21,17 @@
 const GATEWAYS: usize = 72;
 const SERVERS: usize = 42;
 const SLOTS: usize = 8;
-const TURN: Duration = Duration::from_millis(270);
-/// One way between regions.
-const WAY: Duration = Duration::from_millis(8);
-/// Turns a second of one zone's callers that fill 45 in 100 of its servers' slots.
-const USUAL_PER_S: f64 = 0.45 * (SERVERS / ZONES * SLOTS) as f64 / 0.27;
-/// When what a case is about happens.
-const HAPPENS: Timestamp = Timestamp(6_000_000);
-const IS_OVER: Timestamp = Timestamp(10_000_000);
-/// Arrivals end.
+const TURN_DURATION: Duration = Duration::from_millis(270);
+/// The one-way latency between regions.
+const REGION_LATENCY: Duration = Duration::from_millis(8);
+/// The turns per second of one zone's callers that fill 45 in 100 of its servers' slots.
+const NORMAL_TURNS_PER_S: f64 = 0.45 * (SERVERS / ZONES * SLOTS) as f64 / 0.27;
+/// The start of the incident.
+const INCIDENT_START: Timestamp = Timestamp(6_000_000);
+const INCIDENT_END: Timestamp = Timestamp(10_000_000);
+/// When arrivals end.
 const END: Timestamp = Timestamp(12_000_000);
-/// The prompt that all programs share: any server may read it.
+/// The prompt that all programs share. It is short, so any server may read it.
 const PROMPT: Affinity = Affinity::SharedPrompt(SharedPrompt { hash: 7, tokens: 512 });
 
 fn service() -> ServiceName {
@@ -51,7 +51,7 @@
     BackendId::new(format!("i-{number}"), 0)
 }
 
-/// Server `number` stands in zone `number % ZONES`, and so in region `number % REGIONS`.
+/// Server `number` lies in zone `number % ZONES`, and so in region `number % REGIONS`.
 fn record(number: usize, state: BackendState) -> BackendRecord {
     BackendRecord {
         id: server_id(number),
@@ -73,32 +73,32 @@
     backends
 }
 
-/// What befalls the fleet.
+/// What happens to the fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Trouble {
+enum Incident {
     None,
-    /// Callers of this many zones of the first region come 2.5 times as often.
+    /// Callers of this many zones of the first region send 2.5 times as many requests.
     Burst {
         zones: usize,
     },
-    /// Of the first region's servers so many remain. Every third gateway is not told.
+    /// Only this many of the first region's servers remain. Every third gateway is not notified.
     Lost {
         remaining: usize,
     },
-    /// The servers are replaced one after the other, each away for a while.
+    /// The servers are replaced one after the other; each is unavailable for a while.
     Release,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Happening {
-    Arrives { zone: usize },
-    Reaches { server: usize, turn: Turn },
-    Ends { server: usize, gateway: usize },
-    Lost,
-    Replaced { server: usize },
+enum SimulationEvent {
+    TurnStart { zone: usize },
+    TurnArrival { server: usize, turn: Turn },
+    TurnEnd { server: usize, gateway: usize },
+    ServersLost,
+    ServerReplaced { server: usize },
 }
 
-/// A turn on its way.
+/// A turn on its way to a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Turn {
     gateway: usize,
@@ -107,18 +107,19 @@
 
 #[derive(Default)]
 struct Outcome {
-    /// Milliseconds until answers of the first region's callers began, sent while it happened.
+    /// The milliseconds until answers to the first region's callers began, for turns sent during
+    /// the incident.
     waits: Vec<f64>,
-    /// Turns sent while it happened, and those of them that went to another region.
+    /// Turns sent during the incident, and those of them that went to another region.
     sent: usize,
     crossed: usize,
     /// The same for the first region's callers.
     first_sent: usize,
     first_crossed: usize,
-    /// Turns at each server meanwhile.
-    at_server: Vec<usize>,
-    /// Tries at servers that were gone.
-    in_vain: usize,
+    /// Turns at each server during the incident.
+    turns_at_server: Vec<usize>,
+    /// Attempts at lost servers.
+    failed_attempts: usize,
 }
 
 impl Outcome {
@@ -126,17 +127,17 @@
         self.waits.iter().sum::<f64>() / self.waits.len() as f64
     }
 
-    fn crossed(&self) -> f64 {
+    fn crossed_share(&self) -> f64 {
         self.crossed as f64 / self.sent as f64
     }
 
-    fn first_crossed(&self) -> f64 {
+    fn first_crossed_share(&self) -> f64 {
         self.first_crossed as f64 / self.first_sent as f64
     }
 
-    /// Turns at the busiest server of the other regions over those at the mean one.
-    fn busiest_to_mean_elsewhere(&self) -> f64 {
-        let others = self.at_server.iter().enumerate();
+    /// Returns the turns at the busiest server of the other regions divided by their mean.
+    fn busiest_to_mean_in_other_regions(&self) -> f64 {
+        let others = self.turns_at_server.iter().enumerate();
         let others: Vec<usize> =
             others.filter(|(server, _)| server % REGIONS != 0).map(|(_, turns)| *turns).collect();
         let most = others.iter().max().copied().unwrap_or_default();
@@ -145,153 +146,167 @@
 }
 
 struct Fleet {
-    trouble: Trouble,
+    incident: Incident,
     gateways: Vec<Backends>,
     is_gone: Vec<bool>,
     running: Vec<usize>,
     queues: Vec<VecDeque<Turn>>,
-    agenda: BinaryHeap<Reverse<(Timestamp, u64, Happening)>>,
-    steps: u64,
+    event_queue: BinaryHeap<Reverse<(Timestamp, u64, SimulationEvent)>>,
+    sequence: u64,
     random: ChaCha8Rng,
     outcome: Outcome,
 }
 
 impl Fleet {
-    fn run(trouble: Trouble, settings: &BackendSettings, seed: u64) -> Outcome {
+    fn run(incident: Incident, settings: &BackendSettings, seed: u64) -> Outcome {
         let mut fleet = Self {
-            trouble,
+            incident,
             gateways: (0..GATEWAYS).map(|number| gateway(number, settings.clone())).collect(),
             is_gone: vec![false; SERVERS],
             running: vec![0; SERVERS],
             queues: vec![VecDeque::new(); SERVERS],
-            agenda: BinaryHeap::new(),
-            steps: 0,
+            event_queue: BinaryHeap::new(),
+            sequence: 0,
             random: ChaCha8Rng::seed_from_u64(seed),
-            outcome: Outcome { at_server: vec![0; SERVERS], ..Outcome::default() },
+            outcome: Outcome { turns_at_server: vec![0; SERVERS], ..Outcome::default() },
         };
-        (0..ZONES).for_each(|zone| fleet.put(Timestamp(0), Happening::Arrives { zone }));
-        match trouble {
-            Trouble::Lost { .. } => fleet.put(HAPPENS, Happening::Lost),
-            Trouble::Release => fleet.put(Timestamp(0), Happening::Replaced { server: 0 }),
-            Trouble::None | Trouble::Burst { .. } => {}
+        (0..ZONES)
+            .for_each(|zone| fleet.schedule(Timestamp(0), SimulationEvent::TurnStart { zone }));
+        match incident {
+            Incident::Lost { .. } => fleet.schedule(INCIDENT_START, SimulationEvent::ServersLost),
+            Incident::Release => {
+                fleet.schedule(Timestamp(0), SimulationEvent::ServerReplaced { server: 0 })
+            }
+            Incident::None | Incident::Burst { .. } => {}
         }
-        while let Some(Reverse((now, _, happening))) = fleet.agenda.pop() {
-            match happening {
-                Happening::Arrives { zone } => fleet.arrives(zone, now),
-                Happening::Reaches { server, turn } => fleet.reaches(server, turn, now),
-                Happening::Ends { server, gateway } => fleet.ends(server, gateway, now),
-                Happening::Lost => fleet.lose(now),
-                Happening::Replaced { server } => fleet.replace(server, now),
+        while let Some(Reverse((now, _, event))) = fleet.event_queue.pop() {
+            match event {
+                SimulationEvent::TurnStart { zone } => fleet.send_turn(zone, now),
+                SimulationEvent::TurnArrival { server, turn } => fleet.deliver(server, turn, now),
+                SimulationEvent::TurnEnd { server, gateway } => {
+                    fleet.end_turn(server, gateway, now)
+                }
+                SimulationEvent::ServersLost => fleet.lose_servers(now),
+                SimulationEvent::ServerReplaced { server } => fleet.replace_server(server, now),
             }
         }
         fleet.outcome
     }
 
-    fn put(&mut self, at: Timestamp, happening: Happening) {
-        self.steps += 1;
-        self.agenda.push(Reverse((at, self.steps, happening)));
+    fn schedule(&mut self, at: Timestamp, event: SimulationEvent) {
+        self.sequence += 1;
+        self.event_queue.push(Reverse((at, self.sequence, event)));
     }
 
-    /// Times as many callers of a zone as usual.
-    fn factor(&self, zone: usize, now: Timestamp) -> f64 {
-        let Trouble::Burst { zones } = self.trouble else { return 1.0 };
-        let is_struck = zone.is_multiple_of(REGIONS) && zone / REGIONS < zones;
-        if is_struck && (HAPPENS..IS_OVER).contains(&now) { 2.5 } else { 1.0 }
+    /// Returns the factor by which a zone's callers exceed their normal rate.
+    fn load_factor(&self, zone: usize, now: Timestamp) -> f64 {
+        let Incident::Burst { zones } = self.incident else { return 1.0 };
+        let has_burst = zone.is_multiple_of(REGIONS) && zone / REGIONS < zones;
+        if has_burst && (INCIDENT_START..INCIDENT_END).contains(&now) { 2.5 } else { 1.0 }
     }
 
-    fn arrives(&mut self, zone: usize, now: Timestamp) {
-        let per_s = USUAL_PER_S * self.factor(zone, now);
+    fn send_turn(&mut self, zone: usize, now: Timestamp) {
+        let per_s = NORMAL_TURNS_PER_S * self.load_factor(zone, now);
         let pause = -self.random.random::<f64>().max(1e-9).ln() / per_s;
         let next = now + Duration::from_secs_f64(pause);
         if next < END {
-            self.put(next, Happening::Arrives { zone });
+            self.schedule(next, SimulationEvent::TurnStart { zone });
         }
         let gateway = self.random.random_range(0..GATEWAYS / ZONES) * ZONES + zone;
         let server = self.choose(gateway, now);
         let crosses = server % REGIONS != zone % REGIONS;
-        if (HAPPENS..IS_OVER).contains(&now) {
-            self.note(server, zone, crosses);
+        if (INCIDENT_START..INCIDENT_END).contains(&now) {
+            self.count_turn(server, zone, crosses);
         }
-        let way = if crosses { WAY } else { Duration::ZERO };
-        self.put(now + way, Happening::Reaches { server, turn: Turn { gateway, sent: now } });
+        let latency = if crosses { REGION_LATENCY } else { Duration::ZERO };
+        self.schedule(
+            now + latency,
+            SimulationEvent::TurnArrival { server, turn: Turn { gateway, sent: now } },
+        );
     }
 
-    fn note(&mut self, server: usize, zone: usize, crosses: bool) {
+    fn count_turn(&mut self, server: usize, zone: usize, crosses: bool) {
         let is_first = zone.is_multiple_of(REGIONS);
-        self.outcome.at_server[server] += 1;
+        self.outcome.turns_at_server[server] += 1;
         self.outcome.sent += 1;
         self.outcome.crossed += usize::from(crosses);
         self.outcome.first_sent += usize::from(is_first);
         self.outcome.first_crossed += usize::from(is_first && crosses);
     }
 
-    /// Asks for servers until one is there.
+    /// Chooses servers until one of them still exists.
     fn choose(&mut self, gateway: usize, now: Timestamp) -> usize {
         let mut tried = Vec::new();
         loop {
-            let ask = ChoiceRequest {
+            let request = ChoiceRequest {
                 service: &service(),
                 affinity: Some(PROMPT),
                 preferred: None,
                 tried: &tried,
                 size: None,
             };
-            let Choice::Use { server, .. } = self.gateways[gateway].choose(&ask, now) else {
+            let Choice::Use { server, .. } = self.gateways[gateway].choose(&request, now) else {
                 panic!("no server takes a turn after {tried:?}");
             };
             let number: usize = server.id.name[2..].parse().expect("a number");
             if !self.is_gone[number] {
                 return number;
             }
-            self.outcome.in_vain += 1;
+            self.outcome.failed_attempts += 1;
             self.gateways[gateway].end_attempt(&server.id, AttemptEnd::Unreachable, now);
             tried.push(server.id);
         }
     }
 
-    fn reaches(&mut self, server: usize, turn: Turn, now: Timestamp) {
+    fn deliver(&mut self, server: usize, turn: Turn, now: Timestamp) {
         if self.running[server] < SLOTS {
-            self.starts(server, turn, now);
+            self.run_turn(server, turn, now);
         } else {
             self.queues[server].push_back(turn);
         }
     }
 
-    fn starts(&mut self, server: usize, turn: Turn, now: Timestamp) {
+    fn run_turn(&mut self, server: usize, turn: Turn, now: Timestamp) {
         self.running[server] += 1;
         let crosses = server % REGIONS != turn.gateway % REGIONS;
-        let answer = now + if crosses { WAY } else { Duration::ZERO };
+        let answer = now + if crosses { REGION_LATENCY } else { Duration::ZERO };
         let waited = answer.since(turn.sent);
-        if turn.gateway.is_multiple_of(REGIONS) && (HAPPENS..IS_OVER).contains(&turn.sent) {
+        if turn.gateway.is_multiple_of(REGIONS)
+            && (INCIDENT_START..INCIDENT_END).contains(&turn.sent)
+        {
             self.outcome.waits.push(waited.as_secs_f64() * 1e3);
         }
         self.gateways[turn.gateway].record_response_time(&server_id(server), waited, answer);
-        self.put(now + TURN, Happening::Ends { server, gateway: turn.gateway });
+        self.schedule(
+            now + TURN_DURATION,
+            SimulationEvent::TurnEnd { server, gateway: turn.gateway },
+        );
     }
 
-    fn ends(&mut self, server: usize, gateway: usize, now: Timestamp) {
+    fn end_turn(&mut self, server: usize, gateway: usize, now: Timestamp) {
         self.gateways[gateway].end_attempt(&server_id(server), AttemptEnd::Answered, now);
         self.running[server] -= 1;
         if let Some(next) = self.queues[server].pop_front() {
-            self.starts(server, next, now);
+            self.run_turn(server, next, now);
         }
     }
 
-    /// Servers of the first region are lost. What they have is let end, as the model knows no errors.
-    fn lose(&mut self, now: Timestamp) {
-        let Trouble::Lost { remaining } = self.trouble else { return };
+    /// Removes servers of the first region. Their running turns still end, because the simulation
+    /// has no errors.
+    fn lose_servers(&mut self, now: Timestamp) {
+        let Incident::Lost { remaining } = self.incident else { return };
         let first = (0..SERVERS).filter(|server| server.is_multiple_of(REGIONS)).enumerate();
         let lost = first.filter(|(place, _)| *place >= remaining);
         for server in lost.map(|(_, server)| server).collect::<Vec<_>>() {
             self.is_gone[server] = true;
             let gateways = self.gateways.iter_mut().enumerate();
-            for (_, told) in gateways.filter(|(number, _)| !(number / ZONES).is_multiple_of(3)) {
-                told.put(record(server, BackendState::Draining), now);
+            for (_, gateway) in gateways.filter(|(number, _)| !(number / ZONES).is_multiple_of(3)) {
+                gateway.put(record(server, BackendState::Draining), now);
             }
         }
     }
 
-    fn replace(&mut self, server: usize, now: Timestamp) {
+    fn replace_server(&mut self, server: usize, now: Timestamp) {
         let state = |is_back| if is_back { BackendState::Ready } else { BackendState::Draining };
         let before = (server + SERVERS - 1) % SERVERS;
         for gateway in &mut self.gateways {
@@ -300,53 +315,56 @@
         }
         if now < END {
             let next = (server + 1) % SERVERS;
-            self.put(now + Duration::from_millis(300), Happening::Replaced { server: next });
+            self.schedule(
+                now + Duration::from_millis(300),
+                SimulationEvent::ServerReplaced { server: next },
+            );
         }
     }
 }
 
-/// The settings with which requests leave their region only when it has no server at all.
-fn never_late() -> BackendSettings {
+/// Returns settings with which requests never leave their region because its answers are late.
+fn settings_without_slow_overflow() -> BackendSettings {
     BackendSettings { region_margin_ms: 60_000, ..BackendSettings::default() }
 }
 
 #[test]
-fn turns_stay_in_their_region_while_its_servers_can_bear_them() {
+fn turns_stay_in_their_region_while_its_servers_can_handle_them() {
     struct Case {
         name: &'static str,
-        trouble: Trouble,
-        most_crossed: f64,
-        longest_mean_wait_ms: f64,
+        incident: Incident,
+        max_crossed: f64,
+        max_mean_wait_ms: f64,
     }
-    let case = |name, trouble, most_crossed, longest_mean_wait_ms| Case {
+    let case = |name, incident, max_crossed, max_mean_wait_ms| Case {
         name,
-        trouble,
-        most_crossed,
-        longest_mean_wait_ms,
+        incident,
+        max_crossed,
+        max_mean_wait_ms,
     };
-    for Case { name, trouble, most_crossed, longest_mean_wait_ms } in [
-        case("the usual load", Trouble::None, 0.01, 20.0),
-        case("one zone's callers burst", Trouble::Burst { zones: 1 }, 0.1, 60.0),
-        case("a release one by one", Trouble::Release, 0.01, 20.0),
+    for Case { name, incident, max_crossed, max_mean_wait_ms } in [
+        case("normal load", Incident::None, 0.01, 20.0),
+        case("one zone's callers burst", Incident::Burst { zones: 1 }, 0.1, 60.0),
+        case("a release one by one", Incident::Release, 0.01, 20.0),
     ] {
         for seed in 0..2 {
-            let outcome = Fleet::run(trouble, &BackendSettings::default(), seed);
-            let (crossed, wait) = (outcome.crossed(), outcome.mean_wait());
+            let outcome = Fleet::run(incident, &BackendSettings::default(), seed);
+            let (crossed, wait) = (outcome.crossed_share(), outcome.mean_wait());
             println!("{name}, seed {seed}: {crossed:.3} crossed, mean wait {wait:.1} ms");
-            assert!(crossed <= most_crossed, "{name}: {crossed}");
-            assert!(wait <= longest_mean_wait_ms, "{name}: {wait}");
+            assert!(crossed <= max_crossed, "{name}: {crossed}");
+            assert!(wait <= max_mean_wait_ms, "{name}: {wait}");
         }
     }
 }
 
 #[test]
-fn a_burst_of_one_regions_callers_is_borne_by_all() {
+fn a_burst_of_one_regions_callers_is_spread_over_all_regions() {
     for seed in 0..3 {
-        let trouble = Trouble::Burst { zones: 2 };
-        let outcome = Fleet::run(trouble, &BackendSettings::default(), seed);
-        let alone = Fleet::run(trouble, &never_late(), seed);
+        let incident = Incident::Burst { zones: 2 };
+        let outcome = Fleet::run(incident, &BackendSettings::default(), seed);
+        let alone = Fleet::run(incident, &settings_without_slow_overflow(), seed);
         let (wait, alone) = (outcome.mean_wait(), alone.mean_wait());
-        let crossed = outcome.first_crossed();
+        let crossed = outcome.first_crossed_share();
         println!("seed {seed}: {crossed:.3} crossed, mean wait {wait:.1} ms; alone {alone:.1} ms");
         assert!(wait < 110.0, "{wait}");
         assert!(alone > 1.5 * wait, "the region alone: {alone}");
@@ -354,38 +372,38 @@
 }
 
 #[test]
-fn what_lost_servers_bore_goes_to_many() {
+fn the_load_of_lost_servers_is_spread_over_many() {
     struct Case {
         name: &'static str,
         remaining: usize,
-        least_crossed: f64,
+        min_crossed: f64,
     }
-    let case = |name, remaining, least_crossed| Case { name, remaining, least_crossed };
-    for Case { name, remaining, least_crossed } in
+    let case = |name, remaining, min_crossed| Case { name, remaining, min_crossed };
+    for Case { name, remaining, min_crossed } in
         [case("a region's servers are lost", 0, 1.0), case("all but two of them are lost", 2, 0.6)]
     {
-        let trouble = Trouble::Lost { remaining };
-        let outcome = Fleet::run(trouble, &BackendSettings::default(), 1);
-        let crossed = outcome.first_crossed();
-        let (busiest, wait) = (outcome.busiest_to_mean_elsewhere(), outcome.mean_wait());
-        let in_vain = outcome.in_vain;
+        let incident = Incident::Lost { remaining };
+        let outcome = Fleet::run(incident, &BackendSettings::default(), 1);
+        let crossed = outcome.first_crossed_share();
+        let (busiest, wait) = (outcome.busiest_to_mean_in_other_regions(), outcome.mean_wait());
+        let failed_attempts = outcome.failed_attempts;
         println!("{name}: {crossed:.3} crossed, mean wait {wait:.1} ms, {busiest:.2} busiest/mean");
-        println!("{name}: {in_vain} tries in vain of {}", outcome.sent);
-        assert!(crossed >= least_crossed, "{name}: {crossed}");
+        println!("{name}: {failed_attempts} failed attempts of {}", outcome.sent);
+        assert!(crossed >= min_crossed, "{name}: {crossed}");
         assert!(wait < 60.0, "{name}: {wait}");
         assert!(busiest <= 1.3, "{name}: {busiest}");
     }
 }
 
-/// Asks once of a gateway in `zone`, whose servers `gone` have left.
-struct Asked {
+/// A single choice by a gateway in zone 0, after the servers for which `gone` holds have left.
+struct ChoiceCase {
     name: &'static str,
     affinity: Option<Affinity>,
     preferred: Option<usize>,
     gone: fn(usize) -> bool,
-    /// The region that the request goes to.
+    /// The expected region of the chosen server.
     region: usize,
-    /// The very server, where it is known.
+    /// The expected server, if it is determined.
     server: Option<usize>,
 }
 
@@ -395,9 +413,9 @@
     let object = Some(Affinity::Object(12));
     let none: fn(usize) -> bool = |_| false;
     let own: fn(usize) -> bool = |server| server.is_multiple_of(REGIONS);
-    let but_third: fn(usize) -> bool = |server| server % REGIONS != 2;
+    let all_but_third_region: fn(usize) -> bool = |server| server % REGIONS != 2;
     let cases = [
-        Asked {
+        ChoiceCase {
             name: "a program",
             affinity: program,
             preferred: None,
@@ -405,7 +423,7 @@
             region: 0,
             server: None,
         },
-        Asked {
+        ChoiceCase {
             name: "an object",
             affinity: object,
             preferred: None,
@@ -413,7 +431,7 @@
             region: 0,
             server: None,
         },
-        Asked {
+        ChoiceCase {
             name: "neither",
             affinity: None,
             preferred: None,
@@ -421,62 +439,62 @@
             region: 0,
             server: None,
         },
-        Asked {
-            name: "its prompt is near",
+        ChoiceCase {
+            name: "its prompt is in the own region",
             affinity: program,
             preferred: Some(3),
             gone: none,
             region: 0,
             server: Some(3),
         },
-        Asked {
-            name: "its prompt is abroad, home is fine",
+        ChoiceCase {
+            name: "its prompt is in another region, the own region has servers",
             affinity: Some(PROMPT),
             preferred: Some(2),
             gone: none,
             region: 0,
             server: None,
         },
-        Asked {
-            name: "its prompt is abroad, home is gone",
+        ChoiceCase {
+            name: "its prompt is in another region, the own region has no servers",
             affinity: Some(PROMPT),
             preferred: Some(2),
             gone: own,
             region: 2,
             server: Some(2),
         },
-        Asked {
+        ChoiceCase {
             name: "only one region is left",
             affinity: program,
             preferred: None,
-            gone: but_third,
+            gone: all_but_third_region,
             region: 2,
             server: None,
         },
-        Asked {
+        ChoiceCase {
             name: "only one region is left, no affinity",
             affinity: None,
             preferred: None,
-            gone: but_third,
+            gone: all_but_third_region,
             region: 2,
             server: None,
         },
     ];
-    for Asked { name, affinity, preferred, gone, region, server } in cases {
+    for ChoiceCase { name, affinity, preferred, gone, region, server } in cases {
         let mut gateway = gateway(0, BackendSettings::default());
         let now = Timestamp(1_000_000);
         for server in (0..SERVERS).filter(|server| gone(*server)) {
             gateway.put(record(server, BackendState::Draining), now);
         }
         let preferred = preferred.map(server_id);
-        let ask = ChoiceRequest {
+        let request = ChoiceRequest {
             service: &service(),
             affinity,
             preferred: preferred.as_ref(),
             tried: &[],
             size: None,
         };
-        let Choice::Use { server: chosen, .. } = gateway.choose(&ask, now) else {
+        let Choice::Use { server: chosen, .. } = gateway.choose(&request, now) else {
             panic!("{name}: no server");
         };
         let number: usize = chosen.id.name[2..].parse().expect("a number");
@@ -489,7 +507,7 @@
 fn gateways_of_all_zones_of_a_region_prefer_the_same_server_for_a_program() {
     for program in 0..200 {
         let affinity = Some(Affinity::Program(program));
-        let ask = ChoiceRequest {
+        let request = ChoiceRequest {
             service: &service(),
             affinity,
             preferred: None,
@@ -498,30 +516,30 @@
         };
         let chosen = |number: usize| {
             let mut gateway = gateway(number, BackendSettings::default());
-            match gateway.choose(&ask, Timestamp(1_000_000)) {
+            match gateway.choose(&request, Timestamp(1_000_000)) {
                 Choice::Use { server, .. } => server.id,
                 refused => panic!("{refused:?}"),
             }
         };
-        // Gateways 0 and 3 stand in the two zones of the first region.
+        // Gateways 0 and 3 lie in the two zones of the first region.
         assert_eq!(chosen(0), chosen(3), "program {program}");
     }
 }
 
 #[test]
-fn a_second_try_stays_in_the_region() {
+fn a_second_attempt_stays_in_the_region() {
     let mut gateway = gateway(0, BackendSettings::default());
     let mut tried = Vec::new();
     for _ in 0..SERVERS / REGIONS / 2 {
         let affinity = Some(Affinity::Program(5));
-        let ask = ChoiceRequest {
+        let request = ChoiceRequest {
             service: &service(),
             affinity,
             preferred: None,
             tried: &tried,
             size: None,
         };
-        let Choice::Use { server, .. } = gateway.choose(&ask, Timestamp(1_000_000)) else {
+        let Choice::Use { server, .. } = gateway.choose(&request, Timestamp(1_000_000)) else {
             panic!("there are servers");
         };
         let number: usize = server.id.name[2..].parse().expect("a number");
--- a/crates/backends/tests/silent_zones.rs
+++ b/crates/backends/tests/silent_zones.rs
@@ -1,4 +1,4 @@
-//! Servers of a zone of which nobody answers: passed over while others take the request.
+//! Servers of silent zones are avoided while others take the request.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -16,8 +16,8 @@
     ServiceName("assistant".to_owned())
 }
 
-/// Two servers in each of these zones, named after it.
-fn backends(zones: &[&str]) -> Backends {
+/// Creates two servers in each of these zones, named after the zone.
+fn build_backends(zones: &[&str]) -> Backends {
     let mut backends = Backends::new(BackendSettings::default(), Zone::new("a"), 1);
     for zone in zones {
         for number in 0..2 {
@@ -36,11 +36,11 @@
     backends
 }
 
-fn silent(zones: &[&str]) -> BTreeSet<Zone> {
+fn zone_set(zones: &[&str]) -> BTreeSet<Zone> {
     zones.iter().map(|zone| Zone::new(*zone)).collect()
 }
 
-/// The zone of the server that the next request goes to; none when it is refused.
+/// Returns the zone and the server that the next request goes to, or `None` if it is refused.
 fn choose(backends: &mut Backends, preferred: Option<&BackendId>) -> Option<(String, BackendId)> {
     choose_at(backends, preferred, NOW)
 }
@@ -51,40 +51,46 @@
     now: Timestamp,
 ) -> Option<(String, BackendId)> {
     let service = service();
-    let ask = ChoiceRequest {
+    let request = ChoiceRequest {
         service: &service,
         affinity: Some(Affinity::Program(7)),
         preferred,
         tried: &[],
         size: None,
     };
-    match backends.choose(&ask, now) {
+    match backends.choose(&request, now) {
         Choice::Use { server, .. } => Some((server.id.name[..1].to_string(), server.id)),
         _ => None,
     }
 }
 
 #[test]
-fn nothing_goes_to_a_silent_zone_while_others_take_it_not_even_where_the_prompt_lies() {
-    let mut backends = backends(&["a", "b"]);
-    backends.set_silent_zones(silent(&["b"]));
-    let kept = BackendId::new("b-0", 0);
-    let mut met = 0;
-    while let Some((zone, server)) = choose(&mut backends, Some(&kept)).filter(|_| met < 20) {
-        met += 1;
+fn requests_avoid_a_silent_zone_while_others_take_them_even_if_it_holds_their_prompt() {
+    let mut backends = build_backends(&["a", "b"]);
+    backends.set_silent_zones(zone_set(&["b"]));
+    let preferred = BackendId::new("b-0", 0);
+    let mut answered = 0;
+    while let Some((zone, server)) =
+        choose(&mut backends, Some(&preferred)).filter(|_| answered < 20)
+    {
+        answered += 1;
         assert_eq!(zone, "a");
         backends.end_attempt(&server, AttemptEnd::Answered, NOW);
     }
-    assert_eq!(met, 20);
+    assert_eq!(answered, 20);
     backends.set_silent_zones(BTreeSet::new());
-    assert_eq!(choose(&mut backends, Some(&kept)).expect("a server").1, kept, "after the cut");
+    assert_eq!(
+        choose(&mut backends, Some(&preferred)).expect("a server").1,
+        preferred,
+        "after the cut"
+    );
 }
 
 #[test]
-fn its_servers_are_better_than_none_and_one_that_answers_brings_them_back() {
-    let mut backends = backends(&["b"]);
-    backends.set_silent_zones(silent(&["b"]));
-    let (_, server) = choose(&mut backends, None).expect("no other zone has any");
+fn a_silent_zone_is_used_if_there_is_no_other_and_an_answer_restores_it() {
+    let mut backends = build_backends(&["b"]);
+    backends.set_silent_zones(zone_set(&["b"]));
+    let (_, server) = choose(&mut backends, None).expect("no other zone has servers");
     for zone in ["a", "c"] {
         let record = BackendRecord {
             id: BackendId::new(format!("{zone}-9"), 0),
@@ -97,36 +103,36 @@
         };
         backends.put(record, NOW);
     }
-    let kept = BackendId::new("b-0", 0);
-    let (zone, other) = choose(&mut backends, Some(&kept)).expect("a server");
+    let preferred = BackendId::new("b-0", 0);
+    let (zone, other) = choose(&mut backends, Some(&preferred)).expect("a server");
     assert_ne!(zone, "b");
     backends.end_attempt(&other, AttemptEnd::Answered, NOW);
-    assert_ne!(choose(&mut backends, Some(&kept)).expect("a server").0, "b", "still silent");
+    assert_ne!(choose(&mut backends, Some(&preferred)).expect("a server").0, "b", "still silent");
     backends.end_attempt(&server, AttemptEnd::Answered, NOW);
-    assert_eq!(choose(&mut backends, Some(&kept)).expect("a server").1, kept);
+    assert_eq!(choose(&mut backends, Some(&preferred)).expect("a server").1, preferred);
 }
 
-/// All daemons of the zone are gone, and its servers are sound.
+/// Simulates a zone whose daemons are all lost while its servers are healthy.
 #[test]
-fn a_silent_zone_gets_a_request_a_second_until_one_is_answered() {
-    let mut backends = backends(&["a", "b"]);
-    let kept = BackendId::new("b-0", 0);
-    backends.set_silent_zones(silent(&["b"]));
-    let mut sent_there = Vec::new();
+fn a_silent_zone_is_probed_once_a_second_until_it_answers() {
+    let mut backends = build_backends(&["a", "b"]);
+    let preferred = BackendId::new("b-0", 0);
+    backends.set_silent_zones(zone_set(&["b"]));
+    let mut probe_steps = Vec::new();
     for step in 0..35 {
         let now = NOW + Duration::from_millis(step * 100);
-        let (zone, server) = choose_at(&mut backends, Some(&kept), now).expect("a server");
+        let (zone, server) = choose_at(&mut backends, Some(&preferred), now).expect("a server");
         if zone == "b" {
-            sent_there.push(step);
+            probe_steps.push(step);
         }
         backends.end_attempt(&server, AttemptEnd::Dropped, now);
-        // Told again, as when another zone changes.
-        backends.set_silent_zones(silent(&["b"]));
+        // The zones are set again, as when another zone changes.
+        backends.set_silent_zones(zone_set(&["b"]));
     }
-    assert_eq!(sent_there, [10, 20, 30]);
+    assert_eq!(probe_steps, [10, 20, 30]);
     let later = NOW + Duration::from_secs(5);
-    let (_, tried) = choose_at(&mut backends, Some(&kept), later).expect("a server");
-    assert_ne!(choose_at(&mut backends, Some(&kept), later).expect("a server").0, "b");
-    backends.end_attempt(&tried, AttemptEnd::Answered, later);
-    assert_eq!(choose_at(&mut backends, Some(&kept), later).expect("a server").1, kept);
+    let (_, probed) = choose_at(&mut backends, Some(&preferred), later).expect("a server");
+    assert_ne!(choose_at(&mut backends, Some(&preferred), later).expect("a server").0, "b");
+    backends.end_attempt(&probed, AttemptEnd::Answered, later);
+    assert_eq!(choose_at(&mut backends, Some(&preferred), later).expect("a server").1, preferred);
 }
--- a/crates/backends/tests/zones.rs
+++ b/crates/backends/tests/zones.rs
@@ -1,9 +1,10 @@
-//! Where first turns go in a fleet of four zones: near while that costs nobody, to all while one zone's
-//! callers come at once.
+//! Where first turns go in a fleet of four zones: to the own zone while that delays nobody, and to
+//! all zones during a burst of one zone's callers.
 //!
-//! Sizes are those of a deployment of 73 gateways before 44 model servers of eight slots; a turn takes
-//! 270 ms of a slot. Usual load fills 45 in 100 of the slots. A burst of one zone's callers of 2.5 times
-//! the usual is 1.1 times what that zone's own servers can serve, and 0.6 of what all can.
+//! The sizes are those of a deployment with 73 gateways and 44 model servers of eight slots; a turn
+//! occupies a slot for 270 ms. Normal load fills 45 in 100 of the slots. A burst of one zone's
+//! callers at 2.5 times the normal load is 1.1 times what that zone's own servers can serve, and
+//! 0.6 of what all can.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
@@ -21,10 +22,10 @@
 const GATEWAYS: usize = 18;
 const SERVERS: usize = 11;
 const SLOTS: usize = 8;
-const TURN: Duration = Duration::from_millis(270);
-/// Turns a second of one zone's callers that fill 45 in 100 of its servers' slots.
-const USUAL_PER_S: f64 = 0.45 * (SERVERS * SLOTS) as f64 / 0.27;
-/// The prompt that all programs share: any server may read it.
+const TURN_DURATION: Duration = Duration::from_millis(270);
+/// The turns per second of one zone's callers that fill 45 in 100 of its servers' slots.
+const NORMAL_TURNS_PER_S: f64 = 0.45 * (SERVERS * SLOTS) as f64 / 0.27;
+/// The prompt that all programs share. It is short, so any server may read it.
 const PROMPT: SharedPrompt = SharedPrompt { hash: 7, tokens: 512 };
 
 fn service() -> ServiceName {
@@ -54,35 +55,36 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Happening {
-    Arrives { zone: usize },
-    Ends { server: usize, gateway: usize },
+enum SimulationEvent {
+    TurnStart { zone: usize },
+    TurnEnd { server: usize, gateway: usize },
 }
 
-/// A turn at a server.
+/// A turn in a server's queue.
 #[derive(Debug, Clone, Copy)]
-struct Waiting {
+struct QueuedTurn {
     gateway: usize,
     sent: Timestamp,
 }
 
 #[derive(Default)]
 struct Outcome {
-    /// Milliseconds that turns of the first zone's callers waited for a slot, sent in the burst.
+    /// The milliseconds that turns of the first zone's callers, sent during the burst, waited for a
+    /// slot.
     waits: Vec<f64>,
-    near: usize,
+    in_own_zone: usize,
     sent: usize,
 }
 
 struct Fleet {
     gateways: Vec<Backends>,
     running: Vec<usize>,
-    queues: Vec<VecDeque<Waiting>>,
-    agenda: BinaryHeap<Reverse<(Timestamp, u64, Happening)>>,
-    steps: u64,
+    queues: Vec<VecDeque<QueuedTurn>>,
+    event_queue: BinaryHeap<Reverse<(Timestamp, u64, SimulationEvent)>>,
+    sequence: u64,
     random: ChaCha8Rng,
     outcome: Outcome,
-    burst: f64,
+    burst_factor: f64,
 }
 
 /// The burst lasts from the sixth second to the tenth.
@@ -91,79 +93,85 @@
 }
 
 impl Fleet {
-    fn run(burst: f64, seed: u64) -> Outcome {
+    fn run(burst_factor: f64, seed: u64) -> Outcome {
         let mut fleet = Self {
             gateways: (0..ZONES * GATEWAYS).map(gateway).collect(),
             running: vec![0; ZONES * SERVERS],
             queues: vec![VecDeque::new(); ZONES * SERVERS],
-            agenda: BinaryHeap::new(),
-            steps: 0,
+            event_queue: BinaryHeap::new(),
+            sequence: 0,
             random: ChaCha8Rng::seed_from_u64(seed),
             outcome: Outcome::default(),
-            burst,
+            burst_factor,
         };
-        (0..ZONES).for_each(|zone| fleet.put(Timestamp(0), Happening::Arrives { zone }));
-        while let Some(Reverse((now, _, happening))) = fleet.agenda.pop() {
-            match happening {
-                Happening::Arrives { zone } => fleet.arrives(zone, now),
-                Happening::Ends { server, gateway } => fleet.ends(server, gateway, now),
+        (0..ZONES)
+            .for_each(|zone| fleet.schedule(Timestamp(0), SimulationEvent::TurnStart { zone }));
+        while let Some(Reverse((now, _, event))) = fleet.event_queue.pop() {
+            match event {
+                SimulationEvent::TurnStart { zone } => fleet.send_turn(zone, now),
+                SimulationEvent::TurnEnd { server, gateway } => {
+                    fleet.end_turn(server, gateway, now)
+                }
             }
         }
         fleet.outcome
     }
 
-    fn put(&mut self, at: Timestamp, happening: Happening) {
-        self.steps += 1;
-        self.agenda.push(Reverse((at, self.steps, happening)));
+    fn schedule(&mut self, at: Timestamp, event: SimulationEvent) {
+        self.sequence += 1;
+        self.event_queue.push(Reverse((at, self.sequence, event)));
     }
 
-    fn arrives(&mut self, zone: usize, now: Timestamp) {
-        let factor = if zone == 0 && is_burst(now) { self.burst } else { 1.0 };
-        let pause = -self.random.random::<f64>().max(1e-9).ln() / (USUAL_PER_S * factor);
+    fn send_turn(&mut self, zone: usize, now: Timestamp) {
+        let factor = if zone == 0 && is_burst(now) { self.burst_factor } else { 1.0 };
+        let pause = -self.random.random::<f64>().max(1e-9).ln() / (NORMAL_TURNS_PER_S * factor);
         let next = now + Duration::from_secs_f64(pause);
         if next.0 < 12_000_000 {
-            self.put(next, Happening::Arrives { zone });
+            self.schedule(next, SimulationEvent::TurnStart { zone });
         }
         let gateway = self.random.random_range(0..GATEWAYS) * ZONES + zone;
         let affinity = Some(Affinity::SharedPrompt(PROMPT));
-        let ask = ChoiceRequest {
+        let request = ChoiceRequest {
             service: &service(),
             affinity,
             preferred: None,
             tried: &[],
             size: None,
         };
-        let Choice::Use { server, .. } = self.gateways[gateway].choose(&ask, now) else {
+        let Choice::Use { server, .. } = self.gateways[gateway].choose(&request, now) else {
             panic!("no server takes a turn");
         };
         let server: usize = server.id.name[2..].parse().expect("a number");
         self.outcome.sent += 1;
-        self.outcome.near += usize::from(server % ZONES == zone);
-        let waiting = Waiting { gateway, sent: now };
+        self.outcome.in_own_zone += usize::from(server % ZONES == zone);
+        let turn = QueuedTurn { gateway, sent: now };
         if self.running[server] < SLOTS {
-            self.starts(server, waiting, now);
+            self.run_turn(server, turn, now);
         } else {
-            self.queues[server].push_back(waiting);
+            self.queues[server].push_back(turn);
         }
     }
 
-    fn starts(&mut self, server: usize, waiting: Waiting, now: Timestamp) {
+    fn run_turn(&mut self, server: usize, turn: QueuedTurn, now: Timestamp) {
         self.running[server] += 1;
-        let waited = now.since(waiting.sent);
-        if waiting.gateway.is_multiple_of(ZONES) && is_burst(waiting.sent) {
+        let waited = now.since(turn.sent);
+        if turn.gateway.is_multiple_of(ZONES) && is_burst(turn.sent) {
             self.outcome.waits.push(waited.as_secs_f64() * 1e3);
         }
         let id = BackendId::new(format!("i-{server}"), 0);
-        self.gateways[waiting.gateway].record_response_time(&id, waited, now);
-        self.put(now + TURN, Happening::Ends { server, gateway: waiting.gateway });
+        self.gateways[turn.gateway].record_response_time(&id, waited, now);
+        self.schedule(
+            now + TURN_DURATION,
+            SimulationEvent::TurnEnd { server, gateway: turn.gateway },
+        );
     }
 
-    fn ends(&mut self, server: usize, gateway: usize, now: Timestamp) {
+    fn end_turn(&mut self, server: usize, gateway: usize, now: Timestamp) {
         let id = BackendId::new(format!("i-{server}"), 0);
         self.gateways[gateway].end_attempt(&id, AttemptEnd::Answered, now);
         self.running[server] -= 1;
         if let Some(next) = self.queues[server].pop_front() {
-            self.starts(server, next, now);
+            self.run_turn(server, next, now);
         }
     }
 }
@@ -173,19 +181,19 @@
 }
 
 #[test]
-fn while_all_zones_have_the_usual_load_most_first_turns_stay_near() {
+fn at_normal_load_most_first_turns_stay_in_their_zone() {
     let outcome = Fleet::run(1.0, 1);
-    let near = outcome.near as f64 / outcome.sent as f64;
-    eprintln!("near: {near:.3}; mean wait {:.1} ms", mean(&outcome.waits));
-    assert!(near >= 0.7, "{near}");
+    let in_own_zone = outcome.in_own_zone as f64 / outcome.sent as f64;
+    eprintln!("in the own zone: {in_own_zone:.3}; mean wait {:.1} ms", mean(&outcome.waits));
+    assert!(in_own_zone >= 0.7, "{in_own_zone}");
     assert!(mean(&outcome.waits) < 30.0);
 }
 
 #[test]
-fn a_burst_of_one_zones_callers_is_borne_by_all_servers() {
+fn a_burst_of_one_zones_callers_is_spread_over_all_servers() {
     let waits: BTreeMap<u64, f64> =
         (0..3).map(|seed| (seed, mean(&Fleet::run(2.5, seed).waits))).collect();
     eprintln!("mean waits in the burst by seed: {waits:?}");
-    // Where near servers always go first, these are 260, 369 and 277 ms.
+    // If servers of the own zone always came first, these would be 260, 369 and 277 ms.
     assert!(waits.values().all(|wait| *wait < 100.0), "{waits:?}");
 }
