--- a/crates/backends/src/cold_limiter.rs
+++ b/crates/backends/src/cold_limiter.rs
@@ -4,8 +4,8 @@
 //! Gateways do not coordinate before each request, and an idle server looks idle to all of them at
 //! the same moment. Therefore a cold server is open to a few gateways only, the first ones by
 //! rendezvous hashing over all known gateways, and each of these has a fixed share of what the
-//! server can handle. A share is a whole number of requests per window, so that the shares add up to
-//! the limit in any second, whenever it begins.
+//! server can handle. A share is a whole number of requests per window, so that the shares add up
+//! to the limit in any second, whenever it begins.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -76,8 +76,8 @@
         settings: &BackendSettings,
     ) -> Self {
         let max_per_s = limit.per_s * settings.cold_excess + settings.cold_slack;
-        // The server must handle the shares for as long as it is cold, so they do not exceed what it
-        // can handle in a window.
+        // The server must handle the shares for as long as it is cold, so they do not exceed what
+        // it can handle in a window.
         let capacity = limit.per_s * WINDOW.as_secs_f64();
         let distributed = capacity.min(max_per_s * DISTRIBUTED_PART);
         let holders = gateways.count().min(distributed as usize).max(1);
@@ -179,8 +179,8 @@
         self.gateways = gateways;
     }
 
-    /// Returns how long a server of a service is cold after a start; zero if the service has no cold
-    /// limit.
+    /// Returns how long a server of a service is cold after a start; zero if the service has no
+    /// cold limit.
     pub(crate) fn cold_duration(&self, service: &ServiceName) -> Duration {
         self.limits.get(service).map(|limit| limit.lasts).unwrap_or_default()
     }
--- a/crates/backends/src/cold_servers.rs
+++ b/crates/backends/src/cold_servers.rs
@@ -1,5 +1,5 @@
-//! Cold servers among all servers: who may send to them, and how a server that becomes warm joins the
-//! others.
+//! Cold servers among all servers: who may send to them, and how a server that becomes warm joins
+//! the others.
 
 use std::collections::BTreeMap;
 
--- a/crates/backends/src/engine.rs
+++ b/crates/backends/src/engine.rs
@@ -2,9 +2,9 @@
 
 use dahlia_types::Tokens;
 
-/// The maximum number of tokens that a request counts for. Callers may state any number, and the sum
-/// over all attempts must stay exact: if it saturated, the end of one attempt would also subtract
-/// tokens of others.
+/// The maximum number of tokens that a request counts for. Callers may state any number, and the
+/// sum over all attempts must stay exact: if it saturated, the end of one attempt would also
+/// subtract tokens of others.
 const MAX_TURN_TOKENS: u64 = u32::MAX as u64;
 
 /// The capacity of each model server of a service.
--- a/crates/backends/src/evacuation_orders.rs
+++ b/crates/backends/src/evacuation_orders.rs
@@ -67,8 +67,8 @@
         self.known_to
     }
 
-    /// Whether no order is newer than the known revision. Only then does a single revision state how
-    /// recent the whole view is.
+    /// Whether no order is newer than the known revision. Only then does a single revision state
+    /// how recent the whole view is.
     pub fn is_complete(&self) -> bool {
         self.orders.values().all(|revision| *revision <= self.known_to)
     }
--- a/crates/backends/src/expected_end.rs
+++ b/crates/backends/src/expected_end.rs
@@ -5,11 +5,12 @@
 //! also delays all attempts that run beside it, so it counts once for each of them, and their
 //! prefills delay this request. A server without enough memory for the request's end would have to
 //! evict others, so it comes last. A server that is nearly full will often be full when the request
-//! arrives, which the mean of its attempts does not show; therefore the cost grows with the share of
-//! used slots.
+//! arrives, which the mean of its attempts does not show; therefore the cost grows with the share
+//! of used slots.
 //!
-//! A prefill evicts from the memory what another request will have to read again, so it counts three
-//! times more, and a program leaves the server that holds its prompt only for a much better one.
+//! A prefill evicts from the memory what another request will have to read again, so it counts
+//! three times more, and a program leaves the server that holds its prompt only for a much better
+//! one.
 //!
 //! Many gateways see the same loads, with the same delay. If all of them chose the best server, it
 //! would be the worst one before they noticed. So servers are drawn at random, and a server is less
@@ -102,9 +103,9 @@
         OtherDaemonsLoad { attempts: attempts / count, tokens: tokens / count }
     }
 
-    /// Estimates other daemons' load of a server now, and returns it with the age of the report. The
-    /// reported load counts as far as its attempts have not ended yet, and the mean load replaces
-    /// the rest.
+    /// Estimates other daemons' load of a server now, and returns it with the age of the report.
+    /// The reported load counts as far as its attempts have not ended yet, and the mean load
+    /// replaces the rest.
     fn other_daemons_load(
         &self,
         server: &Server,
--- a/crates/backends/src/load_comparison.rs
+++ b/crates/backends/src/load_comparison.rs
@@ -95,10 +95,10 @@
         first.or_else(|| self.choose_least_loaded())
     }
 
-    /// Chooses the server of the own zone that all daemons of this zone prefer for an object, unless
-    /// its load is far above the mean. It saves only a part of its own work, which is worth less
-    /// than a round trip to another zone or a wait in a queue. Otherwise the choice ignores the
-    /// object.
+    /// Chooses the server of the own zone that all daemons of this zone prefer for an object,
+    /// unless its load is far above the mean. It saves only a part of its own work, which is worth
+    /// less than a round trip to another zone or a wait in a queue. Otherwise the choice ignores
+    /// the object.
     pub(crate) fn choose_for_object(&self, object: u64, zone: &Zone) -> Chosen<'a> {
         let in_own_zone = self.own_zone.into_iter().flat_map(|own_zone| {
             self.candidates.iter().filter(move |server| own_zone.contains(server))
@@ -109,9 +109,9 @@
     }
 
     /// Chooses the least loaded of the first servers by rendezvous hashing; as many are compared as
-    /// the prompt's share of the load needs, and ties are broken at random. If all of these have far
-    /// more than the mean load, the share was underestimated, and the next server that has not is
-    /// used.
+    /// the prompt's share of the load needs, and ties are broken at random. If all of these have
+    /// far more than the mean load, the share was underestimated, and the next server that has not
+    /// is used.
     pub(crate) fn choose_for_prompt(&self, prompt: SharedPrompt, share: f64) -> Chosen<'a> {
         let wanted = share * self.candidates.len() as f64;
         let wanted = wanted * Self::prompt_spread(self.settings, prompt);
@@ -134,10 +134,10 @@
         Some((chosen, ChoiceReason::SharedPrompt))
     }
 
-    /// Returns the number of servers for a prompt, as a multiple of those that its share of the load
-    /// fills. The work spent on reading the prompt is bounded, not the number of servers: a prompt
-    /// with a tenth of the tokens may be read at ten times as many servers, which spreads load more
-    /// evenly.
+    /// Returns the number of servers for a prompt, as a multiple of those that its share of the
+    /// load fills. The work spent on reading the prompt is bounded, not the number of servers: a
+    /// prompt with a tenth of the tokens may be read at ten times as many servers, which spreads
+    /// load more evenly.
     pub(crate) fn prompt_spread(settings: &BackendSettings, prompt: SharedPrompt) -> f64 {
         let long = settings.long_prompt_tokens as f64;
         settings.prompt_spread * (long / prompt.tokens.max(1) as f64).max(1.0)
--- a/crates/backends/src/load_exchange.rs
+++ b/crates/backends/src/load_exchange.rs
@@ -1,5 +1,5 @@
-//! Exchanges server loads with other daemons: reports this daemon's loads, and applies the loads that
-//! others report.
+//! Exchanges server loads with other daemons: reports this daemon's loads, and applies the loads
+//! that others report.
 
 use std::collections::BTreeMap;
 
@@ -23,8 +23,8 @@
 }
 
 impl Backends {
-    /// Sets the capacity of the model servers of services. Only these services choose servers by the
-    /// expected end of a request.
+    /// Sets the capacity of the model servers of services. Only these services choose servers by
+    /// the expected end of a request.
     pub fn set_engine_capacities(&mut self, engines: BTreeMap<ServiceName, EngineCapacity>) {
         self.engines = engines;
     }
--- a/crates/backends/src/prompt_shares.rs
+++ b/crates/backends/src/prompt_shares.rs
@@ -13,8 +13,8 @@
 /// two hundred requests count, with which the estimate of a share of one sixteenth is off by a
 /// third.
 const TIME_CONSTANT_S: f64 = 20.0;
-/// Every estimate starts with this many requests for other prompts. Otherwise the first request of a
-/// daemon would say that its prompt is the whole load.
+/// Every estimate starts with this many requests for other prompts. Otherwise the first request of
+/// a daemon would say that its prompt is the whole load.
 const ASSUMED_OTHER_REQUESTS: f64 = 30.0;
 /// The maximum number of prompts that are counted; above it, the one with the lowest count is
 /// removed. It is far more than the number of prompts that servers can keep cached.
--- a/crates/backends/src/region_overflow.rs
+++ b/crates/backends/src/region_overflow.rs
@@ -2,8 +2,8 @@
 //!
 //! A request to another region pays for the round trip and for expensive bytes: a turn carries its
 //! whole history. That is worth it only where the own region's servers are lost, or so loaded that
-//! callers wait much longer. No gateway knows the load that other gateways cause, but the time until
-//! answers begin reflects it, and for other regions it already includes the round trip.
+//! callers wait much longer. No gateway knows the load that other gateways cause, but the time
+//! until answers begin reflects it, and for other regions it already includes the round trip.
 //!
 //! While the own region answers in time, nothing is sent to other regions. When it no longer does,
 //! other regions are assumed to answer as soon as the own one did at its best, until a few requests
@@ -30,8 +30,8 @@
 /// The maximum share that leaves a region because its answers are late. Some requests must stay, to
 /// show when answers are no longer late.
 const MAX_SLOW_SHARE: f64 = 0.7;
-/// Below this part of a region's slots that take requests, other regions receive the missing part at
-/// once, before answers are late.
+/// Below this part of a region's slots that take requests, other regions receive the missing part
+/// at once, before answers are late.
 const MIN_HEALTHY_SHARE: f64 = 0.5;
 
 /// How soon servers of a service answered recently, in the own region and in others.
--- a/crates/backends/src/rendezvous.rs
+++ b/crates/backends/src/rendezvous.rs
@@ -1,4 +1,5 @@
-//! Rendezvous hashing (Thaler and Ravishankar 1998): all daemons compute the same ranking of servers.
+//! Rendezvous hashing (Thaler and Ravishankar 1998): all daemons compute the same ranking of
+//! servers.
 
 use crate::BackendId;
 
--- a/crates/backends/src/reported_load.rs
+++ b/crates/backends/src/reported_load.rs
@@ -21,8 +21,8 @@
 }
 
 impl ReportedLoad {
-    /// Reads the report of a server with so many slots. Returns `None` for a load that such a server
-    /// cannot have.
+    /// Reads the report of a server with so many slots. Returns `None` for a load that such a
+    /// server cannot have.
     pub(crate) fn from_report(
         load: &ServerLoad,
         slots: u32,
--- a/crates/backends/src/selection.rs
+++ b/crates/backends/src/selection.rs
@@ -31,8 +31,8 @@
 /// some ten microseconds.
 const MAX_COMPARED: usize = 128;
 /// The number of servers compared for a request if the service has more. The least loaded of two
-/// random servers is already nearly as good as the least loaded of all (Mitzenmacher 2001). The rest
-/// makes up for how little a daemon sees of the loads if there are many daemons.
+/// random servers is already nearly as good as the least loaded of all (Mitzenmacher 2001). The
+/// rest makes up for how little a daemon sees of the loads if there are many daemons.
 const SAMPLE_SIZE: usize = 24;
 /// The number of servers whose latencies give the median if the service has more than
 /// [`MAX_COMPARED`].
@@ -172,9 +172,9 @@
     }
 
     /// Selects a server of a large service without a comparison: the server that holds what the
-    /// request needs, if it has enough free slots. Otherwise, if the service has spare capacity, the
-    /// first server of the own zone without attempts of this daemon, in an order of this daemon's
-    /// own. A daemon thus uses only as many servers as it has concurrent requests.
+    /// request needs, if it has enough free slots. Otherwise, if the service has spare capacity,
+    /// the first server of the own zone without attempts of this daemon, in an order of this
+    /// daemon's own. A daemon thus uses only as many servers as it has concurrent requests.
     fn select_without_comparison<'a>(
         &self,
         servers: &'a ServiceServers,
@@ -375,9 +375,9 @@
     healthy: usize,
 }
 
-/// Returns the latency above which a server of a service counts as slow, or `None` if fewer than two
-/// servers can be compared. The median of an even number is the faster of the two middle ones, so
-/// that one of two servers can be slow. For a large service, a part of the servers is enough.
+/// Returns the latency above which a server of a service counts as slow, or `None` if fewer than
+/// two servers can be compared. The median of an even number is the faster of the two middle ones,
+/// so that one of two servers can be slow. For a large service, a part of the servers is enough.
 fn slow_threshold(servers: &ServiceServers, settings: &BackendSettings) -> Option<Duration> {
     let latencies = servers.servers_with_latency().filter_map(|server| server.latency(settings));
     let max_samples = if servers.len() > MAX_COMPARED { MAX_MEDIAN_SAMPLES } else { MAX_COMPARED };
--- a/crates/backends/src/server.rs
+++ b/crates/backends/src/server.rs
@@ -147,8 +147,8 @@
         self.reported_load.filter(|load| load.age(max_age, now).is_some())
     }
 
-    /// Records the load of other daemons. Of two reports the later one counts, whatever the order of
-    /// their arrival.
+    /// Records the load of other daemons. Of two reports the later one counts, whatever the order
+    /// of their arrival.
     pub(crate) fn record_reported_load(&mut self, load: ReportedLoad) {
         if self.reported_load.is_none_or(|before| before.measured_at <= load.measured_at) {
             self.reported_load = Some(load);
@@ -206,8 +206,8 @@
         self.latency.record(time, settings, now);
     }
 
-    /// Records that an attempt ended without an answer after this time. It shows only that an answer
-    /// takes longer.
+    /// Records that an attempt ended without an answer after this time. It shows only that an
+    /// answer takes longer.
     pub(crate) fn record_unanswered(
         &mut self,
         time: Duration,
--- a/crates/backends/src/settings.rs
+++ b/crates/backends/src/settings.rs
@@ -56,7 +56,7 @@
     /// The maximum number of requests per second from all gateways to a cold server, as a multiple
     /// of what its service states that it can handle.
     pub cold_excess: f64,
-    /// Requests per second in addition to `cold_excess`.
+    /// Further requests per second that are allowed on top of that.
     pub cold_slack: f64,
     /// Whether requests for model servers go to the server where they are expected to end first.
     pub by_expected_end: bool,
--- a/crates/backends/src/silent_zones.rs
+++ b/crates/backends/src/silent_zones.rs
@@ -15,8 +15,8 @@
 /// second attempt, and short enough that other zones soon stop carrying the load of a healthy zone.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The zones none of whose daemons answers, each with the time of its next probe. The time is `None`
-/// until the next choice.
+/// The zones none of whose daemons answers, each with the time of its next probe. The time is
+/// `None` until the next choice.
 #[derive(Debug, Default)]
 pub(crate) struct SilentZones(BTreeMap<Zone, Option<Timestamp>>);
 
--- a/crates/backends/src/smoothed_count.rs
+++ b/crates/backends/src/smoothed_count.rs
@@ -20,8 +20,8 @@
         Self { mean, updated_at: now }
     }
 
-    /// Records that the count was `count` since the previous call. The weight of older values decays
-    /// to 1/e within `time_constant`.
+    /// Records that the count was `count` since the previous call. The weight of older values
+    /// decays to 1/e within `time_constant`.
     pub(crate) fn record(&mut self, count: u32, time_constant: Duration, now: Timestamp) {
         self.mean = self.average_at(count, time_constant, now);
         self.updated_at = now;
--- a/crates/backends/src/table.rs
+++ b/crates/backends/src/table.rs
@@ -155,8 +155,8 @@
         self.evacuated_zones.progress(servers.map(|server| (&server.record, server.in_flight)))
     }
 
-    /// Whether this incarnation of a server has ended or is about to, as reported by discovery or by
-    /// the server itself.
+    /// Whether this incarnation of a server has ended or is about to, as reported by discovery or
+    /// by the server itself.
     pub fn is_leaving_or_gone(&self, id: &BackendId) -> bool {
         self.server(id).is_none_or(Server::is_ending)
     }
@@ -171,8 +171,8 @@
         self.service_by_id.keys()
     }
 
-    /// Returns the number of servers examined so far, over all calls. The cost of choices grows with
-    /// it.
+    /// Returns the number of servers examined so far, over all calls. The cost of choices grows
+    /// with it.
     pub fn servers_examined(&self) -> u64 {
         self.services.values().map(ServiceServers::servers_examined).sum()
     }
--- a/crates/backends/tests/choice.rs
+++ b/crates/backends/tests/choice.rs
@@ -165,8 +165,8 @@
     let prompts: Vec<(u64, u32)> = (0..11).map(|prompt| (prompt, 1)).chain([(99, 5)]).collect();
     let chosen = choose_for_prompts(&prompts, 20);
     for (prompt, servers) in &chosen {
-        // Each other prompt has one of sixteen requests: its share of twelve servers times the spread of
-        // four is three.
+        // Each other prompt has one of sixteen requests: its share of twelve servers times the
+        // spread of four is three.
         let wanted = if *prompt == 99 { 10..=12 } else { 2..=4 };
         assert!(wanted.contains(&servers.len()), "prompt {prompt}: {servers:?}");
     }
@@ -329,7 +329,7 @@
             affinity: affinity.map(Affinity::Program),
             ..new_request(&service, &[])
         };
-        let id = chosen_server(backends.choose(&request, now)).expect("there are idle ones");
+        let id = chosen_server(backends.choose(&request, now)).expect("a server is idle");
         let is_slow = id.name == "slow";
         slow += usize::from(is_slow);
         let time = Duration::from_millis(if is_slow { slow_ms } else { 50 });
--- a/crates/backends/tests/cold.rs
+++ b/crates/backends/tests/cold.rs
@@ -65,7 +65,7 @@
 
 /// Prints the comparison in the design note.
 #[test]
-#[ignore = "prints a table: run with --ignored --nocapture"]
+#[ignore = "a table for people: run with --ignored --nocapture"]
 fn compare_policies() {
     println!(
         "case | gateways | load | policy: max/s, cold turns/s, refused %, wait ms, busiest/mean"
--- a/crates/backends/tests/cold_shares.rs
+++ b/crates/backends/tests/cold_shares.rs
@@ -126,7 +126,9 @@
         unknown_gateways in proptest::collection::vec(0..370_u64, 0..4),
         bursts in proptest::collection::vec(any_burst(), 1..12),
     ) {
-        let max = max_per_second(&simulate_bursts(Some(per_s), gateways, &unknown_gateways, &bursts));
+        let max = max_per_second(
+            &simulate_bursts(Some(per_s), gateways, &unknown_gateways, &bursts),
+        );
         let bound = per_s * COLD_EXCESS + COLD_SLACK;
         prop_assert!(max as f64 <= bound, "{max} of {bound}");
     }
@@ -249,14 +251,16 @@
         for request in 0..100 {
             let now = START + Duration::from_millis(request * 100);
             let Choice::Use { server, .. } = choose(&mut backends, None, now) else {
-                panic!("room")
+                panic!("no server takes the request")
             };
             backends.end_attempt(&server.id, AttemptEnd::Answered, now + Duration::from_millis(90));
         }
         let now = START + Duration::from_millis(10_000);
         let new = record("i-new", 2, "hall-a", Duration::ZERO);
         backends.put(new.clone(), now);
-        let Choice::Use { server, .. } = choose(&mut backends, None, now) else { panic!("room") };
+        let Choice::Use { server, .. } = choose(&mut backends, None, now) else {
+            panic!("no server takes the request")
+        };
         first_choices += usize::from(server.id == new.id);
     }
     println!("{first_choices} of {GATEWAYS} gateways send their next request to the new server");
--- a/crates/backends/tests/connections.rs
+++ b/crates/backends/tests/connections.rs
@@ -73,16 +73,16 @@
     }
 
     fn busiest_to_mean(&self) -> f64 {
-        let most = self.turns_before.iter().max().copied().unwrap_or_default();
-        (most * SERVERS) as f64 / self.turns_before.iter().sum::<usize>() as f64
+        let max = self.turns_before.iter().max().copied().unwrap_or_default();
+        (max * SERVERS) as f64 / self.turns_before.iter().sum::<usize>() as f64
     }
 
     /// The same for the remaining servers in the lost server's zone.
     fn busiest_to_mean_in_lost_zone(&self) -> f64 {
         let remaining = (LOST_SERVER + ZONES..SERVERS).step_by(ZONES);
         let remaining: Vec<usize> = remaining.map(|server| self.turns_after[server]).collect();
-        let most = remaining.iter().max().copied().unwrap_or_default();
-        (most * remaining.len()) as f64 / remaining.iter().sum::<usize>() as f64
+        let max = remaining.iter().max().copied().unwrap_or_default();
+        (max * remaining.len()) as f64 / remaining.iter().sum::<usize>() as f64
     }
 }
 
@@ -170,7 +170,7 @@
             size: None,
         };
         let Choice::Use { server, .. } = self.gateways[gateway].choose(&request, now) else {
-            panic!("a server takes it");
+            panic!("no server takes the turn");
         };
         let number: usize = server.id.name[2..].parse().expect("a number");
         let connections = self.connections.entry((gateway, number)).or_default();
--- a/crates/backends/tests/load_view.rs
+++ b/crates/backends/tests/load_view.rs
@@ -17,8 +17,8 @@
 const MEMORY: u64 = 50_000;
 const SIZE: TurnSize = TurnSize { prompt: Tokens(1_200), generated: Tokens(80) };
 const FULL_RANGE: RangeInclusive<ServerDigest> = ServerDigest(0)..=ServerDigest(u64::MAX);
-const FAST_TOKEN_MICROS: u32 = 2_000;
-const SLOW_TOKEN_MICROS: u32 = 9_000;
+const FAST_MICROS: u32 = 2_000;
+const SLOW_MICROS: u32 = 9_000;
 
 fn service() -> ServiceName {
     ServiceName("assistant".to_owned())
@@ -81,7 +81,7 @@
     let request =
         ChoiceRequest { service: &service, affinity, preferred, tried: &[], size: Some(SIZE) };
     let Choice::Use { server, basis } = backends.choose(&request, now) else {
-        panic!("a server is free")
+        panic!("no server is free")
     };
     (server.id.name[2..].parse().expect("a number"), basis)
 }
@@ -98,7 +98,7 @@
 
 #[test]
 fn own_loads_are_reported_until_attempts_end_and_token_times_once() {
-    let mut backends = build_with_token_times(&[FAST_TOKEN_MICROS, FAST_TOKEN_MICROS]);
+    let mut backends = build_with_token_times(&[FAST_MICROS, FAST_MICROS]);
     assert_eq!(backends.take_own_loads(NOW).len(), 2, "token times of both");
     assert_eq!(backends.take_own_loads(NOW), []);
     let (server, _) = choose_for(&mut backends, None, NOW);
@@ -114,9 +114,9 @@
 
 /// A caller may state any size.
 #[test]
-fn the_end_of_an_attempt_of_huge_size_leaves_other_reservations() {
+fn ending_an_attempt_of_huge_size_keeps_other_reservations() {
     const HUGE: TurnSize = TurnSize { prompt: Tokens(u64::MAX), generated: Tokens(u64::MAX) };
-    let mut backends = build_with_token_times(&[FAST_TOKEN_MICROS]);
+    let mut backends = build_with_token_times(&[FAST_MICROS]);
     let service = service();
     for size in [SIZE, HUGE] {
         let size = Some(size);
@@ -131,8 +131,7 @@
 
 #[test]
 fn slow_servers_are_avoided_until_the_fast_ones_are_full() {
-    let mut backends =
-        build_with_token_times(&[FAST_TOKEN_MICROS, SLOW_TOKEN_MICROS, FAST_TOKEN_MICROS]);
+    let mut backends = build_with_token_times(&[FAST_MICROS, SLOW_MICROS, FAST_MICROS]);
     assert_eq!(choose_many(&mut backends, None), BTreeSet::from([0, 2]));
     backends.apply_load_view(
         &load_view(vec![server_load(0, 30, 30_000), server_load(2, 30, 30_000)]),
@@ -143,19 +142,15 @@
 
 #[test]
 fn a_program_stays_where_its_prompt_is_unless_that_is_slow() {
-    let mut backends = build_with_token_times(&[
-        FAST_TOKEN_MICROS,
-        FAST_TOKEN_MICROS * 5 / 4,
-        SLOW_TOKEN_MICROS,
-        FAST_TOKEN_MICROS,
-    ]);
+    let mut backends =
+        build_with_token_times(&[FAST_MICROS, FAST_MICROS * 5 / 4, SLOW_MICROS, FAST_MICROS]);
     assert_eq!(choose_many(&mut backends, Some(&server_id(1))), BTreeSet::from([1]));
     assert_eq!(choose_many(&mut backends, Some(&server_id(2))), BTreeSet::from([0, 1, 3]));
 }
 
 #[test]
 fn a_server_without_room_in_its_memory_comes_last() {
-    let mut backends = build_with_token_times(&[FAST_TOKEN_MICROS, SLOW_TOKEN_MICROS]);
+    let mut backends = build_with_token_times(&[FAST_MICROS, SLOW_MICROS]);
     backends.apply_load_view(&load_view(vec![server_load(0, 4, MEMORY as u32 - 100)]), NOW);
     assert_eq!(choose_many(&mut backends, None), BTreeSet::from([1]));
     let both = vec![server_load(0, 4, MEMORY as u32), server_load(1, 4, MEMORY as u32)];
@@ -165,7 +160,7 @@
 
 #[test]
 fn own_attempts_count_at_once() {
-    let mut backends = build_with_token_times(&[FAST_TOKEN_MICROS, FAST_TOKEN_MICROS]);
+    let mut backends = build_with_token_times(&[FAST_MICROS, FAST_MICROS]);
     let servers: Vec<usize> = (0..12).map(|_| choose_for(&mut backends, None, NOW).0).collect();
     let first = servers.iter().filter(|server| **server == 0).count();
     assert!((4..=8).contains(&first), "{servers:?}");
@@ -175,7 +170,7 @@
 fn an_old_view_is_ignored() {
     let busy = load_view(vec![server_load(0, 30, 30_000)]);
     let later = NOW + Duration::from_millis(1_500);
-    let mut backends = build_with_token_times(&[FAST_TOKEN_MICROS, FAST_TOKEN_MICROS]);
+    let mut backends = build_with_token_times(&[FAST_MICROS, FAST_MICROS]);
     backends.apply_load_view(&busy, NOW);
     let (_, basis) = choose_for(&mut backends, None, NOW);
     assert_eq!(basis.estimate.expect("an estimate").view_age, Some(Duration::from_millis(20)));
@@ -186,8 +181,7 @@
 /// A server without a report must not look less loaded than the others.
 #[test]
 fn a_server_without_a_report_counts_as_loaded_as_the_others() {
-    let mut backends =
-        build_with_token_times(&[FAST_TOKEN_MICROS, FAST_TOKEN_MICROS, FAST_TOKEN_MICROS]);
+    let mut backends = build_with_token_times(&[FAST_MICROS, FAST_MICROS, FAST_MICROS]);
     for server in [0, 1] {
         let loads = vec![server_load(server, 16, 20_000)];
         let own = loads[0].server;
@@ -202,7 +196,7 @@
         LoadView { age: Duration::from_millis(90), ..load_view(vec![server_load(0, 30, 30_000)]) };
     let after = load_view(vec![server_load(1, 30, 30_000)]);
     for views in [[&before, &after], [&after, &before]] {
-        let mut backends = build_with_token_times(&[FAST_TOKEN_MICROS, FAST_TOKEN_MICROS]);
+        let mut backends = build_with_token_times(&[FAST_MICROS, FAST_MICROS]);
         views.into_iter().for_each(|view| backends.apply_load_view(view, NOW));
         assert_eq!(choose_many(&mut backends, None), BTreeSet::from([0]));
     }
@@ -241,7 +235,7 @@
         },
     ];
     for BadView { name, view } in cases {
-        let mut backends = build_with_token_times(&[FAST_TOKEN_MICROS, FAST_TOKEN_MICROS]);
+        let mut backends = build_with_token_times(&[FAST_MICROS, FAST_MICROS]);
         backends.apply_load_view(&view, NOW);
         assert_eq!(choose_many(&mut backends, None), BTreeSet::from([0, 1]), "{name}");
     }
@@ -249,7 +243,7 @@
 
 #[test]
 fn the_load_of_an_ended_incarnation_does_not_count() {
-    let mut backends = build_with_token_times(&[FAST_TOKEN_MICROS, FAST_TOKEN_MICROS]);
+    let mut backends = build_with_token_times(&[FAST_MICROS, FAST_MICROS]);
     let before = server_load(0, 30, 30_000);
     backends.remove(&server_id(0), NOW);
     backends.apply_load_view(&load_view(vec![before]), NOW);
@@ -275,28 +269,25 @@
         let request =
             ChoiceRequest { service: &service, affinity: None, preferred: None, tried: &[], size };
         let Choice::Use { basis, .. } = backends.choose(&request, NOW) else {
-            panic!("a server is free")
+            panic!("no server is free")
         };
         basis.reason
     };
     assert_eq!(
-        choice_reason(
-            &mut build_with_token_times(&[FAST_TOKEN_MICROS, SLOW_TOKEN_MICROS]),
-            Some(SIZE)
-        ),
+        choice_reason(&mut build_with_token_times(&[FAST_MICROS, SLOW_MICROS]), Some(SIZE)),
         ChoiceReason::ExpectedEnd
     );
     assert_eq!(
-        choice_reason(&mut build_with_token_times(&[FAST_TOKEN_MICROS, SLOW_TOKEN_MICROS]), None),
+        choice_reason(&mut build_with_token_times(&[FAST_MICROS, SLOW_MICROS]), None),
         ChoiceReason::Load
     );
-    let mut without_engines = build_with_token_times(&[FAST_TOKEN_MICROS, SLOW_TOKEN_MICROS]);
+    let mut without_engines = build_with_token_times(&[FAST_MICROS, SLOW_MICROS]);
     without_engines.set_engine_capacities(BTreeMap::new());
     assert_eq!(choice_reason(&mut without_engines, Some(SIZE)), ChoiceReason::Load);
     let mut without_token_times = build_backends(2, BackendSettings::default());
     assert_eq!(choice_reason(&mut without_token_times, Some(SIZE)), ChoiceReason::Load);
     let min_gateways = BackendSettings::default().expected_end_gateways as u64;
-    let mut few_gateways = build_with_token_times(&[FAST_TOKEN_MICROS, SLOW_TOKEN_MICROS]);
+    let mut few_gateways = build_with_token_times(&[FAST_MICROS, SLOW_MICROS]);
     few_gateways.set_gateways(Gateways::new(0, 0..min_gateways - 1));
     assert_eq!(
         choice_reason(&mut few_gateways, Some(SIZE)),
--- a/crates/backends/tests/regions.rs
+++ b/crates/backends/tests/regions.rs
@@ -140,8 +140,8 @@
         let others = self.turns_at_server.iter().enumerate();
         let others: Vec<usize> =
             others.filter(|(server, _)| server % REGIONS != 0).map(|(_, turns)| *turns).collect();
-        let most = others.iter().max().copied().unwrap_or_default();
-        (most * others.len()) as f64 / others.iter().sum::<usize>() as f64
+        let max = others.iter().max().copied().unwrap_or_default();
+        (max * others.len()) as f64 / others.iter().sum::<usize>() as f64
     }
 }
 
@@ -296,7 +296,7 @@
     fn lose_servers(&mut self, now: Timestamp) {
         let Incident::Lost { remaining } = self.incident else { return };
         let first = (0..SERVERS).filter(|server| server.is_multiple_of(REGIONS)).enumerate();
-        let lost = first.filter(|(place, _)| *place >= remaining);
+        let lost = first.filter(|(index, _)| *index >= remaining);
         for server in lost.map(|(_, server)| server).collect::<Vec<_>>() {
             self.is_gone[server] = true;
             let gateways = self.gateways.iter_mut().enumerate();
--- a/crates/backends/tests/uneven.rs
+++ b/crates/backends/tests/uneven.rs
@@ -55,7 +55,8 @@
     let (own_attempts, shared, oracle) =
         (late(Policy::OwnAttempts), late(Policy::SharedView), late(Policy::Oracle));
     println!(
-        "{name}: late by own attempts {own_attempts:.3}, by a shared view {shared:.3}, by the oracle {oracle:.3}"
+        "{name}: late by own attempts {own_attempts:.3}, by a shared view {shared:.3}, \
+         by the oracle {oracle:.3}"
     );
     assert!(
         shared <= own_attempts * (1.0 - MIN_SAVED_SHARE),
@@ -118,7 +119,7 @@
 /// Prints the results of every policy in every case: `cargo test --release --test uneven --
 /// --ignored --nocapture`.
 #[test]
-#[ignore = "prints a table"]
+#[ignore = "a table for people"]
 fn compare_policies() {
     println!(
         "case, policy: in time, turn ms (p95), wait ms, reread share, preempted, busiest/mean"
