--- a/crates/backends/src/settings.rs
+++ b/crates/backends/src/settings.rs
@@ -113,7 +113,7 @@
             leave_factor: 3.0,
             near_end_share: 0.2,
             zone_margin_ms: 5,
-            // By then most of the reported attempts have ended.
+            // After this time most of the reported attempts have ended.
             view_bound_ms: 1_000,
         }
     }
