--- a/crates/types/src/call.rs
+++ b/crates/types/src/call.rs
@@ -1,4 +1,4 @@
-//! What a call carries: messages, its kind, and what it used.
+//! The contents of a call: its messages, its kind and its token usage.
 
 use serde::{Deserialize, Serialize};
 
@@ -40,7 +40,7 @@
 /// What serves a call.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default, Serialize, Deserialize)]
 pub enum CallKind {
-    /// A model engine generates.
+    /// A model engine generates the answer.
     #[default]
     Generate,
     /// A tool or application service of this name runs the call's last message.
@@ -59,7 +59,7 @@
 }
 
 impl Usage {
-    /// What the budget is charged: prompt and generated.
+    /// Tokens that the budget is charged: prompt and generated.
     pub fn total(self) -> Tokens {
         self.prompt.saturating_add(self.generated)
     }
@@ -70,8 +70,8 @@
 pub struct Attempt {
     /// The attempt.
     pub id: AttemptId,
-    /// The owner's epoch. Receivers refuse an older one than they have seen for the program.
+    /// The owner's epoch. Receivers refuse it if they have seen a newer one for the program.
     pub epoch: Term,
-    /// The engine's life that the attempt is meant for; another life refuses it.
+    /// The engine incarnation that the attempt is addressed to; any other one refuses it.
     pub engine_incarnation: Incarnation,
 }
--- a/crates/types/src/credential.rs
+++ b/crates/types/src/credential.rs
@@ -1,7 +1,7 @@
 //! Tenants' credentials: a keyed hash over the tenant's name (HMAC-SHA256, RFC 2104).
 //!
-//! A credential is `<tenant>.<64 hex digits>`. No daemon keeps a table of 42,000 tenants; the
-//! signing key in the settings is enough to check any of them.
+//! A credential is `<tenant>.<64 hex digits>`. Daemons keep no table of the 42,000
+//! tenants: the signing key in the settings is enough to check any credential.
 
 use hmac::{Hmac, Mac};
 use sha2::Sha256;
@@ -9,7 +9,7 @@
 
 use crate::TenantId;
 
-/// Why a credential does not open anything.
+/// Why a credential is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 pub enum CredentialError {
     /// It does not have the form `<tenant>.<hash>`.
@@ -27,7 +27,7 @@
 }
 
 impl TenantKey {
-    /// Takes the secret's bytes; any length.
+    /// Creates a key from a secret of any length.
     pub fn new(secret: impl Into<Vec<u8>>) -> Self {
         Self { secret: secret.into() }
     }
@@ -39,7 +39,7 @@
         format!("{tenant}.{hex}")
     }
 
-    /// Finds the tenant that `credential` belongs to. The comparison takes constant time.
+    /// Checks `credential` and returns the tenant that it belongs to. The comparison takes constant time.
     ///
     /// # Errors
     /// [`CredentialError`] when the text is malformed or was not issued with this key.
@@ -57,19 +57,19 @@
     }
 }
 
-/// The key by which daemons know each other.
+/// The key with which daemons authenticate to each other.
 #[derive(Clone)]
 pub struct PeerKey {
     secret: Vec<u8>,
 }
 
 impl PeerKey {
-    /// Takes the secret's bytes; any length.
+    /// Creates a key from a secret of any length.
     pub fn new(secret: impl Into<Vec<u8>>) -> Self {
         Self { secret: secret.into() }
     }
 
-    /// Keyed hash over `text`.
+    /// Proves possession of this key by a keyed hash over `text`.
     pub fn prove(&self, text: &[u8]) -> [u8; 32] {
         self.mac(text).finalize().into_bytes().into()
     }
--- a/crates/types/src/epochs.rs
+++ b/crates/types/src/epochs.rs
@@ -29,7 +29,8 @@
 }
 
 counter!(
-    /// One life of a process; a later start has a larger one. Milliseconds since 1970 at start.
+    /// One run of a process, named by its start in milliseconds since 1970: a later run has a
+    /// larger number.
     Incarnation
 );
 counter!(
@@ -38,10 +39,10 @@
     Term
 );
 counter!(
-    /// A position in a replica group's log, from 1; 0 stands before the first entry.
+    /// A position in a replica group's log, from 1; 0 is the position before the first entry.
     LogIndex
 );
 counter!(
-    /// A generation of the operators' configuration. Only rises.
+    /// A generation of the operators' configuration. It only increases.
     Generation
 );
--- a/crates/types/src/identifiers.rs
+++ b/crates/types/src/identifiers.rs
@@ -1,4 +1,4 @@
-//! Identifiers. Each is its own type, so that one cannot be passed where another is meant.
+//! Identifiers. Each has its own type, so that one cannot be passed in place of another.
 
 use std::fmt;
 use std::str::FromStr;
@@ -45,11 +45,11 @@
 }
 
 text_identifier!(
-    /// A tenant: a customer of an operator, whose programs only its own credential opens.
+    /// A tenant: a customer of an operator, whose programs are accessible only with its own credential.
     TenantId
 );
 text_identifier!(
-    /// A model server. Stable over restarts; see [`Incarnation`] for one life of it.
+    /// A model server. Stable over restarts; see [`Incarnation`] for a single run of it.
     EngineId
 );
 text_identifier!(
@@ -69,7 +69,7 @@
     IdempotencyKey
 );
 
-/// A daemon, by the number its settings give it. Stable over restarts.
+/// A daemon, by the number in its settings. Stable over restarts.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
@@ -82,17 +82,17 @@
     }
 }
 
-/// One life of one daemon as a member of replica groups.
+/// One incarnation of a daemon as a member of replica groups.
 ///
-/// A daemon that restarts without its memory is a different replica: it must not vote as if it
-/// remembered what its earlier life promised.
+/// A daemon that restarts without its state is a different replica: it must not vote as if it
+/// remembered what its earlier incarnation promised.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
 pub struct ReplicaId {
     /// The daemon that holds the replica.
     pub daemon: DaemonId,
-    /// Which life of that daemon.
+    /// The incarnation of that daemon.
     pub incarnation: Incarnation,
 }
 
@@ -122,7 +122,7 @@
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
 pub struct ProgramId {
-    /// The replica group that holds the program for its whole life.
+    /// The replica group that holds the program. It never changes.
     pub group: GroupId,
     /// Random number drawn at creation, unique inside the group.
     pub number: u64,
@@ -151,7 +151,7 @@
         let group = group.parse().map_err(|_| malformed())?;
         let number = u64::from_str_radix(number, 16).map_err(|_| malformed())?;
         let program = Self { group: GroupId(group), number };
-        // One program has one name: capitals, signs and leading zeros are refused.
+        // Each program has exactly one text form: capitals, signs and leading zeros are refused.
         if program.to_string() != text {
             return Err(malformed());
         }
@@ -159,8 +159,8 @@
     }
 }
 
-/// Names a chunk of history on the store daemons. The program is part of the name: two programs
-/// with the same text keep a chunk each, so that forgetting one cannot take the other's history.
+/// Key of a chunk of history on the store daemons. The program is part of the key: two programs
+/// with the same text store a chunk each, so that deleting one cannot delete the other's history.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ChunkKey {
     /// The program.
@@ -185,7 +185,7 @@
     pub program: ProgramId,
     /// The chain that issued it.
     pub chain: ChainId,
-    /// Its place in the chain's order, from 1.
+    /// Its position in the chain, from 1.
     pub number: u32,
 }
 
@@ -195,14 +195,14 @@
     }
 }
 
-/// One try at running a call. Answers are matched by this and nothing else.
+/// One attempt to run a call. Answers are matched by this identifier and nothing else.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
 pub struct AttemptId {
     /// The call.
     pub call: CallId,
-    /// Which try, from 1.
+    /// The number of the attempt, from 1.
     pub attempt: u32,
 }
 
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,4 +1,4 @@
-//! Vocabulary shared by every crate: identifiers, units, epochs, time and checked settings.
+//! Types shared by every crate: identifiers, units, epochs, time and checked settings.
 //!
 //! Nothing here does I/O or holds state. A type belongs in this crate only when at least two
 //! other crates exchange it.
--- a/crates/types/src/settings.rs
+++ b/crates/types/src/settings.rs
@@ -1,4 +1,5 @@
-//! Settings that are checked at load. Each part's `Settings` has a `check` that returns this error.
+//! Checks of settings at load. The settings of each component have a `check` method that returns
+//! [`InvalidSetting`].
 
 use std::fmt::Display;
 
@@ -10,16 +11,16 @@
 pub struct InvalidSetting {
     /// Dotted path of the field, e.g. `groups.replicas`.
     pub field: String,
-    /// The value found.
+    /// The value that was found.
     pub value: String,
-    /// What is allowed.
+    /// The values that are allowed.
     pub allowed: String,
 }
 
 /// Checks that `value` lies in `low..=high`.
 ///
 /// # Errors
-/// [`InvalidSetting`] naming the field, the value and the bounds.
+/// [`InvalidSetting`] with the field, the value and the bounds.
 pub fn check_range<T>(field: &str, value: T, low: T, high: T) -> Result<(), InvalidSetting>
 where
     T: PartialOrd + Display,
--- a/crates/types/src/switches.rs
+++ b/crates/types/src/switches.rs
@@ -2,10 +2,10 @@
 
 use std::collections::BTreeSet;
 
-/// The mechanisms of one part that are switched off.
+/// The mechanisms of one component that are switched off.
 ///
-/// A part offers a way to switch something off only in builds with its feature `test-switches`:
-/// outside of those this is always empty.
+/// A component lets them be switched off only in builds with its feature `test-switches`: in other
+/// builds this set is always empty.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Switches<Mechanism: Ord> {
     off: BTreeSet<Mechanism>,
@@ -18,12 +18,12 @@
 }
 
 impl<Mechanism: Ord> Switches<Mechanism> {
-    /// Whether a mechanism is in place.
+    /// Whether a mechanism is on.
     pub fn is_on(&self, mechanism: Mechanism) -> bool {
         !self.off.contains(&mechanism)
     }
 
-    /// Takes a mechanism out.
+    /// Switches a mechanism off.
     pub fn disable(&mut self, mechanism: Mechanism) {
         self.off.insert(mechanism);
     }
--- a/crates/types/src/time.rs
+++ b/crates/types/src/time.rs
@@ -1,4 +1,4 @@
-//! Time as an argument. State machines never read a clock; their driver passes [`Timestamp`]s.
+//! Durations and timestamps. State machines never read a clock; their driver passes [`Timestamp`]s.
 
 use std::ops::{Add, Sub};
 
@@ -12,51 +12,51 @@
 pub struct Duration(pub u64);
 
 impl Duration {
-    /// No time.
+    /// A duration of zero.
     pub const ZERO: Self = Self(0);
 
-    /// A length of `micros` microseconds.
+    /// A duration of `micros` microseconds.
     pub const fn from_micros(micros: u64) -> Self {
         Self(micros)
     }
 
-    /// A length of `millis` milliseconds.
+    /// A duration of `millis` milliseconds.
     pub const fn from_millis(millis: u64) -> Self {
         Self(millis * 1_000)
     }
 
-    /// A length of `seconds` seconds.
+    /// A duration of `seconds` seconds.
     pub const fn from_secs(seconds: u64) -> Self {
         Self(seconds * 1_000_000)
     }
 
-    /// Microseconds.
+    /// The duration in microseconds.
     pub const fn as_micros(self) -> u64 {
         self.0
     }
 
-    /// Whole milliseconds, rounded down.
+    /// The duration in whole milliseconds, rounded down.
     pub const fn as_millis(self) -> u64 {
         self.0 / 1_000
     }
 
-    /// Seconds with their fraction.
+    /// The duration in seconds, with a fraction.
     pub fn as_secs_f64(self) -> f64 {
         self.0 as f64 / 1e6
     }
 
-    /// A length from seconds with a fraction; negative or not-a-number gives zero.
+    /// A duration of `seconds` seconds, with a fraction; negative values and NaN give zero.
     pub fn from_secs_f64(seconds: f64) -> Self {
         Self((seconds * 1e6) as u64)
     }
 
-    /// This length `factor` times, saturating.
+    /// This duration multiplied by `factor`, saturating.
     pub fn times(self, factor: u64) -> Self {
         Self(self.0.saturating_mul(factor))
     }
 }
 
-/// A moment in microseconds since the driver's origin.
+/// A point in time, in microseconds since the driver's origin.
 ///
 /// In a daemon the origin is 1970 (so that replicas agree on recorded expiry times up to clock
 /// skew); in virtual time it is the start of the run.
@@ -79,15 +79,15 @@
 impl Add<Duration> for Timestamp {
     type Output = Timestamp;
 
-    fn add(self, length: Duration) -> Timestamp {
-        Timestamp(self.0.saturating_add(length.0))
+    fn add(self, duration: Duration) -> Timestamp {
+        Timestamp(self.0.saturating_add(duration.0))
     }
 }
 
 impl Sub<Duration> for Timestamp {
     type Output = Timestamp;
 
-    fn sub(self, length: Duration) -> Timestamp {
-        Timestamp(self.0.saturating_sub(length.0))
+    fn sub(self, duration: Duration) -> Timestamp {
+        Timestamp(self.0.saturating_sub(duration.0))
     }
 }
--- a/crates/types/src/units.rs
+++ b/crates/types/src/units.rs
@@ -14,15 +14,15 @@
         pub struct $name(pub u64);
 
         impl $name {
-            /// None of it.
+            /// The zero quantity.
             pub const ZERO: Self = Self(0);
 
-            /// Sum, at most `u64::MAX`.
+            /// The sum, at most `u64::MAX`.
             pub fn saturating_add(self, other: Self) -> Self {
                 Self(self.0.saturating_add(other.0))
             }
 
-            /// Difference, at least zero.
+            /// The difference, at least zero.
             pub fn saturating_sub(self, other: Self) -> Self {
                 Self(self.0.saturating_sub(other.0))
             }
