--- a/crates/types/src/credential.rs
+++ b/crates/types/src/credential.rs
@@ -39,7 +39,8 @@
         format!("{tenant}.{hex}")
     }
 
-    /// Checks `credential` and returns the tenant that it belongs to. The comparison takes constant time.
+    /// Checks `credential` and returns the tenant that it belongs to. The comparison takes constant
+    /// time.
     ///
     /// # Errors
     /// [`CredentialError`] when the text is malformed or was not issued with this key.
--- a/crates/types/src/identifiers.rs
+++ b/crates/types/src/identifiers.rs
@@ -45,7 +45,8 @@
 }
 
 text_identifier!(
-    /// A tenant: a customer of an operator, whose programs are accessible only with its own credential.
+    /// A tenant: a customer of an operator, whose programs are accessible only with its own
+    /// credential.
     TenantId
 );
 text_identifier!(
@@ -169,7 +170,8 @@
     pub digest: [u8; 32],
 }
 
-/// A chain of dependent calls inside a program. Chain 0 is the main one; each sub-agent has its own.
+/// A chain of dependent calls inside a program. Chain 0 is the main one; each sub-agent has its
+/// own.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
--- a/crates/types/src/key_digest.rs
+++ b/crates/types/src/key_digest.rs
@@ -1,5 +1,5 @@
-//! Digests of tenants' keys. Daemons keep and exchange only these, so that no key is in memory, on a
-//! disk, in a log or in a message to another daemon.
+//! Digests of tenants' keys. Daemons keep and exchange only these, so that no key is in memory, on
+//! a disk, in a log or in a message to another daemon.
 
 use std::fmt;
 
