--- a/crates/ledger/src/close.rs
+++ b/crates/ledger/src/close.rs
@@ -3,14 +3,14 @@
 use bytes::{Bytes, BytesMut};
 use dahlia_types::{Duration, Timestamp, Tokens};
 
-use crate::turn::{KeptText, OpenInput, Phase, Turn};
+use crate::turn::{KeptTurn, OpenInput, Phase, Turn};
 use crate::{CloseTurn, Ledger, TurnEnd, TurnId};
 
-/// How long the name of an ended turn is kept, so that a late repeat does not open it again.
-/// Longer than a request is repeated and than a message may be under way.
+/// How long the name of an ended turn is kept, so that a late retry does not open it again. Longer
+/// than requests are retried and than a message can be in flight.
 pub(crate) const ENDED_RETENTION: Duration = Duration::from_secs(60);
-/// How much longer than asked a turn is kept: the clocks of callers and owners disagree, and the
-/// caller counts from when it has the answer.
+/// Time for which a turn is kept beyond its retention: the clocks of callers and owners disagree,
+/// and the caller counts from when it receives the answer.
 pub(crate) const RETENTION_MARGIN: Duration = Duration::from_secs(30);
 
 impl Ledger {
@@ -19,7 +19,7 @@
             self.close_unopened(command, now);
             return;
         };
-        // The first end stands.
+        // The first close counts.
         let Phase::Open(open) = &turn.phase else {
             return;
         };
@@ -34,27 +34,31 @@
             TurnEnd::Incomplete => reserved,
         };
         self.settle(command, reserved, charge);
-        let ended = now + ENDED_RETENTION;
-        let (phase, due) = match (input, &command.end) {
+        let ended_until = now + ENDED_RETENTION;
+        let (phase, expires_at) = match (input, &command.end) {
             (Some(input), TurnEnd::Completed { output, served_by, .. }) => {
-                let due = ended.max(now + input.retention + RETENTION_MARGIN);
-                (Phase::Kept(self.keep(input, output, served_by)), due)
+                let expires_at = ended_until.max(now + input.retention + RETENTION_MARGIN);
+                (Phase::Kept(self.kept_turn_from(input, output, served_by)), expires_at)
             }
-            _ => (Phase::Ended, ended),
+            _ => (Phase::Ended, ended_until),
         };
-        self.set_phase(&command.turn, phase, due);
-        self.touch(&command.program, due.max(now + self.limits.program_retention));
+        self.set_phase(&command.turn, phase, expires_at);
+        self.extend_retention(
+            &command.program,
+            expires_at.max(now + self.limits.program_retention),
+        );
     }
 
-    /// An end may overtake its turn's opening: then the opening, when it comes, must not reserve
-    /// what nobody would settle. An end whose turn was forgotten changes no charge.
+    /// A close command may overtake the command that opens its turn. The latter must then not
+    /// reserve tokens, which would never be settled. Closing a turn that was removed changes no
+    /// charge.
     fn close_unopened(&mut self, command: &CloseTurn, now: Timestamp) {
         if self.turns.len() as u64 >= self.limits.turns {
             return;
         }
         let program = command.program.clone();
-        let due = now + ENDED_RETENTION;
-        let turn = Turn { program, phase: Phase::Ended, due, children: 0 };
+        let expires_at = now + ENDED_RETENTION;
+        let turn = Turn { program, phase: Phase::Ended, expires_at, children: 0 };
         self.turns.insert(command.turn.clone(), turn);
     }
 
@@ -69,23 +73,23 @@
         }
     }
 
-    fn keep(&self, input: OpenInput, output: &[u8], served_by: &str) -> KeptText {
+    fn kept_turn_from(&self, input: OpenInput, output: &[u8], served_by: &str) -> KeptTurn {
         let mut text = BytesMut::with_capacity(input.text.len() + output.len());
         text.extend_from_slice(&input.text);
         text.extend_from_slice(output);
-        self.kept_after(input.previous, text.freeze(), served_by)
+        self.kept_turn_after(input.previous, text.freeze(), served_by)
     }
 
-    pub(crate) fn kept_after(
+    pub(crate) fn kept_turn_after(
         &self,
         previous: Option<TurnId>,
         text: Bytes,
         served_by: &str,
-    ) -> KeptText {
-        let before = previous.as_ref().and_then(|previous| self.kept(previous));
-        let chain_bytes = before.map_or(0, |kept| kept.chain_bytes) + text.len() as u64;
-        let chain_turns = before.map_or(0, |kept| kept.chain_turns) + 1;
+    ) -> KeptTurn {
+        let parent = previous.as_ref().and_then(|previous| self.kept_turn(previous));
+        let chain_bytes = parent.map_or(0, |kept| kept.chain_bytes) + text.len() as u64;
+        let chain_turns = parent.map_or(0, |kept| kept.chain_turns) + 1;
         let served_by = served_by.to_owned();
-        KeptText { previous, text, chain_bytes, chain_turns, served_by }
+        KeptTurn { previous, text, chain_bytes, chain_turns, served_by }
     }
 }
--- a/crates/ledger/src/expiry.rs
+++ b/crates/ledger/src/expiry.rs
@@ -1,4 +1,4 @@
-//! Forgetting turns and programs whose retention is over.
+//! Removing turns and programs whose retention is over.
 
 use dahlia_types::Timestamp;
 
@@ -8,20 +8,20 @@
 
 impl Ledger {
     pub(crate) fn expire(&mut self, now: Timestamp) {
-        self.give_up_open(now);
-        self.forget_turns(now);
+        self.expire_open_turns(now);
+        self.remove_expired_turns(now);
         self.programs.retain(|_, program| program.keep_until > now);
     }
 
-    /// Ends turns that nobody settled. They may have run: their reservation is spent.
-    fn give_up_open(&mut self, now: Timestamp) {
-        let due = self.turns.iter().filter(|(_, turn)| turn.due <= now);
-        let reserved = due.filter_map(|(id, turn)| match &turn.phase {
+    /// Ends turns that were never settled. They may have run, so their reservation is spent.
+    fn expire_open_turns(&mut self, now: Timestamp) {
+        let expired = self.turns.iter().filter(|(_, turn)| turn.expires_at <= now);
+        let reserved = expired.filter_map(|(id, turn)| match &turn.phase {
             Phase::Open(open) => Some((id.clone(), turn.program.clone(), open.reserved)),
             Phase::Kept(_) | Phase::Ended => None,
         });
-        let given_up: Vec<_> = reserved.collect();
-        for (id, name, reserved) in given_up {
+        let open_turns: Vec<_> = reserved.collect();
+        for (id, name, reserved) in open_turns {
             if let Some(program) = self.programs.get_mut(&name) {
                 program.reserved = program.reserved.saturating_sub(reserved);
                 program.spent = program.spent.saturating_add(reserved);
@@ -30,11 +30,12 @@
         }
     }
 
-    /// Forgets turns that nothing goes on from, then those that only they went on from.
-    fn forget_turns(&mut self, now: Timestamp) {
-        let due = self.turns.iter().filter(|(_, turn)| turn.due <= now && turn.children == 0);
-        let mut forgotten: Vec<TurnId> = due.map(|(id, _)| id.clone()).collect();
-        while let Some(id) = forgotten.pop() {
+    /// Removes expired turns without children, then expired ancestors that have no other child.
+    fn remove_expired_turns(&mut self, now: Timestamp) {
+        let expired =
+            self.turns.iter().filter(|(_, turn)| turn.expires_at <= now && turn.children == 0);
+        let mut removable: Vec<TurnId> = expired.map(|(id, _)| id.clone()).collect();
+        while let Some(id) = removable.pop() {
             let Some(turn) = self.turns.remove(&id) else {
                 continue;
             };
@@ -42,10 +43,10 @@
             let Some(previous) = turn.previous() else {
                 continue;
             };
-            self.release(Some(previous));
+            self.remove_child(Some(previous));
             let parent = self.turns.get(previous);
-            if parent.is_some_and(|parent| parent.due <= now && parent.children == 0) {
-                forgotten.push(previous.clone());
+            if parent.is_some_and(|parent| parent.expires_at <= now && parent.children == 0) {
+                removable.push(previous.clone());
             }
         }
     }
--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -6,10 +6,10 @@
 use serde::{Deserialize, Serialize};
 
 use crate::clock::LedgerClock;
-use crate::turn::{Phase, Turn};
+use crate::turn::{KeptTurn, Phase, Turn};
 use crate::{LedgerCommand, LedgerLimits, LedgerReply, ProgramName, TurnId, TurnRefusal};
 
-/// Turns and budgets of the programs of one group.
+/// The turns and budgets of the programs of one group.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ledger {
     pub(crate) limits: LedgerLimits,
@@ -19,7 +19,7 @@
     pub(crate) text_bytes: u64,
 }
 
-/// What is held of one program. It outlives the program's turns.
+/// The record of one program. It outlives the program's turns.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Program {
     pub(crate) budget: Option<Tokens>,
@@ -40,14 +40,14 @@
 pub struct ProgramCharge {
     /// Tokens that its turns may generate together; none when it has no budget.
     pub budget: Option<Tokens>,
-    /// Charged for turns that have ended.
+    /// Tokens charged for turns that have ended.
     pub spent: Tokens,
-    /// Held for turns that have not.
+    /// Tokens reserved for open turns.
     pub reserved: Tokens,
 }
 
 impl ProgramCharge {
-    /// Spent and reserved.
+    /// Tokens spent and reserved.
     pub fn used(&self) -> Tokens {
         self.spent.saturating_add(self.reserved)
     }
@@ -56,16 +56,16 @@
 /// How much a ledger holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LedgerSize {
-    /// Programs.
+    /// Number of programs.
     pub programs: u64,
-    /// Turns in any phase.
+    /// Number of turns in any phase.
     pub turns: u64,
-    /// Bytes of text.
+    /// Bytes of all texts.
     pub text_bytes: Bytes,
 }
 
 impl Ledger {
-    /// An empty ledger. Every replica has to start with the same limits.
+    /// Creates an empty ledger. Every replica must start with the same limits.
     pub fn new(limits: LedgerLimits) -> Self {
         Self {
             limits,
@@ -76,17 +76,17 @@
         }
     }
 
-    /// Replaces the limits. What is already above them stays.
+    /// Replaces the limits. Turns and programs already above them stay.
     pub fn set_limits(&mut self, limits: LedgerLimits) {
         self.limits = limits;
     }
 
-    /// Whether it holds nothing that could expire.
+    /// Whether the ledger holds nothing that could expire.
     pub fn is_empty(&self) -> bool {
         self.programs.is_empty() && self.turns.is_empty()
     }
 
-    /// How much it holds.
+    /// How much the ledger holds.
     pub fn size(&self) -> LedgerSize {
         LedgerSize {
             programs: self.programs.len() as u64,
@@ -95,15 +95,14 @@
         }
     }
 
-    /// What a program has used; none when it is not known (any more).
+    /// What a program has used; none if the ledger does not know it or has removed it.
     pub fn charge(&self, program: &ProgramName) -> Option<ProgramCharge> {
         let found = self.programs.get(program)?;
         let Program { budget, spent, reserved, .. } = found;
         Some(ProgramCharge { budget: *budget, spent: *spent, reserved: *reserved })
     }
 
-    /// Applies a committed command. Every replica that applied the same commands gives the same
-    /// reply.
+    /// Applies a committed command. Replicas that applied the same commands give the same reply.
     pub fn apply(&mut self, command: &LedgerCommand) -> LedgerReply {
         let now = self.clock.advance(command.timestamp());
         let reply = match command {
@@ -130,14 +129,14 @@
         reply.unwrap_or_else(LedgerReply::Refused)
     }
 
-    /// The texts of a chain up to and with `newest`, oldest first.
+    /// The texts of a chain up to and including `newest`, oldest first.
     pub(crate) fn chain_text(&self, newest: &TurnId) -> Result<Vec<u8>, TurnRefusal> {
         let mut texts: Vec<&[u8]> = Vec::new();
         let mut next = Some(newest);
         while let Some(turn) = next {
-            // An ancestor cannot be missing. If it were, a part of a history would be worse than
-            // none.
-            let kept = self.kept(turn).ok_or_else(|| no_such_turn(newest))?;
+            // An ancestor cannot be missing. If one were, a partial history would be worse than a
+            // refusal.
+            let kept = self.kept_turn(turn).ok_or_else(|| no_such_turn(newest))?;
             texts.push(&kept.text);
             next = kept.previous.as_ref();
         }
@@ -145,54 +144,54 @@
         Ok(texts.concat())
     }
 
-    pub(crate) fn kept(&self, turn: &TurnId) -> Option<&crate::turn::KeptText> {
+    pub(crate) fn kept_turn(&self, turn: &TurnId) -> Option<&KeptTurn> {
         match &self.turns.get(turn)?.phase {
             Phase::Kept(kept) => Some(kept),
             Phase::Open(_) | Phase::Ended => None,
         }
     }
 
-    /// Why a turn that is not kept cannot be gone on from.
-    pub(crate) fn not_kept(&self, turn: &TurnId) -> TurnRefusal {
+    /// Why a turn that is not kept cannot be continued.
+    pub(crate) fn refusal_to_continue(&self, turn: &TurnId) -> TurnRefusal {
         let found = self.turns.get(turn);
         if found.is_some_and(|found| matches!(found.phase, Phase::Open(_))) {
-            // Its answer may be whole in its caller's hands and its end still on the way here.
+            // Its caller may have the complete answer while the close command is still in flight.
             return TurnRefusal::NotEnded { previous: turn.clone() };
         }
         no_such_turn(turn)
     }
 
-    /// Puts a turn into another phase and keeps the counts that hang on it.
-    pub(crate) fn set_phase(&mut self, id: &TurnId, phase: Phase, due: Timestamp) {
+    /// Puts a turn into another phase and updates the text size and the counts of children.
+    pub(crate) fn set_phase(&mut self, id: &TurnId, phase: Phase, expires_at: Timestamp) {
         let Some(turn) = self.turns.get_mut(id) else {
             return;
         };
-        let dropped = turn.previous().cloned();
+        let old_parent = turn.previous().cloned();
         self.text_bytes -= turn.text_bytes();
         turn.phase = phase;
-        turn.due = due;
+        turn.expires_at = expires_at;
         self.text_bytes += turn.text_bytes();
-        let held = turn.previous().cloned();
-        self.hold(held.as_ref());
-        self.release(dropped.as_ref());
+        let new_parent = turn.previous().cloned();
+        self.add_child(new_parent.as_ref());
+        self.remove_child(old_parent.as_ref());
     }
 
-    /// Notes that one more turn goes on from `previous`.
-    pub(crate) fn hold(&mut self, previous: Option<&TurnId>) {
+    /// Counts one more turn that continues `previous`.
+    pub(crate) fn add_child(&mut self, previous: Option<&TurnId>) {
         if let Some(parent) = previous.and_then(|previous| self.turns.get_mut(previous)) {
             parent.children += 1;
         }
     }
 
-    /// Notes that one turn less goes on from `previous`.
-    pub(crate) fn release(&mut self, previous: Option<&TurnId>) {
+    /// Counts one turn less that continues `previous`.
+    pub(crate) fn remove_child(&mut self, previous: Option<&TurnId>) {
         if let Some(parent) = previous.and_then(|previous| self.turns.get_mut(previous)) {
             parent.children = parent.children.saturating_sub(1);
         }
     }
 
-    /// Notes activity of a program: its charge stays for as long as anything of it may come back.
-    pub(crate) fn touch(&mut self, program: &ProgramName, until: Timestamp) {
+    /// Keeps a program's charge until `until` at least: commands of its turns may still arrive.
+    pub(crate) fn extend_retention(&mut self, program: &ProgramName, until: Timestamp) {
         if let Some(found) = self.programs.get_mut(program) {
             found.keep_until = found.keep_until.max(until);
         }
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -1,24 +1,24 @@
-//! Turns and token budgets of programs whose callers bring their own program names.
+//! Turns and token budgets of programs that are named by their callers.
 //!
-//! Callers of a routed service name a program, its lines of turns and its budget in each request;
-//! nobody creates the program beforehand. The ledger holds, for each such program, what its turns
-//! may still generate and the text of the turns that a later turn may go on from. It is part of a
-//! replica group's state: a command is applied on every replica alike, without I/O and without a
-//! clock of its own.
+//! Callers of a routed service name a program, its chains of turns and its budget in each request;
+//! the program is not created beforehand. For each such program the ledger holds how many tokens
+//! its turns may still generate, and the text of the turns that a later turn may continue. It is
+//! part of a replica group's state: every replica applies a command in the same way, without I/O
+//! and without reading a clock.
 //!
-//! | module | job |
+//! | module | contents |
 //! |---|---|
-//! | `message` | what is asked of a ledger, and its answers |
+//! | `message` | commands to a ledger and its replies |
 //! | `ledger` | the state and the application of commands to it |
-//! | `open`, `close` | a turn's reservation and its settlement |
-//! | `expiry` | forgetting what is no longer kept |
-//! | `transfer` | chains that a program of another group goes on from |
-//! | `turn` | what is held of one turn |
-//! | `clock` | time from the stamps of owners whose clocks disagree |
-//! | `limits` | what a ledger may hold at most |
-//! | `name` | names of programs and turns, with their tenant |
-//! | `group` | which replica group holds a program |
-//! | `text` | texts in their encoded form |
+//! | `open`, `close` | reserving a turn's tokens and settling them |
+//! | `expiry` | removing turns and programs whose retention is over |
+//! | `transfer` | chains that a program of another group continues |
+//! | `turn` | the record of one turn |
+//! | `clock` | time from the timestamps of owners whose clocks disagree |
+//! | `limits` | limits of what a ledger holds |
+//! | `name` | names of programs and turns, scoped by tenant |
+//! | `group` | the replica group that holds a program |
+//! | `text` | encoding of texts |
 
 mod clock;
 mod close;
--- a/crates/ledger/src/limits.rs
+++ b/crates/ledger/src/limits.rs
@@ -1,30 +1,30 @@
-//! What a ledger may hold at most, and for how long. Limits are part of the replicated state:
-//! replicas that judged a command by different limits would diverge.
+//! Limits of what a ledger holds, and for how long. They are part of the replicated state: replicas
+//! that checked a command against different limits would diverge.
 
 use std::fmt;
 
 use dahlia_types::{Bytes, Duration, InvalidSetting, check_range};
 use serde::{Deserialize, Serialize};
 
-/// Shortest time for which a program's charge may be kept.
+/// Shortest retention of a program's charge that is allowed.
 const SHORTEST_PROGRAM_RETENTION: Duration = Duration::from_secs(600);
 
-/// What one ledger may hold at most. What an open turn adds at its end is always taken, so texts
-/// may exceed their limits by the outputs of the turns that were open when it was reached.
+/// Limits of one ledger. The output of an open turn is always accepted, so texts may exceed their
+/// limits by the outputs of the turns that were open when a limit was reached.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LedgerLimits {
-    /// Programs, those without a turn included while their charge is kept.
+    /// Number of programs, including those without a turn whose charge is still kept.
     pub programs: u64,
-    /// Turns: open ones, kept ones, and names of those that ended of late.
+    /// Number of turns: open ones, kept ones, and recently ended ones whose name is kept.
     pub turns: u64,
     /// Bytes of all texts.
     pub text_bytes: Bytes,
-    /// Bytes of the texts of one chain, from its oldest turn to the newest.
+    /// Bytes of the texts of one chain, from its oldest turn to its newest.
     pub chain_bytes: Bytes,
-    /// Turns of one chain.
+    /// Number of turns of one chain.
     pub chain_turns: u64,
-    /// How long a program's charge outlives its last activity.
+    /// How long a program's charge is kept after its last activity.
     pub program_retention: Duration,
 }
 
@@ -42,25 +42,24 @@
 }
 
 impl LedgerLimits {
-    /// Checks that every limit leaves room for at least one, and that charges are kept for long
-    /// enough.
+    /// Checks that every limit is at least one, and that charges are kept for long enough.
     ///
     /// # Errors
-    /// [`InvalidSetting`] naming the field.
+    /// [`InvalidSetting`] with the name of the field.
     pub fn check(&self) -> Result<(), InvalidSetting> {
-        const MOST: u64 = u32::MAX as u64;
+        const MAX_COUNT: u64 = u32::MAX as u64;
         let shortest = SHORTEST_PROGRAM_RETENTION.as_micros();
         let retention = self.program_retention.as_micros();
-        check_range("programs.limits.ledger.programs", self.programs, 1, MOST)?;
-        check_range("programs.limits.ledger.turns", self.turns, 1, MOST)?;
+        check_range("programs.limits.ledger.programs", self.programs, 1, MAX_COUNT)?;
+        check_range("programs.limits.ledger.turns", self.turns, 1, MAX_COUNT)?;
         check_range("programs.limits.ledger.text_bytes", self.text_bytes.0, 1, u64::MAX)?;
         check_range("programs.limits.ledger.chain_bytes", self.chain_bytes.0, 1, u64::MAX)?;
-        check_range("programs.limits.ledger.chain_turns", self.chain_turns, 1, MOST)?;
+        check_range("programs.limits.ledger.chain_turns", self.chain_turns, 1, MAX_COUNT)?;
         check_range("programs.limits.ledger.program_retention", retention, shortest, u64::MAX)
     }
 }
 
-/// What is limited.
+/// A limited quantity.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Limit {
     /// Length of a program's or a turn's name.
--- a/crates/ledger/src/message.rs
+++ b/crates/ledger/src/message.rs
@@ -1,23 +1,23 @@
-//! What is asked of a ledger, and its answers.
+//! Commands to a ledger and its replies.
 
 use dahlia_types::{Duration, Timestamp, Tokens};
 use serde::{Deserialize, Serialize};
 
 use crate::{ProgramCharge, ProgramName, TurnId};
 
-/// The input of a turn whose text is kept, so that later turns bring only what is new.
+/// The input of a turn whose text is kept, so that later turns send only new input.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TurnInput {
-    /// The turn that this one goes on from; none at the start of a line.
+    /// The turn that this one continues; none for the first turn of a chain.
     pub previous: Option<TurnId>,
-    /// The bytes that are new in this turn.
+    /// The input that this turn adds.
     #[serde(with = "crate::text")]
     pub new_input: Vec<u8>,
     /// How long the turn is kept after its end.
     pub retention: Duration,
 }
 
-/// Reserves a turn's budget before anything leaves for a back end. Repeating it is harmless.
+/// Reserves tokens for a turn, before anything is sent to a backend. Idempotent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OpenTurn {
     /// The program.
@@ -26,34 +26,35 @@
     pub turn: TurnId,
     /// Tokens that all turns of the program may generate; none when it has no budget.
     pub budget: Option<Tokens>,
-    /// The most that this turn generates.
+    /// Most tokens that this turn may generate.
     pub max_generated: Tokens,
-    /// What is kept of it; none when the caller brings whole prompts.
+    /// The input to keep; none if the caller sends complete prompts.
     pub input: Option<TurnInput>,
-    /// The owner's time.
+    /// When the owner proposed the command, by the owner's clock.
     pub at: Timestamp,
 }
 
 /// How a turn ended.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TurnEnd {
-    /// Its answer is whole. From here on it may be gone on from.
+    /// It was answered completely. Later turns may continue it.
     Completed {
-        /// Tokens that were handed on to the caller.
+        /// Tokens that were sent to the caller.
         generated: Tokens,
-        /// The answer in the form that it has in later prompts; empty when nothing is kept.
+        /// The answer in the form that it has in later prompts; empty if nothing is kept.
         #[serde(with = "crate::text")]
         output: Vec<u8>,
-        /// The back end that served it, whose memory may still hold its prompt.
+        /// The backend that served it, whose cache may still hold its prompt.
         served_by: String,
     },
-    /// No back end ran it or ever will: it costs nothing.
+    /// No backend ran it or ever will. It is not charged.
     NotRun,
-    /// It may have run and was not answered whole: it costs the most it could have generated.
+    /// It may have run and was not answered completely. It is charged the most that it could have
+    /// generated.
     Incomplete,
 }
 
-/// Settles a turn. The first end of a turn stands; repeating it is harmless.
+/// Settles a turn. Idempotent: the first end that is recorded for a turn counts.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CloseTurn {
     /// The program.
@@ -62,88 +63,87 @@
     pub turn: TurnId,
     /// How it ended.
     pub end: TurnEnd,
-    /// The owner's time.
+    /// When the owner proposed the command, by the owner's clock.
     pub at: Timestamp,
 }
 
-/// A chain of kept turns as one text, on its way from one ledger to another.
+/// A chain of kept turns as one text, to be transferred from one ledger to another.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeptChain {
     /// Inputs and outputs of its turns, oldest first.
     #[serde(with = "crate::text")]
     pub text: Vec<u8>,
-    /// The back end that served its newest turn.
+    /// The backend that served its newest turn.
     pub served_by: String,
-    /// How long its newest turn is still kept.
+    /// How long its newest turn remains kept.
     pub retention: Duration,
 }
 
-/// Holds a chain of another group's ledger under the name of its newest turn. Repeating it is
-/// harmless.
+/// Imports a chain from another group's ledger under the name of its newest turn. Idempotent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ImportTurn {
-    /// The program that goes on from it.
+    /// The program that continues it.
     pub program: ProgramName,
     /// The chain's newest turn.
     pub turn: TurnId,
     /// The chain.
     pub chain: KeptChain,
-    /// The owner's time.
+    /// When the owner proposed the command, by the owner's clock.
     pub at: Timestamp,
 }
 
-/// A chain, and what one program has used of its budget where the chain is held.
+/// A chain, and what one program has used of its budget in the ledger that holds the chain.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChargedChain {
     /// The chain.
     pub chain: KeptChain,
-    /// The program's charge there; none when it is not known there.
+    /// The program's charge there; none if that ledger does not know the program.
     pub charge: Option<ProgramCharge>,
 }
 
-/// Holds a chain of another group's ledger, and counts what its program has used there of its budget
-/// as used here. Repeating it is harmless.
+/// Imports a chain from another group's ledger, and counts what its program has used of its budget
+/// there as used here. Idempotent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ImportCharged {
     /// The chain.
     pub import: ImportTurn,
-    /// The program's charge where the chain comes from.
+    /// The program's charge in the ledger that the chain comes from.
     pub charge: ProgramCharge,
 }
 
-/// What is asked of a ledger.
+/// A command to a ledger.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LedgerCommand {
-    /// Reserve a turn's budget and read what it goes on from.
+    /// Reserve tokens for a turn and read the chain that it continues.
     Open(OpenTurn),
     /// Settle a turn.
     Close(CloseTurn),
-    /// Read a chain that a program of another group goes on from. A command, so that only an
-    /// owner of the present can answer that there is no such turn.
+    /// Read a chain that a program of another group continues. It is a command, so that only the
+    /// current owner can reply that there is no such turn.
     Read {
         /// The chain's newest turn.
         turn: TurnId,
-        /// The owner's time.
+        /// When the owner proposed the command, by the owner's clock.
         at: Timestamp,
     },
-    /// Take over a chain from another ledger.
+    /// Import a chain from another ledger.
     Import(ImportTurn),
-    /// Forget turns and programs whose retention is over.
+    /// Remove turns and programs whose retention is over.
     Expire {
-        /// The owner's time.
+        /// The time by the owner's clock.
         now: Timestamp,
     },
-    /// As `Read`, for a program that may have turns in that group too. After the others: logs hold
-    /// commands by their place here.
+    /// Read a chain and the charge of a program that may have turns in that group too. Logs encode
+    /// commands by their position in this enum, so new ones are added at the end.
     ReadCharged {
         /// The chain's newest turn.
         turn: TurnId,
-        /// The program that goes on from it.
+        /// The program that continues it.
         program: ProgramName,
-        /// The owner's time.
+        /// When the owner proposed the command, by the owner's clock.
         at: Timestamp,
     },
-    /// Take over a chain and its program's charge.
+    /// Import a chain and its program's charge.
     ImportCharged(Box<ImportCharged>),
 }
 
@@ -160,7 +160,7 @@
         }
     }
 
-    /// The turn that it is about, for logs; none when it is about no single one.
+    /// The turn that the command concerns, for logs; none if it concerns no single turn.
     pub fn turn(&self) -> Option<&TurnId> {
         match self {
             Self::Open(open) => Some(&open.turn),
@@ -172,7 +172,7 @@
         }
     }
 
-    /// Its name in logs.
+    /// The name of the command in logs.
     pub fn name(&self) -> &'static str {
         match self {
             Self::Open(_) => "open",
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Bytes of text that it carries.
+    /// Bytes of text in the command.
     pub fn text_bytes(&self) -> usize {
         match self {
             Self::Open(open) => open.input.as_ref().map_or(0, |input| input.new_input.len()),
@@ -199,7 +199,7 @@
         }
     }
 
-    /// The owner's time that it carries.
+    /// When the owner proposed the command, by the owner's clock.
     pub fn timestamp(&self) -> Timestamp {
         match self {
             Self::Open(open) => open.at,
@@ -225,39 +225,39 @@
     }
 }
 
-/// A turn that may be sent to a back end.
+/// A turn that may be sent to a backend.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OpenedTurn {
-    /// Inputs and outputs of the turns before it, oldest first, as the back end is to get them.
+    /// Inputs and outputs of the turns before it, oldest first, in the form for the backend.
     #[serde(with = "crate::text")]
     pub history: Vec<u8>,
-    /// The back end that served the turn before it.
+    /// The backend that served the turn before it.
     pub last_served_by: Option<String>,
 }
 
 /// Why a turn was not opened. It has not run and will not run.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TurnRefusal {
-    /// What is spent and reserved leaves less than the most that the turn may generate.
+    /// The tokens left in the budget are fewer than the turn may generate.
     BudgetSpent {
         /// The program's budget.
         budget: Tokens,
-        /// Spent and reserved so far.
+        /// Tokens spent and reserved so far.
         used: Tokens,
     },
-    /// No turn of that name was answered whole within its retention.
+    /// There is no turn of that name that was answered completely and is still kept.
     NoSuchTurn {
         /// The missing turn.
         previous: TurnId,
     },
-    /// The turn that this one goes on from is open, as far as the ledger knows. Its caller may
-    /// have its whole answer while its end is still on the way to the ledger, so nobody can say
-    /// yet that there is no such turn.
+    /// The turn that this one continues is open, as far as the ledger knows. Its caller may have
+    /// the complete answer while the close command is still in flight, so the ledger cannot yet say
+    /// that there is no such turn.
     NotEnded {
         /// The open turn.
         previous: TurnId,
     },
-    /// The turn was settled before: its try has ended.
+    /// The turn has been settled before.
     AlreadyEnded,
     /// A limit of the ledger is reached.
     LimitReached {
@@ -266,7 +266,7 @@
     },
 }
 
-/// A ledger's answer.
+/// A ledger's reply to a command.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LedgerReply {
     /// The turn's reservation is durable.
@@ -277,16 +277,16 @@
     Closed,
     /// A chain for another ledger.
     Chain(KeptChain),
-    /// The chain of another ledger is held here.
+    /// The chain of another ledger is kept here.
     Imported,
-    /// Turns and programs were forgotten.
+    /// Expired turns and programs were removed.
     Expired,
     /// A chain for another ledger, with its program's charge.
     ChargedChain(ChargedChain),
 }
 
 impl LedgerReply {
-    /// Its name in logs.
+    /// The name of the reply in logs.
     pub fn name(&self) -> &'static str {
         match self {
             Self::Opened(_) => "opened",
--- a/crates/ledger/src/name.rs
+++ b/crates/ledger/src/name.rs
@@ -1,15 +1,15 @@
-//! Names that callers give to programs and turns. A tenant's name is part of each: a name cannot be
-//! made without saying whose it is, so that no tenant can name what belongs to another.
+//! Names that callers give to programs and turns. Each name includes its tenant and cannot be
+//! created without stating it, so that no tenant can refer to what belongs to another.
 //!
-//! In their encoded form they are one text, which is the caller's alone where there are no tenants.
-//! Logs of replica groups that were written before there were tenants hold names of this form.
+//! A name is encoded as a single text, which is just the caller's name if there is no tenant. Logs
+//! of replica groups that were written before tenants existed hold names of this form.
 
 use std::fmt;
 
 use dahlia_types::TenantId;
 use serde::{Deserialize, Serialize};
 
-/// Stands between tenant and name. Names come from headers, which cannot hold it.
+/// Separates tenant and name. Names come from headers, which cannot contain it.
 const SEPARATOR: char = '\0';
 
 fn scoped(tenant: Option<&TenantId>, name: &str) -> String {
@@ -19,8 +19,8 @@
     }
 }
 
-/// The caller's own part of a scoped text.
-fn own_part(text: &str) -> &str {
+/// The caller's name without its tenant.
+fn unscoped_name(text: &str) -> &str {
     text.rsplit_once(SEPARATOR).map_or(text, |(_, name)| name)
 }
 
@@ -32,14 +32,14 @@
         pub struct $name(String);
 
         impl $name {
-            /// A name as a tenant's caller gives it; of no tenant where callers need no key.
+            /// A name given by a caller of `tenant`; there is no tenant if callers need no key.
             pub fn new(tenant: Option<&TenantId>, name: &str) -> Self {
                 Self(scoped(tenant, name))
             }
 
-            /// The name alone, as the caller knows it.
+            /// The name as the caller gave it, without the tenant.
             pub fn name(&self) -> &str {
-                own_part(&self.0)
+                unscoped_name(&self.0)
             }
         }
 
@@ -52,16 +52,16 @@
 }
 
 caller_name!(
-    /// A caller's name for a program; unique for its tenant, at most 128 bytes.
+    /// A caller's name for a program: unique within its tenant, at most 128 bytes.
     ProgramName
 );
 caller_name!(
-    /// A caller's name for one try of one turn; unique for its tenant, at most 128 bytes.
+    /// A caller's name for one attempt at one turn: unique within its tenant, at most 128 bytes.
     TurnId
 );
 
 impl ProgramName {
-    /// Tenant and name.
+    /// The bytes of tenant and name.
     pub(crate) fn as_bytes(&self) -> &[u8] {
         self.0.as_bytes()
     }
--- a/crates/ledger/src/text.rs
+++ b/crates/ledger/src/text.rs
@@ -1,5 +1,5 @@
-//! Texts in `serde` as one run of bytes: element by element, a large history takes many times
-//! as long to encode. For `#[serde(with = "text")]`.
+//! Encodes texts in `serde` as a byte string, for `#[serde(with = "text")]`. Encoded element by
+//! element, a large history takes many times as long.
 
 use bytes::Bytes;
 use serde::{Deserialize, Deserializer, Serializer};
--- a/crates/ledger/src/turn.rs
+++ b/crates/ledger/src/turn.rs
@@ -1,4 +1,4 @@
-//! What a ledger holds of one turn.
+//! The record of one turn in a ledger.
 
 use bytes::Bytes;
 use dahlia_types::{Duration, Timestamp, Tokens};
@@ -11,21 +11,21 @@
 pub(crate) struct Turn {
     pub(crate) program: ProgramName,
     pub(crate) phase: Phase,
-    /// When it goes on to its next phase by itself, or is forgotten.
-    pub(crate) due: Timestamp,
-    /// Open and kept turns that go on from it. While there are some it is not forgotten: a chain
-    /// lives as long as its newest turn.
+    /// When an open turn is given up, or an ended one is removed.
+    pub(crate) expires_at: Timestamp,
+    /// Number of open and kept turns that continue it. It is not removed while there are any: a
+    /// chain is kept as long as its newest turn.
     pub(crate) children: u32,
 }
 
-/// Where a turn stands.
+/// The phase of a turn.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Phase {
-    /// Its most is reserved.
+    /// The most tokens that it may generate are reserved.
     Open(OpenTurnState),
-    /// It was answered whole and its text is kept.
-    Kept(KeptText),
-    /// It has ended, and only its name is kept, so that a late repeat does not open it again.
+    /// It was answered completely and its text is kept.
+    Kept(KeptTurn),
+    /// It has ended and only its name is kept, so that a late retry does not open it again.
     Ended,
 }
 
@@ -44,21 +44,21 @@
     pub(crate) retention: Duration,
 }
 
-/// A turn that later turns may go on from.
+/// A turn that later turns may continue.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct KeptText {
+pub(crate) struct KeptTurn {
     pub(crate) previous: Option<TurnId>,
     /// Input and output of this turn alone.
     pub(crate) text: Bytes,
-    /// Bytes of the whole chain up to and with this turn.
+    /// Bytes of the chain up to and including this turn.
     pub(crate) chain_bytes: u64,
-    /// Turns of the chain up to and with this one.
+    /// Number of turns of the chain up to and including this one.
     pub(crate) chain_turns: u64,
     pub(crate) served_by: String,
 }
 
 impl Turn {
-    /// The turn that this one goes on from, while that has to stay.
+    /// The turn that this one continues, as long as that turn has to be kept.
     pub(crate) fn previous(&self) -> Option<&TurnId> {
         match &self.phase {
             Phase::Open(open) => open.input.as_ref()?.previous.as_ref(),
--- a/crates/ledger/tests/common/mod.rs
+++ b/crates/ledger/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A ledger with a hand on its time, for tests.
+//! A ledger whose time is set by the test.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -8,33 +8,33 @@
 };
 use dahlia_types::{Duration, Timestamp, Tokens};
 
-/// What turns ask to be kept for.
+/// Retention that turns ask for.
 pub const RETENTION: Duration = Duration::from_secs(60);
-/// Longer than a turn is kept beyond what it asked for.
-pub const WELL_OVER: Duration = Duration::from_secs(100);
-/// Owners stamp a ledger at least this often.
-const STAMP_INTERVAL: Duration = Duration::from_secs(5);
+/// Longer than a turn is kept beyond its retention.
+pub const PAST_RETENTION: Duration = Duration::from_secs(100);
+/// Owners propose an expiry at least this often.
+const EXPIRY_INTERVAL: Duration = Duration::from_secs(5);
 
-/// A ledger and its owner's clock.
-pub struct Bench {
-    pub ledger: Ledger,
+/// A ledger and the clock of its owner.
+pub struct TestLedger {
+    pub inner: Ledger,
     pub now: Timestamp,
 }
 
-impl Bench {
+impl TestLedger {
     pub fn new(limits: LedgerLimits) -> Self {
-        Self { ledger: Ledger::new(limits), now: Timestamp(1_000_000_000) }
+        Self { inner: Ledger::new(limits), now: Timestamp(1_000_000_000) }
     }
 
     pub fn apply(&mut self, command: LedgerCommand) -> LedgerReply {
-        self.ledger.apply(&command.with_timestamp(self.now))
+        self.inner.apply(&command.with_timestamp(self.now))
     }
 
     pub fn open(&mut self, open: OpenTurn) -> Result<OpenedTurn, TurnRefusal> {
         match self.apply(LedgerCommand::Open(open)) {
             LedgerReply::Opened(opened) => Ok(opened),
             LedgerReply::Refused(refusal) => Err(refusal),
-            other => panic!("not an answer to an opening: {other:?}"),
+            other => panic!("not a reply to an open command: {other:?}"),
         }
     }
 
@@ -44,51 +44,58 @@
         assert_eq!(self.apply(LedgerCommand::Close(close)), LedgerReply::Closed);
     }
 
-    /// Opens a kept turn and ends it whole.
-    pub fn turn(&mut self, program: &str, turn: &str, previous: Option<&str>, text: [&str; 2]) {
-        self.open(kept(program, turn, previous, text[0])).expect("opened");
-        self.close(program, turn, whole(1, text[1]));
+    /// Opens a kept turn and completes it.
+    pub fn complete_turn(
+        &mut self,
+        program: &str,
+        turn: &str,
+        previous: Option<&str>,
+        text: [&str; 2],
+    ) {
+        self.open(kept_turn(program, turn, previous, text[0])).expect("opened");
+        self.close(program, turn, completed(1, text[1]));
     }
 
-    /// Lets time pass as an owner does, who has the ledger expire now and then.
-    pub fn pass(&mut self, length: Duration) {
-        let end = self.now + length;
+    /// Advances the clock, with the expiry commands that an owner proposes at intervals.
+    pub fn advance(&mut self, duration: Duration) {
+        let end = self.now + duration;
         while self.now < end {
-            self.now = end.min(self.now + STAMP_INTERVAL);
+            self.now = end.min(self.now + EXPIRY_INTERVAL);
             self.apply(LedgerCommand::Expire { now: self.now });
         }
     }
 
-    /// Tokens spent and reserved.
+    /// The tokens that a program has spent and reserved.
     pub fn used(&self, program: &str) -> Option<(u64, u64)> {
-        let charge = self.ledger.charge(&ProgramName::new(None, program))?;
+        let charge = self.inner.charge(&ProgramName::new(None, program))?;
         Some((charge.spent.0, charge.reserved.0))
     }
 }
 
-/// A turn that nothing is kept of.
-pub fn plain(program: &str, turn: &str, budget: u64, most: u64) -> OpenTurn {
+/// A command that opens a turn whose text is not kept.
+pub fn unkept_turn(program: &str, turn: &str, budget: u64, max_generated: u64) -> OpenTurn {
     OpenTurn {
         program: ProgramName::new(None, program),
         turn: TurnId::new(None, turn),
         budget: Some(Tokens(budget)),
-        max_generated: Tokens(most),
+        max_generated: Tokens(max_generated),
         input: None,
         at: Timestamp::ZERO,
     }
 }
 
-/// A turn whose text is kept, of a program that has budget enough.
-pub fn kept(program: &str, turn: &str, previous: Option<&str>, new_input: &str) -> OpenTurn {
+/// A command that opens a turn whose text is kept, in a program with a large budget.
+pub fn kept_turn(program: &str, turn: &str, previous: Option<&str>, new_input: &str) -> OpenTurn {
     let input = TurnInput {
         previous: previous.map(|previous| TurnId::new(None, previous)),
         new_input: new_input.into(),
         retention: RETENTION,
     };
-    OpenTurn { input: Some(input), ..plain(program, turn, 1_000_000, 10) }
+    OpenTurn { input: Some(input), ..unkept_turn(program, turn, 1_000_000, 10) }
 }
 
-pub fn whole(generated: u64, output: &str) -> TurnEnd {
+/// The end of a completed turn.
+pub fn completed(generated: u64, output: &str) -> TurnEnd {
     let served_by = "server".to_owned();
     TurnEnd::Completed { generated: Tokens(generated), output: output.into(), served_by }
 }
--- a/crates/ledger/tests/tenants.rs
+++ b/crates/ledger/tests/tenants.rs
@@ -1,16 +1,16 @@
-//! Programs and turns of one tenant, as another tenant finds them.
+//! Isolation of the programs and turns of different tenants.
 
 mod common;
 
-use common::{Bench, kept, plain, whole};
+use common::{TestLedger, completed, kept_turn, unkept_turn};
 use dahlia_ledger::{
     CloseTurn, ImportTurn, LedgerCommand, LedgerLimits, LedgerReply, OpenTurn, ProgramName,
     TurnEnd, TurnId, TurnRefusal,
 };
 use dahlia_types::{TenantId, Timestamp, Tokens};
 
-/// The same command with names of a tenant.
-fn of(tenant: &str, open: OpenTurn) -> OpenTurn {
+/// The same command with names scoped to a tenant.
+fn scoped_to(tenant: &str, open: OpenTurn) -> OpenTurn {
     let tenant = TenantId::new(tenant);
     let turn = |turn: &TurnId| TurnId::new(Some(&tenant), turn.name());
     let input = open.input.map(|mut input| {
@@ -25,53 +25,56 @@
     }
 }
 
-fn close(bench: &mut Bench, open: &OpenTurn, end: TurnEnd) {
+fn close(ledger: &mut TestLedger, open: &OpenTurn, end: TurnEnd) {
     let (program, turn) = (open.program.clone(), open.turn.clone());
     let close = CloseTurn { program, turn, end, at: Timestamp::ZERO };
-    assert_eq!(bench.apply(LedgerCommand::Close(close)), LedgerReply::Closed);
+    assert_eq!(ledger.apply(LedgerCommand::Close(close)), LedgerReply::Closed);
 }
 
-/// A ledger in which a tenant's turn `a` of program `p` is kept.
-fn with_turn_of_oak() -> Bench {
-    let mut bench = Bench::new(LedgerLimits::default());
-    let open = of("oak", kept("p", "a", None, "secret"));
-    bench.open(open.clone()).expect("opened");
-    close(&mut bench, &open, whole(1, "answer"));
-    bench
+/// A ledger that keeps turn `a` of program `p` of the tenant `oak`.
+fn ledger_with_turn_of_oak() -> TestLedger {
+    let mut ledger = TestLedger::new(LedgerLimits::default());
+    let open = scoped_to("oak", kept_turn("p", "a", None, "secret"));
+    ledger.open(open.clone()).expect("opened");
+    close(&mut ledger, &open, completed(1, "answer"));
+    ledger
 }
 
 #[test]
-fn a_turn_cannot_be_gone_on_from_by_another_tenant() {
-    let mut bench = with_turn_of_oak();
-    for other in [of("elm", kept("p", "b", Some("a"), "")), kept("p", "b", Some("a"), "")] {
+fn another_tenant_cannot_continue_a_turn() {
+    let mut ledger = ledger_with_turn_of_oak();
+    for other in
+        [scoped_to("elm", kept_turn("p", "b", Some("a"), "")), kept_turn("p", "b", Some("a"), "")]
+    {
         let previous = other.input.as_ref().and_then(|input| input.previous.clone());
-        let refusal = bench.open(other).expect_err("it is not theirs");
+        let refusal = ledger.open(other).expect_err("it is not theirs");
         assert_eq!(refusal, TurnRefusal::NoSuchTurn { previous: previous.expect("named") });
     }
-    let opened = bench.open(of("oak", kept("p", "b", Some("a"), ""))).expect("its own");
+    let opened =
+        ledger.open(scoped_to("oak", kept_turn("p", "b", Some("a"), ""))).expect("its own");
     assert_eq!(opened.history, b"secretanswer");
 }
 
 #[test]
-fn a_turn_cannot_be_read_for_another_tenants_group() {
-    let mut bench = with_turn_of_oak();
+fn another_tenant_cannot_read_a_turn() {
+    let mut ledger = ledger_with_turn_of_oak();
     let read = |tenant: Option<&TenantId>| LedgerCommand::Read {
         turn: TurnId::new(tenant, "a"),
         at: Timestamp::ZERO,
     };
     let (oak, elm) = (TenantId::new("oak"), TenantId::new("elm"));
-    assert!(matches!(bench.apply(read(Some(&oak))), LedgerReply::Chain(_)));
+    assert!(matches!(ledger.apply(read(Some(&oak))), LedgerReply::Chain(_)));
     for other in [Some(&elm), None] {
-        let reply = bench.apply(read(other));
+        let reply = ledger.apply(read(other));
         assert!(matches!(reply, LedgerReply::Refused(TurnRefusal::NoSuchTurn { .. })), "{reply:?}");
     }
 }
 
 #[test]
-fn an_imported_chain_takes_no_other_tenants_place() {
-    let mut bench = with_turn_of_oak();
+fn an_imported_chain_does_not_replace_another_tenants_turn() {
+    let mut ledger = ledger_with_turn_of_oak();
     let elm = TenantId::new("elm");
-    let LedgerReply::Chain(chain) = bench.apply(LedgerCommand::Read {
+    let LedgerReply::Chain(chain) = ledger.apply(LedgerCommand::Read {
         turn: TurnId::new(Some(&TenantId::new("oak")), "a"),
         at: Timestamp::ZERO,
     }) else {
@@ -83,9 +86,9 @@
         chain: dahlia_ledger::KeptChain { text: b"own".to_vec(), ..chain },
         at: Timestamp::ZERO,
     };
-    assert_eq!(bench.apply(LedgerCommand::Import(import)), LedgerReply::Imported);
-    let own = bench.open(of("elm", kept("q", "c", Some("a"), ""))).expect("its own");
-    let oaks = bench.open(of("oak", kept("p", "c", Some("a"), ""))).expect("its own");
+    assert_eq!(ledger.apply(LedgerCommand::Import(import)), LedgerReply::Imported);
+    let own = ledger.open(scoped_to("elm", kept_turn("q", "c", Some("a"), ""))).expect("its own");
+    let oaks = ledger.open(scoped_to("oak", kept_turn("p", "c", Some("a"), ""))).expect("its own");
     assert_eq!(
         (own.history.as_slice(), oaks.history.as_slice()),
         (&b"own"[..], &b"secretanswer"[..])
@@ -93,16 +96,16 @@
 }
 
 #[test]
-fn budgets_of_equal_names_are_apart() {
-    let mut bench = Bench::new(LedgerLimits::default());
-    bench.open(of("oak", plain("p", "a", 10, 10))).expect("all of its budget");
-    bench.open(of("elm", plain("p", "a", 10, 10))).expect("another program");
-    let refusal = bench.open(of("oak", plain("p", "b", 10, 1))).expect_err("spent");
+fn equal_program_names_of_two_tenants_have_separate_budgets() {
+    let mut ledger = TestLedger::new(LedgerLimits::default());
+    ledger.open(scoped_to("oak", unkept_turn("p", "a", 10, 10))).expect("all of its budget");
+    ledger.open(scoped_to("elm", unkept_turn("p", "a", 10, 10))).expect("another program");
+    let refusal = ledger.open(scoped_to("oak", unkept_turn("p", "b", 10, 1))).expect_err("spent");
     assert_eq!(refusal, TurnRefusal::BudgetSpent { budget: Tokens(10), used: Tokens(10) });
 }
 
 #[test]
-fn names_written_before_there_were_tenants_are_those_of_no_tenant() {
+fn names_written_before_tenants_existed_have_no_tenant() {
     let encode = |name: &TurnId| bincode::serde::encode_to_vec(name, bincode::config::standard());
     let plain = bincode::serde::encode_to_vec("t-1", bincode::config::standard());
     let name = TurnId::new(None, "t-1");
