--- a/crates/ledger/src/turn.rs
+++ b/crates/ledger/src/turn.rs
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Bytes of text held for it.
+    /// Bytes of its text.
     pub(crate) fn text_bytes(&self) -> u64 {
         match &self.phase {
             Phase::Open(open) => open.input.as_ref().map_or(0, |input| input.text.len() as u64),
--- a/crates/program/examples/footprint.rs
+++ b/crates/program/examples/footprint.rs
@@ -1,5 +1,5 @@
-//! Measures what a program costs a replica: resident bytes with the turns' text on store daemons,
-//! and processor time for each command.
+//! Measures the cost of a program for a replica: resident bytes, with the text of its turns on store
+//! daemons, and processor time per command.
 //!
 //! Run: `cargo run --release -p dahlia-program --example footprint -- <programs> <turns>`
 
--- a/crates/program/src/attempt.rs
+++ b/crates/program/src/attempt.rs
@@ -1,4 +1,4 @@
-//! Intents and outcomes of attempts: what may be dispatched, and what its end means.
+//! Intents and outcomes of attempts, and the end of calls.
 
 use dahlia_types::{AttemptId, CallId, CallKind, LogIndex, Repeatability, Term, Tokens};
 
@@ -7,7 +7,7 @@
     AttemptOpenSnafu, BudgetExhaustedSnafu, InvalidAbandonOutcomeSnafu, LimitReachedSnafu,
     MayHaveRunSnafu, NotReadySnafu, StaleIncarnationSnafu,
 };
-use crate::state::{check_open, stale};
+use crate::state::{check_open, stale_attempt};
 use crate::switches::Switches;
 use crate::{
     AbandonCall, AttemptOutcome, CallOutcome, CommandEffect, CommandRefusal, EngineIncarnation,
@@ -24,34 +24,34 @@
     ) -> Result<CommandEffect, CommandRefusal> {
         let limits = self.limits;
         let switches = self.switches.clone();
-        let program = self.existing(command.attempt.call.program)?;
+        let program = self.program_mut(command.attempt.call.program)?;
         check_open(program)?;
         check_order(program, &switches, command.attempt)?;
         check_incarnation(program, command)?;
-        let terms = terms_of(program, &limits, command)?;
-        // Reservation and obligation are in the same entry as the intent: there is no moment at
-        // which an engine may work for the program without either.
+        let reservation = compute_reservation(program, &limits, command)?;
+        // The reservation and the obligation are part of the same log entry as the intent, so that
+        // an engine never works for the program without them.
         if switches.is_on(Mechanism::Reservation) {
-            program.budget.reserve(terms.reserved);
+            program.budget.reserve(reservation.reserved);
         }
         if switches.is_on(Mechanism::Obligation) {
             record_obligation(program, index, command);
         }
-        program.touch(command.at);
+        program.record_activity(command.at);
         let call = command.attempt.call;
-        let found = program.call_mut(call).ok_or_else(|| stale(call))?;
+        let found = program.call_mut(call).ok_or_else(|| stale_attempt(call))?;
         found.attempts = command.attempt.attempt;
-        found.set_attempt(Some(OpenAttempt {
+        found.replace_attempt(Some(OpenAttempt {
             number: command.attempt.attempt,
             engine: command.engine.clone(),
             incarnation: command.incarnation,
             epoch: term,
             intent: index,
-            reserved: terms.reserved,
-            generated_cap: terms.generated_cap,
+            reserved: reservation.reserved,
+            generated_cap: reservation.generated_cap,
             at: command.at,
         }));
-        Ok(CommandEffect::IntentRecorded(terms))
+        Ok(CommandEffect::IntentRecorded(reservation))
     }
 
     pub(crate) fn record_outcome(
@@ -60,17 +60,17 @@
     ) -> Result<CommandEffect, CommandRefusal> {
         let switches = self.switches.clone();
         let id = command.attempt;
-        let program = self.existing(id.call.program)?;
-        if program.unknown.contains_key(&id) {
+        let program = self.program_mut(id.call.program)?;
+        if program.unknown_attempts.contains_key(&id) {
             return settle_unknown(program, command, &switches);
         }
-        let call = program.call_mut(id.call).ok_or_else(|| stale(id.call))?;
-        let open = call.open_attempt().ok_or_else(|| stale(id.call))?;
+        let call = program.call_mut(id.call).ok_or_else(|| stale_attempt(id.call))?;
+        let open = call.open_attempt().ok_or_else(|| stale_attempt(id.call))?;
         if switches.is_on(Mechanism::AttemptMatch) && open.number != id.attempt {
-            return Err(stale(id.call));
+            return Err(stale_attempt(id.call));
         }
-        let open = call.set_attempt(None).ok_or_else(|| stale(id.call))?;
-        program.touch(command.at);
+        let open = call.replace_attempt(None).ok_or_else(|| stale_attempt(id.call))?;
+        program.record_activity(command.at);
         Ok(finish_attempt(program, command, open, &switches))
     }
 
@@ -78,14 +78,15 @@
         &mut self,
         command: &AbandonCall,
     ) -> Result<CommandEffect, CommandRefusal> {
-        let rule = self.switches.is_on(Mechanism::NotRunRule);
+        let not_run_rule = self.switches.is_on(Mechanism::NotRunRule);
         let id = command.call;
-        let program = self.existing(id.program)?;
-        let call = program.call(id).filter(|call| call.is_open()).ok_or_else(|| stale(id))?;
+        let program = self.program_mut(id.program)?;
+        let call =
+            program.call(id).filter(|call| call.is_open()).ok_or_else(|| stale_attempt(id))?;
         if call.open_attempt().is_some() {
             return AttemptOpenSnafu { call: id }.fail();
         }
-        let end = match (&command.outcome, program.may_have_run(id) && rule) {
+        let end = match (&command.outcome, program.may_have_run(id) && not_run_rule) {
             (CallOutcome::NotRun { reason, retry_after }, false) => {
                 CallEnd::NotRun { reason: *reason, retry_after: *retry_after }
             }
@@ -93,13 +94,13 @@
             (CallOutcome::Unknown, true) => CallEnd::Unknown,
             _ => return InvalidAbandonOutcomeSnafu { call: id }.fail(),
         };
-        program.touch(command.at);
-        Ok(end_with(program, id, end))
+        program.record_activity(command.at);
+        Ok(end_call(program, id, end))
     }
 }
 
-/// Ends `call` and reports its recorded outcome.
-fn end_with(program: &mut Program, call: CallId, end: CallEnd) -> CommandEffect {
+/// Ends `call` and returns its recorded outcome.
+fn end_call(program: &mut Program, call: CallId, end: CallEnd) -> CommandEffect {
     let outcome = match &end {
         CallEnd::Answered { answer, usage } => {
             CallOutcome::Answered { answer: answer.clone(), usage: *usage }
@@ -113,23 +114,24 @@
     CommandEffect::CallEnded { call, outcome, next }
 }
 
-/// Refuses an intent that would break the order, run beside another attempt, or run a call again
-/// that may run at most once.
+/// Refuses an intent that would break the chain's order, run concurrently with another attempt, or
+/// run an at-most-once call again.
 fn check_order(
     program: &Program,
     switches: &Switches,
     id: AttemptId,
 ) -> Result<(), CommandRefusal> {
-    let call = program.call(id.call).ok_or_else(|| stale(id.call))?;
+    let call = program.call(id.call).ok_or_else(|| stale_attempt(id.call))?;
     let follows = call.attempts.checked_add(1) == Some(id.attempt);
     if !call.is_open() || call.open_attempt().is_some() || !follows {
-        return Err(stale(id.call));
+        return Err(stale_attempt(id.call));
     }
     let first = program.chains[&id.call.chain].first_open();
     if switches.is_on(Mechanism::OrderGate) && first != Some(id.call.number) {
         return NotReadySnafu { call: id.call }.fail();
     }
-    // Such a call ends with its first attempt that may have run; this stands behind that.
+    // An at-most-once call ends with its first attempt that may have run. This check is a second
+    // safeguard.
     if call.repeatability == Repeatability::AtMostOnce
         && switches.is_on(Mechanism::AtMostOnce)
         && program.may_have_run(id.call)
@@ -139,10 +141,10 @@
     Ok(())
 }
 
-/// Refuses an intent at a life of an engine that is known to be over.
+/// Refuses an intent for an engine incarnation if a newer one is known.
 fn check_incarnation(program: &Program, command: &RecordIntent) -> Result<(), CommandRefusal> {
-    let lives = program.obligations.keys().filter(|life| life.engine == command.engine);
-    let newest = lives.map(|life| life.incarnation).max();
+    let holders = program.obligations.keys().filter(|holder| holder.engine == command.engine);
+    let newest = holders.map(|holder| holder.incarnation).max();
     match newest {
         Some(known) if known > command.incarnation => {
             StaleIncarnationSnafu { engine: command.engine.clone(), known }.fail()
@@ -151,43 +153,46 @@
     }
 }
 
-/// Works out the reservation: the prompt's bound and a cap that what is left can pay.
-fn terms_of(
+/// Computes the reservation: the bound of the prompt plus a cap on generation that the remaining
+/// budget covers.
+fn compute_reservation(
     program: &Program,
     limits: &ProgramLimits,
     command: &RecordIntent,
 ) -> Result<TokenReservation, CommandRefusal> {
-    let call = program.call(command.attempt.call).ok_or_else(|| stale(command.attempt.call))?;
+    let call =
+        program.call(command.attempt.call).ok_or_else(|| stale_attempt(command.attempt.call))?;
     if command.prompt_bound > limits.history_tokens {
         let limit = limits.history_tokens.0;
         return LimitReachedSnafu { program: program.id, what: "history tokens", limit }.fail();
     }
-    let wish = match call.kind() {
+    let requested = match call.kind() {
         CallKind::Generate => call.max_generated.max(Tokens(1)),
         CallKind::Tool(_) => Tokens::ZERO,
     };
-    let needed = command.prompt_bound.saturating_add(wish.min(Tokens(1)));
+    let needed = command.prompt_bound.saturating_add(requested.min(Tokens(1)));
     let left = program.budget.left();
     if left < needed {
         return BudgetExhaustedSnafu { program: program.id, left, needed }.fail();
     }
-    let generated_cap = wish.min(left.saturating_sub(command.prompt_bound));
+    let generated_cap = requested.min(left.saturating_sub(command.prompt_bound));
     let reserved = command.prompt_bound.saturating_add(generated_cap);
     Ok(TokenReservation { reserved, generated_cap })
 }
 
-/// A tool service holds no cache, so only a model engine owes a release.
+/// Records the obligation to release what the engine will hold. A tool service holds no cache, so
+/// an attempt there creates no obligation.
 fn record_obligation(program: &mut Program, index: LogIndex, command: &RecordIntent) {
     let kind = program.call(command.attempt.call).map(|call| call.kind().clone());
     if kind != Some(CallKind::Generate) {
         return;
     }
-    let life =
+    let holder =
         EngineIncarnation { engine: command.engine.clone(), incarnation: command.incarnation };
-    program.obligations.insert(life, ReleaseObligation { last_intent: index });
+    program.obligations.insert(holder, ReleaseObligation { last_intent: index });
 }
 
-/// Ends the open attempt: settles its reservation and ends its call or leaves it to be retried.
+/// Ends the open attempt, settles its reservation, and ends its call or leaves it to be retried.
 fn finish_attempt(
     program: &mut Program,
     command: &RecordOutcome,
@@ -198,23 +203,23 @@
     match &command.outcome {
         AttemptOutcome::Ran { answer, usage } => {
             program.budget.settle(open.reserved, *usage, switches);
-            program.note_tokens(call, usage.total().min(open.reserved));
+            program.raise_chain_tokens(call, usage.total().min(open.reserved));
             let end = CallEnd::Answered { answer: answer.clone(), usage: *usage };
-            end_with(program, call, end)
+            end_call(program, call, end)
         }
         AttemptOutcome::Cut { usage } => {
             program.budget.settle(open.reserved, *usage, switches);
             if let Some(found) = program.call_mut(call) {
-                found.ran_unanswered = true;
+                found.ran_without_answer = true;
             }
             end_or_retry(program, call, switches)
         }
         AttemptOutcome::NotRun => {
-            program.budget.free(open.reserved);
+            program.budget.refund(open.reserved);
             end_or_retry(program, call, switches)
         }
         AttemptOutcome::Unknown => {
-            // The engine may still be at work: what it can use stays set aside.
+            // The engine may still be running the attempt, so its tokens stay reserved.
             let unknown = UnknownAttempt {
                 engine: open.engine,
                 incarnation: open.incarnation,
@@ -222,36 +227,36 @@
                 at: command.at,
                 fenced: false,
             };
-            program.unknown.insert(command.attempt, unknown);
+            program.unknown_attempts.insert(command.attempt, unknown);
             end_or_retry(program, call, switches)
         }
     }
 }
 
-/// Ends a call that was not answered if it may not be tried again.
+/// Ends an unanswered call if it may not be attempted again.
 fn end_or_retry(program: &mut Program, call: CallId, switches: &Switches) -> CommandEffect {
     if !program.is_open() {
-        let end = unanswered_end(program, call, switches);
-        return end_with(program, call, end);
+        let end = end_without_answer(program, call, switches);
+        return end_call(program, call, end);
     }
     let repeatability = program.call(call).map(|call| call.repeatability);
-    let once = repeatability == Some(Repeatability::AtMostOnce);
-    if once && switches.is_on(Mechanism::AtMostOnce) && program.may_have_run(call) {
-        return end_with(program, call, CallEnd::Unknown);
+    let at_most_once = repeatability == Some(Repeatability::AtMostOnce);
+    if at_most_once && switches.is_on(Mechanism::AtMostOnce) && program.may_have_run(call) {
+        return end_call(program, call, CallEnd::Unknown);
     }
     CommandEffect::Retryable(call)
 }
 
-/// How a call without an answer ends with its program: not run only when no attempt can have run.
-pub(crate) fn unanswered_end(program: &Program, call: CallId, switches: &Switches) -> CallEnd {
+/// How an unanswered call ends when its program ends: as not run only if no attempt can have run.
+pub(crate) fn end_without_answer(program: &Program, call: CallId, switches: &Switches) -> CallEnd {
     if switches.is_on(Mechanism::NotRunRule) && program.may_have_run(call) {
         return CallEnd::Unknown;
     }
     CallEnd::NotRun { reason: NotRunReason::ProgramClosed, retry_after: None }
 }
 
-/// Accounts for an attempt that had been recorded as unknown. The call's outcome stays, and an
-/// answer is dropped: the call has ended as unknown or is being tried again.
+/// Settles an attempt that had been recorded as unknown. The call's outcome does not change and an
+/// answer is dropped: the call has ended as unknown or is being attempted again.
 fn settle_unknown(
     program: &mut Program,
     command: &RecordOutcome,
@@ -259,19 +264,19 @@
 ) -> Result<CommandEffect, CommandRefusal> {
     let id = command.attempt;
     if command.outcome == AttemptOutcome::Unknown {
-        return Err(stale(id.call));
+        return Err(stale_attempt(id.call));
     }
-    let Some(held) = program.unknown.remove(&id) else {
-        return Err(stale(id.call));
+    let Some(unknown) = program.unknown_attempts.remove(&id) else {
+        return Err(stale_attempt(id.call));
     };
     match &command.outcome {
         AttemptOutcome::Ran { usage, .. } | AttemptOutcome::Cut { usage } => {
-            program.budget.settle(held.reserved, *usage, switches);
+            program.budget.settle(unknown.reserved, *usage, switches);
             if let Some(call) = program.call_mut(id.call) {
-                call.ran_unanswered = true;
+                call.ran_without_answer = true;
             }
         }
-        AttemptOutcome::NotRun | AttemptOutcome::Unknown => program.budget.free(held.reserved),
+        AttemptOutcome::NotRun | AttemptOutcome::Unknown => program.budget.refund(unknown.reserved),
     }
     Ok(CommandEffect::Settled(id))
 }
--- a/crates/program/src/begin.rs
+++ b/crates/program/src/begin.rs
@@ -1,8 +1,8 @@
-//! Putting calls into their chain's order; recognising retries.
+//! Adding calls to their chains, and recognising retries.
 
 use dahlia_types::{CallId, CallKind, ChainId, Tokens};
 
-use crate::chain::push_within;
+use crate::chain::push_compact;
 use crate::history::content_bytes;
 use crate::key::KeyHash;
 use crate::refusal::{DigestMismatchSnafu, LimitReachedSnafu, NoSuchChainSnafu, OutOfOrderSnafu};
@@ -22,54 +22,54 @@
     ) -> Result<CommandEffect, CommandRefusal> {
         let limits = self.limits;
         let digest_check = self.switches.is_on(Mechanism::DigestCheck);
-        let program = self.existing(command.program)?;
-        // A retry is recognised before anything else: it is answered also after the close and
-        // beyond the limits, because nothing new runs for it.
-        if let Some(earlier) = earlier_call(program, command, digest_check)? {
-            bind_key(program, command, earlier);
-            if !may_begin_again(program, earlier) {
-                return Ok(CommandEffect::Begun(join_or_replay(program, earlier)));
+        let program = self.program_mut(command.program)?;
+        // Retries are recognised before anything else. They are answered even if the program is
+        // closed or at its limits, because nothing new runs for them.
+        if let Some(repeated) = find_repeated_call(program, command, digest_check)? {
+            bind_key(program, command, repeated);
+            if !may_begin_again(program, repeated) {
+                return Ok(CommandEffect::Begun(join_or_replay(program, repeated)));
             }
             check_limits(program, &limits, command)?;
-            program.touch(command.at);
-            return Ok(CommandEffect::Begun(begin_again(program, earlier, command)));
+            program.record_activity(command.at);
+            return Ok(CommandEffect::Begun(begin_again(program, repeated, command)));
         }
         check_open(program)?;
         check_limits(program, &limits, command)?;
         let branch = branch_point(program, &limits, command)?;
-        let begun = append(program, command, branch)?;
-        program.touch(command.at);
+        let begun = append_call(program, command, branch)?;
+        program.record_activity(command.at);
         Ok(CommandEffect::Begun(begun))
     }
 }
 
-/// Finds the call that `command` repeats, by its key first and its number second.
-fn earlier_call(
+/// Finds the call that `command` repeats, first by its key and then by its number.
+fn find_repeated_call(
     program: &Program,
     command: &BeginCall,
     digest_check: bool,
 ) -> Result<Option<CallId>, CommandRefusal> {
-    let of_key = command.key.as_ref().and_then(|key| program.call_of_key(key));
+    let by_key = command.key.as_ref().and_then(|key| program.call_by_key(key));
     let stated = command.number.map(|number| program.call_id(command.chain, number));
-    let of_number = stated.filter(|call| program.call(*call).is_some());
-    let Some(call) = of_key.or(of_number) else {
+    let by_number = stated.filter(|call| program.call(*call).is_some());
+    let Some(call) = by_key.or(by_number) else {
         return Ok(None);
     };
     let found = program.call(call).expect("keys name calls of the program");
-    let same_place = call.chain == command.chain && stated.is_none_or(|stated| stated == call);
+    let same_position = call.chain == command.chain && stated.is_none_or(|stated| stated == call);
     let same_key = match (found.key, &command.key) {
-        (Some(held), Some(stated)) => held == KeyHash::of(stated),
+        (Some(recorded), Some(stated)) => recorded == KeyHash::of(stated),
         _ => true,
     };
     let same_digest = found.digest == command.digest;
-    if digest_check && !(same_place && same_key && same_digest) {
+    if digest_check && !(same_position && same_key && same_digest) {
         return DigestMismatchSnafu { call }.fail();
     }
     Ok(Some(call))
 }
 
-/// Remembers the key of a retry whose first try came without one, so that a further retry by key
-/// alone finds the call.
+/// Records the key of a retry if the call was begun without one, so that a further retry with only
+/// the key finds the call.
 fn bind_key(program: &mut Program, command: &BeginCall, call: CallId) {
     let Some(found) = program.call_mut(call) else {
         return;
@@ -79,14 +79,14 @@
     }
 }
 
-/// A caller that was told "not run" may send the same request again. Behind a later call of the
-/// chain it stays unrun: it would run out of order.
+/// Whether a call that did not run may be begun again by the same request. It may not if the chain
+/// has a later call, because it would run out of order.
 fn may_begin_again(program: &Program, call: CallId) -> bool {
     let ended = program.call(call).and_then(Call::ended);
     let not_run = matches!(ended, Some(EndedCall::NotRun { .. }));
-    let last =
+    let is_last =
         program.chain(call.chain).is_some_and(|chain| chain.next_number() == call.number + 1);
-    not_run && last && program.is_open()
+    not_run && is_last && program.is_open()
 }
 
 fn begin_again(program: &mut Program, call: CallId, command: &BeginCall) -> BeginOutcome {
@@ -97,7 +97,7 @@
     }
     let chain = program.chains.get_mut(&call.chain).expect("the call was found in its chain");
     chain.head = chain.head.min(call.number - 1);
-    chain.advance();
+    chain.advance_head();
     if chain.first_open() == Some(call.number) {
         BeginOutcome::Ready(call)
     } else {
@@ -133,7 +133,7 @@
     Ok(())
 }
 
-/// Where the chain that the call opens branches off. None for a chain that exists, for the main
+/// Where the chain that the call starts branches off. None for a chain that exists, for the main
 /// chain, and for a sub-agent that starts with an empty history.
 fn branch_point(
     program: &Program,
@@ -152,7 +152,7 @@
     Ok(Some(BranchPoint { chain: parent, turns: found.turns.len() as u32 }))
 }
 
-fn append(
+fn append_call(
     program: &mut Program,
     command: &BeginCall,
     branch: Option<BranchPoint>,
@@ -166,7 +166,7 @@
     let inherited = branch.map_or(Tokens::ZERO, |branch| program.chains[&branch.chain].tokens);
     let chain =
         program.chains.entry(command.chain).or_insert_with(|| Chain::new(branch, inherited));
-    push_within(&mut chain.calls, new_call(command));
+    push_compact(&mut chain.calls, new_call(command));
     let is_first = chain.first_open() == Some(number);
     let added = content_bytes(&command.messages);
     program.history_bytes = program.history_bytes.saturating_add(added);
@@ -174,16 +174,16 @@
 }
 
 fn new_call(command: &BeginCall) -> Call {
-    let is_usual = command.kind == CallKind::Generate;
+    let is_generate = command.kind == CallKind::Generate;
     let open = OpenCall { messages: command.messages.clone(), attempt: None };
     Call {
         key: command.key.as_ref().map(KeyHash::of),
         digest: command.digest,
-        other_kind: (!is_usual).then(|| Box::new(command.kind.clone())),
+        non_generate_kind: (!is_generate).then(|| Box::new(command.kind.clone())),
         repeatability: command.repeatability,
         max_generated: command.max_generated,
         attempts: 0,
-        ran_unanswered: false,
+        ran_without_answer: false,
         state: CallState::Open(Box::new(open)),
     }
 }
--- a/crates/program/src/budget.rs
+++ b/crates/program/src/budget.rs
@@ -1,4 +1,4 @@
-//! A program's budget: what is spent, what is reserved for attempts, what is left.
+//! A program's token budget: tokens spent, reserved for attempts, and left.
 
 use dahlia_types::{Tokens, Usage};
 use serde::{Deserialize, Serialize};
@@ -11,15 +11,15 @@
 /// `spent + reserved <= total` holds after every command, whatever engines report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Budget {
-    /// What the operator allows.
+    /// Tokens that the operator allows.
     pub total: Tokens,
-    /// Charged for attempts that ran.
+    /// Tokens charged for attempts that ran.
     pub spent: Tokens,
-    /// Set aside for attempts that are open or of unknown outcome.
+    /// Tokens reserved for attempts that are open or of unknown outcome.
     pub reserved: Tokens,
-    /// Attempts whose engine reported more than was reserved for them.
+    /// Number of attempts whose engine reported more than was reserved for them.
     pub overreports: u64,
-    /// Tokens that such engines reported beyond the reservation. They are not charged.
+    /// Tokens reported above the reservations. They are not charged.
     pub overreported: Tokens,
 }
 
@@ -29,27 +29,28 @@
         Self { total, ..Self::default() }
     }
 
-    /// Neither spent nor reserved.
+    /// Tokens neither spent nor reserved.
     pub fn left(&self) -> Tokens {
         self.total.saturating_sub(self.spent).saturating_sub(self.reserved)
     }
 
-    /// Sets `amount` aside. The caller has checked that it is left.
+    /// Reserves `amount`. The caller has checked that it is left.
     pub(crate) fn reserve(&mut self, amount: Tokens) {
         self.reserved = self.reserved.saturating_add(amount);
     }
 
-    /// Gives back a reservation of which nothing was used.
-    pub(crate) fn free(&mut self, reservation: Tokens) {
+    /// Refunds a reservation of which nothing was used.
+    pub(crate) fn refund(&mut self, reservation: Tokens) {
         self.reserved = self.reserved.saturating_sub(reservation);
     }
 
-    /// Turns a reservation into a charge of what was used.
+    /// Replaces a reservation by a charge for what was used.
     ///
-    /// The charge is limited to the reservation: the engine was told both the prompt's bound and
-    /// the cap, so a larger report is the engine's fault and must not break the total.
+    /// The charge is limited to the reservation: the engine knows both the bound of the prompt and
+    /// the cap on generation, so a larger report is the engine's error and must not exceed the
+    /// total.
     pub(crate) fn settle(&mut self, reservation: Tokens, usage: Usage, switches: &Switches) {
-        self.free(reservation);
+        self.refund(reservation);
         let used = usage.total();
         let limited = switches.is_on(Mechanism::ChargeLimit);
         let charge = if limited { used.min(reservation) } else { used };
--- a/crates/program/src/closing.rs
+++ b/crates/program/src/closing.rs
@@ -1,8 +1,8 @@
-//! The end of programs: close, expiry, release of what engines hold, and forgetting.
+//! The end of programs: close, expiry, release of what engines hold, and removal.
 
 use dahlia_types::{CallId, ProgramId, Timestamp};
 
-use crate::attempt::unanswered_end;
+use crate::attempt::end_without_answer;
 use crate::refusal::{NoObligationSnafu, ObligationRenewedSnafu, TurnMismatchSnafu};
 use crate::switches::Switches;
 use crate::{
@@ -17,7 +17,7 @@
         command: &CloseProgram,
     ) -> Result<CommandEffect, CommandRefusal> {
         let switches = self.switches.clone();
-        let program = self.existing(command.program)?;
+        let program = self.program_mut(command.program)?;
         let ended = close(program, command.reason, command.at, &switches);
         Ok(CommandEffect::Closed { program: command.program, ended })
     }
@@ -26,30 +26,31 @@
         &mut self,
         command: &ConfirmRelease,
     ) -> Result<CommandEffect, CommandRefusal> {
-        let cover = self.switches.is_on(Mechanism::ReleaseCover);
+        let cover_check = self.switches.is_on(Mechanism::ReleaseCover);
         let id = command.program;
-        let program = self.existing(id)?;
+        let program = self.program_mut(id)?;
         let engine = &command.engine;
-        let life = EngineIncarnation { engine: engine.clone(), incarnation: command.incarnation };
-        if let Some(obligation) = program.obligations.get(&life) {
+        let confirmed =
+            EngineIncarnation { engine: engine.clone(), incarnation: command.incarnation };
+        if let Some(obligation) = program.obligations.get(&confirmed) {
             let last_intent = obligation.last_intent;
-            let renewed = last_intent > command.covers || program.has_open_attempt_on(&life);
-            // The engine may hold something again by an intent that the confirmation did not see,
-            // or an attempt's bytes may still be under way to it.
-            if cover && renewed {
+            let renewed = last_intent > command.covers || program.has_open_attempt_on(&confirmed);
+            // The engine may hold something again for an intent that the confirmation does not
+            // cover, or an attempt may still be in flight to it.
+            if cover_check && renewed {
                 let engine = engine.clone();
                 return ObligationRenewedSnafu { program: id, engine, last_intent }.fail();
             }
         }
-        let ended = |held: &EngineIncarnation| {
-            held.engine == *engine && held.incarnation <= life.incarnation
+        let is_released = |holder: &EngineIncarnation| {
+            holder.engine == *engine && holder.incarnation <= confirmed.incarnation
         };
-        let before = program.obligations.len();
-        program.obligations.retain(|held, _| !ended(held));
-        if program.obligations.len() == before {
+        let count = program.obligations.len();
+        program.obligations.retain(|holder, _| !is_released(holder));
+        if program.obligations.len() == count {
             return NoObligationSnafu { program: id, engine: engine.clone() }.fail();
         }
-        for attempt in program.unknown.values_mut() {
+        for attempt in program.unknown_attempts.values_mut() {
             if attempt.engine == *engine && attempt.incarnation <= command.incarnation {
                 attempt.fenced = true;
             }
@@ -57,10 +58,10 @@
         Ok(CommandEffect::ReleaseConfirmed)
     }
 
-    /// Whether [`ExpirePrograms`] would change anything: an owner need not propose it otherwise.
+    /// Whether [`ExpirePrograms`] would change anything. An owner need not propose it otherwise.
     pub fn has_programs_to_expire(&self, command: &ExpirePrograms) -> bool {
         let is_due = |program: &Program| {
-            is_idle(program, command.now) || is_forgettable(program, &self.limits, command)
+            is_idle(program, command.now) || is_removable(program, &self.limits, command)
         };
         self.programs.values().any(is_due)
     }
@@ -73,9 +74,9 @@
             closed.push(program.id);
         }
         let limits = self.limits;
-        let over = |program: &&Program| is_forgettable(program, &limits, command);
+        let removable = |program: &&Program| is_removable(program, &limits, command);
         let forgotten: Vec<ProgramId> =
-            self.programs.values().filter(over).map(|program| program.id).collect();
+            self.programs.values().filter(removable).map(|program| program.id).collect();
         for program in &forgotten {
             self.programs.remove(program);
         }
@@ -86,7 +87,7 @@
         &mut self,
         command: &MoveTurnToStore,
     ) -> Result<CommandEffect, CommandRefusal> {
-        let program = self.existing(command.program)?;
+        let program = self.program_mut(command.program)?;
         let mismatch = || {
             let (chain, turn) = (command.chain.0, command.turn);
             TurnMismatchSnafu { program: command.program, chain, turn }.build()
@@ -97,19 +98,21 @@
             TurnText::Inline(messages) => ChunkReference::of(messages, command.chunk.tokens),
             TurnText::Stored(chunk) => *chunk,
         };
-        // A chunk of another turn or program would mix histories once the copy here is gone.
+        // A chunk of another turn or program would corrupt the history once the copy here is
+        // dropped.
         if expected != command.chunk {
             return Err(mismatch());
         }
-        let before = turn.bytes();
+        let old_bytes = turn.bytes();
         turn.text = TurnText::Stored(command.chunk);
-        let after = turn.bytes();
-        program.history_bytes = program.history_bytes.saturating_sub(before).saturating_add(after);
+        let new_bytes = turn.bytes();
+        program.history_bytes =
+            program.history_bytes.saturating_sub(old_bytes).saturating_add(new_bytes);
         Ok(CommandEffect::TurnMoved)
     }
 }
 
-/// Ends a program and every call of it without an attempt under way. Gives those calls.
+/// Ends a program and all its open calls without an open attempt. Returns those calls.
 fn close(
     program: &mut Program,
     reason: CloseReason,
@@ -120,17 +123,18 @@
         return Vec::new();
     }
     program.lifecycle = Lifecycle::Closed { reason, at };
-    program.touch(at);
+    program.record_activity(at);
     let idle = program.open_calls().filter(|(_, call)| call.open_attempt().is_none());
     let ended: Vec<CallId> = idle.map(|(call, _)| call).collect();
     for call in &ended {
-        let end = unanswered_end(program, *call, switches);
+        let end = end_without_answer(program, *call, switches);
         program.end_call(*call, end);
     }
     ended
 }
 
-/// A program with a call in progress is not idle, however long it takes.
+/// Whether a program has been idle for its expiry time. It is not idle while a call is in progress,
+/// however long that takes.
 fn is_idle(program: &Program, now: Timestamp) -> bool {
     let idle_for = now.since(program.last_activity);
     program.is_open()
@@ -138,13 +142,14 @@
         && idle_for >= program.specification.idle_expiry
 }
 
-/// Whether nothing of an ended program can matter any more.
-fn is_forgettable(program: &Program, limits: &ProgramLimits, command: &ExpirePrograms) -> bool {
+/// Whether an ended program may be removed: its records have been kept long enough, and no
+/// obligation, open attempt or recent unfenced unknown attempt is left.
+fn is_removable(program: &Program, limits: &ProgramLimits, command: &ExpirePrograms) -> bool {
     let Lifecycle::Closed { at, .. } = program.lifecycle else {
         return false;
     };
     let ended = at.max(program.last_activity);
-    let unresolved = program.unknown.values().any(|attempt| {
+    let unresolved = program.unknown_attempts.values().any(|attempt| {
         !attempt.fenced && command.now.since(attempt.at.max(ended)) < limits.keep_unknown
     });
     command.now.since(ended) >= command.keep_records
--- a/crates/program/src/lib.rs
+++ b/crates/program/src/lib.rs
@@ -1,9 +1,9 @@
-//! The replicated state of the programs of one group: order of calls, budget, intents, outcomes,
-//! history and release obligations.
+//! The replicated state of the programs of one group: the order of calls, budgets, intents,
+//! outcomes, history and release obligations.
 //!
 //! [`GroupState::apply`] is deterministic: it takes committed commands in log order, reads no
-//! clock and draws no random number, so that every replica reaches the same state. It does no
-//! I/O; the owner reads the state and acts, and records what it did as further commands.
+//! clock and draws no random numbers, so that every replica reaches the same state. It does no
+//! I/O: the owner reads the state, acts on it, and records its actions as further commands.
 
 mod attempt;
 mod begin;
--- a/crates/program/src/limits.rs
+++ b/crates/program/src/limits.rs
@@ -1,32 +1,32 @@
-//! Limits of one program. They are part of the replicated state: replicas that judged a command
-//! by different limits would diverge.
+//! Limits of programs. They are part of the replicated state: replicas that checked a command
+//! against different limits would diverge.
 
 use dahlia_ledger::LedgerLimits;
 use dahlia_types::{Bytes, Duration, InvalidSetting, Tokens, check_range};
 use serde::{Deserialize, Serialize};
 
-/// What one program may hold at most. Changed in a running group only by [`crate::SetLimits`].
+/// Limits of the programs of one group. A running group changes them only by [`crate::SetLimits`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ProgramLimits {
-    /// Programs of one group, ended ones included while their records are kept.
+    /// Programs of one group, including ended ones while their records are kept.
     pub programs: u64,
-    /// Calls of one program that have not ended, over all its chains.
+    /// Open calls of one program, over all chains.
     pub open_calls: u64,
-    /// Chains of one program, the main one included.
+    /// Chains of one program, including the main one.
     pub chains: u64,
-    /// Calls of one program, over all chains, whatever their outcome; each keeps its record.
+    /// Calls of one program, over all chains. Ended calls count, because their records are kept.
     pub calls: u64,
     /// Turns of one program's history, over all chains.
     pub turns: u64,
-    /// Bytes of one program's history, over all chains, open calls included.
+    /// Bytes of one program's history, over all chains, including open calls.
     pub history_bytes: Bytes,
     /// Tokens of one prompt.
     pub history_tokens: Tokens,
-    /// How long an ended program is kept for attempts whose outcome nobody ever told. After it,
-    /// the program is forgotten as if they had been resolved.
+    /// How long an ended program is kept for attempts whose outcome stays unknown. After this time
+    /// the program is removed as if they had been settled.
     pub keep_unknown: Duration,
-    /// Programs that callers name, all of one group together.
+    /// Limits of the group's ledger of programs that are named by callers.
     pub ledger: LedgerLimits,
 }
 
@@ -47,17 +47,17 @@
 }
 
 impl ProgramLimits {
-    /// Checks that every limit leaves room for at least one.
+    /// Checks that every limit is at least one.
     ///
     /// # Errors
-    /// [`InvalidSetting`] naming the field.
+    /// [`InvalidSetting`] with the name of the field.
     pub fn check(&self) -> Result<(), InvalidSetting> {
-        const MOST: u64 = u32::MAX as u64;
-        check_range("programs.limits.programs", self.programs, 1, MOST)?;
-        check_range("programs.limits.open_calls", self.open_calls, 1, MOST)?;
-        check_range("programs.limits.chains", self.chains, 1, MOST)?;
-        check_range("programs.limits.calls", self.calls, 1, MOST)?;
-        check_range("programs.limits.turns", self.turns, 1, MOST)?;
+        const MAX_COUNT: u64 = u32::MAX as u64;
+        check_range("programs.limits.programs", self.programs, 1, MAX_COUNT)?;
+        check_range("programs.limits.open_calls", self.open_calls, 1, MAX_COUNT)?;
+        check_range("programs.limits.chains", self.chains, 1, MAX_COUNT)?;
+        check_range("programs.limits.calls", self.calls, 1, MAX_COUNT)?;
+        check_range("programs.limits.turns", self.turns, 1, MAX_COUNT)?;
         check_range("programs.limits.history_bytes", self.history_bytes.0, 1, u64::MAX)?;
         check_range("programs.limits.history_tokens", self.history_tokens.0, 1, u64::MAX)?;
         self.ledger.check()
--- a/crates/program/src/outcome.rs
+++ b/crates/program/src/outcome.rs
@@ -1,4 +1,4 @@
-//! What applying a command gives.
+//! Results of applying a command.
 
 use dahlia_ledger::LedgerReply;
 use dahlia_types::{AttemptId, CallId, Duration, Message, ProgramId, Tokens, Usage};
@@ -11,23 +11,23 @@
 pub enum NotRunReason {
     /// Its program was closed before it could run.
     ProgramClosed,
-    /// What was left of the budget did not cover it.
+    /// The tokens left in the budget did not cover it.
     BudgetExhausted,
-    /// It broke a limit of its program or tenant.
+    /// It exceeded a limit of its program or tenant.
     LimitReached,
     /// The expected wait was too long, or no engine served its model.
     Overloaded,
-    /// Every attempt was refused unrun.
+    /// Every attempt was refused without running.
     AttemptsFailed,
 }
 
-/// The outcome of a call. An answer or an unknown outcome is final. A call that did not run may be
-/// begun again by its caller while it is the last of its chain.
+/// The outcome of a call. An answer and an unknown outcome are final. A call that did not run may
+/// be begun again by its caller while it is the last call of its chain.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CallOutcome {
-    /// It ran; this is the whole answer.
+    /// It ran to completion.
     Answered {
-        /// The answer.
+        /// The complete answer.
         answer: Message,
         /// Tokens used by the attempt that answered.
         usage: Usage,
@@ -36,14 +36,14 @@
     NotRun {
         /// Why, for the caller.
         reason: NotRunReason,
-        /// When the caller may come back, from the moment of the outcome.
+        /// Delay after which the caller may retry, counted from the outcome.
         retry_after: Option<Duration>,
     },
     /// It may have run; it will not run again.
     Unknown,
 }
 
-/// An answer whose text was moved to store daemons: the last message of the chunk.
+/// An answer whose text was moved to store daemons, as the last message of a chunk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StoredAnswer {
     /// Tokens used by the attempt that answered.
@@ -52,36 +52,37 @@
     pub chunk: ChunkReference,
 }
 
-/// A call's final outcome, as far as this replica holds it.
+/// A call's final outcome as this replica holds it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RecordedOutcome {
-    /// The whole outcome.
+    /// The complete outcome.
     Inline(CallOutcome),
-    /// Answered; the text is to be fetched from a store daemon.
+    /// An answer whose text must be fetched from a store daemon.
     Stored(StoredAnswer),
 }
 
-/// Where a call stands after [`crate::BeginCall`].
+/// The state of a call after [`crate::BeginCall`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum BeginOutcome {
-    /// New, or begun again after it did not run, and first in its chain: may be dispatched.
+    /// The call is new, or begun again after it did not run, and first in its chain. It may be
+    /// dispatched.
     Ready(CallId),
-    /// New, or begun again, behind another call of its chain that is not finished.
+    /// The call is new, or begun again, and waits for an unfinished call of its chain.
     Waiting(CallId),
-    /// The same call as an earlier one that is still open.
+    /// The command repeats a call that is still open.
     Joined(CallId),
-    /// The same call as an earlier one that has ended so.
+    /// The command repeats a call that has ended with this outcome.
     Replayed(CallId, CallOutcome),
-    /// The same call as an earlier one whose answer was moved to store daemons.
+    /// The command repeats a call whose answer was moved to store daemons.
     ReplayedFromStore(CallId, StoredAnswer),
 }
 
-/// The terms of a recorded intent.
+/// The tokens reserved by a recorded intent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TokenReservation {
-    /// Tokens reserved: the prompt's bound and the cap.
+    /// Tokens reserved: the bound of the prompt plus `generated_cap`.
     pub reserved: Tokens,
-    /// Most tokens the attempt may generate: the caller's wish, capped by what is left.
+    /// Most tokens the attempt may generate: the caller's maximum, limited by the tokens left.
     pub generated_cap: Tokens,
 }
 
@@ -90,25 +91,25 @@
 pub enum CommandEffect {
     /// The program exists.
     Created(ProgramId),
-    /// The call has its place.
+    /// The call has its position in the chain, or repeats an earlier call.
     Begun(BeginOutcome),
     /// The attempt may be dispatched.
     IntentRecorded(TokenReservation),
-    /// The call ended; the next call of its chain that may run now, if any.
+    /// The call ended.
     CallEnded {
         /// The call that ended.
         call: CallId,
         /// Its final outcome.
         outcome: CallOutcome,
-        /// The chain's next call, now ready.
+        /// The next call of its chain, if that may run now.
         next: Option<CallId>,
     },
     /// The attempt ended without an answer and the call may be tried again.
     Retryable(CallId),
-    /// An attempt that had been recorded as unknown has been accounted for; its call's outcome
-    /// is what it was.
+    /// An attempt that had been recorded as unknown was settled. Its call's outcome does not
+    /// change.
     Settled(AttemptId),
-    /// The budget's new total.
+    /// The budget has this new total.
     BudgetRaised(Tokens),
     /// The program is closed. Ready calls without an intent ended as not run.
     Closed {
@@ -117,19 +118,19 @@
         /// Calls that ended with it.
         ended: Vec<CallId>,
     },
-    /// One obligation less.
+    /// The obligation was removed.
     ReleaseConfirmed,
-    /// Programs closed and programs forgotten.
+    /// Idle programs were closed and ended ones removed.
     Expired {
-        /// Closed just now.
+        /// Programs that this command closed.
         closed: Vec<ProgramId>,
-        /// Removed with all their records.
+        /// Programs that were removed with all their records.
         forgotten: Vec<ProgramId>,
     },
     /// The turn's text is on the store daemons only.
     TurnMoved,
-    /// The new limits hold.
+    /// The new limits are in force.
     LimitsSet,
-    /// What the ledger of caller-named programs says. Its refusals are replies as well.
+    /// The reply of the ledger of caller-named programs. Its refusals are replies as well.
     Ledger(LedgerReply),
 }
--- a/crates/program/src/program.rs
+++ b/crates/program/src/program.rs
@@ -1,4 +1,4 @@
-//! One program: its chains, its budget, and what engines hold for it.
+//! One program: its chains, its budget, and its release obligations.
 
 use std::collections::BTreeMap;
 
@@ -21,42 +21,43 @@
 pub enum Lifecycle {
     /// It takes new calls.
     Open,
-    /// It has ended.
+    /// It has ended and takes no new calls.
     Closed {
         /// Why.
         reason: CloseReason,
-        /// When, by the owner's time.
+        /// When, by the owner's clock.
         at: Timestamp,
     },
 }
 
-/// The duty to free what one life of an engine holds for a program.
+/// The obligation to free what one incarnation of an engine holds for a program.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReleaseObligation {
-    /// The log index of the last intent on this life of the engine. A confirmation that does not
-    /// cover it leaves the obligation.
+    /// The log index of the last intent for this incarnation of the engine. A confirmation that
+    /// does not cover it leaves the obligation in place.
     pub last_intent: LogIndex,
 }
 
-/// The life of an engine that holds something.
+/// One incarnation of an engine.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct EngineIncarnation {
     /// The engine.
     pub engine: EngineId,
-    /// Which life of it.
+    /// The incarnation.
     pub incarnation: Incarnation,
 }
 
-/// What to ask an engine before a release may be confirmed.
+/// A request to an engine to free what it holds for a program.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReleaseRequest {
-    /// The program to free.
+    /// The program.
     pub program: ProgramId,
-    /// The engine's life that holds it.
+    /// The engine incarnation that holds something for it.
     pub holder: EngineIncarnation,
-    /// Goes into [`crate::ConfirmRelease::covers`] when the engine confirms.
+    /// The last intent that the request covers, for [`crate::ConfirmRelease::covers`] when the
+    /// engine confirms.
     pub covers: LogIndex,
-    /// Attempts of unknown outcome that the engine has to refuse from now on, before it confirms.
+    /// Attempts of unknown outcome. The engine must refuse them from then on, before it confirms.
     pub fence: Vec<AttemptId>,
 }
 
@@ -68,29 +69,29 @@
     pub(crate) budget: Budget,
     pub(crate) chains: BTreeMap<ChainId, Chain>,
     pub(crate) obligations: BTreeMap<EngineIncarnation, ReleaseObligation>,
-    pub(crate) unknown: BTreeMap<AttemptId, UnknownAttempt>,
+    pub(crate) unknown_attempts: BTreeMap<AttemptId, UnknownAttempt>,
     pub(crate) lifecycle: Lifecycle,
     pub(crate) last_activity: Timestamp,
     pub(crate) history_bytes: Bytes,
 }
 
 impl Program {
-    /// Its identifier.
+    /// The program's identifier.
     pub fn id(&self) -> ProgramId {
         self.id
     }
 
-    /// What the operator stated. The budget's total may have been raised since.
+    /// The specification at creation. The budget's total may have been raised since.
     pub fn specification(&self) -> &ProgramSpecification {
         &self.specification
     }
 
-    /// Its budget.
+    /// The program's budget.
     pub fn budget(&self) -> &Budget {
         &self.budget
     }
 
-    /// Its chains in the order of their numbers.
+    /// The chains in the order of their numbers.
     pub fn chains(&self) -> impl Iterator<Item = (ChainId, &Chain)> {
         self.chains.iter().map(|(id, chain)| (*id, chain))
     }
@@ -100,7 +101,7 @@
         self.chains.get(&chain)
     }
 
-    /// One call; none also when the call is another program's.
+    /// One call; none also if it belongs to another program.
     pub fn call(&self, call: CallId) -> Option<&Call> {
         if call.program != self.id {
             return None;
@@ -108,9 +109,9 @@
         self.chains.get(&call.chain)?.call(call.number)
     }
 
-    /// The call that the caller named by `key`. Looks through all calls: an index would cost each
-    /// replica more memory than the few comparisons of a call cost time.
-    pub fn call_of_key(&self, key: &IdempotencyKey) -> Option<CallId> {
+    /// The call with the idempotency key `key`. It searches all calls: an index would cost each
+    /// replica more memory than the few comparisons per call are worth.
+    pub fn call_by_key(&self, key: &IdempotencyKey) -> Option<CallId> {
         let hash = Some(KeyHash::of(key));
         self.calls().find(|(_, call)| call.key == hash).map(|(id, _)| id)
     }
@@ -130,7 +131,7 @@
         })
     }
 
-    /// Attempts with an intent and no outcome.
+    /// Attempts with a recorded intent and no outcome.
     pub fn open_attempts(&self) -> impl Iterator<Item = (AttemptId, &OpenAttempt)> {
         self.open_calls().filter_map(|(id, call)| {
             let open = call.open_attempt()?;
@@ -140,25 +141,29 @@
 
     /// Attempts of unknown outcome, with the reservations that they keep.
     pub fn unknown_attempts(&self) -> impl Iterator<Item = (AttemptId, &UnknownAttempt)> {
-        self.unknown.iter().map(|(id, attempt)| (*id, attempt))
+        self.unknown_attempts.iter().map(|(id, attempt)| (*id, attempt))
     }
 
-    /// What engines hold, or may hold, for it.
+    /// The engine incarnations that hold, or may hold, something for the program.
     pub fn obligations(&self) -> impl Iterator<Item = (&EngineIncarnation, &ReleaseObligation)> {
         self.obligations.iter()
     }
 
-    /// What to ask of the engine's life `holder` to free the program there. None when it owes
-    /// nothing, or while an attempt is open there: its end has to be known first.
+    /// The request to `holder` to free what it holds for the program. None if there is no
+    /// obligation, or while an attempt is open there: its outcome must be known first.
     pub fn release_request(&self, holder: &EngineIncarnation) -> Option<ReleaseRequest> {
         let obligation = self.obligations.get(holder)?;
         if self.has_open_attempt_on(holder) {
             return None;
         }
-        let here = |attempt: &UnknownAttempt| {
+        let was_sent_there = |attempt: &UnknownAttempt| {
             attempt.engine == holder.engine && attempt.incarnation == holder.incarnation
         };
-        let fence = self.unknown.iter().filter(|(_, attempt)| here(attempt)).map(|(id, _)| *id);
+        let fence = self
+            .unknown_attempts
+            .iter()
+            .filter(|(_, attempt)| was_sent_there(attempt))
+            .map(|(id, _)| *id);
         Some(ReleaseRequest {
             program: self.id,
             holder: holder.clone(),
@@ -167,28 +172,28 @@
         })
     }
 
-    /// Whether it takes new calls.
+    /// Whether the program takes new calls.
     pub fn is_open(&self) -> bool {
         self.lifecycle == Lifecycle::Open
     }
 
-    /// Whether and why it ended.
+    /// Whether the program is open, or why it ended.
     pub fn lifecycle(&self) -> Lifecycle {
         self.lifecycle
     }
 
-    /// The latest time that a command on its calls stated.
+    /// The latest time in a command on the program's calls.
     pub fn last_activity(&self) -> Timestamp {
         self.last_activity
     }
 
-    /// Bytes of its history over all chains, messages of open calls included.
+    /// Bytes of the history over all chains, including messages of open calls.
     pub fn history_bytes(&self) -> Bytes {
         self.history_bytes
     }
 
-    /// The history of `chain` in order: the parent's up to the branch point, then its own. Empty
-    /// for a chain that does not exist.
+    /// The history of `chain` in order: the parent's up to the branch point, then its own. Empty if
+    /// the chain does not exist.
     pub fn history_parts(&self, chain: ChainId) -> Vec<HistoryPart<'_>> {
         let mut parts = Vec::new();
         let mut cursor = self.chains.get(&chain).map(|state| (state, state.turns.len()));
@@ -206,25 +211,25 @@
         parts
     }
 
-    /// The messages of `chain`'s history, the parent's up to the branch point included.
+    /// The messages of the history of `chain`, including the parent's up to the branch point.
     ///
     /// # Errors
-    /// [`MissingChunks`] when turns were moved to store daemons; [`Self::history_parts`] then
-    /// gives the order in which to put the fetched chunks.
+    /// [`MissingChunks`] if turns were moved to store daemons; [`Self::history_parts`] then gives
+    /// the order of the fetched chunks.
     pub fn history(&self, chain: ChainId) -> Result<Vec<&Message>, MissingChunks> {
         let mut messages = Vec::new();
         let mut chunks = Vec::new();
         for part in self.history_parts(chain) {
             match part {
-                HistoryPart::Messages(held) => messages.extend(held),
+                HistoryPart::Messages(inline) => messages.extend(inline),
                 HistoryPart::Chunk(chunk) => chunks.push(*chunk),
             }
         }
         if chunks.is_empty() { Ok(messages) } else { Err(MissingChunks { chain, chunks }) }
     }
 
-    /// What `call` is to be answered from: its chain's history and its own messages. None when
-    /// the call does not exist or has ended.
+    /// The prompt of `call`: its chain's history and its own messages. None if the call does not
+    /// exist or has ended.
     ///
     /// # Errors
     /// [`MissingChunks`] as in [`Self::history`].
@@ -237,7 +242,8 @@
         }))
     }
 
-    /// Turns whose text is held here, with chain and position: what may be moved to store daemons.
+    /// Turns whose text is in the replicated state and may be moved to store daemons, with chain
+    /// and position.
     pub fn inline_turns(&self) -> impl Iterator<Item = (ChainId, u32, &[Message])> {
         self.chains.iter().flat_map(|(chain, state)| {
             (0..).zip(&state.turns).filter_map(|(position, turn)| match &turn.text {
@@ -271,12 +277,12 @@
         Some(RecordedOutcome::Inline(outcome))
     }
 
-    /// Whether some attempt of `call` ran, or may have run, to something else than an answer.
+    /// Whether some attempt of `call` ran, or may have run, without giving its answer.
     pub fn may_have_run(&self, call: CallId) -> bool {
-        let ran_unanswered = self.call(call).is_some_and(|call| call.ran_unanswered);
+        let ran_without_answer = self.call(call).is_some_and(|call| call.ran_without_answer);
         let first = AttemptId { call, attempt: 0 };
         let last = AttemptId { call, attempt: u32::MAX };
-        ran_unanswered || self.unknown.range(first..=last).next().is_some()
+        ran_without_answer || self.unknown_attempts.range(first..=last).next().is_some()
     }
 
     pub(crate) fn call_id(&self, chain: ChainId, number: u32) -> CallId {
@@ -293,20 +299,21 @@
         })
     }
 
-    pub(crate) fn touch(&mut self, at: Timestamp) {
-        // A new owner's clock may be behind: activity must not move back and expire a program.
+    pub(crate) fn record_activity(&mut self, at: Timestamp) {
+        // A new owner's clock may be behind. The time of the last activity must not decrease, or
+        // the program could expire early.
         self.last_activity = self.last_activity.max(at);
     }
 
-    /// Notes how long the history of the call's chain is by its engine's word.
-    pub(crate) fn note_tokens(&mut self, call: CallId, tokens: Tokens) {
+    /// Records the tokens of the history of the call's chain as its engine reported them.
+    pub(crate) fn raise_chain_tokens(&mut self, call: CallId, tokens: Tokens) {
         if let Some(chain) = self.chains.get_mut(&call.chain) {
             chain.tokens = chain.tokens.max(tokens);
         }
     }
 
-    /// Ends an open call with its one final outcome, moves its messages into the history when it
-    /// ran or may have run, and gives the chain's next call that may run now.
+    /// Ends an open call with its final outcome and moves its messages into the history if it ran
+    /// or may have run. Returns the chain's next call if that may run now.
     pub(crate) fn end_call(&mut self, call: CallId, ended: CallEnd) -> Option<CallId> {
         let chain = self.chains.get_mut(&call.chain)?;
         let turn = chain.turns.len() as u32;
@@ -329,20 +336,20 @@
                 chain.push_turn(call.number, false, messages);
             }
             CallEnd::NotRun { .. } => {
-                let dropped = content_bytes(&messages);
-                self.history_bytes = self.history_bytes.saturating_sub(dropped);
+                let removed = content_bytes(&messages);
+                self.history_bytes = self.history_bytes.saturating_sub(removed);
             }
         }
-        let before = chain.head;
-        chain.advance();
-        if chain.head == before {
+        let old_head = chain.head;
+        chain.advance_head();
+        if chain.head == old_head {
             return None;
         }
         chain.first_open().map(|number| self.call_id(call.chain, number))
     }
 }
 
-/// How a call is to end.
+/// The end of a call, before it is recorded.
 pub(crate) enum CallEnd {
     Answered { answer: Message, usage: Usage },
     NotRun { reason: NotRunReason, retry_after: Option<Duration> },
--- a/crates/program/src/recovery.rs
+++ b/crates/program/src/recovery.rs
@@ -1,4 +1,5 @@
-//! What a new owner has to take up: calls that an earlier owner left without an outcome.
+//! Work that a new owner takes over: calls that an earlier owner left without an outcome, and
+//! releases that are due.
 
 use dahlia_types::{AttemptId, CallId, Repeatability};
 
@@ -7,35 +8,35 @@
 /// A call that has no outcome and is first in its chain.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum UnfinishedCall {
-    /// No attempt is open: it may be dispatched as the attempt of this number.
+    /// No attempt is open. The call may be dispatched as this attempt.
     Ready(AttemptId),
-    /// An intent is recorded and no outcome. Ask the engine about the attempt, with this owner's
-    /// epoch as a fence, and act on its answer:
+    /// An intent is recorded but no outcome. The owner asks the engine about the attempt, with its
+    /// own epoch as a fence, and acts on the reply:
     ///
-    /// - it still runs, or ran and keeps the answer: resume the stream from its start;
+    /// - it still runs, or has run and the engine keeps the answer: resume the stream from its start;
     /// - it never started and never will: record [`crate::AttemptOutcome::NotRun`];
-    /// - it was cut: record [`crate::AttemptOutcome::Cut`];
-    /// - the engine is gone or cannot say: record [`crate::AttemptOutcome::Unknown`].
+    /// - it was cut off: record [`crate::AttemptOutcome::Cut`];
+    /// - the engine is gone or does not know: record [`crate::AttemptOutcome::Unknown`].
     Interrupted {
         /// The attempt.
         attempt: AttemptId,
-        /// Where it was sent, by whom.
+        /// The record of the attempt.
         open: OpenAttempt,
-        /// Whether the call may be tried again after an unknown outcome. The state refuses
-        /// another intent otherwise; this is to tell the caller in time.
+        /// Whether the call may be attempted again after an unknown outcome. If not, the state
+        /// refuses another intent; the owner uses this to answer the caller early.
         repeatability: Repeatability,
     },
 }
 
 impl GroupState {
-    /// What the owner of the group has to act on, in the order of programs and chains. Calls that
+    /// The calls that the owner of the group must act on, ordered by program and chain. Calls that
     /// wait for an earlier one of their chain are left out.
     pub fn unfinished_calls(&self) -> Vec<UnfinishedCall> {
         self.programs().flat_map(Program::unfinished_calls).collect()
     }
 
-    /// What to ask of engines for programs that have ended, in the order of programs. Engines
-    /// where an attempt is open are left out until its end is recorded.
+    /// The release requests of programs that have ended, in the order of programs. Engines where an
+    /// attempt is open are left out until its outcome is recorded.
     pub fn releases_due(&self) -> Vec<ReleaseRequest> {
         let ended = self.programs().filter(|program| !program.is_open());
         ended.flat_map(Program::release_requests).collect()
@@ -43,9 +44,9 @@
 }
 
 impl Program {
-    /// What to ask of each engine that holds, or may hold, something of the program.
+    /// The request to each engine that holds, or may hold, something for the program.
     pub fn release_requests(&self) -> Vec<ReleaseRequest> {
-        self.obligations().filter_map(|(life, _)| self.release_request(life)).collect()
+        self.obligations().filter_map(|(holder, _)| self.release_request(holder)).collect()
     }
 
     /// The part of [`GroupState::unfinished_calls`] that concerns this program.
@@ -54,10 +55,10 @@
             let number = state.first_open()?;
             Some(CallId { program: self.id(), chain, number })
         });
-        heads.filter_map(|call| self.unfinished(call)).collect()
+        heads.filter_map(|call| self.unfinished_call(call)).collect()
     }
 
-    fn unfinished(&self, id: CallId) -> Option<UnfinishedCall> {
+    fn unfinished_call(&self, id: CallId) -> Option<UnfinishedCall> {
         let call = self.call(id)?;
         let Some(open) = call.open_attempt() else {
             let attempt = AttemptId { call: id, attempt: call.attempts() + 1 };
--- a/crates/program/src/refusal.rs
+++ b/crates/program/src/refusal.rs
@@ -1,14 +1,14 @@
-//! Why a command changed nothing.
+//! Refusals of commands.
 
 use dahlia_types::{CallId, EngineId, GroupId, Incarnation, LogIndex, ProgramId, Tokens};
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 
-/// A command that was applied and changed nothing.
+/// Why a command was refused. A refused command changes nothing.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu, Serialize, Deserialize)]
 #[snafu(visibility(pub(crate)))]
 pub enum CommandRefusal {
-    /// No such program here.
+    /// The group has no such program.
     #[snafu(display("program {program} does not exist"))]
     NoSuchProgram {
         /// The program.
@@ -29,7 +29,7 @@
     /// The stated number leaves a gap: calls before it have not arrived.
     #[snafu(display("call {call} is early: the chain's next call is {expected}"))]
     OutOfOrder {
-        /// The call refused.
+        /// The refused call.
         call: CallId,
         /// The number that would be accepted.
         expected: u32,
@@ -45,30 +45,30 @@
     NoSuchChain {
         /// The program.
         program: ProgramId,
-        /// The missing parent.
+        /// The parent that does not exist.
         chain: u32,
     },
-    /// What is left of the budget does not cover the prompt and one generated token.
+    /// The tokens left in the budget do not cover the prompt and one generated token.
     #[snafu(display("program {program} has {left} left and the call needs at least {needed}"))]
     BudgetExhausted {
         /// The program.
         program: ProgramId,
-        /// Unspent and unreserved.
+        /// Tokens neither spent nor reserved.
         left: Tokens,
-        /// Smallest reservation that would do.
+        /// The smallest reservation that suffices.
         needed: Tokens,
     },
-    /// The program has as many open calls or chains as it may have.
+    /// The program or its group has reached a limit.
     #[snafu(display("program {program} has reached its limit of {limit} {what}"))]
     LimitReached {
         /// The program.
         program: ProgramId,
-        /// What is limited: `open calls`, `chains` or `turns`.
+        /// The limited quantity, e.g. `open calls`, `chains` or `turns`.
         what: String,
         /// The limit.
         limit: u64,
     },
-    /// No such call, or it has ended, or the attempt is not the call's open one.
+    /// The call does not exist or has ended, or the attempt is not its open one.
     #[snafu(display("call {call} has no such open attempt"))]
     StaleAttempt {
         /// The call.
@@ -80,7 +80,7 @@
         /// The call.
         call: CallId,
     },
-    /// A budget's total may only rise.
+    /// The new total of a budget is lower than the one in force.
     #[snafu(display("the budget of {program} is {total}; a lower total is refused"))]
     BudgetLowered {
         /// The program.
@@ -93,43 +93,43 @@
     WrongGroup {
         /// The program.
         program: ProgramId,
-        /// The group that was asked.
+        /// The group that applied the command.
         group: GroupId,
     },
-    /// The entry was applied before.
+    /// The log entry was applied before.
     #[snafu(display("log entry {index} was applied before"))]
     AlreadyApplied {
         /// The entry.
         index: LogIndex,
     },
-    /// An attempt may have run: the call may not be run again, or may not end as not run.
+    /// An attempt may have run, so the call may not run again or may not end as not run.
     #[snafu(display("an attempt of call {call} may have run"))]
     MayHaveRun {
         /// The call.
         call: CallId,
     },
-    /// The call cannot be abandoned with this outcome: no attempt of it can have run, so that it
-    /// ends as not run, or the outcome is an answer.
+    /// The call cannot be abandoned with this outcome: either no attempt of it can have run, so
+    /// that it must end as not run, or the outcome is an answer.
     #[snafu(display("call {call} can be abandoned as not run only"))]
     InvalidAbandonOutcome {
         /// The call.
         call: CallId,
     },
-    /// The attempt of the call is open: its outcome has to be recorded first.
+    /// The call has an open attempt, whose outcome must be recorded first.
     #[snafu(display("call {call} has an open attempt"))]
     AttemptOpen {
         /// The call.
         call: CallId,
     },
-    /// The intent names a life of the engine that is over.
+    /// The intent names an incarnation of the engine that has ended.
     #[snafu(display("engine {engine} has had incarnation {known} since"))]
     StaleIncarnation {
         /// The engine.
         engine: EngineId,
-        /// The newest life that the program has an obligation at.
+        /// The newest incarnation for which the program has an obligation.
         known: Incarnation,
     },
-    /// The program owes nothing at this life of the engine.
+    /// The program has no obligation for this incarnation of the engine.
     #[snafu(display("program {program} holds nothing at engine {engine}"))]
     NoObligation {
         /// The program.
@@ -137,17 +137,17 @@
         /// The engine.
         engine: EngineId,
     },
-    /// The confirmation does not cover the engine's last intent or an attempt is open there.
+    /// The confirmation does not cover the last intent for the engine, or an attempt is open there.
     #[snafu(display("program {program} was dispatched to engine {engine} again"))]
     ObligationRenewed {
         /// The program.
         program: ProgramId,
         /// The engine.
         engine: EngineId,
-        /// The last intent there.
+        /// The last intent for the engine.
         last_intent: LogIndex,
     },
-    /// No such turn, or it has other content than the chunk.
+    /// The turn does not exist or has other content than the chunk.
     #[snafu(display("chain {chain} of {program} has no turn {turn} of this content"))]
     TurnMismatch {
         /// The program.
--- a/crates/program/src/state.rs
+++ b/crates/program/src/state.rs
@@ -30,8 +30,8 @@
 }
 
 impl GroupState {
-    /// An empty group. Every replica has to start with the same limits; a change goes through
-    /// [`crate::SetLimits`].
+    /// Creates the state of an empty group. Every replica must start with the same limits; they
+    /// change only by [`crate::SetLimits`].
     pub fn new(group: GroupId, limits: ProgramLimits) -> Self {
         Self {
             group,
@@ -54,12 +54,12 @@
         &self.limits
     }
 
-    /// The last entry applied.
+    /// The index of the last applied log entry.
     pub fn applied(&self) -> LogIndex {
         self.applied
     }
 
-    /// One program, ended ones included until they are forgotten.
+    /// One program, including ended ones until they are removed.
     pub fn program(&self, program: ProgramId) -> Option<&Program> {
         self.programs.get(&program)
     }
@@ -69,24 +69,24 @@
         self.programs.values()
     }
 
-    /// Turns and budgets of the programs that callers name.
+    /// Turns and budgets of the programs that are named by callers.
     pub fn ledger(&self) -> &Ledger {
         &self.ledger
     }
 
-    /// Switches a mechanism off, to show that a checker notices. The switch is part of no
-    /// snapshot.
+    /// Switches a mechanism off, to show that a checker notices. The switch is not part of
+    /// snapshots.
     #[cfg(feature = "test-switches")]
     pub fn disable(&mut self, mechanism: crate::Mechanism) {
         self.switches.disable(mechanism);
     }
 
-    /// Applies the committed entry at `index`, which the leader of `term` proposed.
+    /// Applies the committed log entry at `index`, which the leader of `term` proposed.
     ///
-    /// A refused command changes nothing but the position in the log.
+    /// A refused command changes only the index of the last applied entry.
     ///
     /// # Errors
-    /// [`CommandRefusal`], the same on every replica.
+    /// [`CommandRefusal`]. It is the same on every replica.
     pub fn apply(
         &mut self,
         index: LogIndex,
@@ -118,7 +118,10 @@
         }
     }
 
-    pub(crate) fn existing(&mut self, program: ProgramId) -> Result<&mut Program, CommandRefusal> {
+    pub(crate) fn program_mut(
+        &mut self,
+        program: ProgramId,
+    ) -> Result<&mut Program, CommandRefusal> {
         let missing = || NoSuchProgramSnafu { program }.build();
         self.programs.get_mut(&program).ok_or_else(missing)
     }
@@ -141,7 +144,7 @@
             budget: Budget::new(command.specification.budget),
             chains: BTreeMap::new(),
             obligations: BTreeMap::new(),
-            unknown: BTreeMap::new(),
+            unknown_attempts: BTreeMap::new(),
             lifecycle: Lifecycle::Open,
             last_activity: command.at,
             history_bytes: Default::default(),
@@ -151,7 +154,7 @@
     }
 
     fn raise_budget(&mut self, command: &RaiseBudget) -> Result<CommandEffect, CommandRefusal> {
-        let program = self.existing(command.program)?;
+        let program = self.program_mut(command.program)?;
         check_open(program)?;
         let total = program.budget.total;
         if command.total < total {
@@ -162,7 +165,7 @@
     }
 }
 
-/// Refuses when `program` has ended.
+/// Refuses if `program` has ended.
 pub(crate) fn check_open(program: &Program) -> Result<(), CommandRefusal> {
     if program.is_open() {
         return Ok(());
@@ -170,20 +173,20 @@
     ProgramClosedSnafu { program: program.id }.fail()
 }
 
-/// Refuses when `held` leaves no room for one more under `limit`.
+/// Refuses if one more than `count` would exceed `limit`.
 pub(crate) fn check_limit(
     program: ProgramId,
     what: &str,
-    held: usize,
+    count: usize,
     limit: u64,
 ) -> Result<(), CommandRefusal> {
-    if (held as u64) < limit {
+    if (count as u64) < limit {
         return Ok(());
     }
     LimitReachedSnafu { program, what, limit }.fail()
 }
 
 /// The refusal of a command that names an attempt or call that is not open.
-pub(crate) fn stale(call: CallId) -> CommandRefusal {
+pub(crate) fn stale_attempt(call: CallId) -> CommandRefusal {
     CommandRefusal::StaleAttempt { call }
 }
--- a/crates/program/src/switches.rs
+++ b/crates/program/src/switches.rs
@@ -1,19 +1,19 @@
 //! Mechanisms that a test can switch off, to show that its checker notices their absence.
 
-/// One mechanism that a promise rests on.
+/// A mechanism that a promise to callers depends on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Mechanism {
-    /// Budget is set aside at the intent.
+    /// An intent reserves tokens of the budget.
     Reservation,
-    /// A call at most once is not attempted again after an attempt that may have run.
+    /// An at-most-once call is not attempted again after an attempt that may have run.
     AtMostOnce,
     /// Only the first open call of a chain may be attempted.
     OrderGate,
-    /// A key or number used again must come with the same content.
+    /// A key or number that is used again must come with the same content.
     DigestCheck,
     /// An intent records the obligation to release.
     Obligation,
-    /// A confirmed release ends only the obligations that it covers.
+    /// A confirmed release removes only the obligations that it covers.
     ReleaseCover,
     /// A call that may have run is never recorded as not run.
     NotRunRule,
@@ -23,5 +23,5 @@
     ChargeLimit,
 }
 
-/// The mechanisms switched off. Always empty outside of test builds.
+/// The mechanisms that are switched off. Always empty outside of test builds.
 pub(crate) type Switches = dahlia_types::Switches<Mechanism>;
--- a/crates/types/src/call.rs
+++ b/crates/types/src/call.rs
@@ -30,7 +30,7 @@
 /// Whether a call may be run again after an attempt of unknown outcome.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default, Serialize, Deserialize)]
 pub enum Repeatability {
-    /// Running twice does no harm beyond its cost.
+    /// Running twice does no harm except for its cost.
     #[default]
     Repeatable,
     /// Runs at most once; an unknown outcome is answered as unknown.
--- a/crates/types/src/key_digest.rs
+++ b/crates/types/src/key_digest.rs
@@ -20,9 +20,9 @@
 impl KeyDigest {
     /// Hashes a key.
     pub fn of(key: &[u8]) -> Self {
-        let whole = Sha256::digest(key);
+        let digest = Sha256::digest(key);
         let mut bytes = [0; DIGEST_BYTES];
-        bytes.copy_from_slice(&whole[..DIGEST_BYTES]);
+        bytes.copy_from_slice(&digest[..DIGEST_BYTES]);
         Self(bytes)
     }
 }
