--- a/crates/program/tests/common/mod.rs
+++ b/crates/program/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Short ways to write commands, shared by the test files.
+//! Helpers that build and apply commands, shared by the test files.
 #![allow(dead_code)]
 
 use dahlia_program::{
@@ -41,26 +41,26 @@
     Usage { prompt: Tokens(prompt), cached: Tokens::ZERO, generated: Tokens(generated) }
 }
 
-pub fn attempt(call: CallId, attempt: u32) -> AttemptId {
+pub fn attempt_id(call: CallId, attempt: u32) -> AttemptId {
     AttemptId { call, attempt }
 }
 
-/// A group with a log position, and one method for each command.
-pub struct Group {
+/// The state of a group with the index of its last log entry, and a method for each command.
+pub struct TestGroup {
     pub state: GroupState,
     pub index: u64,
     pub now: Timestamp,
 }
 
-impl Group {
+impl TestGroup {
     pub fn new(limits: ProgramLimits) -> Self {
         Self { state: GroupState::new(GROUP, limits), index: 0, now: seconds(1) }
     }
 
-    /// A group of default limits with program 1 of this budget.
+    /// A group with default limits and program 1, which has this budget.
     pub fn with_program(budget: u64) -> Self {
         let mut group = Self::new(ProgramLimits::default());
-        group.create(1, budget).expect("the group is empty");
+        group.create_program(1, budget).expect("the group is empty");
         group
     }
 
@@ -69,7 +69,11 @@
         self.state.apply(LogIndex(self.index), Term(1), &command)
     }
 
-    pub fn create(&mut self, number: u64, budget: u64) -> Result<CommandEffect, CommandRefusal> {
+    pub fn create_program(
+        &mut self,
+        number: u64,
+        budget: u64,
+    ) -> Result<CommandEffect, CommandRefusal> {
         let command = CreateProgram {
             program: program_id(number),
             specification: specification(budget),
@@ -78,8 +82,8 @@
         self.apply(Command::CreateProgram(command))
     }
 
-    /// A call of program 1 without key or number.
-    pub fn call(&self, chain: ChainId, text: &str) -> BeginCall {
+    /// The command that begins a call of program 1 without key or number.
+    pub fn begin_command(&self, chain: ChainId, text: &str) -> BeginCall {
         BeginCall {
             program: program_id(1),
             chain,
@@ -98,28 +102,28 @@
     pub fn begin(&mut self, call: BeginCall) -> Result<BeginOutcome, CommandRefusal> {
         match self.apply(Command::BeginCall(call))? {
             CommandEffect::Begun(begun) => Ok(begun),
-            other => panic!("a begun call gave {other:?}"),
+            other => panic!("expected the result of a begun call, found {other:?}"),
         }
     }
 
-    /// Begins a call of the main chain that is ready at once.
-    pub fn ready(&mut self, call: BeginCall) -> CallId {
+    /// Begins a call that must be ready at once.
+    pub fn begin_ready(&mut self, call: BeginCall) -> CallId {
         match self.begin(call).expect("the call is accepted") {
             BeginOutcome::Ready(call) => call,
             other => panic!("expected a ready call, found {other:?}"),
         }
     }
 
-    pub fn intent(
+    pub fn record_intent(
         &mut self,
         attempt: AttemptId,
         engine: &str,
         bound: u64,
     ) -> Result<CommandEffect, CommandRefusal> {
-        self.intent_at(attempt, engine, 1, bound)
+        self.record_intent_for(attempt, engine, 1, bound)
     }
 
-    pub fn intent_at(
+    pub fn record_intent_for(
         &mut self,
         attempt: AttemptId,
         engine: &str,
@@ -135,7 +139,7 @@
         }))
     }
 
-    pub fn outcome(
+    pub fn record_outcome(
         &mut self,
         attempt: AttemptId,
         outcome: AttemptOutcome,
@@ -143,20 +147,20 @@
         self.apply(Command::RecordOutcome(RecordOutcome { attempt, outcome, at: self.now }))
     }
 
-    pub fn answer(
+    pub fn record_answer(
         &mut self,
         attempt: AttemptId,
         text: &str,
     ) -> Result<CommandEffect, CommandRefusal> {
         let answer = message(Role::Assistant, text);
-        self.outcome(attempt, AttemptOutcome::Ran { answer, usage: usage(5, 5) })
+        self.record_outcome(attempt, AttemptOutcome::Ran { answer, usage: usage(5, 5) })
     }
 
-    /// Runs a call of the main chain to its answer.
-    pub fn turn(&mut self, text: &str, answer: &str) -> CallId {
-        let call = self.ready(self.call(MAIN, text));
-        self.intent(attempt(call, 1), "e1", 10).expect("the budget is large enough");
-        self.answer(attempt(call, 1), answer).expect("the attempt is open");
+    /// Runs a call of the main chain and answers it.
+    pub fn run_turn(&mut self, text: &str, answer: &str) -> CallId {
+        let call = self.begin_ready(self.begin_command(MAIN, text));
+        self.record_intent(attempt_id(call, 1), "e1", 10).expect("the budget is large enough");
+        self.record_answer(attempt_id(call, 1), answer).expect("the attempt is open");
         call
     }
 
@@ -168,12 +172,12 @@
         self.apply(Command::AbandonCall(AbandonCall { call, outcome, at: self.now }))
     }
 
-    pub fn raise(&mut self, total: u64) -> Result<CommandEffect, CommandRefusal> {
+    pub fn raise_budget(&mut self, total: u64) -> Result<CommandEffect, CommandRefusal> {
         let command = RaiseBudget { program: program_id(1), total: Tokens(total) };
         self.apply(Command::RaiseBudget(command))
     }
 
-    pub fn close(&mut self) -> Result<CommandEffect, CommandRefusal> {
+    pub fn close_program(&mut self) -> Result<CommandEffect, CommandRefusal> {
         self.apply(Command::CloseProgram(CloseProgram {
             program: program_id(1),
             reason: CloseReason::Closed,
@@ -181,7 +185,7 @@
         }))
     }
 
-    pub fn release(
+    pub fn confirm_release(
         &mut self,
         engine: &str,
         incarnation: u64,
@@ -196,7 +200,7 @@
         }))
     }
 
-    pub fn expire(&mut self, keep_records: Duration) -> CommandEffect {
+    pub fn expire_programs(&mut self, keep_records: Duration) -> CommandEffect {
         let command = ExpirePrograms { now: self.now, keep_records };
         self.apply(Command::ExpirePrograms(command)).expect("expiry is never refused")
     }
--- a/crates/program/tests/schedules/callers.rs
+++ b/crates/program/tests/schedules/callers.rs
@@ -1,26 +1,26 @@
-//! Callers: new calls, retries, and other content under a key that is in use.
+//! Simulated callers: new calls, retries, and other content under a key that is in use.
 
 use dahlia_program::{BeginCall, Command, CommandEffect};
 use dahlia_types::{CallId, CallKind, ChainId, IdempotencyKey, Repeatability, Role, Tokens};
 use rand::Rng;
 use rand::seq::IndexedRandom;
 
-use crate::checker::Checked;
+use crate::checker::CheckResult;
 use crate::common::message;
 use crate::world::{CHAINS, World};
 
-/// How many of the last requests a caller mostly repeats.
-const RECENT: usize = 4;
+/// Number of latest requests from which retries are mostly chosen.
+const RECENT_REQUESTS: usize = 4;
 
 impl World {
-    fn begin(&mut self, request: BeginCall) -> Checked {
+    fn begin(&mut self, request: BeginCall) -> CheckResult {
         match self.apply(Command::BeginCall(request.clone())) {
             Some(CommandEffect::Begun(begun)) => self.checker.begun(&request, &begun),
             _ => Ok(()),
         }
     }
 
-    pub(crate) fn begin_new(&mut self) -> Checked {
+    pub(crate) fn begin_new(&mut self) -> CheckResult {
         let serial = self.requests.len();
         let chain = ChainId(self.random.random_range(0..CHAINS));
         let keyed = self.random.random_bool(0.7);
@@ -47,17 +47,17 @@
         self.begin(request)
     }
 
-    /// The same request once more, by the number that its call was given.
-    pub(crate) fn come_back(&mut self, call: CallId) -> Checked {
+    /// Repeats the request of a call, with the call's number.
+    pub(crate) fn retry_by_number(&mut self, call: CallId) -> CheckResult {
         let mut request = self.checker.request(call).clone();
         request.number = Some(call.number);
         self.begin(request)
     }
 
-    /// A caller's retry, sometimes with other content under the same key.
-    pub(crate) fn begin_again(&mut self) -> Checked {
-        // Callers mostly repeat what they sent last; such a call may be begun again.
-        let recent = self.requests.len().saturating_sub(RECENT);
+    /// Repeats a request, sometimes with other content under the same key.
+    pub(crate) fn retry_request(&mut self) -> CheckResult {
+        // Callers mostly repeat their latest requests; such a call may be begun again.
+        let recent = self.requests.len().saturating_sub(RECENT_REQUESTS);
         let first = if self.random.random_bool(0.7) { recent } else { 0 };
         let Some(mut request) = self.requests[first..].choose(&mut self.random).cloned() else {
             return Ok(());
--- a/crates/program/tests/schedules/checker.rs
+++ b/crates/program/tests/schedules/checker.rs
@@ -1,4 +1,4 @@
-//! What callers and engines saw, and the checks of the promises against it.
+//! Records what callers and engines observed, and checks the promises against it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,15 +16,15 @@
     AtMostOnce,
     OneOutcome,
     NotRun,
-    OwnAnswer,
+    MatchingAnswer,
     History,
     Release,
 }
 
-pub type Checked = Result<(), (Promise, String)>;
+pub type CheckResult = Result<(), (Promise, String)>;
 
-/// One call as its caller knows it.
-struct Known {
+/// A call as its caller knows it.
+struct KnownCall {
     request: BeginCall,
     outcome: Option<CallOutcome>,
 }
@@ -40,7 +40,7 @@
 
 impl OutcomeCounts {
     pub fn add(&mut self, checker: &Checker) {
-        self.begun_again += u64::from(checker.again);
+        self.begun_again += u64::from(checker.calls_begun_again);
         for known in checker.calls.values() {
             match known.outcome {
                 None => {}
@@ -52,21 +52,21 @@
     }
 }
 
-/// Everything seen from outside the state.
+/// Everything that was observed outside the state.
 #[derive(Default)]
 pub struct Checker {
-    calls: BTreeMap<CallId, Known>,
-    /// What a chain had before its first call, by the parent's history at that moment.
+    calls: BTreeMap<CallId, KnownCall>,
+    /// The history that a chain inherited: the parent's at the chain's first call.
     inherited: BTreeMap<(ProgramId, ChainId), Vec<Message>>,
     open: BTreeMap<CallId, AttemptId>,
     /// Calls that were begun again after they did not run.
-    again: u32,
-    /// How often engines started an attempt of the call.
+    calls_begun_again: u32,
+    /// Number of attempts of each call that engines started.
     pub starts: BTreeMap<CallId, u32>,
-    /// Tokens that engines really used.
+    /// Tokens that engines actually used.
     pub used: BTreeMap<ProgramId, u64>,
-    /// What engines hold at this moment.
-    pub held: BTreeSet<(ProgramId, EngineIncarnation)>,
+    /// The programs for which engines currently hold memory.
+    pub held_programs: BTreeSet<(ProgramId, EngineIncarnation)>,
     /// Chunks on the store daemons.
     pub chunks: BTreeMap<[u8; 32], Vec<u8>>,
 }
@@ -77,17 +77,17 @@
         &self.calls[&call].request
     }
 
-    /// Judges the result of a call's beginning.
-    pub fn begun(&mut self, request: &BeginCall, begun: &BeginOutcome) -> Checked {
+    /// Checks the result of a begun call.
+    pub fn begun(&mut self, request: &BeginCall, begun: &BeginOutcome) -> CheckResult {
         match begun {
             BeginOutcome::Ready(call) | BeginOutcome::Waiting(call) => {
                 self.new_call(request, *call)
             }
             BeginOutcome::Joined(call) | BeginOutcome::ReplayedFromStore(call, _) => {
-                self.same(request, *call)
+                self.check_same_request(request, *call)
             }
             BeginOutcome::Replayed(call, outcome) => {
-                self.same(request, *call)?;
+                self.check_same_request(request, *call)?;
                 let known = self.calls[call].outcome.as_ref();
                 require(known == Some(outcome), Promise::OneOutcome, || {
                     format!("{call} ended as {known:?} and was replayed as {outcome:?}")
@@ -96,7 +96,7 @@
         }
     }
 
-    fn new_call(&mut self, request: &BeginCall, call: CallId) -> Checked {
+    fn new_call(&mut self, request: &BeginCall, call: CallId) -> CheckResult {
         let before = self.calls.get(&call).and_then(|known| known.outcome.as_ref());
         if matches!(before, Some(CallOutcome::NotRun { .. })) {
             return self.begun_again(request, call);
@@ -106,31 +106,32 @@
             let before = parent.map(|parent| self.history(call.program, parent));
             self.inherited.insert((call.program, call.chain), before.unwrap_or_default());
         }
-        let known = Known { request: request.clone(), outcome: None };
+        let known = KnownCall { request: request.clone(), outcome: None };
         let replaced = self.calls.insert(call, known).is_some();
         require(!replaced, Promise::Order, || format!("{call} was given to two requests"))
     }
 
-    /// A call that did not run may be begun again by the same request while it is the last.
-    fn begun_again(&mut self, request: &BeginCall, call: CallId) -> Checked {
-        self.same(request, call)?;
+    /// A call that did not run may be begun again by the same request while it is the last of its
+    /// chain.
+    fn begun_again(&mut self, request: &BeginCall, call: CallId) -> CheckResult {
+        self.check_same_request(request, call)?;
         let later = self.chain(call.program, call.chain).filter(|(id, _)| **id > call).count();
         require(later == 0, Promise::Order, || {
             format!("{call} was begun again behind {later} later calls")
         })?;
-        self.again += 1;
+        self.calls_begun_again += 1;
         self.calls.get_mut(&call).expect("it was begun before").outcome = None;
         Ok(())
     }
 
-    fn same(&self, request: &BeginCall, call: CallId) -> Checked {
+    fn check_same_request(&self, request: &BeginCall, call: CallId) -> CheckResult {
         let known = &self.calls[&call].request;
         let same = known.messages == request.messages && known.chain == request.chain;
-        require(same, Promise::OwnAnswer, || format!("{request:?} was taken for {call}"))
+        require(same, Promise::MatchingAnswer, || format!("{request:?} was taken for {call}"))
     }
 
-    /// Judges an accepted intent.
-    pub fn intent(&mut self, attempt: AttemptId) -> Checked {
+    /// Checks an accepted intent.
+    pub fn intent(&mut self, attempt: AttemptId) -> CheckResult {
         let call = attempt.call;
         self.open.insert(call, attempt);
         let chain = self.chain(call.program, call.chain);
@@ -138,43 +139,45 @@
         require(waiting == 0, Promise::Order, || format!("{call} overtook {waiting} calls"))
     }
 
-    /// Judges an accepted outcome of an attempt.
+    /// Checks an accepted outcome of an attempt.
     pub fn outcome(
         &mut self,
         attempt: AttemptId,
         outcome: &AttemptOutcome,
         applied: &CommandEffect,
-    ) -> Checked {
+    ) -> CheckResult {
         if matches!(applied, CommandEffect::Settled(_)) {
             return Ok(());
         }
         let open = self.open.remove(&attempt.call);
         let ran = matches!(outcome, AttemptOutcome::Ran { .. });
-        require(!ran || open == Some(attempt), Promise::OwnAnswer, || {
+        require(!ran || open == Some(attempt), Promise::MatchingAnswer, || {
             format!("{attempt} answered while {open:?} was open")
         })
     }
 
-    /// Judges the whole state.
-    pub fn check(&mut self, state: &GroupState) -> Checked {
+    /// Checks the entire state.
+    pub fn check(&mut self, state: &GroupState) -> CheckResult {
         for program in state.programs() {
             self.check_outcomes(program)?;
             self.check_budget(program)?;
             self.check_history(program)?;
         }
         self.check_starts()?;
-        for (program, life) in &self.held {
-            let owed = state
+        for (program, holder) in &self.held_programs {
+            let has_obligation = state
                 .program(*program)
-                .is_some_and(|program| program.obligations().any(|(owed, _)| owed == life));
-            require(owed, Promise::Release, || format!("{program} is held by {life:?}"))?;
+                .is_some_and(|program| program.obligations().any(|(owing, _)| owing == holder));
+            require(has_obligation, Promise::Release, || {
+                format!("{program} is held by {holder:?}")
+            })?;
         }
         Ok(())
     }
 
-    fn check_outcomes(&mut self, program: &Program) -> Checked {
+    fn check_outcomes(&mut self, program: &Program) -> CheckResult {
         for (id, _) in program.calls() {
-            let found = program.outcome(id).map(|outcome| self.whole(outcome));
+            let found = program.outcome(id).map(|outcome| self.complete_outcome(outcome));
             let known = &mut self.calls.get_mut(&id).expect("begun by a caller").outcome;
             let first = known.is_none();
             let same = first || *known == found;
@@ -188,20 +191,21 @@
         Ok(())
     }
 
-    /// An outcome with its text, fetched from the store daemons when it is there.
-    fn whole(&self, outcome: RecordedOutcome) -> CallOutcome {
+    /// The outcome with its text, which is fetched from the store daemons if it was moved there.
+    fn complete_outcome(&self, outcome: RecordedOutcome) -> CallOutcome {
         match outcome {
             RecordedOutcome::Inline(outcome) => outcome,
             RecordedOutcome::Stored(stored) => {
                 let chunk = &self.chunks[&stored.chunk.digest];
-                let messages = decode_chunk(&stored.chunk, chunk).expect("stored whole");
+                let messages =
+                    decode_chunk(&stored.chunk, chunk).expect("the stored chunk is complete");
                 let answer = messages.last().expect("a turn has messages").clone();
                 CallOutcome::Answered { answer, usage: stored.usage }
             }
         }
     }
 
-    fn check_budget(&self, program: &Program) -> Checked {
+    fn check_budget(&self, program: &Program) -> CheckResult {
         let budget = program.budget();
         let bound = budget.spent.saturating_add(budget.reserved);
         require(bound <= budget.total, Promise::Budget, || format!("{budget:?}"))?;
@@ -209,7 +213,7 @@
         require(used <= bound.0, Promise::Budget, || format!("engines used {used}: {budget:?}"))
     }
 
-    fn check_history(&self, program: &Program) -> Checked {
+    fn check_history(&self, program: &Program) -> CheckResult {
         for (chain, _) in program.chains() {
             let mut found = Vec::new();
             for part in program.history_parts(chain) {
@@ -217,7 +221,9 @@
                     HistoryPart::Messages(messages) => found.extend_from_slice(messages),
                     HistoryPart::Chunk(chunk) => {
                         let bytes = &self.chunks[&chunk.digest];
-                        found.extend(decode_chunk(chunk, bytes).expect("stored whole"));
+                        found.extend(
+                            decode_chunk(chunk, bytes).expect("the stored chunk is complete"),
+                        );
                     }
                 }
             }
@@ -229,11 +235,11 @@
         Ok(())
     }
 
-    fn check_starts(&self) -> Checked {
+    fn check_starts(&self) -> CheckResult {
         for (call, starts) in &self.starts {
             let known = &self.calls[call];
-            let once = known.request.repeatability == Repeatability::AtMostOnce;
-            require(!once || *starts <= 1, Promise::AtMostOnce, || {
+            let at_most_once = known.request.repeatability == Repeatability::AtMostOnce;
+            require(!at_most_once || *starts <= 1, Promise::AtMostOnce, || {
                 format!("{call} was started {starts} times")
             })?;
             let not_run = matches!(known.outcome, Some(CallOutcome::NotRun { .. }));
@@ -242,13 +248,17 @@
         Ok(())
     }
 
-    fn chain(&self, program: ProgramId, chain: ChainId) -> impl Iterator<Item = (&CallId, &Known)> {
+    fn chain(
+        &self,
+        program: ProgramId,
+        chain: ChainId,
+    ) -> impl Iterator<Item = (&CallId, &KnownCall)> {
         let first = CallId { program, chain, number: 0 };
         let last = CallId { program, chain, number: u32::MAX };
         self.calls.range(first..=last)
     }
 
-    /// A chain's history by the outcomes that callers were told.
+    /// A chain's history according to the outcomes that callers received.
     fn history(&self, program: ProgramId, chain: ChainId) -> Vec<Message> {
         let mut history = self.inherited.get(&(program, chain)).cloned().unwrap_or_default();
         for (_, known) in self.chain(program, chain) {
@@ -265,6 +275,6 @@
     }
 }
 
-fn require(holds: bool, promise: Promise, describe: impl FnOnce() -> String) -> Checked {
+fn require(holds: bool, promise: Promise, describe: impl FnOnce() -> String) -> CheckResult {
     if holds { Ok(()) } else { Err((promise, describe())) }
 }
--- a/crates/program/tests/schedules/world.rs
+++ b/crates/program/tests/schedules/world.rs
@@ -1,5 +1,6 @@
-//! A seeded world around a group's state: engines, a network that delays and repeats, callers who
-//! retry, and an owner who dies, forgets, and tries what it may not.
+//! A seeded simulation around a group's state: engines, a network that delays and duplicates
+//! messages, callers that retry, and an owner that crashes, loses its memory and attempts forbidden
+//! commands.
 
 use dahlia_program::{
     AbandonCall, AttemptOutcome, BeginCall, CallOutcome, ChunkReference, CloseProgram, CloseReason,
@@ -15,7 +16,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::checker::{Checked, Checker, Promise};
+use crate::checker::{CheckResult, Checker, Promise};
 use crate::common::{GROUP, program_id, seconds, specification};
 use crate::engine::Engine;
 
@@ -23,20 +24,20 @@
 const PROGRAMS: u64 = 2;
 pub(crate) const CHAINS: u32 = 3;
 const BUDGET: u64 = 900;
-const MOST_IN_FLIGHT: usize = 12;
+const MAX_IN_FLIGHT: usize = 12;
 
 #[derive(Clone, Copy)]
 struct Dispatch {
     attempt: AttemptId,
     engine: usize,
-    life: u64,
-    bound: u64,
-    cap: u64,
+    incarnation: u64,
+    prompt_bound: u64,
+    generated_cap: u64,
 }
 
 pub struct World {
     pub(crate) random: ChaCha8Rng,
-    off: Option<Mechanism>,
+    disabled: Option<Mechanism>,
     pub state: GroupState,
     pub checker: Checker,
     log: Vec<Command>,
@@ -49,10 +50,10 @@
 }
 
 impl World {
-    pub fn new(seed: u64, off: Option<Mechanism>) -> Self {
+    pub fn new(seed: u64, disabled: Option<Mechanism>) -> Self {
         let mut world = Self {
             random: ChaCha8Rng::seed_from_u64(seed),
-            off,
+            disabled,
             state: GroupState::new(GROUP, ProgramLimits::default()),
             checker: Checker::default(),
             log: Vec::new(),
@@ -63,7 +64,7 @@
             confirmations: Vec::new(),
             requests: Vec::new(),
         };
-        world.switch_off();
+        world.disable_mechanism();
         for number in 0..PROGRAMS {
             let (program, specification) = (program_id(number), specification(BUDGET));
             let at = world.now;
@@ -73,7 +74,7 @@
         world
     }
 
-    /// The state after the same log without any restore.
+    /// The state after applying the same log without restoring snapshots.
     pub fn replayed(&self) -> GroupState {
         let mut state = GroupState::new(GROUP, ProgramLimits::default());
         for (index, command) in (1..).zip(&self.log) {
@@ -82,28 +83,28 @@
         state
     }
 
-    pub fn check(&mut self) -> Checked {
+    pub fn check(&mut self) -> CheckResult {
         self.checker.check(&self.state)
     }
 
-    pub fn step(&mut self) -> Checked {
+    pub fn step(&mut self) -> CheckResult {
         self.now = self.now + Duration::from_millis(self.random.random_range(0..2_000));
         match self.random.random_range(0..100) {
             0..14 => self.begin_new(),
-            14..20 => self.begin_again(),
-            20..40 => self.intend(),
+            14..20 => self.retry_request(),
+            20..40 => self.record_random_intent(),
             40..56 => self.deliver_dispatch(),
             56..66 => self.engine_ends_attempt(),
-            66..76 => self.owner_hears_outcome(),
-            76..81 => self.owner_asks_engine(),
-            81..84 => self.owner_gives_up(),
+            66..76 => self.deliver_outcome(),
+            76..81 => self.query_random_attempt(),
+            81..84 => self.record_unknown_outcome(),
             84..86 => self.restart_engine(),
-            86..90 => self.ask_release(),
-            90..93 => self.hear_release(),
+            86..90 => self.request_release(),
+            90..93 => self.deliver_confirmation(),
             93..96 => self.abandon(),
             96..98 => self.move_turn(),
-            98..99 => self.hand_over(),
-            _ => self.rare(),
+            98..99 => self.change_owner(),
+            _ => self.step_rare(),
         }
     }
 
@@ -112,8 +113,8 @@
         self.state.apply(LogIndex(self.log.len() as u64), Term(1), &command).ok()
     }
 
-    fn switch_off(&mut self) {
-        if let Some(mechanism) = self.off {
+    fn disable_mechanism(&mut self) {
+        if let Some(mechanism) = self.disabled {
             self.state.disable(mechanism);
         }
     }
@@ -128,81 +129,88 @@
         found.choose(&mut self.random).copied()
     }
 
-    /// The owner tries any open call, at any engine, sometimes at a life that is over.
-    fn intend(&mut self) -> Checked {
+    /// The owner records an intent for any open call and engine, sometimes for an old incarnation.
+    fn record_random_intent(&mut self) -> CheckResult {
         let first_in_chain =
             self.state.unfinished_calls().into_iter().filter_map(|call| match call {
                 UnfinishedCall::Ready(attempt) => Some(attempt.call),
                 UnfinishedCall::Interrupted { .. } => None,
             });
         let ready: Vec<CallId> = first_in_chain.collect();
-        let right = self.random.random_bool(0.8);
+        let in_order = self.random.random_bool(0.8);
         let chosen =
-            if right { ready.choose(&mut self.random).copied() } else { self.any_open_call() };
+            if in_order { ready.choose(&mut self.random).copied() } else { self.any_open_call() };
         let Some(call) = chosen else {
             return Ok(());
         };
         let found = self.state.program(call.program).and_then(|program| program.call(call));
         let attempts = found.map_or(0, |call| call.attempts());
         let engine = self.random.random_range(0..ENGINES);
-        let life = self.engines[engine].life - u64::from(self.random.random_bool(0.1));
+        let incarnation =
+            self.engines[engine].incarnation - u64::from(self.random.random_bool(0.1));
         let attempt = AttemptId { call, attempt: attempts + 1 };
-        let bound = self.random.random_range(1..30);
+        let prompt_bound = self.random.random_range(1..30);
         let command = RecordIntent {
             attempt,
             engine: self.engines[engine].id.clone(),
-            incarnation: Incarnation(life),
-            prompt_bound: Tokens(bound),
+            incarnation: Incarnation(incarnation),
+            prompt_bound: Tokens(prompt_bound),
             at: self.now,
         };
-        if let Some(CommandEffect::IntentRecorded(terms)) =
+        if let Some(CommandEffect::IntentRecorded(reservation)) =
             self.apply(Command::RecordIntent(command))
         {
             self.checker.intent(attempt)?;
-            let cap = terms.generated_cap.0;
-            // The owner may die between the intent and the first byte.
+            let generated_cap = reservation.generated_cap.0;
+            // The owner may crash between the intent and the first byte.
             if self.random.random_bool(0.9) {
-                self.dispatches.push(Dispatch { attempt, engine, life, bound, cap });
+                self.dispatches.push(Dispatch {
+                    attempt,
+                    engine,
+                    incarnation,
+                    prompt_bound,
+                    generated_cap,
+                });
             }
         }
         Ok(())
     }
 
-    fn deliver_dispatch(&mut self) -> Checked {
-        let Some(dispatch) = take_any(&mut self.dispatches, &mut self.random) else {
+    fn deliver_dispatch(&mut self) -> CheckResult {
+        let Some(dispatch) = remove_random(&mut self.dispatches, &mut self.random) else {
             return Ok(());
         };
         let call = dispatch.attempt.call;
         let engine = &mut self.engines[dispatch.engine];
-        if engine.start(dispatch.attempt, dispatch.life) {
+        if engine.start(dispatch.attempt, dispatch.incarnation) {
             *self.checker.starts.entry(call).or_default() += 1;
-            let used = dispatch.bound + dispatch.cap;
+            let used = dispatch.prompt_bound + dispatch.generated_cap;
             *self.checker.used.entry(call.program).or_default() += used;
-            // A tool's call generates nothing and holds no memory.
-            if dispatch.cap > 0 {
-                self.checker.held.insert((call.program, engine.life()));
+            // A tool call generates nothing and holds no memory.
+            if dispatch.generated_cap > 0 {
+                self.checker.held_programs.insert((call.program, engine.holder()));
             }
         }
         Ok(())
     }
 
-    fn engine_ends_attempt(&mut self) -> Checked {
+    fn engine_ends_attempt(&mut self) -> CheckResult {
         let index = self.random.random_range(0..ENGINES);
         self.outcomes.extend(self.engines[index].end_one(&mut self.random));
         Ok(())
     }
 
-    fn owner_hears_outcome(&mut self) -> Checked {
-        let Some((attempt, outcome)) = take_any(&mut self.outcomes, &mut self.random) else {
+    fn deliver_outcome(&mut self) -> CheckResult {
+        let Some((attempt, outcome)) = remove_random(&mut self.outcomes, &mut self.random) else {
             return Ok(());
         };
-        if self.random.random_bool(0.5) && self.outcomes.len() < MOST_IN_FLIGHT {
+        if self.random.random_bool(0.5) && self.outcomes.len() < MAX_IN_FLIGHT {
             self.outcomes.push((attempt, outcome.clone()));
         }
         self.record(attempt, outcome)
     }
 
-    fn record(&mut self, attempt: AttemptId, outcome: AttemptOutcome) -> Checked {
+    fn record(&mut self, attempt: AttemptId, outcome: AttemptOutcome) -> CheckResult {
         let at = self.now;
         let command = RecordOutcome { attempt, outcome: outcome.clone(), at };
         match self.apply(Command::RecordOutcome(command)) {
@@ -218,49 +226,52 @@
             found.extend(
                 program
                     .open_attempts()
-                    .map(|(id, attempt)| (id, life_of(&attempt.engine, attempt.incarnation))),
+                    .map(|(id, attempt)| (id, holder_of(&attempt.engine, attempt.incarnation))),
             );
             found.extend(
                 program
                     .unknown_attempts()
-                    .map(|(id, attempt)| (id, life_of(&attempt.engine, attempt.incarnation))),
+                    .map(|(id, attempt)| (id, holder_of(&attempt.engine, attempt.incarnation))),
             );
         }
         found
     }
 
-    /// The owner asks an engine about an attempt.
-    fn owner_asks_engine(&mut self) -> Checked {
+    /// The owner queries an engine about an attempt.
+    fn query_random_attempt(&mut self) -> CheckResult {
         match self.unsettled().choose(&mut self.random) {
-            Some((attempt, life)) => self.ask(*attempt, life),
+            Some((attempt, holder)) => self.query_attempt(*attempt, holder),
             None => Ok(()),
         }
     }
 
-    fn ask(&mut self, attempt: AttemptId, life: &EngineIncarnation) -> Checked {
-        match self.engine(&life.engine).ask(attempt, life.incarnation) {
+    fn query_attempt(&mut self, attempt: AttemptId, holder: &EngineIncarnation) -> CheckResult {
+        match self.engine(&holder.engine).query(attempt, holder.incarnation) {
             Some(outcome) => self.record(attempt, outcome),
             None => Ok(()),
         }
     }
 
     fn engine(&mut self, id: &EngineId) -> &mut Engine {
-        self.engines.iter_mut().find(|engine| engine.id == *id).expect("an engine of this world")
+        self.engines
+            .iter_mut()
+            .find(|engine| engine.id == *id)
+            .expect("an engine of this simulation")
     }
 
-    fn owner_gives_up(&mut self) -> Checked {
+    fn record_unknown_outcome(&mut self) -> CheckResult {
         match self.unsettled().choose(&mut self.random) {
             Some((attempt, _)) => self.record(*attempt, AttemptOutcome::Unknown),
             None => Ok(()),
         }
     }
 
-    fn restart_engine(&mut self) -> Checked {
+    fn restart_engine(&mut self) -> CheckResult {
         let index = self.random.random_range(0..ENGINES);
-        let engine = Engine::new(index, self.engines[index].life + 1);
-        self.checker.held.retain(|(_, held)| held.engine != engine.id);
+        let engine = Engine::new(index, self.engines[index].incarnation + 1);
+        self.checker.held_programs.retain(|(_, holder)| holder.engine != engine.id);
         let program = self.any_program();
-        self.confirmations.push(confirmation(program, engine.life(), LogIndex(0)));
+        self.confirmations.push(confirmation(program, engine.holder(), LogIndex(0)));
         self.engines[index] = engine;
         Ok(())
     }
@@ -269,8 +280,8 @@
         self.state.programs().flat_map(|program| program.release_requests()).collect()
     }
 
-    /// An engine frees a program; its confirmation is under way for a while.
-    fn ask_release(&mut self) -> Checked {
+    /// An engine frees what it holds for a program; its confirmation is delivered later.
+    fn request_release(&mut self) -> CheckResult {
         if let Some(request) = self.release_requests().choose(&mut self.random) {
             self.release(request);
         }
@@ -279,22 +290,22 @@
 
     fn release(&mut self, request: &ReleaseRequest) {
         let engine = self.engine(&request.holder.engine);
-        let life = engine.life();
-        if life == request.holder {
+        let holder = engine.holder();
+        if holder == request.holder {
             engine.fence(&request.fence);
-            self.checker.held.remove(&(request.program, life.clone()));
+            self.checker.held_programs.remove(&(request.program, holder.clone()));
         }
-        self.confirmations.push(confirmation(request.program, life, request.covers));
+        self.confirmations.push(confirmation(request.program, holder, request.covers));
     }
 
-    fn hear_release(&mut self) -> Checked {
-        if let Some(confirmed) = take_any(&mut self.confirmations, &mut self.random) {
+    fn deliver_confirmation(&mut self) -> CheckResult {
+        if let Some(confirmed) = remove_random(&mut self.confirmations, &mut self.random) {
             self.apply(Command::ConfirmRelease(confirmed));
         }
         Ok(())
     }
 
-    fn abandon(&mut self) -> Checked {
+    fn abandon(&mut self) -> CheckResult {
         let Some(call) = self.any_open_call() else {
             return Ok(());
         };
@@ -304,15 +315,15 @@
         };
         let at = self.now;
         self.apply(Command::AbandonCall(AbandonCall { call, outcome, at }));
-        // A caller that is told "not run" mostly comes back, by its call's number.
+        // A caller whose call did not run mostly retries it, with the call's number.
         if self.random.random_bool(0.7) {
             self.checker.check(&self.state)?;
-            return self.come_back(call);
+            return self.retry_by_number(call);
         }
         Ok(())
     }
 
-    fn move_turn(&mut self) -> Checked {
+    fn move_turn(&mut self) -> CheckResult {
         let program = self.any_program();
         let chain = ChainId(self.random.random_range(0..CHAINS));
         let found = self.state.program(program).and_then(|program| program.chain(chain));
@@ -332,15 +343,15 @@
     }
 
     /// A new owner starts from a snapshot.
-    pub fn hand_over(&mut self) -> Checked {
+    pub fn change_owner(&mut self) -> CheckResult {
         self.state = GroupState::restore(&self.state.snapshot()).expect("just written");
-        self.switch_off();
+        self.disable_mechanism();
         Ok(())
     }
 
-    /// Ends every program and lets the network and the engines come to rest. Gives what is left:
-    /// nothing, unless something is stuck or held for ever.
-    pub fn settle(&mut self) -> Result<Vec<ProgramId>, (Promise, String)> {
+    /// Closes every program, delivers all messages and ends all attempts. Returns the programs that
+    /// are left: none, unless something is stuck or held for ever.
+    pub fn finish_all(&mut self) -> Result<Vec<ProgramId>, (Promise, String)> {
         let (at, reason) = (self.now, CloseReason::Closed);
         for number in 0..PROGRAMS {
             let program = program_id(number);
@@ -352,14 +363,14 @@
         for engine in &mut self.engines {
             while engine.end_one(&mut self.random).is_some() {}
         }
-        for (attempt, life) in self.unsettled() {
-            self.ask(attempt, &life)?;
+        for (attempt, holder) in self.unsettled() {
+            self.query_attempt(attempt, &holder)?;
         }
         for request in self.release_requests() {
             self.release(&request);
         }
         while !self.confirmations.is_empty() {
-            self.hear_release()?;
+            self.deliver_confirmation()?;
         }
         self.check()?;
         let (keep_records, keep_unknown) =
@@ -369,7 +380,7 @@
         Ok(self.state.programs().map(|program| program.id()).collect())
     }
 
-    fn rare(&mut self) -> Checked {
+    fn step_rare(&mut self) -> CheckResult {
         let program = self.any_program();
         let (now, reason) = (self.now, CloseReason::Closed);
         match self.random.random_range(0..12) {
@@ -384,23 +395,23 @@
                 let total = Tokens(self.random.random_range(BUDGET..3 * BUDGET));
                 self.apply(Command::RaiseBudget(RaiseBudget { program, total }));
             }
-            _ => return self.hand_over(),
+            _ => return self.change_owner(),
         }
         Ok(())
     }
 }
 
-fn confirmation(program: ProgramId, life: EngineIncarnation, covers: LogIndex) -> ConfirmRelease {
-    let EngineIncarnation { engine, incarnation } = life;
+fn confirmation(program: ProgramId, holder: EngineIncarnation, covers: LogIndex) -> ConfirmRelease {
+    let EngineIncarnation { engine, incarnation } = holder;
     ConfirmRelease { program, engine, incarnation, covers, freed: Bytes::ZERO }
 }
 
-fn life_of(engine: &EngineId, incarnation: Incarnation) -> EngineIncarnation {
+fn holder_of(engine: &EngineId, incarnation: Incarnation) -> EngineIncarnation {
     EngineIncarnation { engine: engine.clone(), incarnation }
 }
 
-/// Takes any element out: the network neither keeps order nor time.
-fn take_any<T>(items: &mut Vec<T>, random: &mut ChaCha8Rng) -> Option<T> {
+/// Removes a random element: the network keeps neither the order nor the timing of messages.
+fn remove_random<T>(items: &mut Vec<T>, random: &mut ChaCha8Rng) -> Option<T> {
     if items.is_empty() {
         return None;
     }
