--- a/crates/program/examples/footprint.rs
+++ b/crates/program/examples/footprint.rs
@@ -16,7 +16,7 @@
 };
 
 const GROUP: GroupId = GroupId(1);
-const PAGE: u64 = 4_096;
+const PAGE_BYTES: u64 = 4_096;
 const TURN_BYTES: usize = 2_000;
 
 struct Replica {
@@ -31,7 +31,7 @@
         applied.expect("the schedule is legal");
     }
 
-    fn turn(&mut self, program: ProgramId, number: u32) {
+    fn run_turn(&mut self, program: ProgramId, number: u32) {
         let at = Timestamp(self.commands);
         let chain = ChainId(0);
         let question = message(Role::User, number);
@@ -71,10 +71,10 @@
     Message { role, content: format!("{number:0width$}", width = TURN_BYTES / 2) }
 }
 
-fn resident() -> u64 {
-    let statistics = std::fs::read_to_string("/proc/self/statm").expect("Linux");
+fn resident_bytes() -> u64 {
+    let statistics = std::fs::read_to_string("/proc/self/statm").expect("this example needs Linux");
     let pages = statistics.split_whitespace().nth(1).expect("the second field is the resident set");
-    pages.parse::<u64>().expect("a number") * PAGE
+    pages.parse::<u64>().expect("a number") * PAGE_BYTES
 }
 
 fn main() {
@@ -85,7 +85,7 @@
     let (programs, turns) = (argument(2_000), argument(78));
     let mut replica =
         Replica { state: GroupState::new(GROUP, ProgramLimits::default()), commands: 0 };
-    let before = resident();
+    let start_bytes = resident_bytes();
     let start = Instant::now();
     for number in 0..programs {
         let program = ProgramId { group: GROUP, number };
@@ -97,12 +97,12 @@
         };
         let at = Timestamp::ZERO;
         replica.apply(Command::CreateProgram(CreateProgram { program, specification, at }));
-        (1..=turns as u32).for_each(|turn| replica.turn(program, turn));
+        (1..=turns as u32).for_each(|turn| replica.run_turn(program, turn));
     }
-    let each = start.elapsed().as_secs_f64() * 1e6 / replica.commands as f64;
-    let grown = resident() - before;
+    let micros_per_command = start.elapsed().as_secs_f64() * 1e6 / replica.commands as f64;
+    let grown_bytes = resident_bytes() - start_bytes;
     println!("programs {programs}, turns {turns}, text on store daemons");
-    println!("resident bytes per program: {}", grown / programs);
+    println!("resident bytes per program: {}", grown_bytes / programs);
     println!("snapshot bytes per program: {}", replica.state.snapshot().len() as u64 / programs);
-    println!("microseconds per command, making and digest included: {each:.2}");
+    println!("microseconds per command, making and digest included: {micros_per_command:.2}");
 }
