--- a/crates/placement/src/action.rs
+++ b/crates/placement/src/action.rs
@@ -1,4 +1,4 @@
-//! What a scheduler decides.
+//! Actions that a scheduler decides on.
 
 use dahlia_types::{
     AttemptId, CallId, ChainId, Duration, EngineId, Incarnation, ProgramId, Timestamp,
@@ -8,81 +8,82 @@
 /// Why a call was refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RefusalReason {
-    /// The expected wait exceeds what the call may wait.
+    /// The expected wait exceeds the call's wait limit, or the queue is full.
     Overloaded,
-    /// The tenant has as many calls under way or waiting as it may have.
+    /// The tenant has reached its limit of open or waiting calls.
     TenantLimit,
     /// No engine serves the model now.
     NoEngine,
-    /// Attempts failed and the budget for retries is spent.
+    /// An attempt failed, and the retry budget or the attempts per call are exhausted.
     RetriesExhausted,
-    /// The attempt failed and may not be tried again.
+    /// An attempt failed and the call may not be retried.
     NotRetryable,
 }
 
-/// Why an engine gives up a program's cache.
+/// Why a program's cache is released on an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ReleaseReason {
     /// The program ended. The engine must confirm; see [`crate::Event::Released`].
     ProgramEnded,
-    /// The pause is not worth the memory.
+    /// Holding the cache during a pause costs more than computing it again.
     PauseTooCostly,
-    /// The program's cache is on another engine now.
+    /// Another engine has the newer cache of the program.
     Moved,
 }
 
-/// Where KV lies that can be copied.
+/// The memory that holds KV cache to be copied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CacheTier {
-    /// In the engine's own memory: it is exported there, then imported.
+    /// The engine's own memory. A copy is exported there and then imported.
     Engine,
-    /// In the memory of the engine's host, exported there earlier: it is imported only.
+    /// The memory of the engine's host, to which the cache was exported earlier. A copy is imported
+    /// only.
     Host,
 }
 
-/// KV that can be copied to another engine, or back to the same one.
+/// KV cache that can be copied to another engine, or back to the same one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CopySource {
     /// The engine.
     pub engine: EngineId,
-    /// In which of its memories.
+    /// The memory that holds the cache.
     pub tier: CacheTier,
 }
 
-/// A decision for the driver to carry out.
+/// An action for the driver to carry out.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Action {
-    /// Send the attempt to the engine, once its intent is recorded.
+    /// Send the attempt to the engine after recording its intent.
     Dispatch {
         /// The attempt.
         attempt: AttemptId,
         /// The engine.
         engine: EngineId,
-        /// The life that is meant.
+        /// The incarnation of the engine that is meant.
         incarnation: Incarnation,
-        /// Urgency at the engine; a smaller value is served first.
+        /// Priority in the engine's queue. Lower values are served first.
         priority: u64,
-        /// Copy the chain's cache from here first; without success go on all the same.
+        /// Where to copy the chain's cache from first. If the copy fails, send the attempt anyway.
         copy_from: Option<CopySource>,
     },
-    /// Answer the call as not run, now.
+    /// Refuse the call: answer that it was not run.
     Refuse {
         /// The call.
         call: CallId,
-        /// When the caller may come back, from now.
+        /// Delay after which the caller may retry.
         retry_after: Duration,
         /// Why.
         reason: RefusalReason,
     },
-    /// Cancel the attempt at the engine if it has not started there, and report
-    /// [`crate::AttemptFailure::Recalled`]; a new attempt follows. If it has started, nothing.
+    /// Cancel the attempt if the engine has not started it, and report
+    /// [`crate::AttemptFailure::Recalled`]. A new attempt follows. If it has started, do nothing.
     Recall {
         /// The attempt.
         attempt: AttemptId,
         /// The engine.
         engine: EngineId,
     },
-    /// Free the program's cache at the engine.
+    /// Free the program's cache on the engine.
     Release {
         /// The program.
         program: ProgramId,
@@ -91,17 +92,18 @@
         /// Why.
         reason: ReleaseReason,
     },
-    /// Hold the program's cache at the engine, which frees it by itself at the end.
+    /// Hold the program's cache on the engine. The engine frees it when the hold expires.
     Hold {
         /// The program.
         program: ProgramId,
         /// The engine.
         engine: EngineId,
-        /// When the hold lapses.
+        /// When the hold expires.
         until: Timestamp,
     },
     /// Export the chain's cache into the memory of the engine's host, and report
-    /// [`crate::Event::Offloaded`]. The copy goes when the program ends or the chain calls again.
+    /// [`crate::Event::Offloaded`]. The copy is dropped when the program ends or the chain makes
+    /// its next call.
     Offload {
         /// The program.
         program: ProgramId,
@@ -110,6 +112,6 @@
         /// The engine.
         engine: EngineId,
     },
-    /// Ask the engine for its inventory: cache events were lost.
+    /// Request the engine's inventory because cache events were lost.
     FetchInventory(EngineId),
 }
--- a/crates/placement/src/admission.rs
+++ b/crates/placement/src/admission.rs
@@ -1,4 +1,5 @@
-//! Who may wait: bounded queues, budgeted waits, limits per tenant, and when to come back.
+//! Admission control: bounded queues, bounded waits, limits per tenant, and the retry delay of
+//! refused callers.
 
 use std::collections::BTreeMap;
 
@@ -8,153 +9,151 @@
 
 use crate::{AdmissionSettings, RefusalReason};
 
-/// Time over which the drain rate is averaged, in seconds.
-const RATE_WINDOW: f64 = 10.0;
-/// Drain rate assumed before anything was measured, in calls a second.
-const INITIAL_RATE: f64 = 1.0;
-/// The rate that is assumed at least, in calls a second.
-const LEAST_RATE: f64 = 0.02;
+/// Time constant of the moving average of the drain rate.
+const RATE_WINDOW_SECONDS: f64 = 10.0;
+/// Drain rate assumed before the first measurement.
+const INITIAL_CALLS_PER_SECOND: f64 = 1.0;
+/// Lower bound of the drain rate from which waits are estimated.
+const MIN_CALLS_PER_SECOND: f64 = 0.02;
 
 /// Calls that leave a queue per second while calls wait in it, as an exponential moving average.
 #[derive(Debug, Clone)]
 pub(crate) struct DrainRate {
     rate: f64,
-    left: f64,
-    since: Timestamp,
+    dequeued: f64,
+    window_start: Timestamp,
 }
 
 impl Default for DrainRate {
     fn default() -> Self {
-        Self { rate: INITIAL_RATE, left: 0.0, since: Timestamp::ZERO }
+        Self { rate: INITIAL_CALLS_PER_SECOND, dequeued: 0.0, window_start: Timestamp::ZERO }
     }
 }
 
 impl DrainRate {
-    /// Notes a call that left the queue for an engine.
-    pub(crate) fn left(&mut self) {
-        self.left += 1.0;
+    /// Counts a call that left the queue for an engine.
+    pub(crate) fn record_dequeue(&mut self) {
+        self.dequeued += 1.0;
     }
 
-    /// Folds what was counted into the average. Called on each tick.
+    /// Adds the calls counted since the last update to the average. Called on each tick.
     ///
-    /// While nothing waits the rate shows the demand and not the capacity: it may only rise then.
-    pub(crate) fn tick(&mut self, waiting: bool, now: Timestamp) {
-        let passed = now.since(self.since).as_secs_f64();
+    /// While no call waits, the count shows the demand and not the capacity, so it may only raise
+    /// the average.
+    pub(crate) fn update(&mut self, has_waiting: bool, now: Timestamp) {
+        let passed = now.since(self.window_start).as_secs_f64();
         if passed < 1.0 {
             return;
         }
-        let observed = self.left / passed;
-        if waiting || observed > self.rate {
-            let share = 1.0 - (-passed / RATE_WINDOW).exp();
+        let observed = self.dequeued / passed;
+        if has_waiting || observed > self.rate {
+            let share = 1.0 - (-passed / RATE_WINDOW_SECONDS).exp();
             self.rate += share * (observed - self.rate);
         }
-        self.left = 0.0;
-        self.since = now;
+        self.dequeued = 0.0;
+        self.window_start = now;
     }
 
-    /// Expected time until `ahead` calls are through.
-    pub(crate) fn time_for(&self, ahead: usize) -> Duration {
-        Duration::from_secs_f64(ahead as f64 / self.rate.max(LEAST_RATE))
+    /// Expected time until `ahead` calls have left the queue.
+    pub(crate) fn expected_wait(&self, ahead: usize) -> Duration {
+        Duration::from_secs_f64(ahead as f64 / self.rate.max(MIN_CALLS_PER_SECOND))
     }
 }
 
-/// Calls of a tenant.
+/// Open calls of a tenant.
 #[derive(Debug, Clone, Copy, Default)]
-struct TenantCalls {
+struct TenantCallCounts {
     waiting: usize,
     in_flight: usize,
 }
 
-/// Most calls that tenants may have open here, waiting and dispatched together.
+/// Limits of the calls that a tenant may have open at this scheduler, waiting or dispatched.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct OpenCallLimits {
-    /// Of a tenant that `exceptions` does not name; none when there is no such limit.
+    /// Limit of tenants that `exceptions` does not name; none for no limit.
     pub default: Option<usize>,
-    /// Of named tenants.
+    /// Limits of named tenants.
     pub exceptions: BTreeMap<TenantId, usize>,
 }
 
 impl OpenCallLimits {
-    fn of(&self, tenant: &TenantId) -> Option<usize> {
+    fn limit_for(&self, tenant: &TenantId) -> Option<usize> {
         self.exceptions.get(tenant).copied().or(self.default)
     }
 }
 
-/// Counts per tenant and the bounds on them.
+/// The open calls of each tenant, and the limits on them.
 #[derive(Debug)]
 pub(crate) struct Admission {
     settings: AdmissionSettings,
-    open_calls: OpenCallLimits,
-    tenants: BTreeMap<TenantId, TenantCalls>,
+    open_call_limits: OpenCallLimits,
+    tenants: BTreeMap<TenantId, TenantCallCounts>,
     waiting: usize,
 }
 
 impl Admission {
     pub(crate) fn new(settings: AdmissionSettings) -> Self {
-        let open_calls = OpenCallLimits::default();
-        Self { settings, open_calls, tenants: BTreeMap::new(), waiting: 0 }
+        let open_call_limits = OpenCallLimits::default();
+        Self { settings, open_call_limits, tenants: BTreeMap::new(), waiting: 0 }
     }
 
-    /// Puts other limits in force. Calls that are open stay.
-    pub(crate) fn set_open_calls(&mut self, limits: OpenCallLimits) {
-        self.open_calls = limits;
+    /// Replaces the limits of open calls. Calls that are already open are not affected.
+    pub(crate) fn set_open_call_limits(&mut self, limits: OpenCallLimits) {
+        self.open_call_limits = limits;
     }
 
-    /// The longest that a call may be expected to wait.
-    pub(crate) fn patience(&self, first_of_program: bool) -> Duration {
-        if first_of_program {
-            self.settings.new_program_wait
-        } else {
-            self.settings.continuing_wait
-        }
+    /// Longest expected wait with which a call is still queued.
+    pub(crate) fn wait_limit(&self, is_first: bool) -> Duration {
+        if is_first { self.settings.new_program_wait } else { self.settings.continuing_wait }
     }
 
-    /// Whether one more call of the tenant may wait, given how long it is expected to.
+    /// Checks whether a queued call may stay, given its expected wait.
     pub(crate) fn check(
         &self,
         tenant: &TenantId,
         expected: Duration,
-        patience: Duration,
+        wait_limit: Duration,
     ) -> Result<(), RefusalReason> {
         let calls = self.tenants.get(tenant).copied().unwrap_or_default();
         let open = calls.waiting + calls.in_flight;
-        let is_over = self.open_calls.of(tenant).is_some_and(|limit| open > limit);
-        if is_over || calls.waiting > self.settings.tenant_queue_limit {
+        let is_over_limit =
+            self.open_call_limits.limit_for(tenant).is_some_and(|limit| open > limit);
+        if is_over_limit || calls.waiting > self.settings.tenant_queue_limit {
             return Err(RefusalReason::TenantLimit);
         }
-        if self.waiting > self.settings.queue_limit || expected > patience {
+        if self.waiting > self.settings.queue_limit || expected > wait_limit {
             return Err(RefusalReason::Overloaded);
         }
         Ok(())
     }
 
-    /// Whether the tenant has as many calls in flight as it may have.
-    pub(crate) fn at_limit(&self, tenant: &TenantId) -> bool {
+    /// Whether the tenant has reached its limit of calls in flight.
+    pub(crate) fn is_at_in_flight_limit(&self, tenant: &TenantId) -> bool {
         let calls = self.tenants.get(tenant).copied().unwrap_or_default();
-        let open = self.open_calls.of(tenant).unwrap_or(usize::MAX);
+        let open = self.open_call_limits.limit_for(tenant).unwrap_or(usize::MAX);
         calls.in_flight >= self.settings.tenant_in_flight_limit.min(open)
     }
 
-    pub(crate) fn began_waiting(&mut self, tenant: &TenantId) {
+    pub(crate) fn record_enqueue(&mut self, tenant: &TenantId) {
         self.waiting += 1;
         self.tenants.entry(tenant.clone()).or_default().waiting += 1;
     }
 
-    pub(crate) fn ended_waiting(&mut self, tenant: &TenantId) {
+    pub(crate) fn record_dequeue(&mut self, tenant: &TenantId) {
         self.waiting = self.waiting.saturating_sub(1);
-        self.change(tenant, |calls| calls.waiting = calls.waiting.saturating_sub(1));
+        self.update_counts(tenant, |calls| calls.waiting = calls.waiting.saturating_sub(1));
     }
 
-    pub(crate) fn dispatched(&mut self, tenant: &TenantId) {
+    pub(crate) fn record_dispatch(&mut self, tenant: &TenantId) {
         self.tenants.entry(tenant.clone()).or_default().in_flight += 1;
     }
 
-    pub(crate) fn ended(&mut self, tenant: &TenantId) {
-        self.change(tenant, |calls| calls.in_flight = calls.in_flight.saturating_sub(1));
+    pub(crate) fn record_end(&mut self, tenant: &TenantId) {
+        self.update_counts(tenant, |calls| calls.in_flight = calls.in_flight.saturating_sub(1));
     }
 
-    /// When a refused caller may come back: after the expected wait, spread by a quarter so that
-    /// the refused do not return all at once.
+    /// Delay after which a refused caller may retry: the expected wait, jittered by a quarter so
+    /// that refused callers don't return all at once.
     pub(crate) fn retry_after(&self, expected: Duration, random: &mut ChaCha8Rng) -> Duration {
         let (shortest, longest) = self.settings.retry_after;
         let spread = random.random_range(0.75..1.25);
@@ -162,7 +161,7 @@
         wanted.clamp(shortest, longest)
     }
 
-    fn change(&mut self, tenant: &TenantId, change: impl FnOnce(&mut TenantCalls)) {
+    fn update_counts(&mut self, tenant: &TenantId, change: impl FnOnce(&mut TenantCallCounts)) {
         let Some(calls) = self.tenants.get_mut(tenant) else { return };
         change(calls);
         if calls.waiting == 0 && calls.in_flight == 0 {
--- a/crates/placement/src/call.rs
+++ b/crates/placement/src/call.rs
@@ -1,33 +1,46 @@
-//! A call as the scheduler keeps it, and hashes of its prefixes.
+//! A call as the scheduler keeps it, and the hashes of its prompt's prefixes.
 
 use dahlia_types::{AttemptId, CallId, Duration, TenantId, Timestamp};
 
-use crate::view::EngineSlot;
+use crate::engine_table::EngineSlot;
 use crate::{HistorySegment, ReadyCall};
 
-/// A call between its readiness and its end.
+/// A call that is ready and has not ended.
 #[derive(Debug, Clone)]
 pub(crate) struct Call {
     pub ready: ReadyCall,
     /// Hashes of every prefix of the history, shortest first.
-    pub prefixes: Vec<u64>,
+    pub prefix_hashes: Vec<u64>,
     /// Length of each of these prefixes in tokens.
-    pub lengths: Vec<u64>,
-    /// Moment that orders it among others; see [`crate::priority`].
+    pub prefix_lengths: Vec<u64>,
+    /// Time that orders it among other calls, in microseconds; see [`crate::priority`].
     pub priority: u64,
-    /// When it became ready first.
-    pub since: Timestamp,
-    /// The longest it may wait here.
-    pub patience: Duration,
-    /// Whether it is its program's first one.
-    pub first: bool,
+    /// When it first became ready.
+    pub ready_at: Timestamp,
+    /// Longest expected wait with which it is still queued.
+    pub wait_limit: Duration,
+    /// Whether it is queued as its program's first call.
+    pub is_first: bool,
 }
 
 impl Call {
-    pub(crate) fn new(ready: ReadyCall, first: bool, patience: Duration, now: Timestamp) -> Self {
-        let prefixes = prefix_hashes(&ready.tenant, &ready.history);
-        let lengths = prefix_lengths(&ready.history);
-        Self { ready, prefixes, lengths, priority: 0, since: now, patience, first }
+    pub(crate) fn new(
+        ready: ReadyCall,
+        is_first: bool,
+        wait_limit: Duration,
+        now: Timestamp,
+    ) -> Self {
+        let prefix_hashes = prefix_hashes(&ready.tenant, &ready.history);
+        let prefix_lengths = prefix_lengths(&ready.history);
+        Self {
+            ready,
+            prefix_hashes,
+            prefix_lengths,
+            priority: 0,
+            ready_at: now,
+            wait_limit,
+            is_first,
+        }
     }
 
     pub(crate) fn id(&self) -> CallId {
@@ -35,13 +48,13 @@
     }
 
     /// The attempt to dispatch next.
-    pub(crate) fn attempt(&self) -> AttemptId {
+    pub(crate) fn next_attempt(&self) -> AttemptId {
         AttemptId { call: self.ready.call, attempt: self.ready.attempt }
     }
 
     /// Length of the prompt in tokens.
     pub(crate) fn prompt_tokens(&self) -> u64 {
-        self.lengths.last().copied().unwrap_or(0)
+        self.prefix_lengths.last().copied().unwrap_or(0)
     }
 }
 
@@ -50,7 +63,7 @@
 pub(crate) struct OpenAttempt {
     pub call: Call,
     pub slot: EngineSlot,
-    pub answering: bool,
+    pub is_answering: bool,
 }
 
 fn prefix_lengths(history: &[HistorySegment]) -> Vec<u64> {
--- a/crates/placement/src/view.rs
+++ b/crates/placement/src/engine_table.rs
@@ -1,4 +1,5 @@
-//! What is known of the engines: late reports, corrected by what was dispatched since.
+//! The scheduler's estimate of each engine's state: the last load report, corrected by what was
+//! dispatched since. Reports arrive late.
 
 mod entry;
 
@@ -11,22 +12,22 @@
 pub(crate) use self::entry::{Availability, EngineEntry};
 use crate::{EngineDescription, EngineReport};
 
-/// Place of an engine in the table; never used again for another engine.
+/// Index of an engine in the table. It is never reused for another engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct EngineSlot(pub usize);
 
-/// What a report showed beyond the load.
+/// A change of an engine's state that a load report showed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ReportEffect {
-    /// Nothing.
+    /// No change.
     None,
-    /// The engine is in a new life: its cache is empty.
+    /// The engine restarted, so its cache is empty.
     Restarted,
-    /// It takes no new work any more.
+    /// The engine no longer takes new work.
     BeganDraining,
 }
 
-/// All engines, and which serve which model.
+/// All known engines, indexed by identifier and by the models that they serve.
 #[derive(Debug, Default)]
 pub(crate) struct EngineTable {
     entries: Vec<EngineEntry>,
@@ -35,28 +36,35 @@
 }
 
 impl EngineTable {
-    /// Adds an engine or replaces what was known; tells whether its life is a new one.
-    pub(crate) fn join(&mut self, joined: EngineDescription, now: Timestamp) -> (EngineSlot, bool) {
-        let known = self.slots.get(&joined.engine).copied();
+    /// Adds an engine or updates its entry. The flag is set if a known engine restarted.
+    pub(crate) fn add_or_update(
+        &mut self,
+        description: EngineDescription,
+        now: Timestamp,
+    ) -> (EngineSlot, bool) {
+        let known = self.slots.get(&description.engine).copied();
         let slot = known.unwrap_or(EngineSlot(self.entries.len()));
         let restarted = known.is_some_and(|slot| {
             let entry = self.entry(slot);
-            entry.incarnation != joined.incarnation
+            entry.incarnation != description.incarnation
         });
-        let models = joined.models.clone();
+        let models = description.models.clone();
         match known {
-            Some(slot) => self.entry_mut(slot).rejoin(joined, now),
+            Some(slot) => self.entry_mut(slot).update(description, now),
             None => {
-                self.slots.insert(joined.engine.clone(), slot);
-                self.entries.push(EngineEntry::new(joined, now));
+                self.slots.insert(description.engine.clone(), slot);
+                self.entries.push(EngineEntry::new(description, now));
             }
         }
-        self.file(slot, &models);
+        self.index_models(slot, &models);
         (slot, restarted)
     }
 
-    /// Takes a report in. None for an engine that is not known or for an earlier life.
-    pub(crate) fn report(&mut self, report: &EngineReport) -> Option<(EngineSlot, ReportEffect)> {
+    /// Applies a load report. Ignores reports of unknown engines and of earlier incarnations.
+    pub(crate) fn apply_report(
+        &mut self,
+        report: &EngineReport,
+    ) -> Option<(EngineSlot, ReportEffect)> {
         let slot = self.slot(&report.engine)?;
         let entry = self.entry_mut(slot);
         if report.incarnation < entry.incarnation || entry.availability == Availability::Gone {
@@ -64,13 +72,13 @@
         }
         let restarted = report.incarnation > entry.incarnation;
         let began_draining = report.draining && entry.availability == Availability::Serving;
-        entry.take_report(report);
+        entry.apply_report(report);
         if began_draining {
             entry.availability = Availability::Leaving;
         }
         if entry.models != report.models {
             entry.models.clone_from(&report.models);
-            self.file(slot, &report.models);
+            self.index_models(slot, &report.models);
         }
         let effect = match (restarted, began_draining) {
             (true, _) => ReportEffect::Restarted,
@@ -80,11 +88,15 @@
         Some((slot, effect))
     }
 
-    /// Takes an engine out of service.
-    pub(crate) fn withdraw(&mut self, engine: &EngineId, to: Availability) -> Option<EngineSlot> {
+    /// Takes an engine out of service: no model lists it any more.
+    pub(crate) fn take_out_of_service(
+        &mut self,
+        engine: &EngineId,
+        availability: Availability,
+    ) -> Option<EngineSlot> {
         let slot = self.slot(engine)?;
-        self.entry_mut(slot).availability = to;
-        self.file(slot, &[]);
+        self.entry_mut(slot).availability = availability;
+        self.index_models(slot, &[]);
         Some(slot)
     }
 
@@ -100,23 +112,23 @@
         &mut self.entries[slot.0]
     }
 
-    /// Engines known, whatever their state.
+    /// Number of known engines in any state.
     pub(crate) fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Engines that are ejected.
-    pub(crate) fn ejected(&self) -> usize {
-        self.entries.iter().filter(|entry| entry.circuit.is_open()).count()
+    /// Number of engines ejected by their circuit breakers.
+    pub(crate) fn ejected_count(&self) -> usize {
+        self.entries.iter().filter(|entry| entry.breaker.is_ejected()).count()
     }
 
-    /// Engines that serve a model, in order of their slots.
+    /// The engines that serve a model, in slot order.
     pub(crate) fn serving(&self, model: &ModelId) -> &[EngineSlot] {
         self.serving.get(model).map_or(&[], Vec::as_slice)
     }
 
     /// Whether a call of `model` may be sent to the engine at `now`.
-    pub(crate) fn usable(&self, slot: EngineSlot, model: &ModelId, now: Timestamp) -> bool {
+    pub(crate) fn is_usable(&self, slot: EngineSlot, model: &ModelId, now: Timestamp) -> bool {
         let entry = self.entry(slot);
         entry.accepts(now) && entry.models.contains(model)
     }
@@ -133,22 +145,23 @@
         if serving.len() <= count {
             return serving.iter().copied().filter(|slot| self.entry(*slot).accepts(now)).collect();
         }
-        let mut drawn = Vec::with_capacity(count);
+        let mut sampled = Vec::with_capacity(count);
         for _ in 0..count {
             let slot = serving[random.random_range(0..serving.len())];
-            if !drawn.contains(&slot) && self.entry(slot).accepts(now) {
-                drawn.push(slot);
+            if !sampled.contains(&slot) && self.entry(slot).accepts(now) {
+                sampled.push(slot);
             }
         }
-        if drawn.is_empty() {
-            // Nearly all are out of use: look at every one rather than give up.
-            drawn = serving.iter().copied().filter(|slot| self.entry(*slot).accepts(now)).collect();
+        if sampled.is_empty() {
+            // Almost all engines are unusable: check every one rather than give up.
+            sampled =
+                serving.iter().copied().filter(|slot| self.entry(*slot).accepts(now)).collect();
         }
-        drawn
+        sampled
     }
 
-    /// Files the engine under exactly these models, if it is in service.
-    fn file(&mut self, slot: EngineSlot, models: &[ModelId]) {
+    /// Lists the engine under exactly these models, if it is in service.
+    fn index_models(&mut self, slot: EngineSlot, models: &[ModelId]) {
         for serving in self.serving.values_mut() {
             serving.retain(|other| *other != slot);
         }
@@ -157,8 +170,8 @@
         }
         for model in models {
             let serving = self.serving.entry(model.clone()).or_default();
-            let place = serving.partition_point(|other| *other < slot);
-            serving.insert(place, slot);
+            let index = serving.partition_point(|other| *other < slot);
+            serving.insert(index, slot);
         }
     }
 }
--- a/crates/placement/src/event.rs
+++ b/crates/placement/src/event.rs
@@ -1,4 +1,4 @@
-//! What a scheduler is told.
+//! Events that a scheduler handles.
 
 use dahlia_types::{
     AttemptId, CallId, ChainId, Duration, EngineId, Incarnation, ModelId, ProgramId, TenantId,
@@ -6,7 +6,7 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// One part of a chain's history: the hash of its content and its length.
+/// A segment of a chain's history: the hash of its content and its length.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct HistorySegment {
     /// Hash of the content, e.g. of a message. Equal hashes mean equal content.
@@ -15,64 +15,65 @@
     pub tokens: Tokens,
 }
 
-/// What is known of an engine's speeds and sizes beforehand.
+/// An engine's speeds and sizes.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EngineCapacity {
-    /// KV cache, in tokens.
+    /// Size of the KV cache in tokens.
     pub kv_tokens: Tokens,
-    /// Tokens prefilled a second while others decode.
+    /// Tokens prefilled per second while other sequences decode.
     pub prefill_per_second: f64,
     /// Time of a decode step with a batch of one.
     pub step_base: Duration,
-    /// What each sequence in the batch adds to a step.
+    /// Time that each sequence in the batch adds to a step.
     pub step_per_sequence: Duration,
-    /// Most attempts in the batch.
+    /// Largest batch, in attempts.
     pub max_batch: u32,
-    /// Tokens of KV moved a second by export and import; zero when there is no such transfer.
+    /// Tokens of KV cache that an export or import moves per second; zero when the engine supports
+    /// neither.
     pub transfer_per_second: f64,
-    /// Tokens of KV that fit into the host's memory; zero when it keeps none.
+    /// Tokens of KV cache that fit into the host's memory; zero when the host keeps none.
     pub host_tokens: Tokens,
 }
 
-/// An engine that may be used from now on. Sent again, it replaces what was known.
+/// Describes an engine that may be used. A later description replaces the earlier one.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EngineDescription {
     /// The engine.
     pub engine: EngineId,
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: Incarnation,
-    /// Where it stands.
+    /// Its zone.
     pub zone: Zone,
-    /// Time to it, one way.
+    /// One-way network delay to the engine.
     pub one_way_delay: Duration,
     /// Models that it serves.
     pub models: Vec<ModelId>,
-    /// What it can do.
+    /// Its speeds and sizes.
     pub capacity: EngineCapacity,
 }
 
-/// An engine's load, as it was some time ago.
+/// A load report of an engine. It may arrive late.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineReport {
     /// The engine.
     pub engine: EngineId,
-    /// The life that reports. A newer one than known means an empty engine.
+    /// The reporting incarnation. A newer one than known means that the engine restarted empty.
     pub incarnation: Incarnation,
-    /// When the load was taken.
+    /// When the load was measured.
     pub reported_at: Timestamp,
     /// Attempts in the batch.
     pub running: u32,
-    /// Attempts waiting.
+    /// Attempts in the engine's queue.
     pub waiting: u32,
     /// Tokens still to be prefilled.
     pub prefill_backlog: Tokens,
-    /// KV in use.
+    /// Tokens of KV cache in use.
     pub resident: Tokens,
-    /// The part of it that running attempts use.
+    /// The part of `resident` that running attempts use.
     pub pinned: Tokens,
-    /// Models that are loaded now.
+    /// Loaded models.
     pub models: Vec<ModelId>,
-    /// The engine says that it takes no new work.
+    /// Whether the engine takes no new work.
     pub draining: bool,
 }
 
@@ -81,22 +82,22 @@
 pub struct ReadyCall {
     /// The call.
     pub call: CallId,
-    /// Number that its next attempt has, from 1.
+    /// Number of its next attempt, from 1.
     pub attempt: u32,
-    /// What must serve it.
+    /// The model that must serve it.
     pub model: ModelId,
-    /// Whose program it is.
+    /// The tenant that owns the program.
     pub tenant: TenantId,
-    /// The whole prompt, oldest first.
+    /// The whole prompt, oldest segment first.
     pub history: Vec<HistorySegment>,
     /// Most tokens that may be generated.
     pub max_generated: Tokens,
-    /// Service that the program's longest path of calls got so far, as recorded with the program.
-    /// The scheduler takes the larger of this and its own record.
+    /// Service that the program's longest path of calls attained so far, as recorded with the
+    /// program. The scheduler uses the larger of this and its own record.
     pub attained_service: Duration,
-    /// How many sub-agents deep the chain is; 0 for the main chain.
+    /// Nesting depth of the chain in sub-agents; 0 for the main chain.
     pub depth: u32,
-    /// Weight of the program; 100 is ordinary, a larger one is served earlier.
+    /// Weight of the program. The default is 100; programs with a larger weight are served earlier.
     pub weight: u32,
 }
 
@@ -107,9 +108,9 @@
     Recalled,
     /// The engine refused it as overloaded.
     Overloaded,
-    /// The engine refused it for another reason (draining, model gone, other life).
+    /// The engine refused it for another reason: it drains, no longer has the model, or restarted.
     Refused,
-    /// The engine died or cannot be reached.
+    /// The engine failed or cannot be reached.
     EngineLost,
 }
 
@@ -118,33 +119,35 @@
 pub struct FailedAttempt {
     /// The attempt.
     pub attempt: AttemptId,
-    /// Why.
+    /// Why it failed.
     pub failure: AttemptFailure,
-    /// Whether the call may be tried again; false for a call at most once that may have run.
+    /// Whether the call may be retried; false for an at-most-once call that may have run.
     pub retryable: bool,
 }
 
-/// A chain waits for something other than an engine.
+/// A pause of a chain: it waits for something other than an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChainPause {
     /// The program.
     pub program: ProgramId,
     /// The chain.
     pub chain: ChainId,
-    /// The tool it waits for, when that is known.
+    /// The tool that it waits for, if known.
     pub tool: Option<String>,
-    /// Tokens of the chain's history now.
+    /// Length of the chain's history in tokens.
     pub context: Tokens,
 }
 
-/// A change of what an engine has cached for a program; may come late or never.
+/// A cache event: the cache that an engine has for a program changed. It may arrive late or be
+/// lost.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheNotice {
     /// The engine.
     pub engine: EngineId,
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: Incarnation,
-    /// Counts up by one for each event of that life that this scheduler is sent.
+    /// Sequence number among the events that this incarnation sends to this scheduler, without
+    /// gaps.
     pub sequence: u64,
     /// The program.
     pub program: ProgramId,
@@ -152,31 +155,32 @@
     pub resident: Tokens,
 }
 
-/// Everything that an engine has cached for programs.
+/// The cache that an engine has for all programs.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineInventory {
     /// The engine.
     pub engine: EngineId,
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: Incarnation,
-    /// Sequence number of the last cache event it includes.
+    /// Sequence number of the last cache event that it includes.
     pub sequence: u64,
-    /// Programs and their tokens.
+    /// Programs with their cached tokens.
     pub programs: Vec<(ProgramId, Tokens)>,
 }
 
-/// Something a scheduler has to know.
+/// An event that a scheduler handles.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Event {
-    /// An engine may be used.
+    /// An engine joined or its description changed.
     EngineJoined(EngineDescription),
-    /// An engine's load.
+    /// A load report of an engine arrived.
     EngineReport(EngineReport),
-    /// An engine leaves: no new work; work that waits there is recalled.
+    /// An engine drains: it takes no new work, and attempts that wait there are recalled.
     EngineLeaving(EngineId),
-    /// An engine is gone; its cache with it. Its open attempts are reported as failed one by one.
+    /// An engine is gone, and its cache with it. The driver reports its open attempts as failed one
+    /// by one.
     EngineGone(EngineId),
-    /// A call wants an engine.
+    /// A call is ready to be dispatched.
     CallReady(ReadyCall),
     /// The first token of an attempt arrived.
     FirstToken(AttemptId),
@@ -187,23 +191,23 @@
         /// Tokens used.
         usage: Usage,
     },
-    /// An attempt ended without one.
+    /// An attempt ended without an answer.
     Failed(FailedAttempt),
-    /// An attempt never left: its intent was refused.
+    /// An attempt was not sent because its intent could not be recorded.
     AttemptWithdrawn(AttemptId),
-    /// A call that waits for an engine is no longer wanted.
+    /// A waiting call is no longer needed.
     CallWithdrawn(CallId),
-    /// A chain waits for a tool, a sub-agent or a person.
+    /// A chain began to wait for a tool, a sub-agent or a person.
     PauseBegan(ChainPause),
-    /// A chain's cache was exported as [`crate::Action::Offload`] asked.
+    /// An export for [`crate::Action::Offload`] ended.
     Offloaded {
         /// The program.
         program: ProgramId,
         /// The chain.
         chain: ChainId,
-        /// The engine on whose host the copy lies.
+        /// The engine whose host has the copy.
         engine: EngineId,
-        /// Tokens in it; zero when nothing could be exported.
+        /// Tokens in the copy; zero when nothing could be exported.
         tokens: Tokens,
     },
     /// A sub-agent's chain issues no more calls.
@@ -213,22 +217,22 @@
         /// The chain.
         chain: ChainId,
     },
-    /// The program ended: closed or expired.
+    /// A program ended: it was closed or expired.
     ProgramClosed(ProgramId),
-    /// Another scheduler owns the program now. Its calls and attempts are forgotten here, and what
-    /// engines hold for it is the other's to release.
+    /// Another scheduler owns the program now and releases its cache. This scheduler drops the
+    /// program's calls and attempts.
     ProgramWithdrawn(ProgramId),
-    /// A cache event.
+    /// A cache event arrived.
     Cache(CacheNotice),
-    /// An answer to [`crate::Action::FetchInventory`], or one sent unasked.
+    /// An inventory arrived, requested by [`crate::Action::FetchInventory`] or unsolicited.
     Inventory(EngineInventory),
-    /// An engine confirmed that it holds nothing of an ended program.
+    /// An engine confirmed that it has no cache of an ended program.
     Released {
         /// The program.
         program: ProgramId,
         /// The engine.
         engine: EngineId,
     },
-    /// Time has passed. Wanted a few times a second.
+    /// Time has passed. The driver sends it a few times per second.
     Tick,
 }
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,13 +1,14 @@
 //! Placement of calls on engines: routing, admission, priorities and cache retention.
 //!
-//! A scheduler is a deterministic state machine without I/O: events and moments go in, actions
-//! come out. The daemon and the experiments drive the same code.
+//! A scheduler is a deterministic state machine without I/O: it takes events with their times and
+//! returns actions. The daemon and the experiments drive the same code.
 
 mod action;
 mod admission;
 mod call;
-mod circuit;
+mod circuit_breaker;
 mod cost;
+mod engine_table;
 mod event;
 mod policy;
 mod priority;
@@ -19,7 +20,6 @@
 mod settings;
 mod shared_prefix;
 mod stats;
-mod view;
 
 pub use action::{Action, CacheTier, CopySource, RefusalReason, ReleaseReason};
 pub use admission::OpenCallLimits;
--- a/crates/placement/src/policy.rs
+++ b/crates/placement/src/policy.rs
@@ -12,51 +12,52 @@
 use self::program_aware::ProgramAware;
 use self::round_robin::RoundRobin;
 use self::sticky::StickyFcfs;
-use crate::cost::Demand;
-use crate::programs::CachedOn;
-use crate::view::{EngineSlot, EngineTable};
+use crate::cost::TokenDemand;
+use crate::engine_table::{EngineSlot, EngineTable};
+use crate::programs::CacheLocation;
 use crate::{CacheTier, CostSettings, PolicyKind};
 
-/// KV that can be copied.
+/// KV cache that can be copied to an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Source {
+pub(crate) struct KvSource {
     pub slot: EngineSlot,
     pub tier: CacheTier,
     pub tokens: u64,
 }
 
-/// A call that wants an engine, as a policy sees it.
+/// What a policy knows of a call that needs an engine.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Request<'a> {
+pub(crate) struct PlacementRequest<'a> {
     pub model: &'a ModelId,
-    pub demand: Demand,
-    /// Engines that have part of the prompt.
-    pub cached: &'a [CachedOn],
+    pub demand: TokenDemand,
+    /// Engines that have part of the prompt cached.
+    pub cached: &'a [CacheLocation],
     /// A copy of the prompt's start in a host's memory.
-    pub offloaded: Option<CachedOn>,
+    pub offloaded: Option<CacheLocation>,
     /// The engine that served the program last.
     pub last_engine: Option<EngineSlot>,
-    /// Whether it is its program's first call.
-    pub first: bool,
+    /// Whether it is queued as its program's first call.
+    pub is_first: bool,
 }
 
-/// What a policy chose.
+/// A policy's decision for a call.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum Placement {
-    /// This engine, perhaps after copying the cache from another.
-    Engine { slot: EngineSlot, copy_from: Option<Source> },
-    /// All engines are too busy: the call waits here.
+    /// Dispatch to this engine, possibly after copying cache to it.
+    Engine { slot: EngineSlot, copy_from: Option<KvSource> },
+    /// Keep the call in the scheduler's queue: all engines are too busy.
     Wait,
-    /// No engine may be used.
+    /// No usable engine serves the model.
     NoEngine,
 }
 
-/// Chooses engines. `examined` counts the engines looked at, as a measure of the work.
+/// Chooses engines for calls.
 pub(crate) trait Policy: std::fmt::Debug + Send {
-    /// Chooses an engine for a call.
+    /// Chooses an engine for a call. Adds the number of engines examined to `examined`, which
+    /// measures the work of a decision.
     fn place(
         &mut self,
-        request: &Request<'_>,
+        request: &PlacementRequest<'_>,
         engines: &EngineTable,
         random: &mut ChaCha8Rng,
         now: Timestamp,
@@ -64,8 +65,8 @@
     ) -> Placement;
 }
 
-/// Makes the policy of a kind.
-pub(crate) fn make(kind: PolicyKind, cost: &CostSettings) -> Box<dyn Policy> {
+/// Builds the policy of a kind.
+pub(crate) fn build_policy(kind: PolicyKind, cost: &CostSettings) -> Box<dyn Policy> {
     match kind {
         PolicyKind::RoundRobin => Box::new(RoundRobin::default()),
         PolicyKind::LeastLoaded => Box::new(LeastLoaded),
--- a/crates/placement/src/policy/least_loaded.rs
+++ b/crates/placement/src/policy/least_loaded.rs
@@ -1,20 +1,21 @@
-//! The engine with the fewest attempts.
+//! Chooses the engine with the fewest attempts.
 
 use dahlia_types::Timestamp;
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 
-use super::{Placement, Policy, Request};
-use crate::view::{EngineSlot, EngineTable};
+use super::{Placement, PlacementRequest, Policy};
+use crate::engine_table::{EngineSlot, EngineTable};
 
-/// Compares all engines by attempts reported and dispatched since; ties are broken at random.
+/// Compares all engines by the attempts that they reported and those dispatched since. Ties are
+/// broken at random.
 #[derive(Debug, Default)]
 pub(super) struct LeastLoaded;
 
 impl Policy for LeastLoaded {
     fn place(
         &mut self,
-        request: &Request<'_>,
+        request: &PlacementRequest<'_>,
         engines: &EngineTable,
         random: &mut ChaCha8Rng,
         now: Timestamp,
@@ -29,7 +30,7 @@
 
 /// The engine of the request's model with the fewest attempts.
 pub(super) fn least_loaded(
-    request: &Request<'_>,
+    request: &PlacementRequest<'_>,
     engines: &EngineTable,
     random: &mut ChaCha8Rng,
     now: Timestamp,
--- a/crates/placement/src/policy/round_robin.rs
+++ b/crates/placement/src/policy/round_robin.rs
@@ -1,4 +1,4 @@
-//! Engines in turn.
+//! Uses engines in turn.
 
 use std::collections::BTreeMap;
 
@@ -6,10 +6,10 @@
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 
-use super::{Placement, Policy, Request};
-use crate::view::EngineTable;
+use super::{Placement, PlacementRequest, Policy};
+use crate::engine_table::EngineTable;
 
-/// Goes round the engines of each model, from a random start.
+/// Cycles through the engines of each model from a random start.
 #[derive(Debug, Default)]
 pub(super) struct RoundRobin {
     next: BTreeMap<ModelId, usize>,
@@ -18,7 +18,7 @@
 impl Policy for RoundRobin {
     fn place(
         &mut self,
-        request: &Request<'_>,
+        request: &PlacementRequest<'_>,
         engines: &EngineTable,
         random: &mut ChaCha8Rng,
         now: Timestamp,
--- a/crates/placement/src/policy/sticky.rs
+++ b/crates/placement/src/policy/sticky.rs
@@ -1,21 +1,20 @@
-//! A program stays with its first engine; first come, first served.
+//! Session affinity: a program stays with its engine; calls are served first come, first served.
 
 use dahlia_types::Timestamp;
 use rand_chacha::ChaCha8Rng;
 
 use super::least_loaded::least_loaded;
-use super::{Placement, Policy, Request};
-use crate::view::EngineTable;
+use super::{Placement, PlacementRequest, Policy};
+use crate::engine_table::EngineTable;
 
-/// Session affinity: the engine that served the program last, while it may be used; else the
-/// least loaded one.
+/// Chooses the engine that served the program last while it is usable, else the least loaded one.
 #[derive(Debug, Default)]
 pub(super) struct StickyFcfs;
 
 impl Policy for StickyFcfs {
     fn place(
         &mut self,
-        request: &Request<'_>,
+        request: &PlacementRequest<'_>,
         engines: &EngineTable,
         random: &mut ChaCha8Rng,
         now: Timestamp,
@@ -23,7 +22,7 @@
     ) -> Placement {
         if let Some(slot) = request.last_engine {
             *examined += 1;
-            if engines.usable(slot, request.model, now) {
+            if engines.is_usable(slot, request.model, now) {
                 return Placement::Engine { slot, copy_from: None };
             }
         }
--- a/crates/placement/src/priority.rs
+++ b/crates/placement/src/priority.rs
@@ -1,38 +1,38 @@
-//! Order among calls: least attained service of the program first, with aging.
+//! Order of calls: least attained service of the program first, with aging.
 //!
-//! A call's priority is a moment: when it became ready, set back by the service that its program
-//! has had (program-level least attained service, Autellix 2025). Since time passes for everyone,
-//! a waiting call overtakes later ones by itself, also in an engine's queue that never looks at
-//! it again: nothing that becomes ready more than the largest set-back later can pass it.
+//! A call's priority is a time: when it became ready, plus a setback that grows with the service
+//! that its program attained (program-level least attained service, Autellix 2025). It never
+//! changes, so it also holds in an engine's queue that never evaluates it again. A call that
+//! becomes ready later than a waiting one by more than the largest setback cannot overtake it.
 
 use dahlia_types::{Duration, Timestamp};
 
 use crate::PrioritySettings;
 
-/// Weight of an ordinary program.
-pub(crate) const ORDINARY_WEIGHT: u32 = 100;
+/// Weight of a program without special urgency.
+pub(crate) const DEFAULT_PROGRAM_WEIGHT: u32 = 100;
 
-/// What a call's priority depends on.
+/// The values from which a call's priority is computed.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Claim {
-    /// When it became ready.
-    pub ready: Timestamp,
-    /// Service that its program has had.
-    pub attained: Duration,
-    /// Prefill that it needs on the engine with most of its prompt, in seconds.
-    pub uncached: f64,
+pub(crate) struct PriorityInputs {
+    /// When the call became ready.
+    pub ready_at: Timestamp,
+    /// Service that its program attained.
+    pub attained_service: Duration,
+    /// Prefill that it needs on the engine with most of its prompt cached.
+    pub uncached_seconds: f64,
     /// The program's weight.
     pub weight: u32,
 }
 
-/// The priority of a call, in microseconds.
+/// Computes the priority of a call, in microseconds. Lower values are served first.
 ///
-/// Short prefills go first (shortest job first): they are quick, and what they have cached would
-/// be lost while they wait.
-pub(crate) fn priority(settings: &PrioritySettings, claim: Claim) -> u64 {
-    let weighted = f64::from(ORDINARY_WEIGHT) / f64::from(claim.weight.max(1));
-    let attained = claim.attained.as_secs_f64() * settings.attained_factor * weighted;
-    let uncached = claim.uncached * settings.uncached_factor;
+/// Calls with short prefills go first (shortest job first): they finish soon, and their cache could
+/// be evicted while they wait.
+pub(crate) fn priority(settings: &PrioritySettings, inputs: PriorityInputs) -> u64 {
+    let weighted = f64::from(DEFAULT_PROGRAM_WEIGHT) / f64::from(inputs.weight.max(1));
+    let attained = inputs.attained_service.as_secs_f64() * settings.attained_factor * weighted;
+    let uncached = inputs.uncached_seconds * settings.uncached_factor;
     let setback = Duration::from_secs_f64(attained + uncached).min(settings.most_setback);
-    (claim.ready + setback).0
+    (inputs.ready_at + setback).0
 }
--- a/crates/placement/src/programs.rs
+++ b/crates/placement/src/programs.rs
@@ -1,64 +1,69 @@
-//! What is known of each program: where its cache is, what service it had, what it waits for.
+//! The scheduler's records of programs: where their cache is, the service that they attained, and
+//! their paused chains.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use dahlia_types::{CallId, ChainId, Duration, ProgramId, TenantId, Timestamp};
 
 use crate::call::Call;
-use crate::view::EngineSlot;
+use crate::engine_table::EngineSlot;
 
-/// Prefixes remembered per program; the oldest goes first.
-const MOST_PREFIXES: usize = 12;
+/// Most prefixes recorded per program. The oldest is dropped first.
+const MAX_PREFIXES: usize = 12;
 
 /// A prefix that an engine computed for the program.
 #[derive(Debug, Clone, Copy)]
 struct CachedPrefix {
     slot: EngineSlot,
     chain: ChainId,
-    /// Hash and number of segments of the prompt.
+    /// Hash of the prompt.
     hash: u64,
+    /// Number of segments of the prompt.
     segments: usize,
-    /// Tokens of the prompt, and of the answer that follows it.
+    /// Tokens of the prompt.
     prompt: u64,
+    /// Tokens of the answer that follows it.
     answer: u64,
 }
 
-/// A chain that waits for something other than an engine.
+/// A chain that is paused, for example by a tool call.
 #[derive(Debug, Clone)]
-pub(crate) struct Paused {
+pub(crate) struct PausedChain {
     pub tool: Option<String>,
-    pub since: Timestamp,
-    /// The engine with the chain's cache, and how long it is worth keeping.
-    pub home: Option<EngineSlot>,
+    pub paused_at: Timestamp,
+    /// The engine with the chain's cache.
+    pub engine: Option<EngineSlot>,
+    /// Until when the cache is worth keeping there.
     pub keep_until: Timestamp,
 }
 
-/// What an engine has of the program.
+/// A program's attempts and cache on one engine.
 #[derive(Debug, Clone, Copy, Default)]
-struct Presence {
-    /// Attempts under way.
-    open: usize,
-    /// Tokens cached as the engine told last; none while it told nothing.
-    told: Option<u64>,
+struct ProgramOnEngine {
+    /// Attempts that have not ended.
+    open_attempts: usize,
+    /// Cached tokens by the engine's last report; none before the first.
+    reported_tokens: Option<u64>,
 }
 
-/// Expected cached tokens of a prompt on one engine.
+/// An engine with the tokens of a prompt that it is expected to have cached.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct CachedOn {
+pub(crate) struct CacheLocation {
     pub slot: EngineSlot,
     pub tokens: u64,
 }
 
-/// One program.
+/// The record of one program.
 #[derive(Debug)]
 pub(crate) struct Program {
     pub tenant: TenantId,
     prefixes: Vec<CachedPrefix>,
-    engines: BTreeMap<EngineSlot, Presence>,
-    service: BTreeMap<ChainId, Duration>,
-    paused: BTreeMap<ChainId, Paused>,
-    /// Copies in hosts' memories.
-    offloaded: BTreeMap<ChainId, CachedOn>,
+    engines: BTreeMap<EngineSlot, ProgramOnEngine>,
+    /// Service that each chain attained.
+    chain_service: BTreeMap<ChainId, Duration>,
+    paused: BTreeMap<ChainId, PausedChain>,
+    /// Copies of chains' cache in the memory of engines' hosts.
+    offloaded: BTreeMap<ChainId, CacheLocation>,
 }
 
 impl Program {
@@ -67,42 +72,43 @@
             tenant,
             prefixes: Vec::new(),
             engines: BTreeMap::new(),
-            service: BTreeMap::new(),
+            chain_service: BTreeMap::new(),
             paused: BTreeMap::new(),
             offloaded: BTreeMap::new(),
         }
     }
 
-    /// Service along the longest chain: the part that bounds the program's latency.
-    pub(crate) fn attained(&self) -> Duration {
-        self.service.values().max().copied().unwrap_or_default()
+    /// Service attained by the chain with the most: it bounds the program's latency.
+    pub(crate) fn attained_service(&self) -> Duration {
+        self.chain_service.values().max().copied().unwrap_or_default()
     }
 
     pub(crate) fn add_service(&mut self, chain: ChainId, service: Duration) {
-        let known = self.service.entry(chain).or_default();
+        let known = self.chain_service.entry(chain).or_default();
         *known = Duration::from_micros(known.as_micros().saturating_add(service.as_micros()));
     }
 
-    /// Takes over what another scheduler recorded for the program.
+    /// Raises a chain's service to what another scheduler recorded for the program.
     pub(crate) fn raise_service(&mut self, chain: ChainId, attained: Duration) {
-        let known = self.service.entry(chain).or_default();
+        let known = self.chain_service.entry(chain).or_default();
         *known = (*known).max(attained);
     }
 
-    /// Engines that have part of the call's prompt cached, as far as is known.
-    pub(crate) fn cached_for(&self, call: &Call) -> Vec<CachedOn> {
-        let mut found: Vec<CachedOn> = Vec::new();
+    /// The engines that are expected to have part of the call's prompt cached.
+    pub(crate) fn cached_for(&self, call: &Call) -> Vec<CacheLocation> {
+        let mut found: Vec<CacheLocation> = Vec::new();
         for prefix in &self.prefixes {
-            let place = prefix.segments.wrapping_sub(1);
-            if call.prefixes.get(place) != Some(&prefix.hash) {
+            let index = prefix.segments.wrapping_sub(1);
+            if call.prefix_hashes.get(index) != Some(&prefix.hash) {
                 continue;
             }
-            let told = self.engines.get(&prefix.slot).and_then(|presence| presence.told);
+            let reported =
+                self.engines.get(&prefix.slot).and_then(|on_engine| on_engine.reported_tokens);
             let expected = (prefix.prompt + prefix.answer).min(call.prompt_tokens());
-            let tokens = expected.min(told.unwrap_or(u64::MAX));
+            let tokens = expected.min(reported.unwrap_or(u64::MAX));
             match found.iter_mut().find(|cached| cached.slot == prefix.slot) {
                 Some(cached) => cached.tokens = cached.tokens.max(tokens),
-                None => found.push(CachedOn { slot: prefix.slot, tokens }),
+                None => found.push(CacheLocation { slot: prefix.slot, tokens }),
             }
         }
         found.retain(|cached| cached.tokens > 0);
@@ -110,7 +116,7 @@
     }
 
     /// The engine that served the chain last.
-    pub(crate) fn home(&self, chain: ChainId) -> Option<EngineSlot> {
+    pub(crate) fn chain_engine(&self, chain: ChainId) -> Option<EngineSlot> {
         let last = self.prefixes.iter().rev().find(|prefix| prefix.chain == chain);
         last.map(|prefix| prefix.slot)
     }
@@ -120,121 +126,125 @@
         self.prefixes.last().map(|prefix| prefix.slot)
     }
 
-    /// Notes a dispatch: the obligation to release begins here.
-    pub(crate) fn dispatched(&mut self, slot: EngineSlot) {
-        self.engines.entry(slot).or_default().open += 1;
+    /// Records a dispatch. From now on the engine may hold cache that must be released.
+    pub(crate) fn record_dispatch(&mut self, slot: EngineSlot) {
+        self.engines.entry(slot).or_default().open_attempts += 1;
     }
 
-    /// Notes the end of an attempt.
-    pub(crate) fn ended(&mut self, slot: EngineSlot) {
-        if let Some(presence) = self.engines.get_mut(&slot) {
-            presence.open = presence.open.saturating_sub(1);
+    /// Records the end of an attempt.
+    pub(crate) fn record_end(&mut self, slot: EngineSlot) {
+        if let Some(on_engine) = self.engines.get_mut(&slot) {
+            on_engine.open_attempts = on_engine.open_attempts.saturating_sub(1);
         }
     }
 
-    /// Notes that an engine computed a call's prompt and answer.
-    pub(crate) fn computed(&mut self, slot: EngineSlot, call: &Call, answer: u64) {
+    /// Records that an engine computed a call's prompt and answer.
+    pub(crate) fn record_prefix(&mut self, slot: EngineSlot, call: &Call, answer: u64) {
         let chain = call.id().chain;
         self.prefixes.retain(|prefix| prefix.slot != slot || prefix.chain != chain);
-        if self.prefixes.len() >= MOST_PREFIXES {
+        if self.prefixes.len() >= MAX_PREFIXES {
             self.prefixes.remove(0);
         }
         let prompt = call.prompt_tokens();
-        let hash = call.prefixes.last().copied().unwrap_or_default();
-        let segments = call.prefixes.len();
+        let hash = call.prefix_hashes.last().copied().unwrap_or_default();
+        let segments = call.prefix_hashes.len();
         self.prefixes.push(CachedPrefix { slot, chain, hash, segments, prompt, answer });
-        if let Some(told) = self.engines.entry(slot).or_default().told.as_mut() {
-            *told = (*told).max(prompt + answer);
+        if let Some(reported) = self.engines.entry(slot).or_default().reported_tokens.as_mut() {
+            *reported = (*reported).max(prompt + answer);
         }
     }
 
-    /// Takes in what an engine told of the program's cache there.
-    pub(crate) fn told(&mut self, slot: EngineSlot, tokens: u64) {
-        self.engines.entry(slot).or_default().told = Some(tokens);
+    /// Records the cached tokens that an engine reported for the program.
+    pub(crate) fn set_reported_tokens(&mut self, slot: EngineSlot, tokens: u64) {
+        self.engines.entry(slot).or_default().reported_tokens = Some(tokens);
     }
 
-    /// Forgets the cache on an engine.
+    /// Records that an engine has none of the program's cache.
     pub(crate) fn forget_cache(&mut self, slot: EngineSlot) {
         self.prefixes.retain(|prefix| prefix.slot != slot);
-        if let Some(presence) = self.engines.get_mut(&slot) {
-            presence.told = Some(0);
+        if let Some(on_engine) = self.engines.get_mut(&slot) {
+            on_engine.reported_tokens = Some(0);
         }
     }
 
-    /// Whether attempts are under way on the engine.
-    pub(crate) fn is_open_on(&self, slot: EngineSlot) -> bool {
-        self.engines.get(&slot).is_some_and(|presence| presence.open > 0)
+    /// Whether the program has open attempts on the engine.
+    pub(crate) fn has_open_attempts_on(&self, slot: EngineSlot) -> bool {
+        self.engines.get(&slot).is_some_and(|on_engine| on_engine.open_attempts > 0)
     }
 
-    /// Engines that may hold something of the program.
+    /// The engines that may hold cache of the program.
     pub(crate) fn engines(&self) -> impl Iterator<Item = EngineSlot> + '_ {
         self.engines.keys().copied()
     }
 
-    /// Engines with cache that no attempt, no paused chain and no chain's last call points to.
-    pub(crate) fn superseded(&self, chain: ChainId, current: EngineSlot) -> Vec<EngineSlot> {
-        let of_others: BTreeSet<EngineSlot> = self
+    /// The engines, besides `current`, whose cache neither an open attempt nor another chain uses.
+    pub(crate) fn superseded_engines(
+        &self,
+        chain: ChainId,
+        current: EngineSlot,
+    ) -> Vec<EngineSlot> {
+        let of_other_chains: BTreeSet<EngineSlot> = self
             .prefixes
             .iter()
             .filter(|prefix| prefix.chain != chain)
             .map(|prefix| prefix.slot)
             .collect();
-        let old = self.engines.iter().filter(|(slot, presence)| {
+        let unused = self.engines.iter().filter(|(slot, on_engine)| {
             **slot != current
-                && presence.open == 0
-                && presence.told != Some(0)
-                && !of_others.contains(slot)
+                && on_engine.open_attempts == 0
+                && on_engine.reported_tokens != Some(0)
+                && !of_other_chains.contains(slot)
         });
-        old.map(|(slot, _)| *slot).collect()
+        unused.map(|(slot, _)| *slot).collect()
     }
 
     /// The chain's copy in a host's memory.
-    pub(crate) fn offloaded(&self, chain: ChainId) -> Option<CachedOn> {
+    pub(crate) fn offloaded(&self, chain: ChainId) -> Option<CacheLocation> {
         self.offloaded.get(&chain).copied()
     }
 
-    /// Notes a copy in a host's memory.
-    pub(crate) fn set_offloaded(&mut self, chain: ChainId, copy: CachedOn) {
+    /// Records a copy of the chain's cache in a host's memory.
+    pub(crate) fn set_offloaded(&mut self, chain: ChainId, copy: CacheLocation) {
         self.offloaded.insert(chain, copy);
     }
 
-    /// Forgets the chain's copy in a host's memory.
+    /// Removes the record of the chain's copy in a host's memory.
     pub(crate) fn forget_offloaded(&mut self, chain: ChainId) {
         self.offloaded.remove(&chain);
     }
 
-    /// What a paused chain waits for, if it is the pause that began at `since`.
-    pub(crate) fn paused_since(&self, chain: ChainId, since: Timestamp) -> Option<&Paused> {
-        self.paused.get(&chain).filter(|paused| paused.since == since)
+    /// The chain's pause, if it is the one that began at `paused_at`.
+    pub(crate) fn find_pause(&self, chain: ChainId, paused_at: Timestamp) -> Option<&PausedChain> {
+        self.paused.get(&chain).filter(|paused| paused.paused_at == paused_at)
     }
 
-    /// The paused chain's entry.
-    pub(crate) fn paused_mut(&mut self, chain: ChainId) -> Option<&mut Paused> {
+    /// The chain's pause, if it is paused.
+    pub(crate) fn paused_mut(&mut self, chain: ChainId) -> Option<&mut PausedChain> {
         self.paused.get_mut(&chain)
     }
 
-    /// Notes that a chain waits.
-    pub(crate) fn pause(&mut self, chain: ChainId, paused: Paused) {
+    /// Records a chain's pause.
+    pub(crate) fn pause(&mut self, chain: ChainId, paused: PausedChain) {
         self.paused.insert(chain, paused);
     }
 
-    /// Notes that a chain is back; gives what it waited for.
-    pub(crate) fn resume(&mut self, chain: ChainId) -> Option<Paused> {
+    /// Ends a chain's pause and returns it.
+    pub(crate) fn resume(&mut self, chain: ChainId) -> Option<PausedChain> {
         self.paused.remove(&chain)
     }
 
-    /// The chains that wait.
-    pub(crate) fn paused(&self) -> impl Iterator<Item = &Paused> {
+    /// The paused chains.
+    pub(crate) fn paused(&self) -> impl Iterator<Item = &PausedChain> {
         self.paused.values()
     }
 
-    /// Until when the paused chains want their cache on the engine.
+    /// The latest time until which a paused chain's cache is worth keeping on the engine.
     pub(crate) fn keep_until(&self, slot: EngineSlot) -> Option<Timestamp> {
-        let wanted = self.paused.values().filter(|paused| paused.home == Some(slot));
-        wanted.map(|paused| paused.keep_until).max()
+        let paused = self.paused.values().filter(|paused| paused.engine == Some(slot));
+        paused.map(|paused| paused.keep_until).max()
     }
 
-    /// Forgets a chain that issues no more calls.
+    /// Removes the records of a chain that issues no more calls.
     pub(crate) fn end_chain(&mut self, chain: ChainId) {
         self.prefixes.retain(|prefix| prefix.chain != chain);
         self.paused.remove(&chain);
@@ -242,13 +252,13 @@
     }
 }
 
-/// The programs of this scheduler.
+/// The records of a scheduler's programs.
 #[derive(Debug, Default)]
 pub(crate) struct Programs {
     live: BTreeMap<ProgramId, Program>,
-    /// Ended programs and the engines that have not confirmed their release, with the time of
-    /// the last request.
-    releasing: BTreeMap<ProgramId, BTreeMap<EngineSlot, Timestamp>>,
+    /// Ended programs, with the engines that have not confirmed the release and the time of the
+    /// last request to each.
+    unconfirmed_releases: BTreeMap<ProgramId, BTreeMap<EngineSlot, Timestamp>>,
 }
 
 impl Programs {
@@ -260,8 +270,8 @@
         self.live.get_mut(&program)
     }
 
-    /// The program of a call, as new when it is not known.
-    pub(crate) fn of_call(&mut self, call: CallId, tenant: &TenantId) -> &mut Program {
+    /// The record of a call's program; a new one for an unknown program.
+    pub(crate) fn get_or_insert(&mut self, call: CallId, tenant: &TenantId) -> &mut Program {
         self.live.entry(call.program).or_insert_with(|| Program::new(tenant.clone()))
     }
 
@@ -273,46 +283,54 @@
         self.live.len()
     }
 
-    /// Releases that no engine has confirmed yet.
-    pub(crate) fn unconfirmed(&self) -> usize {
-        self.releasing.values().map(BTreeMap::len).sum()
+    /// Number of releases that engines have not confirmed.
+    pub(crate) fn unconfirmed_release_count(&self) -> usize {
+        self.unconfirmed_releases.values().map(BTreeMap::len).sum()
     }
 
-    /// Whether the program has ended and an engine may still hold it.
+    /// Whether the program has ended and the engine has not confirmed its release.
     pub(crate) fn is_releasing(&self, program: ProgramId, slot: EngineSlot) -> bool {
-        self.releasing.get(&program).is_some_and(|engines| engines.contains_key(&slot))
+        self.unconfirmed_releases.get(&program).is_some_and(|engines| engines.contains_key(&slot))
     }
 
-    /// Notes that an engine was asked to release an ended program.
-    pub(crate) fn release_asked(&mut self, program: ProgramId, slot: EngineSlot, at: Timestamp) {
-        self.releasing.entry(program).or_default().insert(slot, at);
+    /// Records a request to an engine to release an ended program.
+    pub(crate) fn record_release_request(
+        &mut self,
+        program: ProgramId,
+        slot: EngineSlot,
+        at: Timestamp,
+    ) {
+        self.unconfirmed_releases.entry(program).or_default().insert(slot, at);
     }
 
-    /// Notes that an engine holds nothing of an ended program.
-    pub(crate) fn release_confirmed(&mut self, program: ProgramId, slot: EngineSlot) {
-        let Some(engines) = self.releasing.get_mut(&program) else { return };
+    /// Records that an engine confirmed the release of an ended program.
+    pub(crate) fn confirm_release(&mut self, program: ProgramId, slot: EngineSlot) {
+        let Some(engines) = self.unconfirmed_releases.get_mut(&program) else { return };
         engines.remove(&slot);
         if engines.is_empty() {
-            self.releasing.remove(&program);
+            self.unconfirmed_releases.remove(&program);
         }
     }
 
-    /// Releases that were asked for before `since` and are not confirmed.
-    pub(crate) fn overdue(&self, since: Timestamp) -> Vec<(ProgramId, EngineSlot)> {
-        let pending = self.releasing.iter().flat_map(|(program, engines)| {
-            engines.iter().map(move |(slot, asked)| (*program, *slot, *asked))
+    /// The unconfirmed releases whose last request was at `limit` or before.
+    pub(crate) fn releases_requested_until(
+        &self,
+        limit: Timestamp,
+    ) -> Vec<(ProgramId, EngineSlot)> {
+        let pending = self.unconfirmed_releases.iter().flat_map(|(program, engines)| {
+            engines.iter().map(move |(slot, requested_at)| (*program, *slot, *requested_at))
         });
-        let late = pending.filter(|(_, _, asked)| *asked <= since);
-        late.map(|(program, slot, _)| (program, slot)).collect()
+        let overdue = pending.filter(|(_, _, requested_at)| *requested_at <= limit);
+        overdue.map(|(program, slot, _)| (program, slot)).collect()
     }
 
-    /// An engine's cache is gone: nothing of any program is there.
-    pub(crate) fn forget_engine(&mut self, slot: EngineSlot) {
+    /// Records that an engine lost its whole cache. Releases there are no longer needed.
+    pub(crate) fn clear_engine_cache(&mut self, slot: EngineSlot) {
         for program in self.live.values_mut() {
             program.forget_cache(slot);
             program.offloaded.retain(|_, copy| copy.slot != slot);
         }
-        self.releasing.retain(|_, engines| {
+        self.unconfirmed_releases.retain(|_, engines| {
             engines.remove(&slot);
             !engines.is_empty()
         });
--- a/crates/placement/src/queue.rs
+++ b/crates/placement/src/queue.rs
@@ -1,4 +1,4 @@
-//! Calls that wait here for an engine, in order of priority.
+//! Queues of the calls that wait for an engine, in order of priority.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,51 +7,52 @@
 use crate::admission::DrainRate;
 use crate::call::Call;
 
-/// Place in the order: priority, then arrival.
-pub(crate) type Place = (u64, u64);
+/// Order of a call in a queue: its priority, then its arrival number.
+pub(crate) type QueueKey = (u64, u64);
 
-/// The waiting calls of one model.
+/// A priority queue of waiting calls.
 #[derive(Debug, Default)]
 pub(crate) struct WaitingQueue {
-    by_place: BTreeMap<Place, Call>,
-    places: BTreeMap<CallId, Place>,
-    /// Calls of tenants that have all they may have under way; they do not block others.
-    parked: BTreeMap<TenantId, BTreeSet<Place>>,
-    ready: BTreeSet<Place>,
+    calls: BTreeMap<QueueKey, Call>,
+    keys: BTreeMap<CallId, QueueKey>,
+    /// Calls of tenants at their limit of calls in flight. They don't block calls of other tenants.
+    parked: BTreeMap<TenantId, BTreeSet<QueueKey>>,
+    /// Calls that are not parked.
+    ready: BTreeSet<QueueKey>,
     next_arrival: u64,
 }
 
 impl WaitingQueue {
     pub(crate) fn len(&self) -> usize {
-        self.by_place.len()
+        self.calls.len()
     }
 
     pub(crate) fn contains(&self, call: CallId) -> bool {
-        self.places.contains_key(&call)
+        self.keys.contains_key(&call)
     }
 
-    /// Adds a call; a call that is here already is replaced.
+    /// Adds a call, or replaces it if it is already queued.
     pub(crate) fn push(&mut self, call: Call) {
         self.remove(call.id());
-        let place = (call.priority, self.next_arrival);
+        let key = (call.priority, self.next_arrival);
         self.next_arrival += 1;
-        self.places.insert(call.id(), place);
-        self.ready.insert(place);
-        self.by_place.insert(place, call);
+        self.keys.insert(call.id(), key);
+        self.ready.insert(key);
+        self.calls.insert(key, call);
     }
 
     /// The first call that is not parked.
     pub(crate) fn first(&self) -> Option<&Call> {
-        self.ready.first().and_then(|place| self.by_place.get(place))
+        self.ready.first().and_then(|key| self.calls.get(key))
     }
 
-    /// Takes a call out.
+    /// Removes a call.
     pub(crate) fn remove(&mut self, id: CallId) -> Option<Call> {
-        let place = self.places.remove(&id)?;
-        self.ready.remove(&place);
-        let call = self.by_place.remove(&place)?;
+        let key = self.keys.remove(&id)?;
+        self.ready.remove(&key);
+        let call = self.calls.remove(&key)?;
         if let Some(parked) = self.parked.get_mut(&call.ready.tenant) {
-            parked.remove(&place);
+            parked.remove(&key);
             if parked.is_empty() {
                 self.parked.remove(&call.ready.tenant);
             }
@@ -59,11 +60,11 @@
         Some(call)
     }
 
-    /// Sets the first call aside until [`Self::unpark`] of its tenant.
+    /// Parks the first ready call until [`Self::unpark`] is called for its tenant.
     pub(crate) fn park_first(&mut self) {
-        let Some(place) = self.ready.pop_first() else { return };
-        let Some(call) = self.by_place.get(&place) else { return };
-        self.parked.entry(call.ready.tenant.clone()).or_default().insert(place);
+        let Some(key) = self.ready.pop_first() else { return };
+        let Some(call) = self.calls.get(&key) else { return };
+        self.parked.entry(call.ready.tenant.clone()).or_default().insert(key);
     }
 
     /// Makes a tenant's parked calls ready again.
@@ -72,30 +73,30 @@
         self.ready.extend(parked);
     }
 
-    /// The calls for which `given_up` holds.
-    pub(crate) fn matching(&self, given_up: impl Fn(&Call) -> bool) -> Vec<CallId> {
-        self.by_place.values().filter(|call| given_up(call)).map(Call::id).collect()
+    /// The calls for which `predicate` holds.
+    pub(crate) fn matching(&self, predicate: impl Fn(&Call) -> bool) -> Vec<CallId> {
+        self.calls.values().filter(|call| predicate(call)).map(Call::id).collect()
     }
 }
 
-/// The waiting calls of one model: those of programs under way, and first calls behind them.
+/// The waiting calls of one model. Calls of programs under way are dispatched before first calls.
 #[derive(Debug, Default)]
 pub(crate) struct Lanes {
     pub continuing: Lane,
     pub first: Lane,
 }
 
-/// A queue and how fast it empties.
+/// A queue with its drain rate.
 #[derive(Debug, Default)]
 pub(crate) struct Lane {
     pub queue: WaitingQueue,
-    pub drain: DrainRate,
+    pub drain_rate: DrainRate,
 }
 
 impl Lanes {
-    /// The lane for a call.
-    pub(crate) fn of(&mut self, first: bool) -> &mut Lane {
-        if first { &mut self.first } else { &mut self.continuing }
+    /// The lane for first calls, or the one for calls of programs under way.
+    pub(crate) fn lane_mut(&mut self, is_first: bool) -> &mut Lane {
+        if is_first { &mut self.first } else { &mut self.continuing }
     }
 
     pub(crate) fn len(&self) -> usize {
@@ -116,15 +117,15 @@
         self.first.queue.unpark(tenant);
     }
 
-    pub(crate) fn matching(&self, wanted: impl Fn(&Call) -> bool) -> Vec<CallId> {
-        let mut found = self.continuing.queue.matching(&wanted);
-        found.extend(self.first.queue.matching(&wanted));
+    pub(crate) fn matching(&self, predicate: impl Fn(&Call) -> bool) -> Vec<CallId> {
+        let mut found = self.continuing.queue.matching(&predicate);
+        found.extend(self.first.queue.matching(&predicate));
         found
     }
 
-    pub(crate) fn tick(&mut self, now: Timestamp) {
+    pub(crate) fn update_drain_rates(&mut self, now: Timestamp) {
         for lane in [&mut self.continuing, &mut self.first] {
-            lane.drain.tick(lane.queue.len() > 0, now);
+            lane.drain_rate.update(lane.queue.len() > 0, now);
         }
     }
 }
--- a/crates/placement/src/retention/histogram.rs
+++ b/crates/placement/src/retention/histogram.rs
@@ -1,121 +1,123 @@
-//! A fading histogram of pause lengths with logarithmic buckets.
+//! Histogram of pause lengths with logarithmic buckets and decaying weights.
 
 use dahlia_types::Duration;
 
-use super::{PauseEnd, PausePlan};
+use super::{PauseOutcome, PausePlan};
 
-/// Buckets; each is wider than the one before by the factor of [`GROWTH`].
-const BUCKETS: usize = 32;
-/// Upper edge of the first bucket in seconds.
-const FIRST_EDGE: f64 = 0.25;
-/// Growth of the edges. The last one lies at 0.25 x 1.4^31, about 2.4 hours.
-const GROWTH: f64 = 1.4;
-/// Weight of the prior, spread evenly over the buckets up to about half an hour.
+/// Number of buckets. Each is wider than the one before by the factor [`EDGE_GROWTH`].
+const BUCKET_COUNT: usize = 32;
+/// Upper edge of the first bucket.
+const FIRST_EDGE_SECONDS: f64 = 0.25;
+/// Factor between the edges. The last edge is at 0.25 x 1.4^31 seconds, about 2.4 hours.
+const EDGE_GROWTH: f64 = 1.4;
+/// Weight of the prior.
 const PRIOR_WEIGHT: f64 = 10.0;
-const PRIOR_BUCKETS: usize = 27;
-/// Share of the prior that never returns.
-const PRIOR_NEVER: f64 = 0.1;
+/// The prior is spread evenly over this many buckets, up to about half an hour.
+const PRIOR_BUCKET_COUNT: usize = 27;
+/// Share of the prior's weight for pauses that never end.
+const PRIOR_NEVER_SHARE: f64 = 0.1;
 
-/// How long pauses lasted, and how many never ended.
+/// Weights of pauses by their length, and of those that never ended.
 #[derive(Debug, Clone)]
 pub(crate) struct PauseHistogram {
-    counts: [f64; BUCKETS],
-    never: f64,
-    total: f64,
+    counts: [f64; BUCKET_COUNT],
+    never_resumed: f64,
+    total_weight: f64,
 }
 
 impl Default for PauseHistogram {
     fn default() -> Self {
-        Self { counts: [0.0; BUCKETS], never: 0.0, total: 0.0 }
+        Self { counts: [0.0; BUCKET_COUNT], never_resumed: 0.0, total_weight: 0.0 }
     }
 }
 
 impl PauseHistogram {
-    /// Starts with a weak guess, for the time before anything is observed.
+    /// A histogram with a weak prior, for the time before any pause is observed.
     pub(crate) fn with_prior() -> Self {
         let mut histogram = Self::default();
-        let each = PRIOR_WEIGHT * (1.0 - PRIOR_NEVER) / PRIOR_BUCKETS as f64;
-        histogram.counts[..PRIOR_BUCKETS].fill(each);
-        histogram.never = PRIOR_WEIGHT * PRIOR_NEVER;
-        histogram.total = PRIOR_WEIGHT;
+        let each = PRIOR_WEIGHT * (1.0 - PRIOR_NEVER_SHARE) / PRIOR_BUCKET_COUNT as f64;
+        histogram.counts[..PRIOR_BUCKET_COUNT].fill(each);
+        histogram.never_resumed = PRIOR_WEIGHT * PRIOR_NEVER_SHARE;
+        histogram.total_weight = PRIOR_WEIGHT;
         histogram
     }
 
-    /// Weight of everything in it.
+    /// Weight of all pauses in it.
     pub(crate) fn weight(&self) -> f64 {
-        self.total
+        self.total_weight
     }
 
-    /// Adds a pause; beyond `memory` observations the older ones fade.
-    pub(crate) fn add(&mut self, end: PauseEnd, memory: f64) {
-        if self.total >= memory {
-            self.fade((memory - 1.0).max(0.0) / self.total);
+    /// Adds a pause. The older ones decay so that the total weight stays at most `memory`.
+    pub(crate) fn add(&mut self, end: PauseOutcome, memory: f64) {
+        if self.total_weight >= memory {
+            self.decay((memory - 1.0).max(0.0) / self.total_weight);
         }
         match end {
-            PauseEnd::Returned(length) => self.counts[bucket_of(length)] += 1.0,
-            PauseEnd::Never => self.never += 1.0,
+            PauseOutcome::Resumed(length) => self.counts[bucket_of(length)] += 1.0,
+            PauseOutcome::NeverResumed => self.never_resumed += 1.0,
         }
-        self.total += 1.0;
+        self.total_weight += 1.0;
     }
 
-    /// The plan with the least expected cost, where holding for `break_even` seconds costs as
-    /// much as one recomputation.
+    /// Returns the plan with the least expected cost, where holding for `break_even` seconds costs
+    /// as much as one recomputation.
     ///
-    /// Cost of a hold h: E[min(T, h)] / `break_even`, and for pauses longer than h either a
-    /// recomputation at each return, P(h < T < never), or a copy out, P(T > h), and one back at
-    /// each return.
-    pub(crate) fn cheapest(&self, break_even: f64, copy_cost: Option<f64>) -> PausePlan {
-        let returning: f64 = self.counts.iter().sum();
-        let mut returned = 0.0;
-        let mut returned_time = 0.0;
-        let mut best = self.after_hold(0.0, 0.0, returning, copy_cost);
+    /// A hold h costs E[min(T, h)] / `break_even`. Pauses longer than h cost either a recomputation
+    /// if they end, P(h < T < never), or a copy out, P(T > h), and one back if they end.
+    pub(crate) fn cheapest_plan(&self, break_even: f64, copy_cost: Option<f64>) -> PausePlan {
+        let ending: f64 = self.counts.iter().sum();
+        let mut ended = 0.0;
+        let mut ended_seconds = 0.0;
+        let mut cheapest = self.plan_after_hold(0.0, 0.0, ending, copy_cost);
         for (bucket, count) in self.counts.iter().enumerate() {
             let edge = edge_of(bucket);
-            returned += count;
-            returned_time += count * edge / GROWTH.sqrt();
-            let held = returned_time + (self.total - returned) * edge;
-            let plan = self.after_hold(edge, held / break_even, returning - returned, copy_cost);
-            if plan.0 < best.0 {
-                best = plan;
+            ended += count;
+            ended_seconds += count * edge / EDGE_GROWTH.sqrt();
+            let hold_cost = ended_seconds + (self.total_weight - ended) * edge;
+            let plan =
+                self.plan_after_hold(edge, hold_cost / break_even, ending - ended, copy_cost);
+            if plan.0 < cheapest.0 {
+                cheapest = plan;
             }
         }
-        best.1
+        cheapest.1
     }
 
-    /// Cost and plan for a hold that has cost `held`, when the weight of `late` returns later.
-    fn after_hold(
+    /// Cost and plan after a hold that cost `hold_cost`, when pauses of the weight `ending_later`
+    /// end after it.
+    fn plan_after_hold(
         &self,
         hold: f64,
-        held: f64,
-        late: f64,
+        hold_cost: f64,
+        ending_later: f64,
         copy_cost: Option<f64>,
     ) -> (f64, PausePlan) {
         let hold = Duration::from_secs_f64(hold);
-        let drop = (held + late, PausePlan { hold, offload: false });
+        let drop = (hold_cost + ending_later, PausePlan { hold, offload: false });
         let Some(copy_cost) = copy_cost else { return drop };
-        let outlasting = late + self.never;
-        let offload = held + copy_cost * (outlasting + late);
+        let outlasting = ending_later + self.never_resumed;
+        let offload = hold_cost + copy_cost * (outlasting + ending_later);
         if offload < drop.0 { (offload, PausePlan { hold, offload: true }) } else { drop }
     }
 
-    fn fade(&mut self, factor: f64) {
+    fn decay(&mut self, factor: f64) {
         for count in &mut self.counts {
             *count *= factor;
         }
-        self.never *= factor;
-        self.total *= factor;
+        self.never_resumed *= factor;
+        self.total_weight *= factor;
     }
 }
 
 fn edge_of(bucket: usize) -> f64 {
-    FIRST_EDGE * GROWTH.powi(bucket as i32)
+    FIRST_EDGE_SECONDS * EDGE_GROWTH.powi(bucket as i32)
 }
 
 fn bucket_of(length: Duration) -> usize {
     let seconds = length.as_secs_f64();
-    if seconds <= FIRST_EDGE {
+    if seconds <= FIRST_EDGE_SECONDS {
         return 0;
     }
-    let bucket = (seconds / FIRST_EDGE).ln() / GROWTH.ln();
-    (bucket.ceil() as usize).min(BUCKETS - 1)
+    let bucket = (seconds / FIRST_EDGE_SECONDS).ln() / EDGE_GROWTH.ln();
+    (bucket.ceil() as usize).min(BUCKET_COUNT - 1)
 }
--- a/crates/placement/src/retry.rs
+++ b/crates/placement/src/retry.rs
@@ -1,5 +1,5 @@
-//! The budget for retries: a fraction of the recent successes, so that failures cannot multiply
-//! the load (retry budgets, Finagle; Google SRE book, chapter 22).
+//! Retry budget: retries are limited to a fraction of the successes, so that failures cannot
+//! multiply the load (retry budgets, Finagle; Google SRE book, chapter 22).
 
 use crate::FailureSettings;
 
@@ -8,7 +8,7 @@
 pub(crate) struct RetryBudget {
     per_success: f64,
     burst: f64,
-    saved: f64,
+    tokens: f64,
 }
 
 impl RetryBudget {
@@ -16,21 +16,21 @@
         Self {
             per_success: settings.retries_per_success,
             burst: settings.retry_burst,
-            saved: settings.retry_burst,
+            tokens: settings.retry_burst,
         }
     }
 
-    /// Notes a success.
-    pub(crate) fn succeeded(&mut self) {
-        self.saved = (self.saved + self.per_success).min(self.burst);
+    /// Adds the fraction of a retry that a success allows.
+    pub(crate) fn record_success(&mut self) {
+        self.tokens = (self.tokens + self.per_success).min(self.burst);
     }
 
-    /// Takes one retry, if there is one.
-    pub(crate) fn take(&mut self) -> bool {
-        if self.saved < 1.0 {
+    /// Takes one retry from the budget. Returns false if less than one is left.
+    pub(crate) fn try_take(&mut self) -> bool {
+        if self.tokens < 1.0 {
             return false;
         }
-        self.saved -= 1.0;
+        self.tokens -= 1.0;
         true
     }
 }
--- a/crates/placement/src/scheduler/engines.rs
+++ b/crates/placement/src/scheduler/engines.rs
@@ -1,53 +1,54 @@
-//! Engines that join, report, leave and die; their cache events and inventories.
+//! Handling of engines: joining, load reports, leaving and loss; their cache events and
+//! inventories.
 
 use dahlia_types::{AttemptId, EngineId, Timestamp};
 
 use super::Scheduler;
-use crate::view::{Availability, EngineSlot, ReportEffect};
+use crate::engine_table::{Availability, EngineSlot, ReportEffect};
 use crate::{Action, CacheNotice, EngineDescription, EngineInventory, EngineReport};
 
 impl Scheduler {
-    pub(super) fn engine_joined(
+    pub(super) fn on_engine_joined(
         &mut self,
         joined: EngineDescription,
         now: Timestamp,
         actions: &mut Vec<Action>,
     ) {
-        let (slot, restarted) = self.engines.join(joined, now);
+        let (slot, restarted) = self.engines.add_or_update(joined, now);
         if restarted {
-            self.forget_cache(slot);
+            self.clear_cache(slot);
         }
-        self.drain_all(now, actions);
+        self.dispatch_all_waiting(now, actions);
     }
 
-    pub(super) fn engine_report(
+    pub(super) fn on_engine_report(
         &mut self,
         report: &EngineReport,
         now: Timestamp,
         actions: &mut Vec<Action>,
     ) {
-        let Some((slot, effect)) = self.engines.report(report) else { return };
+        let Some((slot, effect)) = self.engines.apply_report(report) else { return };
         match effect {
             ReportEffect::None => {}
-            ReportEffect::Restarted => self.forget_cache(slot),
-            ReportEffect::BeganDraining => self.recall_from(slot, actions),
+            ReportEffect::Restarted => self.clear_cache(slot),
+            ReportEffect::BeganDraining => self.recall_unanswered(slot, actions),
         }
-        self.drain_all(now, actions);
+        self.dispatch_all_waiting(now, actions);
     }
 
-    pub(super) fn engine_leaving(&mut self, engine: &EngineId, actions: &mut Vec<Action>) {
-        if let Some(slot) = self.engines.withdraw(engine, Availability::Leaving) {
-            self.recall_from(slot, actions);
+    pub(super) fn on_engine_leaving(&mut self, engine: &EngineId, actions: &mut Vec<Action>) {
+        if let Some(slot) = self.engines.take_out_of_service(engine, Availability::Leaving) {
+            self.recall_unanswered(slot, actions);
         }
     }
 
-    pub(super) fn engine_gone(&mut self, engine: &EngineId) {
-        if let Some(slot) = self.engines.withdraw(engine, Availability::Gone) {
-            self.forget_cache(slot);
+    pub(super) fn on_engine_gone(&mut self, engine: &EngineId) {
+        if let Some(slot) = self.engines.take_out_of_service(engine, Availability::Gone) {
+            self.clear_cache(slot);
         }
     }
 
-    pub(super) fn cache_notice(
+    pub(super) fn on_cache_notice(
         &mut self,
         notice: &CacheNotice,
         now: Timestamp,
@@ -58,32 +59,33 @@
         if entry.incarnation != notice.incarnation {
             return;
         }
-        let last = entry.cache_sequence;
+        let last = entry.last_cache_sequence;
         if last.is_some_and(|last| notice.sequence <= last) {
             return;
         }
-        entry.cache_sequence = Some(notice.sequence);
+        entry.last_cache_sequence = Some(notice.sequence);
         if let Some(program) = self.programs.get_mut(notice.program) {
-            program.told(slot, notice.resident.0);
+            program.set_reported_tokens(slot, notice.resident.0);
         }
         if last.is_some_and(|last| notice.sequence > last + 1) {
             self.stats.cache_event_gaps += 1;
-            self.ask_inventory(slot, now, actions);
+            self.request_inventory(slot, now, actions);
         }
     }
 
-    /// Asks for the inventory that mends a gap; not again before the last answer can be here.
-    fn ask_inventory(&mut self, slot: EngineSlot, now: Timestamp, actions: &mut Vec<Action>) {
+    /// Requests an inventory to make up for lost cache events, at most once per configured interval
+    /// so that the last answer has time to arrive.
+    fn request_inventory(&mut self, slot: EngineSlot, now: Timestamp, actions: &mut Vec<Action>) {
         let interval = self.settings.retention.inventory_interval;
         let entry = self.engines.entry_mut(slot);
-        let due = entry.inventory_asked.is_none_or(|asked| now.since(asked) >= interval);
+        let due = entry.inventory_requested_at.is_none_or(|asked| now.since(asked) >= interval);
         if due {
-            entry.inventory_asked = Some(now);
+            entry.inventory_requested_at = Some(now);
             actions.push(Action::FetchInventory(entry.id.clone()));
         }
     }
 
-    pub(super) fn inventory(
+    pub(super) fn on_inventory(
         &mut self,
         inventory: &EngineInventory,
         now: Timestamp,
@@ -94,23 +96,25 @@
         if entry.incarnation != inventory.incarnation {
             return;
         }
-        entry.cache_sequence = entry.cache_sequence.max(Some(inventory.sequence));
+        entry.last_cache_sequence = entry.last_cache_sequence.max(Some(inventory.sequence));
         for (program, tokens) in &inventory.programs {
             if let Some(program) = self.programs.get_mut(*program) {
-                program.told(slot, tokens.0);
+                program.set_reported_tokens(slot, tokens.0);
             }
-            // A release was lost on the way. Programs that are not known here are another
-            // scheduler's: releasing them could free what a daemon beyond a cut still serves.
+            // The release was lost on the way. Unknown programs belong to other schedulers:
+            // releasing them could free cache that a daemon on the other side of a network
+            // partition still uses.
             if self.programs.is_releasing(*program, slot) {
-                self.ask_release(*program, slot, now, actions);
+                self.request_release(*program, slot, now, actions);
             }
         }
     }
 
-    /// Recalls what has not begun to answer; what has may finish.
-    fn recall_from(&mut self, slot: EngineSlot, actions: &mut Vec<Action>) {
-        let silent = self.open.iter().filter(|(_, open)| open.slot == slot && !open.answering);
-        let attempts: Vec<AttemptId> = silent.map(|(attempt, _)| *attempt).collect();
+    /// Recalls the attempts that have not begun to answer. The others may finish.
+    fn recall_unanswered(&mut self, slot: EngineSlot, actions: &mut Vec<Action>) {
+        let unanswered =
+            self.open_attempts.iter().filter(|(_, open)| open.slot == slot && !open.is_answering);
+        let attempts: Vec<AttemptId> = unanswered.map(|(attempt, _)| *attempt).collect();
         let engine = self.engines.entry(slot).id.clone();
         for attempt in attempts {
             self.stats.recalled += 1;
@@ -118,8 +122,8 @@
         }
     }
 
-    fn forget_cache(&mut self, slot: EngineSlot) {
-        self.programs.forget_engine(slot);
-        self.shared.forget_engine(slot);
+    fn clear_cache(&mut self, slot: EngineSlot) {
+        self.programs.clear_engine_cache(slot);
+        self.shared_prefixes.remove_engine(slot);
     }
 }
--- a/crates/placement/src/settings.rs
+++ b/crates/placement/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a scheduler, checked at load.
+//! Settings of a scheduler. They are checked when they are loaded.
 
 use dahlia_types::{Duration, InvalidSetting, check_range};
 use serde::{Deserialize, Serialize};
@@ -9,19 +9,20 @@
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum PolicyKind {
-    /// Engines in turn.
+    /// Uses engines in turn.
     RoundRobin,
-    /// The engine with the fewest attempts.
+    /// Chooses the engine with the fewest attempts.
     LeastLoaded,
-    /// A program stays with its first engine; first come, first served.
+    /// Keeps a program on its engine. Calls are served first come, first served.
     StickyFcfs,
-    /// Least expected cost; least attained service first; bounded waits; managed cache.
+    /// Chooses the engine with the least expected cost. Calls are served by least attained service,
+    /// waits are bounded, and cache is held or released by the scheduler.
     #[default]
     ProgramAware,
 }
 
 impl PolicyKind {
-    /// Every policy, baselines first.
+    /// All policies, baselines first.
     pub const ALL: [Self; 4] =
         [Self::RoundRobin, Self::LeastLoaded, Self::StickyFcfs, Self::ProgramAware];
 
@@ -36,30 +37,33 @@
     }
 }
 
-/// Placement by expected cost.
+/// Settings of placement by expected cost.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct CostSettings {
-    /// Engines drawn at random and compared, beside those with a cached prefix.
+    /// Engines sampled at random and compared, besides those with a cached prefix.
     pub sample_size: usize,
-    /// Weight of the time that others lose when their cache is evicted.
+    /// Weight of the time that other programs lose when their cache is evicted.
     pub eviction_weight: f64,
-    /// Weight of the prefix's recomputation; above 1, as it also delays everyone behind it.
+    /// Weight of recomputing the prefix. It is above 1 because recomputation also delays the calls
+    /// behind.
     pub recompute_weight: f64,
-    /// Costs this close to the best count as equal; the choice among them is random.
+    /// Costs that exceed the lowest by no more than this count as equal. One of them is chosen at
+    /// random.
     pub tie: Duration,
-    /// What must be gained for leaving the engine that has most of the prompt.
+    /// Cost added for leaving the engine that has most of the prompt cached.
     pub move_penalty: Duration,
-    /// A smaller part of the prompt is computed again rather than copied.
+    /// Least tokens worth copying. A smaller part of the prompt is recomputed.
     pub least_copied: u64,
-    /// Tokens that a call generates when nothing is learnt yet.
+    /// Tokens that a call is assumed to generate before any call has ended.
     pub expected_generated: u64,
-    /// A call waits here rather than at an engine whose queue is expected to be longer.
+    /// Longest expected queue delay at an engine with which a call is dispatched there. Above it
+    /// the call waits in the scheduler.
     pub dispatch_horizon: Duration,
-    /// The same for a program's first call: programs under way come first, so that what they
-    /// have cached is used again before it is evicted.
+    /// The same for a program's first call. It is shorter because calls of programs under way come
+    /// first, so that their cache is used again before it is evicted.
     pub first_call_horizon: Duration,
-    /// Fraction of KV that running attempts may use before an engine counts as full.
+    /// Fraction of the KV cache that running attempts may use before an engine counts as full.
     pub full_fraction: f64,
 }
 
@@ -80,15 +84,15 @@
     }
 }
 
-/// Order among calls.
+/// Settings of the order of calls.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct PrioritySettings {
-    /// How much later a call counts as ready for each second of service its program has had.
+    /// Setback of a call's priority per second of service that its program attained, in seconds.
     pub attained_factor: f64,
-    /// How much later a call counts as ready for each second of prefill that it needs.
+    /// Setback of a call's priority per second of prefill that it needs, in seconds.
     pub uncached_factor: f64,
-    /// The most that a call can be set back. Bounds every call's wait.
+    /// Largest setback of a call's priority. It bounds every call's wait.
     pub most_setback: Duration,
 }
 
@@ -98,25 +102,25 @@
     }
 }
 
-/// Keeping or dropping cache over pauses.
+/// Settings of the retention of cache during pauses.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RetentionSettings {
-    /// A pause this long costs as much memory as recomputation costs time, with idle memory.
+    /// Holding cache for this long costs as much as recomputing it, when memory is idle.
     pub break_even_idle: Duration,
-    /// The same when the memory is full.
+    /// The same when memory is full.
     pub break_even_full: Duration,
-    /// The same with idle memory, where cache can only be dropped and not offloaded.
+    /// The same when memory is idle and cache can only be dropped, not offloaded.
     pub drop_break_even_idle: Duration,
-    /// The same when the memory is full.
+    /// The same when memory is full and cache can only be dropped.
     pub drop_break_even_full: Duration,
     /// Longest hold.
     pub longest_hold: Duration,
-    /// Pauses remembered per tool, as a weight; older ones fade.
+    /// Largest weight of past pauses per tool, in pauses. The older ones decay.
     pub memory: f64,
-    /// How long an unconfirmed release waits before it is sent again.
+    /// Delay before an unconfirmed release is sent again.
     pub release_retry: Duration,
-    /// Shortest time between two inventories asked of one engine.
+    /// Shortest interval between two inventory requests to one engine.
     pub inventory_interval: Duration,
 }
 
@@ -135,21 +139,23 @@
     }
 }
 
-/// Bounded waiting and refusal.
+/// Settings of bounded queues and refusals.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct AdmissionSettings {
-    /// Most calls that wait here, over all models.
+    /// Most waiting calls over all models.
     pub queue_limit: usize,
-    /// Longest expected wait of a program's first call; above it the call is refused at once.
+    /// Longest expected wait with which a program's first call is queued. Above it the call is
+    /// refused at once.
     pub new_program_wait: Duration,
-    /// The same for a later call, whose refusal would waste what the program has cost so far.
+    /// The same for a later call. It is longer because a refusal would waste what the program has
+    /// cost so far.
     pub continuing_wait: Duration,
-    /// Most calls of one tenant that wait here.
+    /// Most waiting calls of one tenant.
     pub tenant_queue_limit: usize,
-    /// Most calls of one tenant that are dispatched from here at once.
+    /// Most calls of one tenant in flight at once.
     pub tenant_in_flight_limit: usize,
-    /// Shortest and longest time a caller is told to stay away.
+    /// Shortest and longest delay after which a refused caller may retry.
     pub retry_after: (Duration, Duration),
 }
 
@@ -166,21 +172,21 @@
     }
 }
 
-/// Retries and ejection of failing engines.
+/// Settings of retries and of the ejection of failing engines.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct FailureSettings {
     /// Retries allowed per success (a token bucket).
     pub retries_per_success: f64,
-    /// Most retries saved up.
+    /// Capacity of this token bucket, in retries.
     pub retry_burst: f64,
     /// Most attempts of one call.
     pub most_attempts: u32,
-    /// Failures in a row that eject an engine.
+    /// Consecutive failures that eject an engine.
     pub eject_after: u32,
-    /// First time until a probe; doubles with each failed probe.
+    /// Delay before the first probe of an ejected engine. It doubles with each failed probe.
     pub probe_after: Duration,
-    /// Longest time until a probe.
+    /// Longest delay before a probe.
     pub probe_after_most: Duration,
 }
 
@@ -203,13 +209,13 @@
 pub struct PlacementSettings {
     /// Placement by expected cost.
     pub cost: CostSettings,
-    /// Order among calls.
+    /// Order of calls.
     pub priority: PrioritySettings,
-    /// Cache over pauses.
+    /// Retention of cache during pauses.
     pub retention: RetentionSettings,
-    /// Bounded waiting and refusal.
+    /// Bounded queues and refusals.
     pub admission: AdmissionSettings,
-    /// Retries and ejection.
+    /// Retries and ejection of failing engines.
     pub failure: FailureSettings,
 }
 
--- a/crates/placement/src/shared_prefix.rs
+++ b/crates/placement/src/shared_prefix.rs
@@ -1,82 +1,89 @@
-//! Which engines have seen the prefixes that programs share, e.g. a tenant's instructions.
+//! Index of the engines that computed prefixes that several programs share, e.g. a tenant's
+//! instructions.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use dahlia_types::{Duration, ProgramId, Timestamp};
 
 use crate::call::Call;
-use crate::programs::CachedOn;
-use crate::view::EngineSlot;
+use crate::engine_table::EngineSlot;
+use crate::programs::CacheLocation;
 
-/// Segments at the start of a history that may be shared.
-const SHARED_SEGMENTS: usize = 2;
-/// Prefixes remembered.
-const MOST_PREFIXES: usize = 4096;
-/// Engines remembered for each.
-const MOST_ENGINES: usize = 8;
-/// An engine that did not compute the prefix for this long has probably evicted it.
-const REMEMBERED: Duration = Duration::from_secs(60);
+/// Most segments at the start of a history that count as shared.
+const MAX_SHARED_SEGMENTS: usize = 2;
+/// Most prefixes in the index.
+const MAX_PREFIXES: usize = 4096;
+/// Most engines recorded per prefix.
+const MAX_ENGINES: usize = 8;
+/// An engine that has not computed the prefix for this long has probably evicted it.
+const PREFIX_MAX_AGE: Duration = Duration::from_secs(60);
 
+/// A prefix and the engines that computed it.
 #[derive(Debug)]
-struct Seen {
-    /// The program that had it first, and whether another one had it since. What only one
-    /// program has goes when its cache goes.
+struct PrefixEntry {
+    /// The first program with this prefix.
     program: ProgramId,
-    shared: bool,
+    /// Whether another program had the prefix since. The cache of an unshared prefix is lost when
+    /// its program's cache is released.
+    is_shared: bool,
+    /// Engines and when each last computed the prefix.
     engines: Vec<(EngineSlot, Timestamp)>,
-    last: Timestamp,
+    last_computed: Timestamp,
 }
 
-/// A bounded index of shared prefixes.
+/// Index of shared prefixes, bounded in size.
 #[derive(Debug, Default)]
 pub(crate) struct SharedPrefixes {
-    seen: BTreeMap<u64, Seen>,
-    by_age: BTreeSet<(Timestamp, u64)>,
+    entries: BTreeMap<u64, PrefixEntry>,
+    by_last_computed: BTreeSet<(Timestamp, u64)>,
 }
 
 impl SharedPrefixes {
-    /// Notes that an engine computed the start of the call's prompt.
-    pub(crate) fn computed(&mut self, slot: EngineSlot, call: &Call, now: Timestamp) {
-        for hash in call.prefixes.iter().take(SHARED_SEGMENTS) {
+    /// Records that an engine computed the first prefixes of the call's prompt.
+    pub(crate) fn record(&mut self, slot: EngineSlot, call: &Call, now: Timestamp) {
+        for hash in call.prefix_hashes.iter().take(MAX_SHARED_SEGMENTS) {
             let program = call.id().program;
-            let new = Seen { program, shared: false, engines: Vec::new(), last: now };
-            let seen = self.seen.entry(*hash).or_insert(new);
-            seen.shared |= seen.program != program;
-            self.by_age.remove(&(seen.last, *hash));
-            seen.last = now;
-            self.by_age.insert((now, *hash));
-            seen.engines.retain(|(other, _)| *other != slot);
-            if seen.engines.len() >= MOST_ENGINES {
-                seen.engines.remove(0);
+            let new =
+                PrefixEntry { program, is_shared: false, engines: Vec::new(), last_computed: now };
+            let entry = self.entries.entry(*hash).or_insert(new);
+            entry.is_shared |= entry.program != program;
+            self.by_last_computed.remove(&(entry.last_computed, *hash));
+            entry.last_computed = now;
+            self.by_last_computed.insert((now, *hash));
+            entry.engines.retain(|(other, _)| *other != slot);
+            if entry.engines.len() >= MAX_ENGINES {
+                entry.engines.remove(0);
             }
-            seen.engines.push((slot, now));
+            entry.engines.push((slot, now));
         }
-        while self.seen.len() > MOST_PREFIXES {
-            let Some((_, oldest)) = self.by_age.pop_first() else { break };
-            self.seen.remove(&oldest);
+        while self.entries.len() > MAX_PREFIXES {
+            let Some((_, oldest)) = self.by_last_computed.pop_first() else { break };
+            self.entries.remove(&oldest);
         }
     }
 
-    /// Engines that probably still have the start of the call's prompt.
-    pub(crate) fn cached_for(&self, call: &Call, now: Timestamp) -> Vec<CachedOn> {
-        let shared = call.prefixes.iter().zip(&call.lengths).take(SHARED_SEGMENTS);
-        let mut found: Vec<CachedOn> = Vec::new();
+    /// The engines that probably still have a shared prefix of the call's prompt cached.
+    pub(crate) fn cached_for(&self, call: &Call, now: Timestamp) -> Vec<CacheLocation> {
+        let shared = call.prefix_hashes.iter().zip(&call.prefix_lengths).take(MAX_SHARED_SEGMENTS);
+        let mut found: Vec<CacheLocation> = Vec::new();
         for (hash, tokens) in shared.rev() {
-            let Some(seen) = self.seen.get(hash).filter(|seen| seen.shared) else { continue };
-            for (slot, at) in &seen.engines {
-                let known = found.iter().any(|cached| cached.slot == *slot);
-                if !known && now.since(*at) <= REMEMBERED {
-                    found.push(CachedOn { slot: *slot, tokens: *tokens });
+            let Some(entry) = self.entries.get(hash).filter(|entry| entry.is_shared) else {
+                continue;
+            };
+            for (slot, computed_at) in &entry.engines {
+                let is_listed = found.iter().any(|cached| cached.slot == *slot);
+                if !is_listed && now.since(*computed_at) <= PREFIX_MAX_AGE {
+                    found.push(CacheLocation { slot: *slot, tokens: *tokens });
                 }
             }
         }
         found
     }
 
-    /// Forgets an engine whose cache is gone.
-    pub(crate) fn forget_engine(&mut self, slot: EngineSlot) {
-        for seen in self.seen.values_mut() {
-            seen.engines.retain(|(other, _)| *other != slot);
+    /// Removes an engine whose cache is lost.
+    pub(crate) fn remove_engine(&mut self, slot: EngineSlot) {
+        for entry in self.entries.values_mut() {
+            entry.engines.retain(|(other, _)| *other != slot);
         }
     }
 }
--- a/crates/placement/src/stats.rs
+++ b/crates/placement/src/stats.rs
@@ -1,13 +1,13 @@
-//! What a scheduler counts.
+//! Counters of a scheduler.
 
 use serde::{Deserialize, Serialize};
 
-/// Counters since the start, and sizes now.
+/// Counters since the start and current sizes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct SchedulerStats {
-    /// Times an engine was looked for.
+    /// Placement decisions made.
     pub decisions: u64,
-    /// Engines looked at in these decisions.
+    /// Engines examined in these decisions.
     pub engines_examined: u64,
     /// Attempts dispatched.
     pub dispatched: u64,
@@ -15,23 +15,23 @@
     pub finished: u64,
     /// Calls refused.
     pub refused: u64,
-    /// Attempts that failed and were followed by another one.
+    /// Attempts that failed or were recalled and were followed by another one.
     pub retried: u64,
-    /// Attempts recalled from engines that leave.
+    /// Attempts recalled from draining engines.
     pub recalled: u64,
-    /// Copies of KV asked for with a dispatch.
+    /// Dispatches with a copy of KV cache.
     pub fetches: u64,
-    /// Pauses over which cache is held.
+    /// Pauses for which cache was held or was to be offloaded.
     pub pauses_held: u64,
-    /// Pauses at whose start cache was given up.
+    /// Pauses at whose start cache was dropped.
     pub pauses_dropped: u64,
     /// Pauses during which cache was offloaded to a host's memory.
     pub pauses_offloaded: u64,
     /// Gaps found in cache events.
     pub cache_event_gaps: u64,
-    /// Calls that wait here now.
+    /// Calls waiting now.
     pub waiting: u64,
-    /// Attempts under way now.
+    /// Attempts in flight now.
     pub in_flight: u64,
     /// Programs known now.
     pub programs: u64,
--- a/crates/placement/tests/support/mod.rs
+++ b/crates/placement/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A scheduler with made-up engines.
+//! Drives a scheduler with simulated engines and calls.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -13,26 +13,26 @@
 
 pub const KV_TOKENS: u64 = 1_000_000;
 
-/// A scheduler and the time.
-pub struct Bench {
+/// A scheduler with the current time.
+pub struct Harness {
     pub scheduler: Scheduler,
     pub now: Timestamp,
 }
 
-/// A dispatch that was decided.
+/// A dispatch among a scheduler's actions.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Dispatched {
+pub struct Dispatch {
     pub attempt: AttemptId,
     pub engine: EngineId,
     pub priority: u64,
 }
 
-impl Bench {
+impl Harness {
     pub fn new(kind: PolicyKind, engines: usize) -> Self {
-        Self::with(kind, engines, |_| {})
+        Self::with_settings(kind, engines, |_| {})
     }
 
-    pub fn with(
+    pub fn with_settings(
         kind: PolicyKind,
         engines: usize,
         change: impl FnOnce(&mut PlacementSettings),
@@ -41,62 +41,65 @@
         change(&mut settings);
         settings.check().expect("the settings are in range");
         let scheduler = Scheduler::new(settings, kind, 1);
-        let mut bench = Self { scheduler, now: Timestamp(1_000_000) };
+        let mut harness = Self { scheduler, now: Timestamp(1_000_000) };
         for number in 0..engines {
-            bench.tell(Event::EngineJoined(joined(number)));
+            harness.handle(Event::EngineJoined(engine_description(number)));
         }
-        bench
+        harness
     }
 
-    pub fn tell(&mut self, event: Event) -> Vec<Action> {
+    /// Passes an event to the scheduler at the current time.
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
         self.scheduler.handle(event, self.now)
     }
 
-    pub fn pass(&mut self, length: Duration) -> Vec<Action> {
+    /// Advances the time and sends a tick.
+    pub fn advance(&mut self, length: Duration) -> Vec<Action> {
         self.now = self.now + length;
-        self.tell(Event::Tick)
+        self.handle(Event::Tick)
     }
 
-    pub fn ready(&mut self, program: u64, number: u32) -> Vec<Action> {
-        self.tell(Event::CallReady(call_ready(program, number)))
+    /// Makes a program's call ready.
+    pub fn submit_call(&mut self, program: u64, number: u32) -> Vec<Action> {
+        self.handle(Event::CallReady(ready_call(program, number)))
     }
 
-    /// Runs a call from its readiness to its answer on whatever engine is chosen.
+    /// Runs a call to its end and returns the engine that was chosen for it.
     pub fn run_call(&mut self, program: u64, number: u32) -> EngineId {
-        let actions = self.ready(program, number);
-        let dispatched = dispatches(&actions).pop().expect("the call is dispatched");
-        self.finish(dispatched.attempt);
-        dispatched.engine
+        let actions = self.submit_call(program, number);
+        let dispatch = dispatches(&actions).pop().expect("the call is dispatched");
+        self.finish(dispatch.attempt);
+        dispatch.engine
     }
 
     pub fn finish(&mut self, attempt: AttemptId) -> Vec<Action> {
         let usage = Usage { prompt: Tokens(5000), cached: Tokens::ZERO, generated: Tokens(100) };
-        self.tell(Event::Finished { attempt, usage })
+        self.handle(Event::Finished { attempt, usage })
     }
 
     pub fn fail(&mut self, attempt: AttemptId, failure: AttemptFailure) -> Vec<Action> {
-        self.tell(Event::Failed(FailedAttempt { attempt, failure, retryable: true }))
+        self.handle(Event::Failed(FailedAttempt { attempt, failure, retryable: true }))
     }
 
-    pub fn pause(&mut self, program: u64, tool: &str) -> Vec<Action> {
+    pub fn pause_chain(&mut self, program: u64, tool: &str) -> Vec<Action> {
         let pause = ChainPause {
             program: program_id(program),
             chain: ChainId(0),
             tool: Some(tool.to_owned()),
             context: Tokens(5100),
         };
-        self.tell(Event::PauseBegan(pause))
+        self.handle(Event::PauseBegan(pause))
     }
 
     /// Reports the same load for engines `0..engines`.
     pub fn report_all(&mut self, engines: usize, prefill_backlog: u64) -> Vec<Action> {
         let reports = (0..engines).map(|number| {
-            let mut report = report(number, self.now);
+            let mut report = engine_report(number, self.now);
             report.prefill_backlog = Tokens(prefill_backlog);
             report
         });
         let reports: Vec<EngineReport> = reports.collect();
-        reports.into_iter().flat_map(|report| self.tell(Event::EngineReport(report))).collect()
+        reports.into_iter().flat_map(|report| self.handle(Event::EngineReport(report))).collect()
     }
 }
 
@@ -104,7 +107,7 @@
     ModelId::new("model")
 }
 
-pub fn engine(number: usize) -> EngineId {
+pub fn engine_id(number: usize) -> EngineId {
     EngineId::new(format!("engine-{number}"))
 }
 
@@ -116,9 +119,9 @@
     CallId { program: program_id(program), chain: ChainId(0), number }
 }
 
-pub fn joined(number: usize) -> EngineDescription {
+pub fn engine_description(number: usize) -> EngineDescription {
     EngineDescription {
-        engine: engine(number),
+        engine: engine_id(number),
         incarnation: Incarnation(1),
         zone: Zone::new("zone"),
         one_way_delay: Duration::from_millis(1),
@@ -135,9 +138,9 @@
     }
 }
 
-pub fn report(number: usize, at: Timestamp) -> EngineReport {
+pub fn engine_report(number: usize, at: Timestamp) -> EngineReport {
     EngineReport {
-        engine: engine(number),
+        engine: engine_id(number),
         incarnation: Incarnation(1),
         reported_at: at,
         running: 10,
@@ -150,8 +153,8 @@
     }
 }
 
-/// The `number`-th call of a program whose history grows by two segments a turn.
-pub fn call_ready(program: u64, number: u32) -> ReadyCall {
+/// The `number`-th call of a program whose history grows by two segments per turn.
+pub fn ready_call(program: u64, number: u32) -> ReadyCall {
     let turns = u64::from(number);
     let segments = (0..2 * turns + 1).map(|place| HistorySegment {
         hash: program * 1000 + place,
@@ -170,17 +173,17 @@
     }
 }
 
-pub fn dispatches(actions: &[Action]) -> Vec<Dispatched> {
+pub fn dispatches(actions: &[Action]) -> Vec<Dispatch> {
     let found = actions.iter().filter_map(|action| match action {
         Action::Dispatch { attempt, engine, priority, .. } => {
-            Some(Dispatched { attempt: *attempt, engine: engine.clone(), priority: *priority })
+            Some(Dispatch { attempt: *attempt, engine: engine.clone(), priority: *priority })
         }
         _ => None,
     });
     found.collect()
 }
 
-pub fn refused(actions: &[Action]) -> Vec<(CallId, Duration)> {
+pub fn refusals(actions: &[Action]) -> Vec<(CallId, Duration)> {
     let found = actions.iter().filter_map(|action| match action {
         Action::Refuse { call, retry_after, .. } => Some((*call, *retry_after)),
         _ => None,
@@ -188,7 +191,7 @@
     found.collect()
 }
 
-pub fn released(actions: &[Action]) -> Vec<(ProgramId, EngineId)> {
+pub fn releases(actions: &[Action]) -> Vec<(ProgramId, EngineId)> {
     let found = actions.iter().filter_map(|action| match action {
         Action::Release { program, engine, .. } => Some((*program, engine.clone())),
         _ => None,
