--- a/crates/configuration/src/document.rs
+++ b/crates/configuration/src/document.rs
@@ -170,7 +170,7 @@
     /// [`DocumentError`] naming the field, what was found and what is allowed.
     pub fn parse(text: &str) -> Result<Self, DocumentError> {
         if text.len() > MAX_DOCUMENT_BYTES {
-            return Err(DocumentError::TooLarge { bytes: text.len(), most: MAX_DOCUMENT_BYTES });
+            return Err(DocumentError::TooLarge { bytes: text.len(), limit: MAX_DOCUMENT_BYTES });
         }
         let document: Self = toml::from_str(text)
             .map_err(|error| DocumentError::Malformed { reason: error.to_string() })?;
--- a/crates/configuration/src/error.rs
+++ b/crates/configuration/src/error.rs
@@ -7,12 +7,12 @@
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum DocumentError {
     /// It is larger than daemons keep.
-    #[snafu(display("the document has {bytes} bytes; at most {most} are allowed"))]
+    #[snafu(display("the document has {bytes} bytes; at most {limit} are allowed"))]
     TooLarge {
         /// Bytes found.
         bytes: usize,
         /// Bytes allowed.
-        most: usize,
+        limit: usize,
     },
     /// It is not TOML, or has an unknown field or a value of the wrong type.
     #[snafu(display("the document cannot be read: {reason}"))]
@@ -43,20 +43,20 @@
         reason: String,
     },
     /// They are more than a record may have.
-    #[snafu(display("the record has {bytes} bytes; at most {most} are allowed"))]
+    #[snafu(display("the record has {bytes} bytes; at most {limit} are allowed"))]
     Oversized {
         /// Bytes found.
         bytes: usize,
         /// Bytes allowed.
-        most: usize,
+        limit: usize,
     },
     /// A later build wrote the record.
-    #[snafu(display("the record has layout {found}; this build reads {read}"))]
-    OtherLayout {
+    #[snafu(display("the record has layout {found}; this build reads {supported}"))]
+    UnsupportedLayout {
         /// The layout found.
         found: u16,
         /// The layout read here.
-        read: u16,
+        supported: u16,
     },
     /// The record is whole, its document is not valid for this build.
     #[snafu(display("generation {generation}: {source}"))]
--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -38,8 +38,8 @@
     PlannerEvent,
 };
 pub use record::{
-    CONFIGURATION_KEY, ChangeId, ChangeSummary, ConfigurationRecord, Digest, MAX_RECORD_BYTES,
-    RECENT_CHANGES, RecordId,
+    CONFIGURATION_KEY, ChangeId, ChangeSummary, ConfigurationRecord, Digest, MAX_RECENT_CHANGES,
+    MAX_RECORD_BYTES, RecordId,
 };
 pub use settings::ConfigurationSettings;
 pub use switches::Mechanism;
--- a/crates/configuration/src/record.rs
+++ b/crates/configuration/src/record.rs
@@ -12,11 +12,11 @@
 use crate::{Document, MAX_DOCUMENT_BYTES, RecordError};
 
 /// Layout of records that this build writes and reads.
-const LAYOUT: u16 = 1;
+const RECORD_LAYOUT: u16 = 1;
 
 /// Changes that a record lists besides its own. A lost reply can be resolved for as long as the
 /// change is among them.
-pub const RECENT_CHANGES: usize = 64;
+pub const MAX_RECENT_CHANGES: usize = 64;
 
 /// Largest record that is read: a document, escaped as JSON, and the list of changes.
 pub const MAX_RECORD_BYTES: usize = 2 * MAX_DOCUMENT_BYTES + (128 << 10);
@@ -138,9 +138,9 @@
         let document = Digest::of(text.as_bytes());
         let earlier = base.into_iter().flat_map(ConfigurationRecord::changes);
         let stored = StoredRecord {
-            layout: LAYOUT,
+            layout: RECORD_LAYOUT,
             change: ChangeSummary { generation, change, author, at, document },
-            recent: earlier.take(RECENT_CHANGES).cloned().collect(),
+            recent: earlier.take(MAX_RECENT_CHANGES).cloned().collect(),
             document: text,
         };
         let bytes = serde_json::to_vec(&stored).expect("a record always has a JSON form");
@@ -153,12 +153,15 @@
     /// [`RecordError`] when the bytes are not a record or its document is not valid here.
     pub fn decode(bytes: &[u8]) -> Result<Self, RecordError> {
         if bytes.len() > MAX_RECORD_BYTES {
-            return Err(RecordError::Oversized { bytes: bytes.len(), most: MAX_RECORD_BYTES });
+            return Err(RecordError::Oversized { bytes: bytes.len(), limit: MAX_RECORD_BYTES });
         }
         let stored: StoredRecord = serde_json::from_slice(bytes)
             .map_err(|error| RecordError::Undecodable { reason: error.to_string() })?;
-        if stored.layout != LAYOUT {
-            return Err(RecordError::OtherLayout { found: stored.layout, read: LAYOUT });
+        if stored.layout != RECORD_LAYOUT {
+            return Err(RecordError::UnsupportedLayout {
+                found: stored.layout,
+                supported: RECORD_LAYOUT,
+            });
         }
         Self::checked(stored, bytes.to_vec())
     }
--- a/crates/configuration/tests/accept.rs
+++ b/crates/configuration/tests/accept.rs
@@ -6,7 +6,7 @@
 use common::{DOCUMENT, Service, at, proposal};
 use dahlia_configuration::{
     ChangeId, ChangeOutcome, ChangeProposal, ChangeWriter, ChangeWriterAction, ChangeWriterEvent,
-    ConfigurationRecord, ConfigurationSettings, Mechanism, RECENT_CHANGES, ServiceUnavailable,
+    ConfigurationRecord, ConfigurationSettings, MAX_RECENT_CHANGES, Mechanism, ServiceUnavailable,
     SwapFailure,
 };
 use dahlia_types::{Duration, Generation, Timestamp};
@@ -252,7 +252,7 @@
     let changed = format!("# other\n{DOCUMENT}");
     let reused = ChangeOutcome::IdentityReused(first.change().clone());
     assert_eq!(verdict_of(&service, proposal("first", 1, &changed)), reused);
-    for number in 0..RECENT_CHANGES {
+    for number in 0..MAX_RECENT_CHANGES {
         service.accept(&format!("later-{number}"), DOCUMENT);
     }
     let earlier = ChangeOutcome::AcceptedEarlier(first.change().clone());
--- a/crates/configuration/tests/document.rs
+++ b/crates/configuration/tests/document.rs
@@ -74,7 +74,7 @@
     let text = String::from_utf8(record.bytes().to_vec()).expect("JSON");
     let newer = text.replacen("\"layout\":1", "\"layout\":2", 1);
     let refused = ConfigurationRecord::decode(newer.as_bytes());
-    assert_eq!(refused, Err(RecordError::OtherLayout { found: 2, read: 1 }));
+    assert_eq!(refused, Err(RecordError::UnsupportedLayout { found: 2, supported: 1 }));
 }
 
 #[test]
--- a/crates/daemon/src/operators/configuration.rs
+++ b/crates/daemon/src/operators/configuration.rs
@@ -23,7 +23,7 @@
 /// Changes listed when the request does not say.
 const DEFAULT_HISTORY: u32 = 20;
 /// Most changes listed: as many as a record carries.
-const LONGEST_HISTORY: u32 = dahlia_configuration::RECENT_CHANGES as u32 + 1;
+const LONGEST_HISTORY: u32 = dahlia_configuration::MAX_RECENT_CHANGES as u32 + 1;
 
 type Generations =
     Pin<Box<dyn Stream<Item = Result<rpc::ConfigurationGeneration, Status>> + Send + 'static>>;
