--- a/crates/configuration/src/change_writer/message.rs
+++ b/crates/configuration/src/change_writer/message.rs
@@ -1,4 +1,4 @@
-//! What an accepter reacts to, what its driver is to do, and what operators are told.
+//! A change writer's events and actions, and the outcomes that operators get.
 
 use std::sync::Arc;
 
@@ -6,24 +6,24 @@
 
 use crate::{ChangeId, ChangeSummary, ConfigurationRecord, Document, DocumentError};
 
-/// A change that an operator asks for.
+/// A change that an operator requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ChangeProposal {
-    /// Its identity; a repeat with it finds the first.
+    /// Its identity. A repeated request with the same identity finds the first.
     pub change: ChangeId,
-    /// The generation that it was made from; 0 when there is none yet.
+    /// The generation on which it is based; 0 if there is none yet.
     pub expected: Generation,
-    /// Who asks.
+    /// The operator's name.
     pub author: String,
-    /// The whole new document, TOML.
+    /// The whole new document as TOML.
     pub document: String,
-    /// An earlier request of this identity had no answer, or the answer that its outcome is
-    /// unknown. Its swap may still be on its way, so that an outage now proves nothing.
+    /// Whether an earlier request with this identity got no answer or an unknown outcome. Its swap
+    /// may still be in flight, so an outage now does not prove that the change was not accepted.
     pub repeated: bool,
 }
 
-/// Longest change identity and author, in bytes. Both stay in the list of changes.
-const MOST_NAME_BYTES: usize = 64;
+/// Longest change identity and author. Both stay in the list of changes.
+const MAX_NAME_BYTES: usize = 64;
 
 impl ChangeProposal {
     pub(super) fn check(&self) -> Result<(), DocumentError> {
@@ -34,44 +34,44 @@
 }
 
 fn check_name(field: &str, name: &str) -> Result<(), DocumentError> {
-    if (1..=MOST_NAME_BYTES).contains(&name.len()) {
+    if (1..=MAX_NAME_BYTES).contains(&name.len()) {
         return Ok(());
     }
     Err(DocumentError::Invalid {
         field: field.to_owned(),
         value: format!("{} bytes long", name.len()),
-        allowed: format!("1 to {MOST_NAME_BYTES} bytes"),
+        allowed: format!("1 to {MAX_NAME_BYTES} bytes"),
     })
 }
 
-/// The configuration's key as the service gave it, perhaps an older state.
+/// A value of the configuration's key from the service, which may be stale.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct VersionedValue {
-    /// The service's version of the key's state.
+    /// The service's version of the value.
     pub version: u64,
     /// The value.
     pub bytes: Vec<u8>,
 }
 
-/// The service did not answer, or refused for now. Nothing changed.
+/// The service did not answer or refused temporarily. Nothing changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ServiceUnavailable;
 
-/// Why a swap gave no new version.
+/// Why a swap did not succeed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SwapFailure {
-    /// The key is in another state than expected. Nothing changed.
+    /// The key has another version than expected. Nothing changed.
     Conflict,
-    /// The service did not take the request. Nothing changed.
+    /// The service did not run the request. Nothing changed.
     NotRun,
-    /// The reply was lost: the change may have taken effect, or may yet.
+    /// The reply was lost. The swap may have taken effect or may still do so.
     Unknown,
 }
 
-/// What an accepter reacts to.
+/// An event that a change writer handles.
 #[derive(Debug, Clone)]
 pub enum ChangeWriterEvent {
-    /// An operator asks for a change.
+    /// An operator requests a change.
     Proposed(ChangeProposal),
     /// A generation came into force on this daemon.
     Activated(Arc<ConfigurationRecord>),
@@ -83,14 +83,14 @@
     Tick,
 }
 
-/// What the driver is to do.
+/// An action for the driver.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ChangeWriterAction {
     /// Read the configuration's key.
     Read,
-    /// Swap the key's value if its version is still this one; none when it must not exist.
+    /// Write the key's value if it still has the expected version.
     Swap {
-        /// The version that was read.
+        /// The version that was read; none if the key must not exist.
         expected: Option<u64>,
         /// The new value.
         value: Vec<u8>,
@@ -99,28 +99,29 @@
     Answer(ChangeId, ChangeOutcome),
 }
 
-/// What an operator is told.
+/// The outcome of a change.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ChangeOutcome {
-    /// Accepted, by this request or an earlier one of the same identity; it is the newest.
+    /// Accepted, by this request or an earlier one with the same identity, and still the newest.
     Accepted(Arc<ConfigurationRecord>),
-    /// Accepted earlier; a later change has followed.
+    /// Accepted by an earlier request. Later changes have followed.
     AcceptedEarlier(ChangeSummary),
-    /// Not accepted: made from a generation that is not the newest.
+    /// Not accepted: the change is based on a generation that is not the newest.
     Conflict {
         /// The newest generation.
         newest: Generation,
-        /// The change that came instead, when it is still listed.
+        /// The change that was accepted instead, if it is still listed.
         conflicting_change: Option<ChangeSummary>,
     },
     /// Not accepted: the document is not valid.
     Invalid(DocumentError),
     /// Not accepted: the identity belongs to a change with another document.
     IdentityReused(ChangeSummary),
-    /// Not accepted: another change is being decided on this daemon. Ask again.
+    /// Not accepted: another change is being decided on this daemon. Retry later.
     Busy,
     /// Not accepted: the service could not be reached in time.
     Unavailable,
-    /// It may have been accepted, or may yet be. Repeat it with the same identity to find out.
+    /// The change may have been accepted or may still be. A repeated request with the same identity
+    /// finds out.
     Unknown,
 }
--- a/crates/configuration/src/change_writer/mod.rs
+++ b/crates/configuration/src/change_writer/mod.rs
@@ -1,5 +1,5 @@
-//! Acceptance of an operator's change: validate, compare-and-swap, and read back by the change's
-//! identity when the reply was lost.
+//! Writes an operator's change: validates it, writes it by compare-and-swap, and reads it back by
+//! its identity if the reply was lost.
 
 mod message;
 
@@ -15,28 +15,31 @@
 use crate::switches::Switches;
 use crate::{ConfigurationRecord, ConfigurationSettings, Digest, Mechanism};
 
-/// Brings one change at a time into the service.
+/// Writes operators' changes to the key-value service, one at a time.
 #[derive(Debug)]
 pub struct ChangeWriter {
     settings: ConfigurationSettings,
-    known: Option<Arc<ConfigurationRecord>>,
-    work: Option<Work>,
+    /// The newest record that was in force or written here.
+    newest_record: Option<Arc<ConfigurationRecord>>,
+    pending: Option<PendingChange>,
     switches: Switches,
 }
 
 /// The change being decided.
 #[derive(Debug)]
-struct Work {
+struct PendingChange {
     proposal: ChangeProposal,
     deadline: Timestamp,
     step: Step,
+    /// The record of the last swap, sent again as long as it is of the next generation.
     candidate: Option<Arc<ConfigurationRecord>>,
-    /// Some swap's reply was lost, of this request or an earlier one.
+    /// Whether the reply to a swap was lost, in this request or an earlier one of the same change.
     in_doubt: bool,
-    /// Some swap found another state than expected.
-    lost: bool,
+    /// Whether a swap found another version than expected.
+    lost_race: bool,
 }
 
+/// The step of a pending change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Step {
     Reading,
@@ -45,28 +48,28 @@
 }
 
 impl ChangeWriter {
-    /// An accepter without work.
+    /// Creates a writer without a pending change.
     pub fn new(settings: ConfigurationSettings) -> Self {
-        Self { settings, known: None, work: None, switches: Switches::default() }
+        Self { settings, newest_record: None, pending: None, switches: Switches::default() }
     }
 
     /// Whether a change is being decided.
     pub fn is_busy(&self) -> bool {
-        self.work.is_some()
+        self.pending.is_some()
     }
 
-    /// Switches a mechanism off, to show that a checker notices.
+    /// Switches a mechanism off, to show that a test fails without it.
     #[cfg(feature = "test-switches")]
     pub fn disable(&mut self, mechanism: Mechanism) {
         self.switches.disable(mechanism);
     }
 
-    /// Takes an event and gives what the driver is to do, in order.
+    /// Handles an event and returns the driver's actions in order.
     pub fn handle(&mut self, event: ChangeWriterEvent, now: Timestamp) -> Vec<ChangeWriterAction> {
         match event {
-            ChangeWriterEvent::Proposed(proposal) => self.propose(proposal, now),
+            ChangeWriterEvent::Proposed(proposal) => self.on_proposed(proposal, now),
             ChangeWriterEvent::Activated(record) => {
-                self.observe(record);
+                self.update_newest(record);
                 Vec::new()
             }
             ChangeWriterEvent::Read(result) => self.on_read(result, now),
@@ -75,17 +78,17 @@
         }
     }
 
-    fn observe(&mut self, record: Arc<ConfigurationRecord>) {
-        let newest = self.known.as_ref().map(|known| known.generation());
+    fn update_newest(&mut self, record: Arc<ConfigurationRecord>) {
+        let newest = self.newest_record.as_ref().map(|known| known.generation());
         if newest < Some(record.generation()) {
-            self.known = Some(record);
+            self.newest_record = Some(record);
         }
     }
 
-    fn propose(&mut self, proposal: ChangeProposal, now: Timestamp) -> Vec<ChangeWriterAction> {
-        if let Some(work) = &self.work {
-            let same_change = work.proposal.change == proposal.change;
-            if same_change && work.proposal.document == proposal.document {
+    fn on_proposed(&mut self, proposal: ChangeProposal, now: Timestamp) -> Vec<ChangeWriterAction> {
+        if let Some(pending) = &self.pending {
+            let same_change = pending.proposal.change == proposal.change;
+            if same_change && pending.proposal.document == proposal.document {
                 return Vec::new();
             }
             return vec![ChangeWriterAction::Answer(proposal.change, ChangeOutcome::Busy)];
@@ -97,13 +100,13 @@
             )];
         }
         let in_doubt = proposal.repeated;
-        self.work = Some(Work {
+        self.pending = Some(PendingChange {
             proposal,
             deadline: now + self.settings.accept_within,
             step: Step::Reading,
             candidate: None,
             in_doubt,
-            lost: false,
+            lost_race: false,
         });
         vec![ChangeWriterAction::Read]
     }
@@ -113,70 +116,73 @@
         result: Result<Option<VersionedValue>, ServiceUnavailable>,
         now: Timestamp,
     ) -> Vec<ChangeWriterAction> {
-        if self.work.as_ref().is_none_or(|work| work.step != Step::Reading) {
+        if self.pending.as_ref().is_none_or(|pending| pending.step != Step::Reading) {
             return Vec::new();
         }
         let Ok(found) = result else {
-            return self.pause(now);
+            return self.pause_before_retry(now);
         };
         let version = found.as_ref().map(|found| found.version);
         match found.map(|found| ConfigurationRecord::decode(&found.bytes)) {
             None => self.decide(version, None, now),
             Some(Ok(record)) => self.decide(version, Some(Arc::new(record)), now),
-            // A later build wrote it. What cannot be read must not be replaced.
+            // A later build wrote the record. An unreadable record must not be replaced.
             Some(Err(_)) => self.finish(ChangeOutcome::Unavailable),
         }
     }
 
-    /// Decides from the newest record that is known, from the service or from other daemons.
+    /// Decides by the newest known record, from the service or from other daemons.
     fn decide(
         &mut self,
         version: Option<u64>,
         read: Option<Arc<ConfigurationRecord>>,
         now: Timestamp,
     ) -> Vec<ChangeWriterAction> {
-        // The service may answer with older data. What daemons have in force was accepted, so the
-        // next generation has to come after it; the swap's version guards against a stale read.
-        let base = newer(read, self.known.clone());
-        let Some(work) = &self.work else {
+        // The service may answer with stale data. A generation that daemons have in force was
+        // accepted, so the next one must follow it. The version of the swap guards against a stale
+        // read.
+        let base = newer_of(read, self.newest_record.clone());
+        let Some(pending) = &self.pending else {
             return Vec::new();
         };
-        let proposal = &work.proposal;
+        let proposal = &pending.proposal;
         if let Some(base) = &base
             && let Some(found) = base.changes().find(|change| change.change == proposal.change)
         {
-            let same = found.document == Digest::of(proposal.document.as_bytes());
-            let verdict = match (same, found.generation == base.generation()) {
+            let is_same_document = found.document == Digest::of(proposal.document.as_bytes());
+            let outcome = match (is_same_document, found.generation == base.generation()) {
                 (false, _) => ChangeOutcome::IdentityReused(found.clone()),
                 (true, true) => ChangeOutcome::Accepted(base.clone()),
                 (true, false) => ChangeOutcome::AcceptedEarlier(found.clone()),
             };
-            return self.finish(verdict);
+            return self.finish(outcome);
         }
         let newest = base.as_ref().map_or(Generation(0), |base| base.generation());
         if newest > proposal.expected {
-            return self.lose(base.as_deref(), newest);
+            return self.finish_with_conflict(base.as_deref(), newest);
         }
         if newest < proposal.expected {
-            // Either the operator is ahead of a service that answers with older data, or wrong.
-            return self.pause(now);
+            // Either the service answered with stale data, or the operator named a wrong
+            // generation.
+            return self.pause_before_retry(now);
         }
         self.swap(version, base.as_deref(), now)
     }
 
-    fn lose(
+    fn finish_with_conflict(
         &mut self,
         base: Option<&ConfigurationRecord>,
         newest: Generation,
     ) -> Vec<ChangeWriterAction> {
-        let Some(work) = &self.work else {
+        let Some(pending) = &self.pending else {
             return Vec::new();
         };
-        let next = work.proposal.expected.next();
+        let next = pending.proposal.expected.next();
         let mut changes = base.into_iter().flat_map(ConfigurationRecord::changes);
         let conflicting_change = changes.find(|change| change.generation == next).cloned();
-        if work.in_doubt && conflicting_change.is_none() {
-            // The list no longer reaches back: the lost reply may have been an acceptance.
+        if pending.in_doubt && conflicting_change.is_none() {
+            // The list no longer goes back far enough: the swap whose reply was lost may have
+            // succeeded.
             return self.finish(ChangeOutcome::Unknown);
         }
         self.finish(ChangeOutcome::Conflict { newest, conflicting_change })
@@ -188,22 +194,23 @@
         base: Option<&ConfigurationRecord>,
         now: Timestamp,
     ) -> Vec<ChangeWriterAction> {
-        let Some(work) = &mut self.work else {
+        let Some(pending) = &mut self.pending else {
             return Vec::new();
         };
-        let follows = base.map_or(Generation(0), ConfigurationRecord::generation).next();
-        let kept = work.candidate.take().filter(|kept| kept.generation() == follows);
-        let ChangeProposal { change, author, document, .. } = work.proposal.clone();
-        let candidate = match kept {
-            Some(kept) => kept,
+        let next_generation = base.map_or(Generation(0), ConfigurationRecord::generation).next();
+        let previous =
+            pending.candidate.take().filter(|previous| previous.generation() == next_generation);
+        let ChangeProposal { change, author, document, .. } = pending.proposal.clone();
+        let candidate = match previous {
+            Some(previous) => previous,
             None => match ConfigurationRecord::after(base, change, author, document, now) {
                 Ok(record) => Arc::new(record),
                 Err(_) => return self.finish(ChangeOutcome::Unavailable),
             },
         };
         let value = candidate.bytes().to_vec();
-        work.candidate = Some(candidate);
-        work.step = Step::Swapping;
+        pending.candidate = Some(candidate);
+        pending.step = Step::Swapping;
         vec![ChangeWriterAction::Swap { expected: version, value }]
     }
 
@@ -213,93 +220,95 @@
         now: Timestamp,
     ) -> Vec<ChangeWriterAction> {
         let read_back = self.switches.is_on(Mechanism::ReadBack);
-        let Some(work) = self.work.as_mut().filter(|work| work.step == Step::Swapping) else {
+        let Some(pending) = self.pending.as_mut().filter(|pending| pending.step == Step::Swapping)
+        else {
             return Vec::new();
         };
         match result {
             Ok(()) => {
-                let accepted = work.candidate.take().map(ChangeOutcome::Accepted);
+                let accepted = pending.candidate.take().map(ChangeOutcome::Accepted);
                 self.finish(accepted.unwrap_or(ChangeOutcome::Unknown))
             }
             Err(SwapFailure::Conflict) => {
-                work.lost = true;
-                work.step = Step::Reading;
+                pending.lost_race = true;
+                pending.step = Step::Reading;
                 vec![ChangeWriterAction::Read]
             }
-            Err(SwapFailure::NotRun) => self.pause(now),
+            Err(SwapFailure::NotRun) => self.pause_before_retry(now),
             Err(SwapFailure::Unknown) if !read_back => self.finish(ChangeOutcome::Unavailable),
             Err(SwapFailure::Unknown) => {
-                // The request may still be on its way. The same swap is tried again: both expect
-                // the same version, so that at most one of them takes effect.
-                work.in_doubt = true;
-                self.pause(now)
+                // The request may still be in flight. The same swap is retried: both expect the
+                // same version, so at most one of them takes effect.
+                pending.in_doubt = true;
+                self.pause_before_retry(now)
             }
         }
     }
 
-    fn pause(&mut self, now: Timestamp) -> Vec<ChangeWriterAction> {
+    fn pause_before_retry(&mut self, now: Timestamp) -> Vec<ChangeWriterAction> {
         let until = now + self.settings.retry_pause;
-        if let Some(work) = &mut self.work {
-            work.step = Step::Pausing { until };
+        if let Some(pending) = &mut self.pending {
+            pending.step = Step::Pausing { until };
         }
         self.on_tick(now)
     }
 
     fn on_tick(&mut self, now: Timestamp) -> Vec<ChangeWriterAction> {
-        let Some(work) = &mut self.work else {
+        let Some(pending) = &mut self.pending else {
             return Vec::new();
         };
-        if now >= work.deadline {
-            let verdict = self.late_verdict();
-            return self.finish(verdict);
+        if now >= pending.deadline {
+            let outcome = self.outcome_at_deadline();
+            return self.finish(outcome);
         }
-        match work.step {
+        match pending.step {
             Step::Pausing { until } if now >= until => {
-                work.step = Step::Reading;
+                pending.step = Step::Reading;
                 vec![ChangeWriterAction::Read]
             }
             _ => Vec::new(),
         }
     }
 
-    /// What is known when the time is over.
-    fn late_verdict(&self) -> ChangeOutcome {
-        let Some(work) = &self.work else {
+    /// The outcome of a change that is not decided at its deadline.
+    fn outcome_at_deadline(&self) -> ChangeOutcome {
+        let Some(pending) = &self.pending else {
             return ChangeOutcome::Unavailable;
         };
-        let is_swapping = work.step == Step::Swapping;
-        if work.in_doubt || is_swapping {
+        let is_swapping = pending.step == Step::Swapping;
+        if pending.in_doubt || is_swapping {
             return ChangeOutcome::Unknown;
         }
-        let newest = self.known.as_ref().map_or(Generation(0), |known| known.generation());
-        if work.lost || newest > work.proposal.expected {
+        let newest = self.newest_record.as_ref().map_or(Generation(0), |known| known.generation());
+        if pending.lost_race || newest > pending.proposal.expected {
             return ChangeOutcome::Conflict { newest, conflicting_change: None };
         }
         ChangeOutcome::Unavailable
     }
 
-    fn finish(&mut self, verdict: ChangeOutcome) -> Vec<ChangeWriterAction> {
-        if let ChangeOutcome::Accepted(record) = &verdict {
-            self.observe(record.clone());
+    fn finish(&mut self, outcome: ChangeOutcome) -> Vec<ChangeWriterAction> {
+        if let ChangeOutcome::Accepted(record) = &outcome {
+            self.update_newest(record.clone());
         }
-        let Some(work) = self.work.take() else {
+        let Some(pending) = self.pending.take() else {
             return Vec::new();
         };
-        vec![ChangeWriterAction::Answer(work.proposal.change, verdict)]
+        vec![ChangeWriterAction::Answer(pending.proposal.change, outcome)]
     }
 
-    /// When to pass the next [`ChangeWriterEvent::Tick`]; none without work.
+    /// When to pass the next [`ChangeWriterEvent::Tick`]; none without a pending change.
     pub fn next_tick(&self, now: Timestamp) -> Option<Timestamp> {
-        let work = self.work.as_ref()?;
-        let due = match work.step {
-            Step::Pausing { until } => until.min(work.deadline),
-            Step::Reading | Step::Swapping => work.deadline,
+        let pending = self.pending.as_ref()?;
+        let due = match pending.step {
+            Step::Pausing { until } => until.min(pending.deadline),
+            Step::Reading | Step::Swapping => pending.deadline,
         };
         Some(due.max(now + Duration::from_millis(1)))
     }
 }
 
-fn newer(
+/// The record of the newer generation.
+fn newer_of(
     one: Option<Arc<ConfigurationRecord>>,
     other: Option<Arc<ConfigurationRecord>>,
 ) -> Option<Arc<ConfigurationRecord>> {
--- a/crates/configuration/src/diff.rs
+++ b/crates/configuration/src/diff.rs
@@ -1,4 +1,4 @@
-//! What changed between two documents, for operators to read before and after a change.
+//! Differences between two documents, which operators read before and after a change.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -10,9 +10,9 @@
 pub struct Difference {
     /// Dotted path of the field.
     pub field: String,
-    /// The value before; none when the field is new.
+    /// The value before; none if the field is new.
     pub before: Option<String>,
-    /// The value after; none when the field is gone.
+    /// The value after; none if the field was removed.
     pub after: Option<String>,
 }
 
@@ -29,10 +29,10 @@
     }
 }
 
-/// The fields in which two documents differ, in the order of their paths. Fields that have their
-/// default count like any other.
+/// Returns the fields in which two documents differ, in the order of their paths. Fields with their
+/// default value are compared too.
 pub fn differences(before: &Document, after: &Document) -> Vec<Difference> {
-    let (old, new) = (leaves(before), leaves(after));
+    let (old, new) = (leaf_values(before), leaf_values(after));
     let mut fields: Vec<&String> = old.keys().chain(new.keys()).collect();
     fields.sort();
     fields.dedup();
@@ -46,20 +46,21 @@
         .collect()
 }
 
-fn leaves(document: &Document) -> BTreeMap<String, String> {
+/// The values of all fields of a document by their dotted paths.
+fn leaf_values(document: &Document) -> BTreeMap<String, String> {
     let tree = toml::Value::try_from(document).expect("every part of a document has a TOML form");
     let mut found = BTreeMap::new();
-    collect("", &tree, &mut found);
+    collect_leaves("", &tree, &mut found);
     found
 }
 
-fn collect(path: &str, value: &toml::Value, found: &mut BTreeMap<String, String>) {
+fn collect_leaves(path: &str, value: &toml::Value, found: &mut BTreeMap<String, String>) {
     let Some(table) = value.as_table() else {
         found.insert(path.to_owned(), value.to_string());
         return;
     };
     for (name, inner) in table {
         let separator = if path.is_empty() { "" } else { "." };
-        collect(&format!("{path}{separator}{name}"), inner, found);
+        collect_leaves(&format!("{path}{separator}{name}"), inner, found);
     }
 }
--- a/crates/configuration/src/document.rs
+++ b/crates/configuration/src/document.rs
@@ -1,4 +1,5 @@
-//! The operators' document: what serves programs, and what tenants may use. TOML.
+//! The operators' document, in TOML: the models and engines that serve programs, and tenants'
+//! limits.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -8,36 +9,36 @@
 
 use crate::DocumentError;
 
-/// Largest document in bytes. Each daemon holds a few and fetches each new one once.
+/// Largest document. Each daemon keeps a few documents and fetches each new one once.
 pub const MAX_DOCUMENT_BYTES: usize = 256 << 10;
 
-/// The whole document. Every part may be left out.
+/// The operators' document. Every part is optional.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Document {
-    /// What a program gets that states nothing else.
+    /// Defaults of programs.
     pub defaults: ProgramDefaults,
     /// Limits of tenants that `tenants` does not name.
     pub tenant_defaults: TenantLimits,
-    /// Exceptions. Most of many thousand tenants are not listed.
+    /// Exceptions of single tenants. Most of many thousand tenants are not listed.
     pub tenants: BTreeMap<TenantId, TenantOverrides>,
-    /// Models, each with its adapter and version, by the identifier that programs state.
+    /// Models, each with its adapter and version, by the identifier that programs use.
     pub models: BTreeMap<ModelId, ModelEntry>,
-    /// Engines that are in the configuration's care.
+    /// Engines that the configuration manages.
     pub engines: BTreeMap<EngineId, EngineEntry>,
-    /// Daemons that are to hand over and take no new groups.
+    /// Daemons that must hand over their groups and take no new ones.
     pub draining_daemons: BTreeSet<DaemonId>,
 }
 
-/// What a program gets that states nothing else.
+/// Defaults of programs whose request does not say otherwise.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ProgramDefaults {
-    /// Model; none makes it a required field of a new program.
+    /// Default model. Without one, requests for new programs must name a model.
     pub model: Option<ModelId>,
     /// Budget in tokens.
     pub budget_tokens: u64,
-    /// Time without a call after which a program ends, in milliseconds.
+    /// Time without a call after which a program expires, in milliseconds.
     pub idle_expiry_ms: u64,
 }
 
@@ -47,15 +48,15 @@
     }
 }
 
-/// What one tenant may use.
+/// Limits of one tenant.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct TenantLimits {
-    /// Calls begun in a second.
+    /// Most calls begun per second.
     pub calls_per_second: u32,
-    /// Calls open at once.
+    /// Most calls open at once.
     pub open_calls: u32,
-    /// Programs open at once.
+    /// Most programs open at once.
     pub open_programs: u32,
     /// Largest budget of one program in tokens.
     pub most_budget_tokens: u64,
@@ -76,17 +77,17 @@
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct TenantOverrides {
-    /// Calls begun in a second.
+    /// Most calls begun per second.
     pub calls_per_second: Option<u32>,
-    /// Calls open at once.
+    /// Most calls open at once.
     pub open_calls: Option<u32>,
-    /// Programs open at once.
+    /// Most programs open at once.
     pub open_programs: Option<u32>,
     /// Largest budget of one program in tokens.
     pub most_budget_tokens: Option<u64>,
 }
 
-/// A model with its adapter and version, and what serves it.
+/// A model with its adapter and version, and the engines that serve it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ModelEntry {
@@ -98,19 +99,19 @@
     /// Version of model and adapter together; empty for a model that has only one.
     #[serde(default)]
     pub version: String,
-    /// Engines that are to serve it.
+    /// Engines that must serve it.
     pub engines: BTreeSet<EngineId>,
-    /// A roll-out never leaves fewer engines serving it.
+    /// Fewest engines that serve it at any time during a roll-out.
     #[serde(default = "one")]
     pub least_serving: u32,
-    /// Bytes that a load takes from the weight store.
+    /// Bytes that a load reads from the weight store.
     #[serde(default)]
     pub weight_bytes: u64,
 }
 
 impl ModelEntry {
-    /// The identifier: `<base>@<version>` or `<base>/<adapter>@<version>`; `@<version>` is left
-    /// out when the version is empty.
+    /// The identifier: `<base>@<version>` or `<base>/<adapter>@<version>`. An empty version leaves
+    /// `@<version>` out.
     pub fn id(&self) -> ModelId {
         let mut text = self.base.clone();
         if let Some(adapter) = &self.adapter {
@@ -123,16 +124,16 @@
     }
 }
 
-/// What an engine is to do with new work.
+/// Whether an engine takes new work.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum EngineRole {
-    /// It takes new attempts.
+    /// The engine takes new attempts.
     #[default]
     Serving,
-    /// It finishes what it has.
+    /// The engine only finishes the attempts that it has.
     Draining,
 }
 
@@ -140,13 +141,13 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct EngineEntry {
-    /// What it is to do with new work.
+    /// Whether it takes new work.
     pub role: EngineRole,
-    /// Models that fit into it at once.
+    /// Number of models that fit into it at once.
     pub slots: u32,
-    /// Where it listens; absent when the platform's list of machines names the engine.
+    /// Its address; none if the platform's list of machines names the engine.
     pub address: Option<SocketAddr>,
-    /// Its zone; absent when the platform's list of machines names the engine.
+    /// Its zone; none if the platform's list of machines names the engine.
     pub zone: Option<Zone>,
 }
 
@@ -156,7 +157,7 @@
     }
 }
 
-/// Models that fit into an engine whose entry does not say.
+/// Number of models that fit into an engine whose entry does not say.
 pub const DEFAULT_SLOTS: u32 = 2;
 
 fn one() -> u32 {
@@ -183,7 +184,7 @@
         toml::to_string(self).expect("every part of a document has a TOML form")
     }
 
-    /// What `tenant` may use.
+    /// The limits of `tenant`.
     pub fn limits_of(&self, tenant: &TenantId) -> TenantLimits {
         let defaults = &self.tenant_defaults;
         let Some(overrides) = self.tenants.get(tenant) else {
@@ -197,12 +198,12 @@
         }
     }
 
-    /// What an engine is to do; engines that are not listed serve.
+    /// The role of an engine. Engines that are not listed serve.
     pub fn role_of(&self, engine: &EngineId) -> EngineRole {
         self.engines.get(engine).map_or(EngineRole::Serving, |entry| entry.role)
     }
 
-    /// Models that `engine` is to serve.
+    /// The models that `engine` must serve.
     pub fn models_of<'document>(
         &'document self,
         engine: &EngineId,
@@ -253,6 +254,7 @@
     }
 }
 
+/// An error for a field with a value that is not allowed.
 fn invalid(field: &str, value: impl ToString, allowed: String) -> Result<(), DocumentError> {
     Err(DocumentError::Invalid { field: field.to_owned(), value: value.to_string(), allowed })
 }
--- a/crates/configuration/src/error.rs
+++ b/crates/configuration/src/error.rs
@@ -1,12 +1,12 @@
-//! Why a document or a record is not usable.
+//! Errors of documents and records.
 
 use dahlia_types::Generation;
 use snafu::Snafu;
 
-/// A document that operators may not apply.
+/// Why a document is not valid.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum DocumentError {
-    /// It is larger than daemons keep.
+    /// The document is too large.
     #[snafu(display("the document has {bytes} bytes; at most {limit} are allowed"))]
     TooLarge {
         /// Bytes found.
@@ -14,10 +14,10 @@
         /// Bytes allowed.
         limit: usize,
     },
-    /// It is not TOML, or has an unknown field or a value of the wrong type.
+    /// The document is not TOML, or has an unknown field or a value of the wrong type.
     #[snafu(display("the document cannot be read: {reason}"))]
     Malformed {
-        /// What the parser said, with line and column.
+        /// The parser's message, with line and column.
         reason: String,
     },
     /// A field has a value that is not allowed.
@@ -25,24 +25,24 @@
     Invalid {
         /// Dotted path of the field.
         field: String,
-        /// The value found.
+        /// The value that was found.
         value: String,
         /// What is allowed.
         allowed: String,
     },
 }
 
-/// Bytes that are not a generation's record.
+/// Why bytes are not a usable record.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum RecordError {
-    /// They are not a record of a layout that this build reads.
+    /// The bytes are not a record of the supported layout.
     #[snafu(display("the record cannot be decoded: {reason}"))]
     Undecodable {
-        /// What the decoder said.
+        /// The decoder's message.
         reason: String,
     },
-    /// They are more than a record may have.
+    /// The record is too large.
     #[snafu(display("the record has {bytes} bytes; at most {limit} are allowed"))]
     Oversized {
         /// Bytes found.
@@ -53,17 +53,17 @@
     /// A later build wrote the record.
     #[snafu(display("the record has layout {found}; this build reads {supported}"))]
     UnsupportedLayout {
-        /// The layout found.
+        /// The layout of the record.
         found: u16,
-        /// The layout read here.
+        /// The layout that this build reads.
         supported: u16,
     },
-    /// The record is whole, its document is not valid for this build.
+    /// The record could be decoded, but its document is not valid for this build.
     #[snafu(display("generation {generation}: {source}"))]
     Document {
         /// The generation.
         generation: Generation,
-        /// What is wrong.
+        /// Why it is not valid.
         source: DocumentError,
     },
 }
--- a/crates/configuration/src/follower/message.rs
+++ b/crates/configuration/src/follower/message.rs
@@ -1,4 +1,4 @@
-//! What a follower reacts to, what it tells other daemons, and what its driver is to do.
+//! A follower's events, actions and messages to other daemons.
 
 use std::sync::Arc;
 
@@ -7,7 +7,7 @@
 
 use crate::{ConfigurationRecord, RecordError, RecordId, ServiceUnavailable};
 
-/// Another daemon that is believed to live.
+/// Another daemon that membership considers alive.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Peer {
     /// The daemon.
@@ -16,84 +16,84 @@
     pub zone: Zone,
 }
 
-/// A message between followers. Each may be lost, late or repeated.
+/// A message between followers. Messages may be lost, delayed or duplicated.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// Asks for the other's newest generation and states one's own; none when it knows none.
+    /// Asks for the receiver's newest generation and states the sender's, if it knows one.
     Compare(Option<RecordId>),
     /// Answers [`PeerMessage::Compare`].
     CompareReply {
         /// The sender's newest generation.
         newest: Option<RecordId>,
-        /// Whether the sender serves by it; a daemon that starts does not.
+        /// Whether the sender serves by it. A starting daemon does not.
         is_serving: bool,
     },
-    /// A generation that is new to the sender, who has its record.
+    /// Announces a generation that is new to the sender. The sender has its record.
     Announce(RecordId),
-    /// Asks for the record of the newest generation.
+    /// Requests the record of the receiver's newest generation.
     Fetch,
-    /// A record's bytes.
+    /// The bytes of a record.
     Record(Vec<u8>),
 }
 
-/// What a follower reacts to.
+/// An event that a follower handles.
 #[derive(Debug, Clone)]
 pub enum FollowerEvent {
-    /// The other daemons that membership believes to live. Pass the first list once a peer of
-    /// the settings has told its members, or all of them were tried in vain: then an empty one.
+    /// The other daemons that membership considers alive. Pass the first list once a peer from the
+    /// settings has sent its members; pass an empty one if none of those peers could be reached.
     /// Until the first list the daemon does not serve.
     Peers(Vec<Peer>),
-    /// The result of [`FollowerAction::ReadService`]: the key's value, perhaps an older one.
+    /// The result of [`FollowerAction::ReadService`]: the key's value, which may be stale.
     ServiceRead(Result<Option<Vec<u8>>, ServiceUnavailable>),
     /// The watch delivered a value of the key.
     Watched(Vec<u8>),
-    /// The watch could not be opened or broke.
+    /// The watch broke or could not be opened.
     WatchEnded,
-    /// A message of another daemon.
+    /// A message from another daemon arrived.
     Message {
-        /// Who sent it.
+        /// The sender.
         from: DaemonId,
-        /// What it says.
+        /// The message.
         message: PeerMessage,
     },
-    /// This daemon's accepter brought in a generation.
+    /// This daemon's change writer wrote a generation.
     Accepted(Arc<ConfigurationRecord>),
     /// Time has passed.
     Tick,
 }
 
-/// What the driver is to do.
+/// An action for the driver.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FollowerAction {
     /// Read the configuration's key.
     ReadService,
-    /// Read the key, report its value as watched, and watch it from there.
+    /// Read the key, pass its value as [`FollowerEvent::Watched`], and watch it from that version.
     OpenWatch,
     /// End the watch.
     CloseWatch,
-    /// Send to another daemon.
+    /// Send a message to another daemon.
     Send {
-        /// To whom.
+        /// The receiver.
         to: DaemonId,
-        /// What.
+        /// The message.
         message: PeerMessage,
     },
-    /// The daemon may serve. Without a preceding [`FollowerAction::Activate`] no generation exists.
+    /// Start to serve. Without a preceding [`FollowerAction::Activate`] no generation exists.
     Ready,
-    /// This generation is in force from now on. Generations only rise.
+    /// Put this generation in force. Generations only rise.
     Activate(Arc<ConfigurationRecord>),
-    /// Something is wrong outside; to be logged and counted.
+    /// Log and count an anomaly.
     Report(Anomaly),
 }
 
-/// Something outside that is wrong and does no harm here.
+/// An error outside of this daemon that the follower tolerates.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Anomaly {
-    /// The service answered with an older generation than is in force.
+    /// The service answered with an older generation than the one in force.
     StaleRead {
-        /// What it answered.
+        /// The generation that the service answered with.
         found: Generation,
-        /// What is in force.
+        /// The generation in force.
         in_force: Generation,
     },
     /// Two records of one generation differ. The one in force stays.
--- a/crates/configuration/src/follower/mod.rs
+++ b/crates/configuration/src/follower/mod.rs
@@ -1,9 +1,9 @@
-//! Brings each generation to this daemon: from the service's watch, from reads now and then, and
-//! from other daemons. An older generation never replaces a newer one.
+//! Brings each generation to this daemon: from the service's watch, from periodic reads, and from
+//! other daemons. An older generation never replaces a newer one.
 
 mod message;
 mod spread;
-mod start;
+mod startup;
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -16,19 +16,19 @@
 
 use crate::switches::Switches;
 use crate::{ConfigurationRecord, ConfigurationSettings, Mechanism, RecordId, ServiceUnavailable};
-use spread::Spread;
-use start::Start;
+use spread::SpreadTimers;
+use startup::Startup;
 
-/// Whether a daemon knows which generation to serve by.
+/// The generation by which a daemon serves, if it knows it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServingGeneration {
-    /// It has started and cannot tell yet. It must not serve.
+    /// The daemon is starting and does not know the newest generation yet. It must not serve.
     Unknown,
-    /// It serves by this generation; 0 when operators have not applied any.
+    /// The daemon serves by this generation; 0 if operators have not applied any.
     Known(Generation),
 }
 
-/// A daemon's part in spreading the configuration.
+/// Keeps a daemon's generation of the configuration up to date and spreads it to other daemons.
 #[derive(Debug)]
 pub struct ConfigurationFollower {
     daemon: DaemonId,
@@ -37,16 +37,16 @@
     random: ChaCha8Rng,
     peers: Vec<Peer>,
     current: Option<Arc<ConfigurationRecord>>,
-    earlier: VecDeque<Arc<ConfigurationRecord>>,
-    /// None once the daemon serves.
-    start: Option<Start>,
-    spread: Spread,
+    previous: VecDeque<Arc<ConfigurationRecord>>,
+    /// The startup in progress; none once the daemon serves.
+    startup: Option<Startup>,
+    spread: SpreadTimers,
     switches: Switches,
 }
 
 impl ConfigurationFollower {
-    /// A follower of a daemon that starts at `now`. `stored` is the last record that the daemon
-    /// kept on a disk, if it has one. `seed` decides whom it talks to.
+    /// Creates the follower of a daemon that starts at `now`. `stored` is the last record that the
+    /// daemon has on its disk, if any. `seed` determines the random choice of peers.
     pub fn new(
         daemon: DaemonId,
         zone: Zone,
@@ -55,7 +55,7 @@
         seed: u64,
         now: Timestamp,
     ) -> Self {
-        let start = Some(Start::new(now));
+        let startup = Some(Startup::new(now));
         Self {
             daemon,
             zone,
@@ -63,56 +63,56 @@
             random: ChaCha8Rng::seed_from_u64(seed),
             peers: Vec::new(),
             current: stored,
-            earlier: VecDeque::new(),
-            start,
-            spread: Spread::default(),
+            previous: VecDeque::new(),
+            startup,
+            spread: SpreadTimers::default(),
             switches: Switches::default(),
         }
     }
 
-    /// Whether the daemon may serve, and by which generation.
+    /// The generation by which the daemon may serve.
     pub fn serving_generation(&self) -> ServingGeneration {
-        match &self.start {
+        match &self.startup {
             Some(_) => ServingGeneration::Unknown,
             None => ServingGeneration::Known(self.generation()),
         }
     }
 
-    /// The newest record, in force once the daemon serves.
+    /// The newest record. It is in force once the daemon serves.
     pub fn current(&self) -> Option<&Arc<ConfigurationRecord>> {
         self.current.as_ref()
     }
 
-    /// Records that this daemon had in force before, newest first.
+    /// Earlier records, newest first.
     pub fn previous_records(&self) -> impl Iterator<Item = &Arc<ConfigurationRecord>> {
-        self.earlier.iter()
+        self.previous.iter()
     }
 
-    /// Switches a mechanism off, to show that a checker notices.
+    /// Switches a mechanism off, to show that a test fails without it.
     #[cfg(feature = "test-switches")]
     pub fn disable(&mut self, mechanism: Mechanism) {
         self.switches.disable(mechanism);
     }
 
-    /// Takes an event and gives what the driver is to do, in order.
+    /// Handles an event and returns the driver's actions in order.
     pub fn handle(&mut self, event: FollowerEvent, now: Timestamp) -> Vec<FollowerAction> {
         let mut actions = Vec::new();
         match event {
             FollowerEvent::Peers(peers) => self.on_peers(peers, &mut actions),
-            FollowerEvent::ServiceRead(result) => self.on_service(result, now, &mut actions),
+            FollowerEvent::ServiceRead(result) => self.on_service_read(result, now, &mut actions),
             FollowerEvent::Watched(bytes) => self.on_value(&bytes, now, &mut actions),
             FollowerEvent::WatchEnded => self.on_watch_ended(now),
             FollowerEvent::Message { from, message } => {
                 self.on_message(from, message, now, &mut actions);
             }
             FollowerEvent::Accepted(record) => {
-                self.push(&record, &mut actions);
-                self.learn(record, now, &mut actions);
+                self.push_record(&record, &mut actions);
+                self.adopt(record, now, &mut actions);
             }
             FollowerEvent::Tick => {}
         }
         self.run_timers(now, &mut actions);
-        self.try_to_serve(now, &mut actions);
+        self.finish_startup(now, &mut actions);
         actions
     }
 
@@ -124,7 +124,7 @@
         self.current.as_ref().map(|record| record.id())
     }
 
-    fn on_service(
+    fn on_service_read(
         &mut self,
         result: Result<Option<Vec<u8>>, ServiceUnavailable>,
         now: Timestamp,
@@ -133,22 +133,22 @@
         let Ok(found) = result else {
             return;
         };
-        if let Some(start) = &mut self.start {
-            start.service_answered = true;
+        if let Some(startup) = &mut self.startup {
+            startup.service_answered = true;
         }
         if let Some(bytes) = found {
             self.on_value(&bytes, now, actions);
         }
     }
 
-    /// Most reads give what is held already; that is not decoded again.
-    fn holds(&self, bytes: &[u8]) -> bool {
+    /// Whether `bytes` are the current record. Most reads return it, so it is not decoded again.
+    fn is_current(&self, bytes: &[u8]) -> bool {
         self.current.as_ref().is_some_and(|record| record.bytes() == bytes)
     }
 
-    /// A value of the service's key, perhaps an older one.
+    /// Handles a value of the service's key, which may be stale.
     fn on_value(&mut self, bytes: &[u8], now: Timestamp, actions: &mut Vec<FollowerAction>) {
-        if self.holds(bytes) {
+        if self.is_current(bytes) {
             return;
         }
         let record = match ConfigurationRecord::decode(bytes) {
@@ -162,42 +162,43 @@
         if found < in_force {
             actions.push(FollowerAction::Report(Anomaly::StaleRead { found, in_force }));
         }
-        self.learn(Arc::new(record), now, actions);
+        self.adopt(Arc::new(record), now, actions);
     }
 
-    /// Takes a record over if it is newer than the one held.
-    fn learn(
+    /// Adopts a record if it is newer than the current one.
+    fn adopt(
         &mut self,
         record: Arc<ConfigurationRecord>,
         now: Timestamp,
         actions: &mut Vec<FollowerAction>,
     ) {
-        let held = self.current_id();
+        let current_id = self.current_id();
         let generation = record.generation();
-        if held.is_some_and(|held| held.generation == generation && held != record.id()) {
+        if current_id.is_some_and(|id| id.generation == generation && id != record.id()) {
             actions.push(FollowerAction::Report(Anomaly::RecordsDiffer { generation }));
         }
-        let checked = self.switches.is_on(Mechanism::GenerationCheck);
-        if checked && held.is_some_and(|held| held.generation >= generation) {
+        let checks_generation = self.switches.is_on(Mechanism::GenerationCheck);
+        if checks_generation && current_id.is_some_and(|id| id.generation >= generation) {
             return;
         }
-        if held == Some(record.id()) {
+        if current_id == Some(record.id()) {
             return;
         }
         if let Some(replaced) = self.current.replace(record.clone()) {
-            self.earlier.push_front(replaced);
-            self.earlier.truncate(self.settings.history as usize);
+            self.previous.push_front(replaced);
+            self.previous.truncate(self.settings.history as usize);
         }
-        if self.start.is_none() {
+        if self.startup.is_none() {
             actions.push(FollowerAction::Activate(record));
         }
         self.spread.start_rounds(&self.settings, now);
     }
 
-    /// When to pass the next [`FollowerEvent::Tick`] at the latest.
+    /// The latest time for the next [`FollowerEvent::Tick`].
     pub fn next_tick(&self, now: Timestamp) -> Timestamp {
-        let start = self.start.as_ref().map(|start| start.next_due(&self.settings, now));
-        let due = self.spread.next_due().min(start.unwrap_or(Timestamp(u64::MAX)));
+        let startup_due =
+            self.startup.as_ref().map(|startup| startup.next_due(&self.settings, now));
+        let due = self.spread.next_due().min(startup_due.unwrap_or(Timestamp(u64::MAX)));
         due.max(now + Duration::from_millis(1))
     }
 }
--- a/crates/configuration/src/orders/mod.rs
+++ b/crates/configuration/src/orders/mod.rs
@@ -1,4 +1,4 @@
-//! Orders to engines that follow from the configuration in force.
+//! Orders to engines, derived from the configuration in force.
 
 mod fleet;
 mod planner;
@@ -13,29 +13,29 @@
 
 pub use planner::OrderPlanner;
 
-/// How far a model is at an engine.
+/// State of a model on an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ModelState {
-    /// Its weights are on their way.
+    /// The engine is loading its weights.
     Loading,
-    /// It serves.
+    /// The engine can serve it.
     Ready,
 }
 
-/// What an engine last reported of itself.
+/// An engine's last report of its role and models.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EngineState {
-    /// Its life. Orders last as long as it.
+    /// Its incarnation. Orders do not survive a restart.
     pub incarnation: Incarnation,
-    /// What it does with new work.
+    /// Whether it takes new work.
     pub role: EngineRole,
-    /// It said that it will stop, or the platform's list of machines did.
+    /// Whether it announced that it will stop, or the platform's list of machines did.
     pub leaving: bool,
-    /// Its models.
+    /// Its models and their states.
     pub models: BTreeMap<ModelId, ModelState>,
 }
 
-/// What an order changes. Each is idempotent.
+/// What an order changes. Orders are idempotent.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum OrderKind {
     /// Load a model, adapter and version from the weight store.
@@ -46,21 +46,21 @@
     SetRole(EngineRole),
 }
 
-/// An order with its fences: the engine refuses it in another life, and when it has seen a newer
-/// generation for the same model or the role.
+/// An order with its fences: the engine refuses it in another incarnation, or after an order of a
+/// newer generation for the same model or for the role.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FencedOrder {
     /// The engine.
     pub engine: EngineId,
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: Incarnation,
-    /// The generation that the order follows.
+    /// The generation from which the order is derived.
     pub generation: Generation,
-    /// What to do.
+    /// What the order changes.
     pub kind: OrderKind,
 }
 
-/// A change that waits because it would leave a model too few serving engines.
+/// A change that is delayed because it would leave a model with too few serving engines.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BlockedChange {
     /// The engine that would change.
@@ -69,24 +69,24 @@
     pub model: ModelId,
 }
 
-/// What a planner reacts to.
+/// An event that a planner handles.
 #[derive(Debug, Clone)]
 pub enum PlannerEvent {
     /// A generation came into force.
     Activated(Arc<ConfigurationRecord>),
-    /// An engine reported.
+    /// An engine reported its state.
     EngineReported(EngineId, EngineState),
-    /// An engine is gone or does not answer; it serves nothing.
+    /// An engine is gone or does not answer, so it serves nothing.
     EngineLost(EngineId),
     /// Time has passed.
     Tick,
 }
 
-/// What the driver is to do.
+/// An action for the driver.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PlannerAction {
-    /// Give this order. A lost or refused one is planned again.
+    /// Send an order. The planner repeats it if it is lost or refused.
     Send(FencedOrder),
-    /// Nothing; to be shown to operators.
+    /// Show a delayed change to operators.
     ReportBlocked(BlockedChange),
 }
--- a/crates/configuration/src/orders/planner.rs
+++ b/crates/configuration/src/orders/planner.rs
@@ -1,9 +1,10 @@
-//! Plans orders: one step at a time towards the document, never below a model's least number of
-//! serving engines, and no faster than the weight store allows.
+//! Plans orders that bring the engines to the document's state step by step. No step leaves a model
+//! with fewer serving engines than its least number, and loads are no faster than the weight store
+//! allows.
 //!
-//! Engines are visited in the order of their names and a change that takes service away needs
-//! what reports show of the others. Two planners with views of different age therefore take the
-//! same steps; the generation fences the steps of one that is behind.
+//! Engines are visited in the order of their names, and a step that takes an engine out of service
+//! depends on reports of the others. Two planners with reports of different age therefore take the
+//! same steps. The generation fences the orders of a planner with an older configuration.
 
 use std::sync::Arc;
 
@@ -14,19 +15,19 @@
 use crate::switches::Switches;
 use crate::{ConfigurationRecord, ConfigurationSettings, Document, EngineRole, Mechanism};
 
-/// Turns the configuration in force and the engines' reports into orders.
+/// Derives orders from the configuration in force and the engines' reports.
 #[derive(Debug)]
 pub struct OrderPlanner {
     settings: ConfigurationSettings,
     record: Option<Arc<ConfigurationRecord>>,
     fleet: Fleet,
-    /// The weight store's rate allows no load before this.
+    /// Earliest time of the next load by the weight store's rate.
     next_load: Timestamp,
     switches: Switches,
 }
 
 impl OrderPlanner {
-    /// A planner that knows neither engines nor a configuration.
+    /// Creates a planner that knows neither engines nor a configuration.
     pub fn new(settings: ConfigurationSettings) -> Self {
         Self {
             settings,
@@ -37,49 +38,49 @@
         }
     }
 
-    /// Switches a mechanism off, to show that a checker notices.
+    /// Switches a mechanism off, to show that a test fails without it.
     #[cfg(feature = "test-switches")]
     pub fn disable(&mut self, mechanism: Mechanism) {
         self.switches.disable(mechanism);
     }
 
-    /// Takes an event and gives the orders that may be sent now.
+    /// Handles an event and returns the orders that may be sent now.
     pub fn handle(&mut self, event: PlannerEvent, now: Timestamp) -> Vec<PlannerAction> {
         self.fleet.set_time(now);
         match event {
-            PlannerEvent::Activated(record) => self.take(record),
-            PlannerEvent::EngineReported(engine, state) => self.fleet.report(engine, state),
-            PlannerEvent::EngineLost(engine) => self.fleet.lose(&engine),
+            PlannerEvent::Activated(record) => self.set_record(record),
+            PlannerEvent::EngineReported(engine, state) => self.fleet.apply_report(engine, state),
+            PlannerEvent::EngineLost(engine) => self.fleet.mark_lost(&engine),
             PlannerEvent::Tick => {}
         }
         let Some(record) = self.record.clone() else {
             return Vec::new();
         };
-        let mut plan = Plan { planner: self, record: &record, now, actions: Vec::new() };
-        plan.run();
-        plan.actions
+        let mut pass = PlanningPass { planner: self, record: &record, now, actions: Vec::new() };
+        pass.run();
+        pass.actions
     }
 
-    fn take(&mut self, record: Arc<ConfigurationRecord>) {
-        let held = self.record.as_ref().map(|held| held.generation());
-        if held < Some(record.generation()) {
+    fn set_record(&mut self, record: Arc<ConfigurationRecord>) {
+        let current = self.record.as_ref().map(|current| current.generation());
+        if current < Some(record.generation()) {
             self.record = Some(record);
         }
     }
 }
 
 /// One pass over the engines.
-struct Plan<'planner> {
+struct PlanningPass<'planner> {
     planner: &'planner mut OrderPlanner,
     record: &'planner ConfigurationRecord,
     now: Timestamp,
     actions: Vec<PlannerAction>,
 }
 
-impl Plan<'_> {
+impl PlanningPass<'_> {
     fn run(&mut self) {
         for engine in self.planner.fleet.engines() {
-            // Engines that the document does not name are not in its care.
+            // The configuration manages only the engines that the document names.
             if self.document().engines.contains_key(&engine) {
                 self.plan_engine(&engine);
             }
@@ -88,8 +89,8 @@
 
     fn plan_engine(&mut self, engine: &EngineId) {
         self.plan_role(engine);
-        self.withdraw_loads(engine);
-        // What is about to stop need not load anything.
+        self.revoke_unwanted_loads(engine);
+        // An engine that is about to stop need not load or unload models.
         if self.planner.fleet.state(engine).is_some_and(|state| !state.leaving) {
             self.plan_loads(engine);
             self.plan_unloads(engine);
@@ -106,12 +107,12 @@
             return;
         };
         let draining = OrderKind::SetRole(EngineRole::Draining);
-        let drain_sent = self.planner.fleet.sent(engine, &draining).is_some();
-        let is_so = state.role == wanted && !(wanted == EngineRole::Serving && drain_sent);
-        if is_so {
+        let drain_pending = self.planner.fleet.sent_at(engine, &draining).is_some();
+        let is_in_role = state.role == wanted && !(wanted == EngineRole::Serving && drain_pending);
+        if is_in_role {
             return;
         }
-        if wanted == EngineRole::Draining && !drain_sent {
+        if wanted == EngineRole::Draining && !drain_pending {
             let served: Vec<ModelId> = state.models.keys().cloned().collect();
             if served.iter().any(|model| self.is_needed(engine, model)) {
                 return;
@@ -126,36 +127,36 @@
             let load = OrderKind::Load(model.clone());
             let fleet = &self.planner.fleet;
             let reported = fleet.state(engine).is_some_and(|it| it.models.contains_key(&model));
-            let loads = fleet.sent(engine, &load).is_some();
-            let unloads = fleet.sent(engine, &OrderKind::Unload(model.clone())).is_some();
-            // An order of an earlier generation to unload it may be lost, or still be on its way:
-            // the newer fence makes the engine refuse it.
-            if (loads && !reported) || (unloads && reported) {
+            let load_pending = fleet.sent_at(engine, &load).is_some();
+            let unload_pending = fleet.sent_at(engine, &OrderKind::Unload(model.clone())).is_some();
+            // The order to load it may be lost. An order of an earlier generation to unload it may
+            // be lost or still in flight; the newer fence makes the engine refuse it.
+            if (load_pending && !reported) || (unload_pending && reported) {
                 self.send(engine, load);
                 continue;
             }
-            if fleet.has(engine, &model) {
+            if fleet.has_or_loads(engine, &model) {
                 continue;
             }
-            if self.has_slot(engine) && self.may_load() {
-                self.pace(&model);
+            if self.has_free_slot(engine) && self.may_load() {
+                self.reserve_load_time(&model);
                 self.send(engine, load);
             }
         }
     }
 
-    /// Takes back loads of an earlier generation that the document no longer wants.
-    fn withdraw_loads(&mut self, engine: &EngineId) {
+    /// Revokes pending loads of an earlier generation that the document no longer wants.
+    fn revoke_unwanted_loads(&mut self, engine: &EngineId) {
         let wanted: Vec<&ModelId> = self.record.document().models_of(engine).collect();
-        let loads = self.planner.fleet.loads_of(engine);
+        let loads = self.planner.fleet.ordered_loads(engine);
         let unwanted: Vec<ModelId> = loads.filter(|it| !wanted.contains(it)).cloned().collect();
         for model in unwanted {
             self.send(engine, OrderKind::Unload(model));
         }
     }
 
-    /// Unloads what the document does not want here: when a slot is needed for what it wants, or
-    /// when all that it wants here is ready.
+    /// Unloads models that the document does not want on the engine, once all wanted ones are ready
+    /// or one of them needs the slot.
     fn plan_unloads(&mut self, engine: &EngineId) {
         let document = self.record.document();
         let targets: Vec<&ModelId> = document.models_of(engine).collect();
@@ -164,89 +165,93 @@
         };
         let fleet = &self.planner.fleet;
         let all_ready = targets.iter().all(|model| fleet.is_ready(engine, model));
-        let waits_for_slot = !self.has_slot(engine)
-            && targets.iter().any(|model| !self.planner.fleet.has(engine, model));
-        let makes_room = waits_for_slot && self.may_exchange(engine);
+        let needs_slot = !self.has_free_slot(engine)
+            && targets.iter().any(|model| !self.planner.fleet.has_or_loads(engine, model));
+        let makes_room = needs_slot && self.may_unload_first(engine);
         if !all_ready && !makes_room {
             return;
         }
-        let held: Vec<ModelId> = state.models.keys().cloned().collect();
-        for model in held.iter().filter(|model| !targets.contains(model)) {
+        let loaded: Vec<ModelId> = state.models.keys().cloned().collect();
+        for model in loaded.iter().filter(|model| !targets.contains(model)) {
             let unload = OrderKind::Unload(model.clone());
-            let is_sent = self.planner.fleet.sent(engine, &unload).is_some();
-            if is_sent || !self.is_needed(engine, model) {
+            let is_pending = self.planner.fleet.sent_at(engine, &unload).is_some();
+            if is_pending || !self.is_needed(engine, model) {
                 self.send(engine, unload);
             }
         }
     }
 
-    /// Whether `model` would have too few serving engines without `engine`; notes it as held.
+    /// Whether `model` would have too few serving engines without `engine`. If so, reports the
+    /// change as blocked.
     fn is_needed(&mut self, engine: &EngineId, model: &ModelId) -> bool {
         if !self.planner.switches.is_on(Mechanism::LeastServing) {
             return false;
         }
         let fleet = &self.planner.fleet;
-        let least = fleet.least(model, self.record.document());
-        let is_needed = fleet.serves(engine, model) && fleet.serving(model) <= least;
+        let min_serving = fleet.min_serving(model, self.record.document());
+        let is_needed = fleet.serves(engine, model) && fleet.serving_count(model) <= min_serving;
         if is_needed {
-            let held = BlockedChange { engine: engine.clone(), model: model.clone() };
-            self.actions.push(PlannerAction::ReportBlocked(held));
+            let blocked = BlockedChange { engine: engine.clone(), model: model.clone() };
+            self.actions.push(PlannerAction::ReportBlocked(blocked));
         }
         is_needed
     }
 
-    fn has_slot(&self, engine: &EngineId) -> bool {
+    fn has_free_slot(&self, engine: &EngineId) -> bool {
         let slots = self.document().engines.get(engine).map_or(0, |entry| entry.slots as usize);
         self.planner.fleet.slots_taken(engine) < slots
     }
 
     fn may_load(&self) -> bool {
-        let paced = self.planner.switches.is_on(Mechanism::Pacing);
-        let most = self.planner.settings.loads_at_once as usize;
-        !paced || (self.now >= self.planner.next_load && self.planner.fleet.loading() < most)
+        let rate_limited = self.planner.switches.is_on(Mechanism::Pacing);
+        let max_loads = self.planner.settings.loads_at_once as usize;
+        !rate_limited
+            || (self.now >= self.planner.next_load
+                && self.planner.fleet.loading_count() < max_loads)
     }
 
-    /// Whether one more engine may give up a model before it has the one that replaces it. No more
-    /// than can load at once, so that the others keep serving.
-    fn may_exchange(&self, engine: &EngineId) -> bool {
+    /// Whether one more engine may unload a model before it has loaded the one that replaces it. At
+    /// most as many engines as may load at once do so, so that the others keep serving.
+    fn may_unload_first(&self, engine: &EngineId) -> bool {
         if !self.planner.switches.is_on(Mechanism::LeastServing) {
             return true;
         }
         let fleet = &self.planner.fleet;
-        let is_between = |other: &&EngineId| {
+        let is_exchanging = |other: &&EngineId| {
             let mut targets = self.document().models_of(other);
-            let lacks = targets.any(|model| !fleet.is_ready(other, model));
-            lacks && (self.has_slot(other) || fleet.changes(other))
+            let lacks_model = targets.any(|model| !fleet.is_ready(other, model));
+            lacks_model && (self.has_free_slot(other) || fleet.is_changing(other))
         };
-        // An engine that was never heard of may be in exchange by another planner's order.
-        let counts = |other: &&EngineId| {
-            !fleet.is_lost(other) && (fleet.state(other).is_none() || is_between(other))
+        // An engine that has not reported yet may be exchanging models by another planner's order.
+        let may_be_exchanging = |other: &&EngineId| {
+            !fleet.is_lost(other) && (fleet.state(other).is_none() || is_exchanging(other))
         };
         let others = self.document().engines.keys().filter(|other| *other != engine);
-        others.filter(counts).count() < self.planner.settings.loads_at_once as usize
+        others.filter(may_be_exchanging).count() < self.planner.settings.loads_at_once as usize
     }
 
-    /// Keeps the next load back until the weight store can have delivered this one.
-    fn pace(&mut self, model: &ModelId) {
+    /// Delays the next load until the weight store can have delivered this one.
+    fn reserve_load_time(&mut self, model: &ModelId) {
         let bytes = self.document().models.get(model).map_or(0, |entry| entry.weight_bytes);
         let seconds = bytes as f64 / self.planner.settings.weight_store_rate as f64;
-        let from = self.planner.next_load.max(self.now);
-        self.planner.next_load = from + Duration::from_secs_f64(seconds);
+        let start = self.planner.next_load.max(self.now);
+        self.planner.next_load = start + Duration::from_secs_f64(seconds);
     }
 
-    /// Sends an order unless it was sent just now.
+    /// Sends an order unless it is pending and was sent within the resend delay.
     fn send(&mut self, engine: &EngineId, kind: OrderKind) {
-        let sent = self.planner.fleet.sent(engine, &kind);
+        let sent_at = self.planner.fleet.sent_at(engine, &kind);
         let resend = self.planner.settings.order_resend;
-        if sent.is_some_and(|sent| self.now.since(sent) < resend) {
+        if sent_at.is_some_and(|sent_at| self.now.since(sent_at) < resend) {
             return;
         }
         let Some(state) = self.planner.fleet.state(engine) else {
             return;
         };
         let incarnation = state.incarnation;
-        // Within two such times the order was taken or given up, and a report shows which.
-        self.planner.fleet.note(engine, &kind, resend.times(2));
+        // Within twice the resend delay the order has taken effect or was given up, and a report
+        // shows which.
+        self.planner.fleet.record_sent(engine, &kind, resend.times(2));
         let generation = self.record.generation();
         let order = FencedOrder { engine: engine.clone(), incarnation, generation, kind };
         self.actions.push(PlannerAction::Send(order));
--- a/crates/configuration/src/record.rs
+++ b/crates/configuration/src/record.rs
@@ -1,5 +1,5 @@
-//! A generation of the configuration as it lies in the key-value service and travels between
-//! daemons.
+//! The record of a configuration's generation, as it is stored in the key-value service and sent
+//! between daemons.
 
 use std::fmt;
 
@@ -14,17 +14,17 @@
 /// Layout of records that this build writes and reads.
 const RECORD_LAYOUT: u16 = 1;
 
-/// Changes that a record lists besides its own. A lost reply can be resolved for as long as the
-/// change is among them.
+/// Most changes that a record lists besides its own. The outcome of a change whose reply was lost
+/// can be found while the change is listed.
 pub const MAX_RECENT_CHANGES: usize = 64;
 
-/// Largest record that is read: a document, escaped as JSON, and the list of changes.
+/// Largest record that is accepted: a document, escaped as JSON, and the list of changes.
 pub const MAX_RECORD_BYTES: usize = 2 * MAX_DOCUMENT_BYTES + (128 << 10);
 
-/// The key of the newest record in the key-value service.
+/// Key of the newest record in the key-value service.
 pub const CONFIGURATION_KEY: &str = "dahlialadder/configuration";
 
-/// An operator's own name for one change, so that it is found again after a lost reply.
+/// Identity that an operator gives a change, by which it is found again after a lost reply.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ChangeId(pub String);
@@ -35,7 +35,7 @@
     }
 }
 
-/// SHA-256 of some bytes; text form 64 hex digits.
+/// A SHA-256 digest. Its text form has 64 hex digits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(into = "String", try_from = "String")]
 pub struct Digest([u8; 32]);
@@ -76,7 +76,7 @@
     }
 }
 
-/// Names a generation and its content; what daemons tell each other.
+/// Identifies a record by its generation and content. Daemons announce and compare it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RecordId {
     /// The generation.
@@ -85,23 +85,23 @@
     pub digest: Digest,
 }
 
-/// One accepted change.
+/// A summary of an accepted change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ChangeSummary {
-    /// The generation that it became.
+    /// The generation that it created.
     pub generation: Generation,
     /// Its identity.
     pub change: ChangeId,
-    /// Who made it.
+    /// The operator who made it.
     pub author: String,
-    /// When it was proposed, by the clock of the daemon that wrote it.
+    /// When its record was made, by the clock of the daemon that wrote it.
     pub at: Timestamp,
     /// Digest of its document's text.
     pub document: Digest,
 }
 
-/// The stored form.
+/// The stored form of a record.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct StoredRecord {
@@ -111,7 +111,7 @@
     document: String,
 }
 
-/// One generation of the configuration, checked.
+/// A checked record of one generation of the configuration.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ConfigurationRecord {
     change: ChangeSummary,
@@ -123,10 +123,10 @@
 }
 
 impl ConfigurationRecord {
-    /// The first record or the one that follows `base`.
+    /// Creates the record that follows `base`, or the first one.
     ///
     /// # Errors
-    /// [`RecordError::Document`] when `text` is not a valid document.
+    /// [`RecordError::Document`] if `text` is not a valid document.
     pub(crate) fn after(
         base: Option<&ConfigurationRecord>,
         change: ChangeId,
@@ -147,10 +147,10 @@
         Self::checked(stored, bytes)
     }
 
-    /// Reads a record from the service or a peer.
+    /// Decodes a record from the service or a peer.
     ///
-    /// # Errors
-    /// [`RecordError`] when the bytes are not a record or its document is not valid here.
+    /// # Errors [`RecordError`] if the bytes are not a record of a known layout or its document is
+    /// not valid.
     pub fn decode(bytes: &[u8]) -> Result<Self, RecordError> {
         if bytes.len() > MAX_RECORD_BYTES {
             return Err(RecordError::Oversized { bytes: bytes.len(), limit: MAX_RECORD_BYTES });
@@ -174,7 +174,7 @@
         Ok(Self { change, recent, text, document, bytes, digest })
     }
 
-    /// The bytes for the service and for peers.
+    /// The encoded record.
     pub fn bytes(&self) -> &[u8] {
         &self.bytes
     }
@@ -184,12 +184,12 @@
         self.change.generation
     }
 
-    /// Generation and content, for announcements.
+    /// The record's identifier.
     pub fn id(&self) -> RecordId {
         RecordId { generation: self.generation(), digest: self.digest }
     }
 
-    /// The change that made it.
+    /// The change that created it.
     pub fn change(&self) -> &ChangeSummary {
         &self.change
     }
@@ -199,12 +199,12 @@
         std::iter::once(&self.change).chain(&self.recent)
     }
 
-    /// The operators' text, with their comments.
+    /// The document's text, with the operators' comments.
     pub fn text(&self) -> &str {
         &self.text
     }
 
-    /// What the text says.
+    /// The parsed document.
     pub fn document(&self) -> &Document {
         &self.document
     }
--- a/crates/configuration/src/settings.rs
+++ b/crates/configuration/src/settings.rs
@@ -1,41 +1,42 @@
-//! Settings of acceptance, spreading and orders.
+//! Settings of the configuration: how changes are written, how they spread, and orders to engines.
 
 use dahlia_types::{Duration, InvalidSetting, check_range};
 use serde::{Deserialize, Serialize};
 
-/// How a daemon takes part in the configuration. Durations in microseconds.
+/// Settings of a daemon's part in the configuration. Durations are in microseconds.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ConfigurationSettings {
-    /// How long an operator's change may take before its outcome is told as unknown.
+    /// Time after which an operator's change that is still undecided ends with the outcome known so
+    /// far.
     pub accept_within: Duration,
-    /// Pause before a read or swap is tried again.
+    /// Pause before a read or swap is retried.
     pub retry_pause: Duration,
-    /// Daemons of a zone that hold a watch on the service; the others hear from them.
+    /// Daemons per zone that watch the service. The others get new generations from other daemons.
     pub watchers_per_zone: u32,
-    /// Reads of the service by all daemons together come this far apart.
+    /// Interval between reads of the service by all daemons together.
     pub read_interval: Duration,
-    /// Daemons told at once of a new generation, in each round.
+    /// Daemons to which a new generation is announced in each round.
     pub fanout: u32,
-    /// Rounds in which a daemon tells of a generation that is new to it.
+    /// Rounds in which a daemon announces a generation that is new to it.
     pub announce_rounds: u32,
-    /// Time between two such rounds.
+    /// Interval between two such rounds.
     pub announce_interval: Duration,
-    /// Each daemon compares generations with one other this often.
+    /// Interval at which each daemon compares its generation with one other daemon.
     pub compare_interval: Duration,
-    /// Peers asked before a starting daemon serves.
+    /// Peers that a starting daemon asks before it serves.
     pub peers_asked: u32,
-    /// A starting daemon that cannot read the service waits this long before it trusts its
-    /// peers: the time in which an accepted generation reaches every daemon.
+    /// Time for which a starting daemon that cannot read the service waits before it relies on its
+    /// peers: an accepted generation reaches every daemon within it.
     pub spread_within: Duration,
-    /// Earlier generations that a daemon keeps with their documents.
+    /// Earlier generations whose records a daemon keeps.
     pub history: u32,
-    /// Bytes a second that loads may take from the weight store.
+    /// Bytes per second that loads may read from the weight store.
     pub weight_store_rate: u64,
-    /// Loads under way at once over all engines.
+    /// Most loads in progress at once over all engines.
     pub loads_at_once: u32,
-    /// An order without a visible effect is sent again after this. The driver gives an order up
-    /// that was not answered within it, and engines report more often.
+    /// Delay after which an order without a visible effect is sent again. The driver gives up an
+    /// order that was not answered within it, and engines report more often.
     pub order_resend: Duration,
 }
 
--- a/crates/configuration/src/switches.rs
+++ b/crates/configuration/src/switches.rs
@@ -1,25 +1,25 @@
-//! Mechanisms that a test can switch off, to show that its checker notices their absence.
+//! Mechanisms that tests can switch off, to show that they fail without them.
 
-/// One mechanism that a promise rests on.
+/// A mechanism on which a guarantee depends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Mechanism {
-    /// Only a newer generation replaces the one in force.
+    /// Only a newer generation replaces the current one.
     GenerationCheck,
     /// A starting daemon asks its peers before it serves.
     AskPeers,
-    /// A starting daemon without the service waits until a generation can have spread.
+    /// A starting daemon that cannot read the service waits until a generation must have spread.
     SpreadWait,
-    /// Daemons tell each other of new generations.
+    /// Daemons announce new generations to each other.
     Announcements,
-    /// Daemons compare generations now and then.
+    /// Daemons compare generations periodically.
     Comparison,
-    /// A change whose reply was lost is looked for by its identity.
+    /// A change whose reply was lost is looked up by its identity.
     ReadBack,
-    /// A roll-out leaves a model its least number of serving engines.
+    /// A roll-out leaves each model its least number of serving engines.
     LeastServing,
-    /// Loads are paced by the weight store's rate.
+    /// Loads are rate-limited by the weight store's rate.
     Pacing,
 }
 
-/// The mechanisms switched off. Always empty outside of test builds.
+/// The mechanisms that are switched off. Always empty outside of test builds.
 pub(crate) type Switches = dahlia_types::Switches<Mechanism>;
--- a/crates/configuration/tests/accept.rs
+++ b/crates/configuration/tests/accept.rs
@@ -1,9 +1,9 @@
-//! Acceptance of changes while replies are lost, requests arrive late, reads are stale and
-//! operators race.
+//! Tests of the change writer with lost replies, delayed requests, stale reads and operators that
+//! propose changes at the same time.
 
 mod common;
 
-use common::{DOCUMENT, Service, at, proposal};
+use common::{DOCUMENT, FakeKeyValueService, at, proposal};
 use dahlia_configuration::{
     ChangeId, ChangeOutcome, ChangeProposal, ChangeWriter, ChangeWriterAction, ChangeWriterEvent,
     ConfigurationRecord, ConfigurationSettings, MAX_RECENT_CHANGES, Mechanism, ServiceUnavailable,
@@ -20,29 +20,30 @@
 /// An operator with the change writer of the daemon that serves it.
 struct Operator {
     writer: ChangeWriter,
-    /// Results under way to the change writer.
+    /// Results that the change writer has not received yet.
     inbox: Vec<ChangeWriterEvent>,
     proposal: Option<ChangeProposal>,
     newest: u64,
 }
 
-struct Race {
+/// Operators who propose changes at the same time to a service with faults.
+struct ChangeRace {
     random: ChaCha8Rng,
     now: Timestamp,
-    service: Service,
-    /// Swaps whose sender was told that the reply is lost and that have not arrived yet.
-    late: Vec<(Option<u64>, Vec<u8>)>,
+    service: FakeKeyValueService,
+    /// Swaps that have not arrived yet. Their senders were told that the reply is lost.
+    late_swaps: Vec<(Option<u64>, Vec<u8>)>,
     operators: Vec<Operator>,
-    told_accepted: Vec<ChangeId>,
-    told_refused: Vec<ChangeId>,
+    reported_accepted: Vec<ChangeId>,
+    reported_refused: Vec<ChangeId>,
     changes: u32,
 }
 
-impl Race {
-    fn new(seed: u64, off: Option<Mechanism>) -> Self {
+impl ChangeRace {
+    fn new(seed: u64, disabled: Option<Mechanism>) -> Self {
         let operator = |_| {
             let mut writer = ChangeWriter::new(ConfigurationSettings::default());
-            if let Some(mechanism) = off {
+            if let Some(mechanism) = disabled {
                 writer.disable(mechanism);
             }
             Operator { writer, inbox: Vec::new(), proposal: None, newest: 0 }
@@ -50,11 +51,11 @@
         Self {
             random: ChaCha8Rng::seed_from_u64(seed),
             now: at(1),
-            service: Service::default(),
-            late: Vec::new(),
+            service: FakeKeyValueService::default(),
+            late_swaps: Vec::new(),
             operators: (0..OPERATORS).map(operator).collect(),
-            told_accepted: Vec::new(),
-            told_refused: Vec::new(),
+            reported_accepted: Vec::new(),
+            reported_refused: Vec::new(),
             changes: 0,
         }
     }
@@ -63,8 +64,8 @@
         self.now = self.now + Duration::from_millis(self.random.random_range(0..400));
         let index = self.random.random_range(0..OPERATORS);
         match self.random.random_range(0..10) {
-            0 if !self.late.is_empty() => {
-                let (expected, value) = self.late.remove(0);
+            0 if !self.late_swaps.is_empty() => {
+                let (expected, value) = self.late_swaps.remove(0);
                 let _ = self.service.swap(expected, value);
             }
             0..3 => self.propose(index),
@@ -77,8 +78,8 @@
         }
     }
 
-    /// A new change from the newest generation that the operator knows, or a repeat of one whose
-    /// outcome it was not told.
+    /// Proposes a new change based on the newest generation that the operator knows, or repeats the
+    /// one whose outcome is unknown.
     fn propose(&mut self, index: usize) {
         let operator = &self.operators[index];
         if operator.writer.is_busy() {
@@ -98,8 +99,8 @@
             let result = match action {
                 ChangeWriterAction::Read => self.read(),
                 ChangeWriterAction::Swap { expected, value } => self.swap(expected, value),
-                ChangeWriterAction::Answer(change, verdict) => {
-                    self.told(index, change, verdict);
+                ChangeWriterAction::Answer(change, outcome) => {
+                    self.record_outcome(index, change, outcome);
                     continue;
                 }
             };
@@ -111,7 +112,7 @@
         let behind = self.random.random_range(0..2);
         ChangeWriterEvent::Read(match self.random.random_range(0..10) {
             0 => Err(ServiceUnavailable),
-            1..4 => Ok(self.service.read_older(behind)),
+            1..4 => Ok(self.service.read_stale(behind)),
             _ => Ok(self.service.read()),
         })
     }
@@ -120,7 +121,7 @@
         ChangeWriterEvent::Swapped(match self.random.random_range(0..10) {
             0 => Err(SwapFailure::NotRun),
             1 => {
-                self.late.push((expected, value));
+                self.late_swaps.push((expected, value));
                 Err(SwapFailure::Unknown)
             }
             2..4 => {
@@ -131,18 +132,18 @@
         })
     }
 
-    fn told(&mut self, index: usize, change: ChangeId, verdict: ChangeOutcome) {
+    fn record_outcome(&mut self, index: usize, change: ChangeId, outcome: ChangeOutcome) {
         let operator = &mut self.operators[index];
-        let newest = match &verdict {
+        let newest = match &outcome {
             ChangeOutcome::Accepted(record) => record.generation(),
             ChangeOutcome::AcceptedEarlier(summary) => summary.generation,
             ChangeOutcome::Conflict { newest, .. } => *newest,
             _ => Generation(operator.newest),
         };
         operator.newest = operator.newest.max(newest.0);
-        match verdict {
+        match outcome {
             ChangeOutcome::Accepted(_) | ChangeOutcome::AcceptedEarlier(_) => {
-                self.told_accepted.push(change)
+                self.reported_accepted.push(change)
             }
             ChangeOutcome::Unknown => {
                 let proposal = operator.proposal.as_mut();
@@ -150,70 +151,77 @@
                 return;
             }
             ChangeOutcome::Conflict { .. } | ChangeOutcome::Unavailable => {
-                self.told_refused.push(change)
+                self.reported_refused.push(change)
             }
             other => panic!("{change}: {other:?}"),
         }
         self.operators[index].proposal = None;
     }
 
-    /// What is wrong with what operators were told; none when all of it is true.
-    fn fault(&self) -> Option<String> {
+    /// Checks the reported outcomes against the written records. Returns the first violation.
+    fn find_violation(&self) -> Option<String> {
         let decode =
             |bytes: &Vec<u8>| ConfigurationRecord::decode(bytes).expect("only records are written");
         let records: Vec<ConfigurationRecord> = self.service.values.iter().map(decode).collect();
         let generations = records.iter().map(|record| record.generation().0);
         if !generations.eq(1..=records.len() as u64) {
-            return Some("generations do not rise by one".to_owned());
+            return Some("generations do not increase by one".to_owned());
         }
         let count = |change: &ChangeId| {
             records.iter().filter(|record| record.change().change == *change).count()
         };
-        let wrong = |told: &&ChangeId| count(told) != 1;
-        if let Some(change) = self.told_accepted.iter().find(wrong) {
-            return Some(format!("{change} was told as accepted and is there {}", count(change)));
+        let is_not_written_once = |change: &&ChangeId| count(change) != 1;
+        if let Some(change) = self.reported_accepted.iter().find(is_not_written_once) {
+            return Some(format!(
+                "{change} was reported as accepted; its records: {}",
+                count(change)
+            ));
         }
-        let refused = self.told_refused.iter().find(|change| count(change) > 0);
-        refused.map(|change| format!("{change} was told as not accepted and is in force"))
+        let refused = self.reported_refused.iter().find(|change| count(change) > 0);
+        refused.map(|change| format!("{change} was reported as not accepted and is in force"))
     }
 }
 
-fn run(seed: u64, off: Option<Mechanism>, blind: bool) -> (Race, Option<String>) {
-    let mut race = Race::new(seed, off);
-    race.service.ignores_version = blind;
+fn run_race(
+    seed: u64,
+    disabled: Option<Mechanism>,
+    ignores_version: bool,
+) -> (ChangeRace, Option<String>) {
+    let mut race = ChangeRace::new(seed, disabled);
+    race.service.ignores_version = ignores_version;
     (0..STEPS).for_each(|_| race.step());
-    let fault = race.fault();
-    (race, fault)
+    let violation = race.find_violation();
+    (race, violation)
 }
 
 #[test]
-fn operators_are_told_what_came_of_their_changes() {
+fn reported_outcomes_match_the_written_changes() {
     let (mut accepted, mut refused) = (0, 0);
     for seed in 0..SEEDS {
-        let (race, fault) = run(seed, None, false);
-        assert_eq!(fault, None, "seed {seed}");
-        accepted += race.told_accepted.len();
-        refused += race.told_refused.len();
+        let (race, violation) = run_race(seed, None, false);
+        assert_eq!(violation, None, "seed {seed}");
+        accepted += race.reported_accepted.len();
+        refused += race.reported_refused.len();
     }
     let least = 5 * SEEDS as usize;
     assert!(accepted > least && refused > least, "{accepted} accepted, {refused} refused");
 }
 
 #[test]
-fn without_reading_back_a_change_in_force_is_told_as_not_accepted() {
-    let is_faulty = |seed| run(seed, Some(Mechanism::ReadBack), false).1.is_some();
-    assert!((0..SEEDS).any(is_faulty), "no fault without reading back");
+fn without_reading_back_a_change_in_force_is_reported_as_not_accepted() {
+    let has_violation = |seed| run_race(seed, Some(Mechanism::ReadBack), false).1.is_some();
+    assert!((0..SEEDS).any(has_violation), "no violation without reading back");
 }
 
 #[test]
-fn without_the_services_comparison_a_change_is_lost() {
-    let is_faulty = |seed| run(seed, None, true).1.is_some();
-    assert!((0..SEEDS).any(is_faulty), "no fault without compare-and-swap");
+fn without_compare_and_swap_a_change_is_lost() {
+    let has_violation = |seed| run_race(seed, None, true).1.is_some();
+    assert!((0..SEEDS).any(has_violation), "no violation without compare-and-swap");
 }
 
 #[test]
-fn the_loser_of_a_race_is_told_to_which_change_it_lost() {
-    let mut service = Service::default();
+fn a_conflict_names_the_change_that_was_accepted_instead() {
+    let mut service = FakeKeyValueService::default();
     let mut writer = ChangeWriter::new(ConfigurationSettings::default());
     writer.handle(ChangeWriterEvent::Proposed(proposal("mine", 0, DOCUMENT)), at(0));
     let read = service.read();
@@ -224,40 +232,40 @@
     writer.handle(ChangeWriterEvent::Swapped(Err(SwapFailure::Conflict)), at(1));
     let finished = writer.handle(ChangeWriterEvent::Read(Ok(service.read())), at(2));
     let conflicting_change = Some(theirs.change().clone());
-    let verdict = ChangeOutcome::Conflict { newest: Generation(2), conflicting_change };
-    assert_eq!(finished, [ChangeWriterAction::Answer(ChangeId("mine".to_owned()), verdict)]);
+    let outcome = ChangeOutcome::Conflict { newest: Generation(2), conflicting_change };
+    assert_eq!(finished, [ChangeWriterAction::Answer(ChangeId("mine".to_owned()), outcome)]);
 }
 
-/// What a fresh change writer tells about `proposal` from one read of the service.
-fn verdict_of(service: &Service, proposal: ChangeProposal) -> ChangeOutcome {
+/// The outcome of `proposal` by a new change writer after one read of the service.
+fn outcome_of(service: &FakeKeyValueService, proposal: ChangeProposal) -> ChangeOutcome {
     let mut writer = ChangeWriter::new(ConfigurationSettings::default());
     let mut actions = writer.handle(ChangeWriterEvent::Proposed(proposal), at(0));
     if actions == [ChangeWriterAction::Read] {
         actions = writer.handle(ChangeWriterEvent::Read(Ok(service.read())), at(0));
     }
     match actions.pop() {
-        Some(ChangeWriterAction::Answer(_, verdict)) => verdict,
-        other => panic!("expected a verdict, found {other:?}"),
+        Some(ChangeWriterAction::Answer(_, outcome)) => outcome,
+        other => panic!("expected an outcome, found {other:?}"),
     }
 }
 
 #[test]
-fn a_repeat_finds_the_first_and_an_identity_is_not_used_twice() {
-    let mut service = Service::default();
+fn a_repeated_request_finds_the_first_and_an_identity_cannot_be_reused() {
+    let mut service = FakeKeyValueService::default();
     let first = service.accept("first", DOCUMENT);
     assert_eq!(
-        verdict_of(&service, proposal("first", 0, DOCUMENT)),
+        outcome_of(&service, proposal("first", 0, DOCUMENT)),
         ChangeOutcome::Accepted(first.clone())
     );
     let changed = format!("# other\n{DOCUMENT}");
     let reused = ChangeOutcome::IdentityReused(first.change().clone());
-    assert_eq!(verdict_of(&service, proposal("first", 1, &changed)), reused);
+    assert_eq!(outcome_of(&service, proposal("first", 1, &changed)), reused);
     for number in 0..MAX_RECENT_CHANGES {
         service.accept(&format!("later-{number}"), DOCUMENT);
     }
     let earlier = ChangeOutcome::AcceptedEarlier(first.change().clone());
-    assert_eq!(verdict_of(&service, proposal("first", 0, DOCUMENT)), earlier);
-    let unlisted = verdict_of(&service, proposal("never", 0, DOCUMENT));
+    assert_eq!(outcome_of(&service, proposal("first", 0, DOCUMENT)), earlier);
+    let unlisted = outcome_of(&service, proposal("never", 0, DOCUMENT));
     assert!(
         matches!(unlisted, ChangeOutcome::Conflict { conflicting_change: Some(_), .. }),
         "{unlisted:?}"
@@ -265,18 +273,18 @@
 }
 
 #[test]
-fn names_and_documents_are_checked_before_anything_is_read() {
-    let service = Service::default();
+fn names_and_documents_are_checked_before_the_service_is_read() {
+    let service = FakeKeyValueService::default();
     let long = proposal(&"x".repeat(65), 0, DOCUMENT);
     for wrong in [long, proposal("", 0, DOCUMENT), proposal("a", 0, "models = 3")] {
-        let verdict = verdict_of(&service, wrong);
-        assert!(matches!(verdict, ChangeOutcome::Invalid(_)), "{verdict:?}");
+        let outcome = outcome_of(&service, wrong);
+        assert!(matches!(outcome, ChangeOutcome::Invalid(_)), "{outcome:?}");
     }
 }
 
 #[test]
-fn a_service_that_forgot_generations_cannot_bring_them_back() {
-    let mut service = Service::default();
+fn after_the_service_lost_generations_the_next_one_follows_the_one_in_force() {
+    let mut service = FakeKeyValueService::default();
     service.accept("one", DOCUMENT);
     let newest = service.accept("two", DOCUMENT);
     // The service was restored from an older copy; the daemons still have generation 2.
@@ -295,24 +303,24 @@
 }
 
 #[test]
-fn a_change_that_cannot_be_decided_in_time_is_told_as_what_it_is() {
-    let late = at(60_000);
-    let mut unreached = ChangeWriter::new(ConfigurationSettings::default());
-    unreached.handle(ChangeWriterEvent::Proposed(proposal("a", 0, DOCUMENT)), at(0));
-    unreached.handle(ChangeWriterEvent::Read(Err(ServiceUnavailable)), at(1));
-    let told = unreached.handle(ChangeWriterEvent::Tick, late);
+fn an_undecided_change_ends_at_its_deadline_as_unavailable_or_unknown() {
+    let after_deadline = at(60_000);
+    let mut writer_without_service = ChangeWriter::new(ConfigurationSettings::default());
+    writer_without_service.handle(ChangeWriterEvent::Proposed(proposal("a", 0, DOCUMENT)), at(0));
+    writer_without_service.handle(ChangeWriterEvent::Read(Err(ServiceUnavailable)), at(1));
+    let answer = writer_without_service.handle(ChangeWriterEvent::Tick, after_deadline);
     assert!(
-        matches!(told[..], [ChangeWriterAction::Answer(_, ChangeOutcome::Unavailable)]),
-        "{told:?}"
+        matches!(answer[..], [ChangeWriterAction::Answer(_, ChangeOutcome::Unavailable)]),
+        "{answer:?}"
     );
 
-    let mut in_doubt = ChangeWriter::new(ConfigurationSettings::default());
-    in_doubt.handle(ChangeWriterEvent::Proposed(proposal("b", 0, DOCUMENT)), at(0));
-    in_doubt.handle(ChangeWriterEvent::Read(Ok(None)), at(1));
-    in_doubt.handle(ChangeWriterEvent::Swapped(Err(SwapFailure::Unknown)), at(2));
-    let told = in_doubt.handle(ChangeWriterEvent::Tick, late);
+    let mut writer_in_doubt = ChangeWriter::new(ConfigurationSettings::default());
+    writer_in_doubt.handle(ChangeWriterEvent::Proposed(proposal("b", 0, DOCUMENT)), at(0));
+    writer_in_doubt.handle(ChangeWriterEvent::Read(Ok(None)), at(1));
+    writer_in_doubt.handle(ChangeWriterEvent::Swapped(Err(SwapFailure::Unknown)), at(2));
+    let answer = writer_in_doubt.handle(ChangeWriterEvent::Tick, after_deadline);
     assert!(
-        matches!(told[..], [ChangeWriterAction::Answer(_, ChangeOutcome::Unknown)]),
-        "{told:?}"
+        matches!(answer[..], [ChangeWriterAction::Answer(_, ChangeOutcome::Unknown)]),
+        "{answer:?}"
     );
 }
--- a/crates/configuration/tests/common/mod.rs
+++ b/crates/configuration/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Documents, records and a modelled key-value service, shared by the test files.
+//! Documents, records and a simulated key-value service, shared by the test files.
 #![allow(dead_code)]
 
 use std::sync::Arc;
@@ -36,24 +36,25 @@
     }
 }
 
-/// The key of the configuration in a key-value service.
+/// A simulated key-value service with the configuration's key only.
 #[derive(Default)]
-pub struct Service {
-    /// All values that the key ever had; the version is the position from 1.
+pub struct FakeKeyValueService {
+    /// All values that the key has had. The version of a value is its position, from 1.
     pub values: Vec<Vec<u8>>,
-    /// Ignores the expected version, as a service without compare-and-swap.
+    /// Whether swaps ignore the expected version, like a service without compare-and-swap.
     pub ignores_version: bool,
 }
 
-impl Service {
+impl FakeKeyValueService {
     pub fn read(&self) -> Option<VersionedValue> {
         let bytes = self.values.last()?.clone();
         Some(VersionedValue { version: self.values.len() as u64, bytes })
     }
 
-    /// An answer with older data.
-    pub fn read_older(&self, behind: usize) -> Option<VersionedValue> {
-        let version = self.values.len().checked_sub(behind).filter(|version| *version > 0)?;
+    /// Reads a value that is the given number of versions old.
+    pub fn read_stale(&self, versions_behind: usize) -> Option<VersionedValue> {
+        let version =
+            self.values.len().checked_sub(versions_behind).filter(|version| *version > 0)?;
         Some(VersionedValue { version: version as u64, bytes: self.values[version - 1].clone() })
     }
 
@@ -65,7 +66,7 @@
         Ok(())
     }
 
-    /// Accepts `change` without any fault and gives the record.
+    /// Writes `change` without faults and returns its record.
     pub fn accept(&mut self, change: &str, document: &str) -> Arc<ConfigurationRecord> {
         let mut writer = ChangeWriter::new(ConfigurationSettings::default());
         let newest =
@@ -74,13 +75,13 @@
         let proposed = ChangeWriterEvent::Proposed(proposal(change, expected, document));
         let mut actions = writer.handle(proposed, at(0));
         loop {
-            let event = match actions.pop().expect("a change writer with work acts") {
+            let event = match actions.pop().expect("a change writer with a pending change acts") {
                 ChangeWriterAction::Read => ChangeWriterEvent::Read(Ok(self.read())),
                 ChangeWriterAction::Swap { expected, value } => {
                     ChangeWriterEvent::Swapped(self.swap(expected, value))
                 }
                 ChangeWriterAction::Answer(_, ChangeOutcome::Accepted(record)) => return record,
-                ChangeWriterAction::Answer(_, verdict) => panic!("{verdict:?}"),
+                ChangeWriterAction::Answer(_, outcome) => panic!("{outcome:?}"),
             };
             actions = writer.handle(event, at(0));
         }
--- a/crates/configuration/tests/document.rs
+++ b/crates/configuration/tests/document.rs
@@ -1,18 +1,19 @@
-//! Reading, checking and comparing documents.
+//! Tests of parsing, checking and comparing documents, and of records.
 
 mod common;
 
-use common::{DOCUMENT, Service};
+use common::{DOCUMENT, FakeKeyValueService};
 use dahlia_configuration::{ConfigurationRecord, Document, RecordError, differences};
 use dahlia_types::TenantId;
 
-fn refusal(document: &str) -> String {
+/// The error message for a document that is not valid.
+fn parse_error(document: &str) -> String {
     Document::parse(document).expect_err("the document is not valid").to_string()
 }
 
 #[test]
-fn a_wrong_document_is_refused_by_field_value_and_what_is_allowed() {
-    let refusals = [
+fn an_invalid_document_is_refused_with_field_value_and_allowed_values() {
+    let invalid_documents = [
         "models = 3".to_owned(),
         "[defaults]\nbudget = 3".to_owned(),
         "[defaults]\nmodel = \"gpt\"".to_owned(),
@@ -23,17 +24,18 @@
         DOCUMENT.replace("[engines.e1]", "least_serving = 4\n[engines.e1]"),
         DOCUMENT.replace("weight_bytes", "least_serving = 0\nweight_bytes"),
     ];
-    let told: Vec<String> = refusals.iter().map(|document| refusal(document)).collect();
-    insta::assert_snapshot!(told.join("\n---\n"));
+    let messages: Vec<String> =
+        invalid_documents.iter().map(|document| parse_error(document)).collect();
+    insta::assert_snapshot!(messages.join("\n---\n"));
     let large = format!("# {}", "x".repeat(300_000));
-    assert!(refusal(&large).contains("300002 bytes"));
+    assert!(parse_error(&large).contains("300002 bytes"));
 }
 
 #[test]
 fn a_document_that_drains_every_engine_of_a_model_is_refused() {
     let drained = DOCUMENT.replace("]\n[engines", "]\nrole = \"draining\"\n[engines");
     let drained = format!("{}role = \"draining\"\n", drained);
-    let refused = refusal(&drained);
+    let refused = parse_error(&drained);
     assert!(refused.contains("at least 1 engines that do not drain"), "{refused}");
 }
 
@@ -61,8 +63,8 @@
 }
 
 #[test]
-fn a_record_survives_its_encoding_and_damage_is_refused() {
-    let record = Service::default().accept("first", DOCUMENT);
+fn a_record_round_trips_and_damaged_bytes_are_refused() {
+    let record = FakeKeyValueService::default().accept("first", DOCUMENT);
     let decoded = ConfigurationRecord::decode(record.bytes()).expect("whole");
     assert_eq!(decoded, *record);
     assert_eq!(decoded.text(), DOCUMENT);
@@ -78,7 +80,7 @@
 }
 
 #[test]
-fn a_document_survives_its_text_form() {
+fn a_document_round_trips_through_its_text() {
     let document = Document::parse(DOCUMENT).expect("valid");
     assert_eq!(Document::parse(&document.to_text()), Ok(document));
 }
--- a/crates/configuration/tests/orders.rs
+++ b/crates/configuration/tests/orders.rs
@@ -1,10 +1,10 @@
-//! Roll-outs over modelled engines whose reports lag and whose orders get lost.
+//! Tests of roll-outs on simulated engines whose reports lag and whose orders get lost.
 
 mod common;
 
 use std::collections::BTreeMap;
 
-use common::{Service, at};
+use common::{FakeKeyValueService, at};
 use dahlia_configuration::{
     ConfigurationSettings, EngineRole, EngineState, FencedOrder, Mechanism, ModelState, OrderKind,
     OrderPlanner, PlannerAction, PlannerEvent,
@@ -16,28 +16,29 @@
 const ENGINES: usize = 6;
 const SEEDS: u64 = 60;
 const STEP: Duration = Duration::from_millis(100);
-const MOST_STEPS: usize = 6_000;
+const MAX_STEPS: usize = 6_000;
 const LOAD_STEPS: u64 = 30;
-/// The weight store delivers one load in a second.
+/// Bytes of one load, which the weight store delivers in one second.
 const WEIGHT_BYTES: u64 = 1 << 30;
-/// All engines but those that load, two at once.
-const LEAST_IN_ROLL_OUT: usize = ENGINES - 2;
+/// All engines but the two that may load at once.
+const MIN_SERVING_IN_ROLL_OUT: usize = ENGINES - 2;
 
-/// One engine, as it really is.
-struct Engine {
+/// The actual state of one engine.
+struct SimulatedEngine {
     state: EngineState,
     ready_at: BTreeMap<ModelId, Timestamp>,
     fences: BTreeMap<String, Generation>,
 }
 
-struct Fleet {
+/// Engines, the planners that send them orders, and the orders in flight.
+struct SimulatedFleet {
     random: ChaCha8Rng,
     now: Timestamp,
-    engines: BTreeMap<EngineId, Engine>,
+    engines: BTreeMap<EngineId, SimulatedEngine>,
     planners: Vec<OrderPlanner>,
     orders: Vec<(Timestamp, FencedOrder)>,
-    loads_begun: Vec<Timestamp>,
-    most_loading: usize,
+    load_starts: Vec<Timestamp>,
+    max_loading: usize,
 }
 
 fn model(version: u32) -> ModelId {
@@ -48,7 +49,7 @@
     EngineId::new(format!("e{index}"))
 }
 
-/// A document in which all engines serve the versions given; the first `drained` engines drain.
+/// A document in which all engines serve the given versions and the first `drained` engines drain.
 fn document(versions: &[u32], slots: u32, drained: usize) -> String {
     let names: Vec<String> = (0..ENGINES).map(|index| format!("\"e{index}\"")).collect();
     let models = versions.iter().map(|version| {
@@ -65,20 +66,23 @@
     models.chain(engines).collect()
 }
 
-impl Fleet {
-    /// All engines serve version 3; `planners` daemons plan at once.
-    fn new(seed: u64, planners: usize, off: Option<Mechanism>) -> Self {
+impl SimulatedFleet {
+    /// Creates engines that all serve version 3, with `planners` planners at work at once.
+    fn new(seed: u64, planners: usize, disabled: Option<Mechanism>) -> Self {
         let state = EngineState {
             incarnation: Incarnation(1),
             role: EngineRole::Serving,
             leaving: false,
             models: BTreeMap::from([(model(3), ModelState::Ready)]),
         };
-        let engine =
-            || Engine { state: state.clone(), ready_at: BTreeMap::new(), fences: BTreeMap::new() };
+        let engine = || SimulatedEngine {
+            state: state.clone(),
+            ready_at: BTreeMap::new(),
+            fences: BTreeMap::new(),
+        };
         let planner = || {
             let mut planner = OrderPlanner::new(ConfigurationSettings::default());
-            if let Some(mechanism) = off {
+            if let Some(mechanism) = disabled {
                 planner.disable(mechanism);
             }
             planner
@@ -89,19 +93,19 @@
             engines: (0..ENGINES).map(|index| (engine_id(index), engine())).collect(),
             planners: (0..planners).map(|_| planner()).collect(),
             orders: Vec::new(),
-            loads_begun: Vec::new(),
-            most_loading: 0,
+            load_starts: Vec::new(),
+            max_loading: 0,
         }
     }
 
-    fn apply(&mut self, service: &mut Service, text: &str) {
+    fn apply_document(&mut self, service: &mut FakeKeyValueService, text: &str) {
         let record = service.accept(&format!("change-{}", service.values.len()), text);
         for index in 0..self.planners.len() {
-            self.event(index, PlannerEvent::Activated(record.clone()));
+            self.handle(index, PlannerEvent::Activated(record.clone()));
         }
     }
 
-    fn event(&mut self, index: usize, event: PlannerEvent) {
+    fn handle(&mut self, index: usize, event: PlannerEvent) {
         for action in self.planners[index].handle(event, self.now) {
             let PlannerAction::Send(order) = action else { continue };
             if self.random.random_bool(0.9) {
@@ -111,14 +115,15 @@
         }
     }
 
-    /// One step of time: orders arrive, loads end, some engines report, each to one planner.
+    /// Advances the time by one step: orders arrive, loads end, and some engines report, each to
+    /// one planner.
     fn step(&mut self) {
         self.now = self.now + STEP;
         let now = self.now;
         let (due, later) = self.orders.drain(..).partition(|(at, _)| *at <= now);
         self.orders = later;
         let due: Vec<(Timestamp, FencedOrder)> = due;
-        due.into_iter().for_each(|(_, order)| self.obey(order));
+        due.into_iter().for_each(|(_, order)| self.apply_order(order));
         for engine in self.engines.values_mut() {
             for (model, ready) in &engine.ready_at {
                 if *ready <= now {
@@ -128,18 +133,18 @@
             engine.ready_at.retain(|_, ready| *ready > now);
         }
         let loading = self.engines.values().map(|engine| engine.ready_at.len()).sum();
-        self.most_loading = self.most_loading.max(loading);
+        self.max_loading = self.max_loading.max(loading);
         for index in 0..ENGINES {
             if self.random.random_bool(0.1) {
                 let planner = self.random.random_range(0..self.planners.len());
                 let state = self.engines[&engine_id(index)].state.clone();
-                self.event(planner, PlannerEvent::EngineReported(engine_id(index), state));
+                self.handle(planner, PlannerEvent::EngineReported(engine_id(index), state));
             }
         }
-        (0..self.planners.len()).for_each(|index| self.event(index, PlannerEvent::Tick));
+        (0..self.planners.len()).for_each(|index| self.handle(index, PlannerEvent::Tick));
     }
 
-    fn obey(&mut self, order: FencedOrder) {
+    fn apply_order(&mut self, order: FencedOrder) {
         let engine = self.engines.get_mut(&order.engine).expect("a known engine");
         let subject = match &order.kind {
             OrderKind::Load(model) | OrderKind::Unload(model) => model.to_string(),
@@ -156,7 +161,7 @@
                 engine.state.models.insert(model.clone(), ModelState::Loading);
                 let length = Duration::from_millis(100 * LOAD_STEPS);
                 engine.ready_at.insert(model, self.now + length);
-                self.loads_begun.push(self.now);
+                self.load_starts.push(self.now);
             }
             OrderKind::Unload(model) => {
                 engine.state.models.remove(&model);
@@ -166,8 +171,9 @@
         }
     }
 
+    /// Number of engines that serve any of the versions.
     fn serving(&self, versions: &[u32]) -> usize {
-        let serves = |engine: &&Engine| {
+        let serves = |engine: &&SimulatedEngine| {
             let ready = |version: &u32| {
                 engine.state.models.get(&model(*version)) == Some(&ModelState::Ready)
             };
@@ -179,16 +185,17 @@
     /// Whether all engines hold exactly `version` and serve.
     fn holds_only(&self, version: u32) -> bool {
         let only = BTreeMap::from([(model(version), ModelState::Ready)]);
-        let is_done = |engine: &Engine| {
+        let is_done = |engine: &SimulatedEngine| {
             engine.state.models == only && engine.state.role == EngineRole::Serving
         };
         self.engines.values().all(is_done)
     }
 
-    /// Steps until `done`; gives the fewest engines that served any of `versions` on the way.
+    /// Steps until `done` holds. Returns the fewest engines that served any of `versions`
+    /// meanwhile.
     fn run_until(&mut self, versions: &[u32], done: impl Fn(&Self) -> bool) -> usize {
         let mut fewest = self.serving(versions);
-        for _ in 0..MOST_STEPS {
+        for _ in 0..MAX_STEPS {
             if done(self) {
                 return fewest;
             }
@@ -199,85 +206,93 @@
     }
 }
 
-/// Rolls version 4 out in place of 3, with so many slots in each engine; gives the fewest engines that
-/// served either on the way.
-fn replace(seed: u64, planners: usize, slots: u32, off: Option<Mechanism>) -> (usize, Fleet) {
-    let mut fleet = Fleet::new(seed, planners, off);
-    let mut service = Service::default();
-    fleet.apply(&mut service, &document(&[3], slots, 0));
-    fleet.apply(&mut service, &document(&[4], slots, 0));
+/// Replaces version 3 by version 4 on engines with `slots` slots. Returns the fewest engines that
+/// served either version meanwhile.
+fn roll_out(
+    seed: u64,
+    planners: usize,
+    slots: u32,
+    disabled: Option<Mechanism>,
+) -> (usize, SimulatedFleet) {
+    let mut fleet = SimulatedFleet::new(seed, planners, disabled);
+    let mut service = FakeKeyValueService::default();
+    fleet.apply_document(&mut service, &document(&[3], slots, 0));
+    fleet.apply_document(&mut service, &document(&[4], slots, 0));
     let fewest = fleet.run_until(&[3, 4], |fleet| fleet.holds_only(4));
     (fewest, fleet)
 }
 
 #[test]
-fn a_roll_out_takes_no_more_engines_out_than_can_load() {
+fn a_roll_out_takes_no_more_engines_out_of_service_than_can_load() {
     for seed in 0..SEEDS {
-        let (fewest, _) = replace(seed, 1, 1, None);
-        assert!(fewest >= LEAST_IN_ROLL_OUT, "seed {seed}: only {fewest} engines served");
+        let (fewest, _) = roll_out(seed, 1, 1, None);
+        assert!(fewest >= MIN_SERVING_IN_ROLL_OUT, "seed {seed}: only {fewest} engines served");
     }
 }
 
 #[test]
-fn two_planners_at_once_take_no_more_engines_out() {
+fn two_planners_at_once_take_no_more_engines_out_of_service() {
     for seed in 0..SEEDS {
-        let (fewest, _) = replace(seed, 2, 1, None);
-        assert!(fewest >= LEAST_IN_ROLL_OUT, "seed {seed}: only {fewest} engines served");
+        let (fewest, _) = roll_out(seed, 2, 1, None);
+        assert!(fewest >= MIN_SERVING_IN_ROLL_OUT, "seed {seed}: only {fewest} engines served");
     }
 }
 
 #[test]
-fn without_the_least_number_no_engine_is_left() {
-    let fewest = (0..SEEDS).map(|seed| replace(seed, 1, 1, Some(Mechanism::LeastServing)).0).min();
+fn without_the_least_number_a_roll_out_leaves_no_engine_serving() {
+    let fewest = (0..SEEDS).map(|seed| roll_out(seed, 1, 1, Some(Mechanism::LeastServing)).0).min();
     assert_eq!(fewest, Some(0));
 }
 
 #[test]
-fn loads_come_no_faster_than_the_weight_store_allows() {
+fn loads_are_no_faster_than_the_weight_store_allows() {
     for seed in 0..SEEDS {
-        let (_, fleet) = replace(seed, 1, 2, None);
-        assert!(fleet.most_loading <= 2, "seed {seed}: {} loads at once", fleet.most_loading);
-        let took = fleet.loads_begun[ENGINES - 1].since(fleet.loads_begun[0]);
-        assert!(took >= Duration::from_secs(4), "seed {seed}: all loads began within {took:?}");
+        let (_, fleet) = roll_out(seed, 1, 2, None);
+        assert!(fleet.max_loading <= 2, "seed {seed}: {} loads at once", fleet.max_loading);
+        let elapsed = fleet.load_starts[ENGINES - 1].since(fleet.load_starts[0]);
+        assert!(
+            elapsed >= Duration::from_secs(4),
+            "seed {seed}: all loads began within {elapsed:?}"
+        );
     }
 }
 
 #[test]
-fn without_pacing_loads_come_all_at_once() {
-    let most = (0..SEEDS).map(|seed| replace(seed, 1, 2, Some(Mechanism::Pacing)).1.most_loading);
+fn without_pacing_too_many_loads_run_at_once() {
+    let most = (0..SEEDS).map(|seed| roll_out(seed, 1, 2, Some(Mechanism::Pacing)).1.max_loading);
     assert!(most.max() > Some(2));
 }
 
 #[test]
-fn drains_wait_until_others_serve_and_an_undone_drain_is_undone_everywhere() {
+fn drains_leave_the_least_number_serving_and_can_be_revoked() {
     for seed in 0..SEEDS {
-        let mut fleet = Fleet::new(seed, 2, None);
-        let mut service = Service::default();
-        fleet.apply(&mut service, &document(&[3], 2, 4));
+        let mut fleet = SimulatedFleet::new(seed, 2, None);
+        let mut service = FakeKeyValueService::default();
+        fleet.apply_document(&mut service, &document(&[3], 2, 4));
         let fewest = fleet.run_until(&[3], |fleet| fleet.serving(&[3]) == 2);
         assert_eq!(fewest, 2, "seed {seed}");
-        fleet.apply(&mut service, &document(&[3], 2, 0));
+        fleet.apply_document(&mut service, &document(&[3], 2, 0));
         let fewest = fleet.run_until(&[3], |fleet| fleet.holds_only(3));
         assert_eq!(fewest, 2, "seed {seed}");
     }
 }
 
 #[test]
-fn a_version_taken_back_during_its_roll_out_leaves_the_old_one_serving() {
+fn a_version_revoked_during_its_roll_out_leaves_the_old_one_serving() {
     for seed in 0..SEEDS {
-        let mut fleet = Fleet::new(seed, 1, None);
-        let mut service = Service::default();
-        fleet.apply(&mut service, &document(&[4], 1, 0));
+        let mut fleet = SimulatedFleet::new(seed, 1, None);
+        let mut service = FakeKeyValueService::default();
+        fleet.apply_document(&mut service, &document(&[4], 1, 0));
         (0..40 + seed).for_each(|_| fleet.step());
-        fleet.apply(&mut service, &document(&[3], 1, 0));
+        fleet.apply_document(&mut service, &document(&[3], 1, 0));
         let fewest = fleet.run_until(&[3, 4], |fleet| fleet.holds_only(3));
         assert!(fewest >= 1, "seed {seed}: no engine served");
     }
 }
 
 #[test]
-fn a_new_life_of_an_engine_gets_its_orders_again() {
-    let mut service = Service::default();
+fn a_restarted_engine_gets_its_orders_again() {
+    let mut service = FakeKeyValueService::default();
     let record = service.accept("first", &document(&[3], 2, 0));
     let mut planner = OrderPlanner::new(ConfigurationSettings::default());
     planner.handle(PlannerEvent::Activated(record), at(0));
@@ -299,8 +314,8 @@
         planner.handle(PlannerEvent::EngineReported(engine_id(0), state(incarnation)), at(millis))
     };
     assert_eq!(report(1, 0), [load(1)]);
-    assert_eq!(report(1, 2_000), [], "it is under way");
+    assert_eq!(report(1, 2_000), [], "the order is pending");
     assert_eq!(report(2, 3_000), [load(2)]);
-    assert_eq!(report(1, 4_000), [], "a late report of the earlier life");
-    assert_eq!(report(2, 9_000), [load(2)], "the order had no effect in time");
+    assert_eq!(report(1, 4_000), [], "a late report of the earlier incarnation");
+    assert_eq!(report(2, 9_000), [load(2)], "the order had no effect within the resend delay");
 }
--- a/crates/configuration/tests/spread/main.rs
+++ b/crates/configuration/tests/spread/main.rs
@@ -1,4 +1,4 @@
-//! A generation reaches every daemon in time and is never replaced by an older one.
+//! Tests that a generation reaches every daemon in time and is never replaced by an older one.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -14,12 +14,12 @@
 
 const DAEMONS: u32 = 370;
 const ZONES: u32 = 7;
-const BOUND: Duration = Duration::from_secs(7);
+const SPREAD_BOUND: Duration = Duration::from_secs(7);
 const STEP: Duration = Duration::from_millis(50);
 
-/// Starts 370 daemons that serve generation 1.
-fn fleet(seed: u64, off: Option<Mechanism>) -> Network {
-    let mut network = Network::new(seed, DAEMONS, ZONES, off);
+/// Starts 370 daemons and waits until they serve generation 1.
+fn start_fleet(seed: u64, disabled: Option<Mechanism>) -> Network {
+    let mut network = Network::new(seed, DAEMONS, ZONES, disabled);
     network.loss = 0.01;
     network.service.accept("first", DOCUMENT);
     network.start().expect("nothing was in force");
@@ -28,12 +28,13 @@
     network
 }
 
-/// Time until every daemon serves a change that is accepted now; none after three bounds.
+/// Time until every daemon serves a change that is accepted now, after which the service fails.
+/// None after three times the bound.
 fn time_to_all(network: &mut Network) -> Option<Duration> {
     let start = network.now;
-    let generation = network.accept(DaemonId(200), DOCUMENT).expect("newer");
+    let generation = network.accept_change(DaemonId(200), DOCUMENT).expect("newer");
     network.begin_outage();
-    while network.now.since(start) < BOUND.times(3) {
+    while network.now.since(start) < SPREAD_BOUND.times(3) {
         network.run(STEP).expect("generations rise");
         if network.serving(generation) == DAEMONS as usize {
             return Some(network.now.since(start));
@@ -43,23 +44,23 @@
 }
 
 #[test]
-fn a_change_reaches_370_daemons_in_time_though_the_service_fails_right_after_it() {
+fn a_change_reaches_370_daemons_in_time_if_the_service_fails_right_after_it() {
     for seed in 0..5 {
-        let took = time_to_all(&mut fleet(seed, None));
-        assert!(took.is_some_and(|took| took < BOUND), "seed {seed}: {took:?}");
-        println!("seed {seed}: in force on {DAEMONS} daemons after {took:?} microseconds");
+        let elapsed = time_to_all(&mut start_fleet(seed, None));
+        assert!(elapsed.is_some_and(|elapsed| elapsed < SPREAD_BOUND), "seed {seed}: {elapsed:?}");
+        println!("seed {seed}: in force on {DAEMONS} daemons after {elapsed:?} microseconds");
     }
 }
 
 #[test]
 fn without_announcements_the_change_comes_too_late() {
-    let took = time_to_all(&mut fleet(0, Some(Mechanism::Announcements)));
-    assert!(took.is_none_or(|took| took >= BOUND), "{took:?}");
+    let elapsed = time_to_all(&mut start_fleet(0, Some(Mechanism::Announcements)));
+    assert!(elapsed.is_none_or(|elapsed| elapsed >= SPREAD_BOUND), "{elapsed:?}");
 }
 
 #[test]
-fn the_services_load_does_not_grow_with_the_daemons() {
-    let mut network = fleet(0, None);
+fn the_load_on_the_service_does_not_grow_with_the_daemons() {
+    let mut network = start_fleet(0, None);
     let (reads, messages) = (network.service_reads, network.messages);
     network.run(Duration::from_secs(60)).expect("nothing changes");
     let (reads, messages) = (network.service_reads - reads, network.messages - messages);
@@ -70,7 +71,7 @@
 }
 
 #[test]
-fn a_whole_start_in_an_outage_serves_nothing_until_the_service_is_back() {
+fn a_fleet_that_starts_in_an_outage_serves_only_after_it() {
     let mut network = Network::new(1, 60, 3, None);
     network.service.accept("first", DOCUMENT);
     network.begin_outage();
@@ -85,36 +86,37 @@
     assert_eq!(network.serving(Generation(1)), 60);
 }
 
-/// A zone is cut off during a change and healed; gives whether its daemons learn of it while the
-/// service is down.
-fn heals(off: Option<Mechanism>) -> bool {
-    let mut network = Network::new(1, 21, 3, off);
+/// Partitions a zone from the others during a change. Returns whether its daemons get the change
+/// after the partition heals, while the service is down.
+fn zone_catches_up(disabled: Option<Mechanism>) -> bool {
+    let mut network = Network::new(1, 21, 3, disabled);
     network.service.accept("first", DOCUMENT);
     network.start().expect("nothing was in force");
     network.run(Duration::from_secs(30)).expect("one generation");
-    network.cut = Some(network.zone_of(DaemonId(0)));
+    network.partitioned_zone = Some(network.zone_of(DaemonId(0)));
     network.begin_outage();
-    let generation = network.accept(DaemonId(1), DOCUMENT).expect("newer");
+    let generation = network.accept_change(DaemonId(1), DOCUMENT).expect("newer");
     network.run(Duration::from_secs(20)).expect("generations rise");
     assert_eq!(network.serving(generation), 14, "the zones that see each other");
-    network.cut = None;
+    network.partitioned_zone = None;
     network.run(Duration::from_secs(10)).expect("generations rise");
     network.serving(generation) == 21
 }
 
 #[test]
-fn a_zone_that_was_cut_off_catches_up() {
-    assert!(heals(None));
+fn a_partitioned_zone_catches_up() {
+    assert!(zone_catches_up(None));
 }
 
 #[test]
-fn without_comparison_a_zone_that_was_cut_off_stays_behind() {
-    assert!(!heals(Some(Mechanism::Comparison)));
+fn without_comparison_a_partitioned_zone_stays_behind() {
+    assert!(!zone_catches_up(Some(Mechanism::Comparison)));
 }
 
-/// Five minutes of random faults over 12 daemons; every daemon serves the newest in the end.
-fn storm(seed: u64, off: Option<Mechanism>) -> Result<(), Revert> {
-    let mut network = Network::new(seed, 12, 3, off);
+/// Runs 12 daemons with random faults for five minutes. In the end every daemon must serve the
+/// newest generation.
+fn run_random_faults(seed: u64, disabled: Option<Mechanism>) -> Result<(), Revert> {
+    let mut network = Network::new(seed, 12, 3, disabled);
     network.loss = 0.05;
     network.service.accept("first", DOCUMENT);
     network.start()?;
@@ -123,7 +125,7 @@
         match network.random.random_range(0..10) {
             0..3 if !network.outage => {
                 let daemon = any_daemon(&mut network);
-                network.accept(daemon, DOCUMENT)?;
+                network.accept_change(daemon, DOCUMENT)?;
             }
             0..3 => network.outage = false,
             3..6 => {
@@ -131,14 +133,14 @@
                 network.restart(daemon)?;
             }
             6 => network.begin_outage(),
-            7 => network.behind = network.random.random_range(0..3),
-            8 => network.cut = None,
-            _ => network.cut = Some(any_zone(&mut network)),
+            7 => network.versions_behind = network.random.random_range(0..3),
+            8 => network.partitioned_zone = None,
+            _ => network.partitioned_zone = Some(any_zone(&mut network)),
         }
         let millis = network.random.random_range(0..6_000);
         network.run(Duration::from_millis(millis))?;
     }
-    (network.outage, network.behind, network.cut) = (false, 0, None);
+    (network.outage, network.versions_behind, network.partitioned_zone) = (false, 0, None);
     network.run(Duration::from_secs(60))?;
     let newest = network.service.values.len() as u64;
     assert_eq!(network.serving(Generation(newest)), 12, "seed {seed}");
@@ -155,19 +157,19 @@
     network.zone_of(daemon)
 }
 
-const STORMS: u64 = 40;
+const RANDOM_FAULT_SEEDS: u64 = 40;
 
 #[test]
-fn no_daemon_reverts_in_any_storm() {
-    for seed in 0..STORMS {
-        storm(seed, None).unwrap_or_else(|revert| panic!("seed {seed}: {revert:?}"));
+fn no_daemon_reverts_under_random_faults() {
+    for seed in 0..RANDOM_FAULT_SEEDS {
+        run_random_faults(seed, None).unwrap_or_else(|revert| panic!("seed {seed}: {revert:?}"));
     }
 }
 
-/// Asserts that some storm shows a revert once `mechanism` is off.
+/// Asserts that a daemon reverts for some seed if `mechanism` is disabled.
 fn assert_needed(mechanism: Mechanism) {
-    let reverts = |seed| storm(seed, Some(mechanism)).is_err();
-    assert!((0..STORMS).any(reverts), "no daemon reverted without {mechanism:?}");
+    let reverts = |seed| run_random_faults(seed, Some(mechanism)).is_err();
+    assert!((0..RANDOM_FAULT_SEEDS).any(reverts), "no daemon reverted without {mechanism:?}");
 }
 
 #[test]
@@ -180,14 +182,14 @@
     assert_needed(Mechanism::AskPeers);
 }
 
-/// The daemon that brought in a change restarts at once, with the service down: few others have
+/// Restarts the daemon that wrote a change at once, with the service down. Few other daemons have
 /// the change when it asks them.
-fn restart_after_change(seed: u64, off: Option<Mechanism>) -> Result<(), Revert> {
-    let mut network = Network::new(seed, 60, 3, off);
+fn restart_after_change(seed: u64, disabled: Option<Mechanism>) -> Result<(), Revert> {
+    let mut network = Network::new(seed, 60, 3, disabled);
     network.service.accept("first", DOCUMENT);
     network.start()?;
     network.run(Duration::from_secs(20))?;
-    let generation = network.accept(DaemonId(7), DOCUMENT)?;
+    let generation = network.accept_change(DaemonId(7), DOCUMENT)?;
     network.begin_outage();
     network.run(Duration::from_millis(1))?;
     network.restart(DaemonId(7))?;
--- a/crates/configuration/tests/spread/network.rs
+++ b/crates/configuration/tests/spread/network.rs
@@ -1,5 +1,5 @@
-//! Many followers in virtual time over a network with delay, loss and cuts, and a service that
-//! has outages and answers with older data.
+//! Simulates many followers in virtual time, over a network with delay, loss and partitions and
+//! with a service that has outages and stale reads.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -12,29 +12,30 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::common::Service;
+use crate::common::FakeKeyValueService;
 
-const ONE_WAY_MILLIS: (u64, u64) = (1, 4);
-const SERVICE_MILLIS: (u64, u64) = (2, 40);
+const ONE_WAY_DELAY_MILLIS: (u64, u64) = (1, 4);
+const SERVICE_DELAY_MILLIS: (u64, u64) = (2, 40);
 
+/// An event in flight to a daemon.
 enum Delivery {
     Message { from: DaemonId, message: PeerMessage },
-    Service(Result<Option<Vec<u8>>, ServiceUnavailable>),
+    ServiceRead(Result<Option<Vec<u8>>, ServiceUnavailable>),
     Watched(Vec<u8>),
     WatchEnded,
     Tick,
 }
 
-struct Node {
+struct SimulatedDaemon {
     follower: ConfigurationFollower,
     zone: Zone,
-    life: u32,
-    /// The newest generation that this daemon ever had in force, over all its lives.
-    highest: Generation,
-    tick_at: Timestamp,
+    incarnation: u32,
+    /// The newest generation that this daemon has had in force, over all its incarnations.
+    highest_generation: Generation,
+    next_tick_at: Timestamp,
 }
 
-/// A daemon had a generation in force after a newer one.
+/// A daemon replaced a generation in force by an older one.
 #[derive(Debug, PartialEq)]
 pub struct Revert {
     pub daemon: DaemonId,
@@ -45,20 +46,20 @@
 pub struct Network {
     pub now: Timestamp,
     pub random: ChaCha8Rng,
-    pub service: Service,
-    /// The service does not answer and watches are broken.
+    pub service: FakeKeyValueService,
+    /// Whether the service does not answer and watches are broken.
     pub outage: bool,
-    /// The service answers reads with data that is this many generations old.
-    pub behind: usize,
-    /// The zone that is cut off from the others.
-    pub cut: Option<Zone>,
-    /// Chance that a message between daemons is lost.
+    /// How many versions old the service's answers to reads are.
+    pub versions_behind: usize,
+    /// The zone that is partitioned from the others.
+    pub partitioned_zone: Option<Zone>,
+    /// Probability that a message between daemons is lost.
     pub loss: f64,
     pub messages: u64,
     pub service_reads: u64,
     settings: ConfigurationSettings,
-    off: Option<Mechanism>,
-    nodes: BTreeMap<DaemonId, Node>,
+    disabled: Option<Mechanism>,
+    nodes: BTreeMap<DaemonId, SimulatedDaemon>,
     watchers: BTreeSet<DaemonId>,
     queue: BinaryHeap<Reverse<(Timestamp, u64)>>,
     deliveries: BTreeMap<u64, (DaemonId, u32, Delivery)>,
@@ -66,19 +67,19 @@
 }
 
 impl Network {
-    pub fn new(seed: u64, daemons: u32, zones: u32, off: Option<Mechanism>) -> Self {
+    pub fn new(seed: u64, daemons: u32, zones: u32, disabled: Option<Mechanism>) -> Self {
         let mut network = Self {
             now: Timestamp::ZERO + Duration::from_secs(1),
             random: ChaCha8Rng::seed_from_u64(seed),
-            service: Service::default(),
+            service: FakeKeyValueService::default(),
             outage: false,
-            behind: 0,
-            cut: None,
+            versions_behind: 0,
+            partitioned_zone: None,
             loss: 0.0,
             messages: 0,
             service_reads: 0,
             settings: ConfigurationSettings::default(),
-            off,
+            disabled,
             nodes: BTreeMap::new(),
             watchers: BTreeSet::new(),
             queue: BinaryHeap::new(),
@@ -87,20 +88,26 @@
         };
         for number in 0..daemons {
             let zone = Zone::new(format!("zone-{}", number % zones));
-            let node = network.node(DaemonId(number), zone, 1);
+            let node = network.new_daemon(DaemonId(number), zone, 1);
             network.nodes.insert(DaemonId(number), node);
         }
         network
     }
 
-    fn node(&mut self, daemon: DaemonId, zone: Zone, life: u32) -> Node {
+    fn new_daemon(&mut self, daemon: DaemonId, zone: Zone, incarnation: u32) -> SimulatedDaemon {
         let (settings, seed) = (self.settings.clone(), self.random.random());
         let mut follower =
             ConfigurationFollower::new(daemon, zone.clone(), settings, None, seed, self.now);
-        if let Some(mechanism) = self.off {
+        if let Some(mechanism) = self.disabled {
             follower.disable(mechanism);
         }
-        Node { follower, zone, life, highest: Generation(0), tick_at: Timestamp(u64::MAX) }
+        SimulatedDaemon {
+            follower,
+            zone,
+            incarnation,
+            highest_generation: Generation(0),
+            next_tick_at: Timestamp(u64::MAX),
+        }
     }
 
     pub fn daemons(&self) -> Vec<DaemonId> {
@@ -111,7 +118,7 @@
         self.nodes[&daemon].zone.clone()
     }
 
-    /// Daemons that serve by exactly `generation`.
+    /// Number of daemons that serve by exactly `generation`.
     pub fn serving(&self, generation: Generation) -> usize {
         let known = ServingGeneration::Known(generation);
         self.nodes.values().filter(|node| node.follower.serving_generation() == known).count()
@@ -119,33 +126,37 @@
 
     /// Starts all daemons.
     pub fn start(&mut self) -> Result<(), Revert> {
-        self.daemons().into_iter().try_for_each(|daemon| self.tell_peers(daemon))
+        self.daemons().into_iter().try_for_each(|daemon| self.send_peer_list(daemon))
     }
 
-    /// Replaces a daemon by one with empty memory.
+    /// Restarts a daemon with empty memory.
     pub fn restart(&mut self, daemon: DaemonId) -> Result<(), Revert> {
-        let (zone, life) = (self.zone_of(daemon), self.nodes[&daemon].life + 1);
-        let highest = self.nodes[&daemon].highest;
-        let node = self.node(daemon, zone, life);
-        self.nodes.insert(daemon, Node { highest, ..node });
+        let (zone, incarnation) = (self.zone_of(daemon), self.nodes[&daemon].incarnation + 1);
+        let highest_generation = self.nodes[&daemon].highest_generation;
+        let node = self.new_daemon(daemon, zone, incarnation);
+        self.nodes.insert(daemon, SimulatedDaemon { highest_generation, ..node });
         self.watchers.remove(&daemon);
-        self.tell_peers(daemon)
+        self.send_peer_list(daemon)
     }
 
-    fn tell_peers(&mut self, daemon: DaemonId) -> Result<(), Revert> {
+    fn send_peer_list(&mut self, daemon: DaemonId) -> Result<(), Revert> {
         let all = self.nodes.iter();
         let peers = all.map(|(daemon, node)| Peer { daemon: *daemon, zone: node.zone.clone() });
         let peers = peers.collect();
         self.handle(daemon, FollowerEvent::Peers(peers))
     }
 
-    /// An operator's change through `daemon`.
-    pub fn accept(&mut self, daemon: DaemonId, document: &str) -> Result<Generation, Revert> {
+    /// Writes an operator's change through `daemon`.
+    pub fn accept_change(
+        &mut self,
+        daemon: DaemonId,
+        document: &str,
+    ) -> Result<Generation, Revert> {
         let record = self.service.accept(&format!("change-{}", self.serial), document);
         self.serial += 1;
         for watcher in self.watchers.clone() {
             let bytes = record.bytes().to_vec();
-            self.schedule(watcher, SERVICE_MILLIS, Delivery::Watched(bytes));
+            self.schedule(watcher, SERVICE_DELAY_MILLIS, Delivery::Watched(bytes));
         }
         let generation = record.generation();
         self.handle(daemon, FollowerEvent::Accepted(record))?;
@@ -156,15 +167,15 @@
     pub fn begin_outage(&mut self) {
         self.outage = true;
         for watcher in std::mem::take(&mut self.watchers) {
-            self.schedule(watcher, SERVICE_MILLIS, Delivery::WatchEnded);
+            self.schedule(watcher, SERVICE_DELAY_MILLIS, Delivery::WatchEnded);
         }
-        // What the watches had not delivered yet is lost with them.
+        // Values that the watches have not delivered yet are lost with them.
         let is_watched =
             |(_, _, it): &(DaemonId, u32, Delivery)| matches!(it, Delivery::Watched(_));
         self.deliveries.retain(|_, delivery| !is_watched(delivery));
     }
 
-    /// Lets `length` pass.
+    /// Runs the simulation for `length`.
     pub fn run(&mut self, length: Duration) -> Result<(), Revert> {
         let end = self.now + length;
         while let Some(Reverse((at, serial))) = self.queue.peek().copied() {
@@ -173,24 +184,29 @@
             }
             self.queue.pop();
             self.now = at;
-            if let Some((to, life, delivery)) = self.deliveries.remove(&serial) {
-                self.deliver(to, life, delivery)?;
+            if let Some((to, incarnation, delivery)) = self.deliveries.remove(&serial) {
+                self.deliver(to, incarnation, delivery)?;
             }
         }
         self.now = end;
         Ok(())
     }
 
-    fn deliver(&mut self, to: DaemonId, life: u32, delivery: Delivery) -> Result<(), Revert> {
-        if self.nodes[&to].life != life {
+    fn deliver(
+        &mut self,
+        to: DaemonId,
+        incarnation: u32,
+        delivery: Delivery,
+    ) -> Result<(), Revert> {
+        if self.nodes[&to].incarnation != incarnation {
             return Ok(());
         }
         let event = match delivery {
             Delivery::Message { from, message } => FollowerEvent::Message { from, message },
-            Delivery::Service(result) => FollowerEvent::ServiceRead(result),
+            Delivery::ServiceRead(result) => FollowerEvent::ServiceRead(result),
             Delivery::Watched(bytes) => FollowerEvent::Watched(bytes),
             Delivery::WatchEnded => FollowerEvent::WatchEnded,
-            Delivery::Tick if self.nodes[&to].tick_at > self.now => return Ok(()),
+            Delivery::Tick if self.nodes[&to].next_tick_at > self.now => return Ok(()),
             Delivery::Tick => FollowerEvent::Tick,
         };
         self.handle(to, event)
@@ -201,10 +217,10 @@
         let node = self.nodes.get_mut(&daemon).expect("a daemon of this network");
         let actions = node.follower.handle(event, now);
         let next = node.follower.next_tick(now);
-        if node.tick_at <= now || next < node.tick_at {
-            node.tick_at = next;
-            let life = node.life;
-            self.push(next, daemon, life, Delivery::Tick);
+        if node.next_tick_at <= now || next < node.next_tick_at {
+            node.next_tick_at = next;
+            let incarnation = node.incarnation;
+            self.push(next, daemon, incarnation, Delivery::Tick);
         }
         actions.into_iter().try_for_each(|action| self.carry_out(daemon, action))
     }
@@ -215,33 +231,37 @@
             FollowerAction::ReadService => {
                 self.service_reads += 1;
                 let result = self.read();
-                self.schedule(daemon, SERVICE_MILLIS, Delivery::Service(result));
+                self.schedule(daemon, SERVICE_DELAY_MILLIS, Delivery::ServiceRead(result));
             }
             FollowerAction::OpenWatch if self.outage => {
-                self.schedule(daemon, SERVICE_MILLIS, Delivery::WatchEnded);
+                self.schedule(daemon, SERVICE_DELAY_MILLIS, Delivery::WatchEnded);
             }
             FollowerAction::OpenWatch => {
                 self.watchers.insert(daemon);
                 if let Ok(Some(bytes)) = self.read() {
-                    self.schedule(daemon, SERVICE_MILLIS, Delivery::Watched(bytes));
+                    self.schedule(daemon, SERVICE_DELAY_MILLIS, Delivery::Watched(bytes));
                 }
             }
             FollowerAction::CloseWatch => {
                 self.watchers.remove(&daemon);
             }
-            FollowerAction::Activate(record) => self.in_force(daemon, &record)?,
+            FollowerAction::Activate(record) => self.record_activation(daemon, &record)?,
             FollowerAction::Ready | FollowerAction::Report(_) => {}
         }
         Ok(())
     }
 
-    fn in_force(&mut self, daemon: DaemonId, record: &ConfigurationRecord) -> Result<(), Revert> {
+    fn record_activation(
+        &mut self,
+        daemon: DaemonId,
+        record: &ConfigurationRecord,
+    ) -> Result<(), Revert> {
         let generation = record.generation();
         let node = self.nodes.get_mut(&daemon).expect("a daemon of this network");
-        if generation < node.highest {
-            return Err(Revert { daemon, from: node.highest, to: generation });
+        if generation < node.highest_generation {
+            return Err(Revert { daemon, from: node.highest_generation, to: generation });
         }
-        node.highest = generation;
+        node.highest_generation = generation;
         Ok(())
     }
 
@@ -249,29 +269,29 @@
         if self.outage {
             return Err(ServiceUnavailable);
         }
-        Ok(self.service.read_older(self.behind).map(|found| found.bytes))
+        Ok(self.service.read_stale(self.versions_behind).map(|found| found.bytes))
     }
 
     fn send(&mut self, from: DaemonId, to: DaemonId, message: PeerMessage) {
         self.messages += 1;
         let (one, other) = (self.zone_of(from), self.zone_of(to));
-        let is_cut =
-            one != other && self.cut.as_ref().is_some_and(|cut| *cut == one || *cut == other);
-        if is_cut || self.random.random_bool(self.loss) {
+        let is_partitioned = one != other
+            && self.partitioned_zone.as_ref().is_some_and(|zone| *zone == one || *zone == other);
+        if is_partitioned || self.random.random_bool(self.loss) {
             return;
         }
-        self.schedule(to, ONE_WAY_MILLIS, Delivery::Message { from, message });
+        self.schedule(to, ONE_WAY_DELAY_MILLIS, Delivery::Message { from, message });
     }
 
     fn schedule(&mut self, to: DaemonId, delay: (u64, u64), delivery: Delivery) {
         let millis = self.random.random_range(delay.0..=delay.1);
-        let life = self.nodes[&to].life;
-        self.push(self.now + Duration::from_millis(millis), to, life, delivery);
+        let incarnation = self.nodes[&to].incarnation;
+        self.push(self.now + Duration::from_millis(millis), to, incarnation, delivery);
     }
 
-    fn push(&mut self, at: Timestamp, to: DaemonId, life: u32, delivery: Delivery) {
+    fn push(&mut self, at: Timestamp, to: DaemonId, incarnation: u32, delivery: Delivery) {
         self.serial += 1;
         self.queue.push(Reverse((at, self.serial)));
-        self.deliveries.insert(self.serial, (to, life, delivery));
+        self.deliveries.insert(self.serial, (to, incarnation, delivery));
     }
 }
