--- a/crates/configuration/tests/accept.rs
+++ b/crates/configuration/tests/accept.rs
@@ -21,9 +21,9 @@
 struct Operator {
     writer: ChangeWriter,
     /// Results that the change writer has not received yet.
-    inbox: Vec<ChangeWriterEvent>,
+    pending_results: Vec<ChangeWriterEvent>,
     proposal: Option<ChangeProposal>,
-    newest: u64,
+    newest_generation: u64,
 }
 
 /// Operators who propose changes at the same time to a service with faults.
@@ -46,7 +46,7 @@
             if let Some(mechanism) = disabled {
                 writer.disable(mechanism);
             }
-            Operator { writer, inbox: Vec::new(), proposal: None, newest: 0 }
+            Operator { writer, pending_results: Vec::new(), proposal: None, newest_generation: 0 }
         };
         Self {
             random: ChaCha8Rng::seed_from_u64(seed),
@@ -71,7 +71,7 @@
             0..3 => self.propose(index),
             3 => self.handle(index, ChangeWriterEvent::Tick),
             _ => {
-                if let Some(event) = self.operators[index].inbox.pop() {
+                if let Some(event) = self.operators[index].pending_results.pop() {
                     self.handle(index, event);
                 }
             }
@@ -85,7 +85,7 @@
         if operator.writer.is_busy() {
             return;
         }
-        let expected = operator.newest;
+        let expected = operator.newest_generation;
         let next = || proposal(&format!("change-{}", self.changes), expected, DOCUMENT);
         let proposal = operator.proposal.clone().unwrap_or_else(next);
         self.changes += 1;
@@ -104,7 +104,7 @@
                     continue;
                 }
             };
-            self.operators[index].inbox.push(result);
+            self.operators[index].pending_results.push(result);
         }
     }
 
@@ -138,16 +138,16 @@
             ChangeOutcome::Accepted(record) => record.generation(),
             ChangeOutcome::AcceptedEarlier(summary) => summary.generation,
             ChangeOutcome::Conflict { newest, .. } => *newest,
-            _ => Generation(operator.newest),
+            _ => Generation(operator.newest_generation),
         };
-        operator.newest = operator.newest.max(newest.0);
+        operator.newest_generation = operator.newest_generation.max(newest.0);
         match outcome {
             ChangeOutcome::Accepted(_) | ChangeOutcome::AcceptedEarlier(_) => {
                 self.reported_accepted.push(change)
             }
             ChangeOutcome::Unknown => {
                 let proposal = operator.proposal.as_mut();
-                proposal.expect("it was proposed").repeated = true;
+                proposal.expect("the operator has a proposal").repeated = true;
                 return;
             }
             ChangeOutcome::Conflict { .. } | ChangeOutcome::Unavailable => {
--- a/crates/configuration/tests/common/mod.rs
+++ b/crates/configuration/tests/common/mod.rs
@@ -69,8 +69,9 @@
     /// Writes `change` without faults and returns its record.
     pub fn accept(&mut self, change: &str, document: &str) -> Arc<ConfigurationRecord> {
         let mut writer = ChangeWriter::new(ConfigurationSettings::default());
-        let newest =
-            self.values.last().map(|bytes| ConfigurationRecord::decode(bytes).expect("accepted"));
+        let newest = self.values.last().map(|bytes| {
+            ConfigurationRecord::decode(bytes).expect("accepted records can be decoded")
+        });
         let expected = newest.map_or(0, |record| record.generation().0);
         let proposed = ChangeWriterEvent::Proposed(proposal(change, expected, document));
         let mut actions = writer.handle(proposed, at(0));
--- a/crates/configuration/tests/document.rs
+++ b/crates/configuration/tests/document.rs
@@ -42,7 +42,7 @@
 #[test]
 fn a_tenants_exceptions_leave_its_other_limits_at_the_defaults() {
     let text = "[tenant_defaults]\nopen_calls = 7\n[tenants.solano]\nopen_programs = 9\n";
-    let document = Document::parse(text).expect("valid");
+    let document = Document::parse(text).expect("the document is valid");
     let limits = document.limits_of(&TenantId::new("solano"));
     assert_eq!((limits.open_calls, limits.open_programs), (7, 9));
     let others = document.limits_of(&TenantId::new("bayou"));
@@ -51,12 +51,12 @@
 
 #[test]
 fn differences_name_each_changed_field() {
-    let before = Document::parse(DOCUMENT).expect("valid");
+    let before = Document::parse(DOCUMENT).expect("the document is valid");
     let text = DOCUMENT.replace("[engines.e3]", "[engines.e3]\nrole = \"draining\"");
     let after = Document::parse(&format!(
         "draining_daemons = [4]\n{text}\n[tenants.solano]\nopen_calls = 5\n"
     ));
-    let changed = differences(&before, &after.expect("valid"));
+    let changed = differences(&before, &after.expect("the document is valid"));
     let lines: Vec<String> = changed.iter().map(ToString::to_string).collect();
     insta::assert_snapshot!(lines.join("\n"));
     assert_eq!(differences(&before, &before), []);
@@ -65,7 +65,7 @@
 #[test]
 fn a_record_round_trips_and_damaged_bytes_are_refused() {
     let record = FakeKeyValueService::default().accept("first", DOCUMENT);
-    let decoded = ConfigurationRecord::decode(record.bytes()).expect("whole");
+    let decoded = ConfigurationRecord::decode(record.bytes()).expect("the record can be decoded");
     assert_eq!(decoded, *record);
     assert_eq!(decoded.text(), DOCUMENT);
     for length in 0..record.bytes().len() {
@@ -73,7 +73,7 @@
     }
     let large = vec![b' '; 1 << 20];
     assert!(matches!(ConfigurationRecord::decode(&large), Err(RecordError::Oversized { .. })));
-    let text = String::from_utf8(record.bytes().to_vec()).expect("JSON");
+    let text = String::from_utf8(record.bytes().to_vec()).expect("a record is UTF-8 text");
     let newer = text.replacen("\"layout\":1", "\"layout\":2", 1);
     let refused = ConfigurationRecord::decode(newer.as_bytes());
     assert_eq!(refused, Err(RecordError::UnsupportedLayout { found: 2, supported: 1 }));
@@ -81,6 +81,6 @@
 
 #[test]
 fn a_document_round_trips_through_its_text() {
-    let document = Document::parse(DOCUMENT).expect("valid");
+    let document = Document::parse(DOCUMENT).expect("the document is valid");
     assert_eq!(Document::parse(&document.to_text()), Ok(document));
 }
--- a/crates/configuration/tests/orders.rs
+++ b/crates/configuration/tests/orders.rs
@@ -145,7 +145,7 @@
     }
 
     fn apply_order(&mut self, order: FencedOrder) {
-        let engine = self.engines.get_mut(&order.engine).expect("a known engine");
+        let engine = self.engines.get_mut(&order.engine).expect("the engine exists");
         let subject = match &order.kind {
             OrderKind::Load(model) | OrderKind::Unload(model) => model.to_string(),
             OrderKind::SetRole(_) => "role".to_owned(),
--- a/crates/configuration/tests/spread/main.rs
+++ b/crates/configuration/tests/spread/main.rs
@@ -22,8 +22,8 @@
     let mut network = Network::new(seed, DAEMONS, ZONES, disabled);
     network.loss = 0.01;
     network.service.accept("first", DOCUMENT);
-    network.start().expect("nothing was in force");
-    network.run(Duration::from_secs(30)).expect("one generation");
+    network.start().expect("no daemon reverts");
+    network.run(Duration::from_secs(30)).expect("no daemon reverts");
     assert_eq!(network.serving(Generation(1)), DAEMONS as usize, "seed {seed}");
     network
 }
@@ -32,10 +32,10 @@
 /// None after three times the bound.
 fn time_to_all(network: &mut Network) -> Option<Duration> {
     let start = network.now;
-    let generation = network.accept_change(DaemonId(200), DOCUMENT).expect("newer");
+    let generation = network.accept_change(DaemonId(200), DOCUMENT).expect("no daemon reverts");
     network.begin_outage();
     while network.now.since(start) < SPREAD_BOUND.times(3) {
-        network.run(STEP).expect("generations rise");
+        network.run(STEP).expect("no daemon reverts");
         if network.serving(generation) == DAEMONS as usize {
             return Some(network.now.since(start));
         }
@@ -62,7 +62,7 @@
 fn the_load_on_the_service_does_not_grow_with_the_daemons() {
     let mut network = start_fleet(0, None);
     let (reads, messages) = (network.service_reads, network.messages);
-    network.run(Duration::from_secs(60)).expect("nothing changes");
+    network.run(Duration::from_secs(60)).expect("no daemon reverts");
     let (reads, messages) = (network.service_reads - reads, network.messages - messages);
     assert!((20..=90).contains(&reads), "{reads} reads in a minute");
     let each = messages as f64 / f64::from(DAEMONS) / 60.0;
@@ -75,14 +75,14 @@
     let mut network = Network::new(1, 60, 3, None);
     network.service.accept("first", DOCUMENT);
     network.begin_outage();
-    network.start().expect("nothing was in force");
-    network.run(Duration::from_secs(60)).expect("nothing is in force");
+    network.start().expect("no daemon reverts");
+    network.run(Duration::from_secs(60)).expect("no daemon reverts");
     let serving = network.serving(Generation(0)) + network.serving(Generation(1));
     assert_eq!(serving, 0, "no daemon can know the generation");
     let each = network.service_reads / 60;
     assert!(each <= 12, "{each} reads of each daemon in a minute");
     network.outage = false;
-    network.run(Duration::from_secs(20)).expect("one generation");
+    network.run(Duration::from_secs(20)).expect("no daemon reverts");
     assert_eq!(network.serving(Generation(1)), 60);
 }
 
@@ -91,15 +91,15 @@
 fn zone_catches_up(disabled: Option<Mechanism>) -> bool {
     let mut network = Network::new(1, 21, 3, disabled);
     network.service.accept("first", DOCUMENT);
-    network.start().expect("nothing was in force");
-    network.run(Duration::from_secs(30)).expect("one generation");
+    network.start().expect("no daemon reverts");
+    network.run(Duration::from_secs(30)).expect("no daemon reverts");
     network.partitioned_zone = Some(network.zone_of(DaemonId(0)));
     network.begin_outage();
-    let generation = network.accept_change(DaemonId(1), DOCUMENT).expect("newer");
-    network.run(Duration::from_secs(20)).expect("generations rise");
-    assert_eq!(network.serving(generation), 14, "the zones that see each other");
+    let generation = network.accept_change(DaemonId(1), DOCUMENT).expect("no daemon reverts");
+    network.run(Duration::from_secs(20)).expect("no daemon reverts");
+    assert_eq!(network.serving(generation), 14, "the zones on the other side of the partition");
     network.partitioned_zone = None;
-    network.run(Duration::from_secs(10)).expect("generations rise");
+    network.run(Duration::from_secs(10)).expect("no daemon reverts");
     network.serving(generation) == 21
 }
 
--- a/crates/placement/src/engine_table/entry.rs
+++ b/crates/placement/src/engine_table/entry.rs
@@ -215,7 +215,8 @@
         pinned as f64 / self.capacity.kv_tokens.0.max(1) as f64
     }
 
-    /// Lower bound of the dispatched prefill that the engine cannot have processed yet.
+    /// Lower bound of the prefill that remains of the attempts dispatched since the report: the
+    /// engine cannot have processed it yet.
     fn recent_prefill(&self, now: Timestamp) -> f64 {
         let Some(first) = self.unreported_dispatches.front() else { return 0.0 };
         let passed = now.since(first.sent_at + self.one_way_delay).as_secs_f64();
--- a/crates/placement/src/programs.rs
+++ b/crates/placement/src/programs.rs
@@ -160,7 +160,7 @@
     }
 
     /// Records that an engine has none of the program's cache.
-    pub(crate) fn forget_cache(&mut self, slot: EngineSlot) {
+    pub(crate) fn clear_cache(&mut self, slot: EngineSlot) {
         self.prefixes.retain(|prefix| prefix.slot != slot);
         if let Some(on_engine) = self.engines.get_mut(&slot) {
             on_engine.reported_tokens = Some(0);
@@ -209,7 +209,7 @@
     }
 
     /// Removes the record of the chain's copy in a host's memory.
-    pub(crate) fn forget_offloaded(&mut self, chain: ChainId) {
+    pub(crate) fn remove_offloaded(&mut self, chain: ChainId) {
         self.offloaded.remove(&chain);
     }
 
@@ -327,7 +327,7 @@
     /// Records that an engine lost its whole cache. Releases there are no longer needed.
     pub(crate) fn clear_engine_cache(&mut self, slot: EngineSlot) {
         for program in self.live.values_mut() {
-            program.forget_cache(slot);
+            program.clear_cache(slot);
             program.offloaded.retain(|_, copy| copy.slot != slot);
         }
         self.unconfirmed_releases.retain(|_, engines| {
--- a/crates/placement/src/retention.rs
+++ b/crates/placement/src/retention.rs
@@ -18,7 +18,7 @@
 const MAX_TOOLS: usize = 512;
 /// Most pairs of tenant and tool with a histogram of their own.
 const MAX_TENANT_TOOLS: usize = 2048;
-/// A histogram with less weight of observations is not used; a broader one is.
+/// Least weight of observations with which a histogram is used. Below it a broader one is used.
 const MIN_TRUSTED_WEIGHT: f64 = 30.0;
 /// Fraction of the KV cache in use up to which memory counts as idle.
 const IDLE_OCCUPANCY: f64 = 0.5;
--- a/crates/placement/src/scheduler/cache.rs
+++ b/crates/placement/src/scheduler/cache.rs
@@ -190,7 +190,7 @@
         }
         let Some(program) = self.programs.get_mut(call.program) else { return };
         for slot in program.superseded_engines(call.chain, current) {
-            program.forget_cache(slot);
+            program.clear_cache(slot);
             let engine = self.engines.entry(slot).id.clone();
             let reason = ReleaseReason::Moved;
             actions.push(Action::Release { program: call.program, engine, reason });
@@ -234,7 +234,7 @@
         match program.keep_until(slot).filter(|until| *until > now) {
             Some(until) => actions.push(Action::Hold { program: id, engine, until }),
             None => {
-                program.forget_cache(slot);
+                program.clear_cache(slot);
                 let reason = ReleaseReason::PauseTooCostly;
                 actions.push(Action::Release { program: id, engine, reason });
             }
--- a/crates/placement/src/scheduler/calls.rs
+++ b/crates/placement/src/scheduler/calls.rs
@@ -301,7 +301,7 @@
         self.admission.record_dispatch(&call.ready.tenant);
         let program = self.programs.get_or_insert(call.id(), &call.ready.tenant);
         program.record_dispatch(slot);
-        program.forget_offloaded(call.id().chain);
+        program.remove_offloaded(call.id().chain);
         let (attempt, priority) = (call.next_attempt(), call.priority);
         actions.push(Action::Dispatch { attempt, engine, incarnation, priority, copy_from });
         self.open_attempts.insert(attempt, OpenAttempt { call, slot, is_answering: false });
