--- a/crates/replication/src/membership/buckets.rs
+++ b/crates/replication/src/membership/buckets.rs
@@ -1,19 +1,19 @@
-//! Hashes of what a daemon knows, by bucket, kept up as it changes.
+//! Incremental hashes of members and facts, by bucket.
 //!
-//! Two daemons that know the same have the same hashes, in whatever order they learnt it. A change costs
-//! the same however much is known.
+//! Two daemons with the same records and facts have the same hashes, in whatever order they got them.
+//! The cost of a change does not depend on the number of entries.
 
 use dahlia_types::DaemonId;
 
 use super::{Fact, FactKey, Health, MemberRecord};
 
-/// Buckets of members and of facts; one bit each in a [`super::SyncChunk`].
+/// Number of buckets of members, and of facts. Each is one bit in a [`super::SyncChunk`].
 pub(super) const BUCKETS: usize = 64;
 
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
 
-/// Hashes of a set, by bucket.
+/// The hashes of a set, one for each bucket.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct Buckets([u32; BUCKETS]);
 
@@ -24,26 +24,26 @@
 }
 
 impl Buckets {
-    /// A record joins the set, or leaves it. Exclusive or is its own inverse, and does not depend on
-    /// order.
+    /// Adds a record to the set, or removes it. Exclusive or is its own inverse and does not depend
+    /// on the order.
     pub(super) fn toggle_member(&mut self, record: &MemberRecord) {
-        // The dead are left out: some daemons have forgotten them and some have not.
+        // Dead members are left out: some daemons have removed them from their tables, others not.
         if record.health == Health::Dead {
             return;
         }
         let info = &record.info;
         let health = record.health as u64;
         let words = [u64::from(info.daemon.0), info.incarnation.0, record.version.into(), health];
-        self.0[member_bucket(info.daemon)] ^= hash(&words) as u32;
+        self.0[member_bucket(info.daemon)] ^= hash_words(&words) as u32;
     }
 
-    /// A fact joins the set, or leaves it.
+    /// Adds a fact to the set, or removes it.
     pub(super) fn toggle_fact(&mut self, fact: &Fact) {
-        let [kind, number] = fact_words(&fact.key);
-        self.0[fact_bucket(&fact.key)] ^= hash(&[kind, number, fact.version]) as u32;
+        let [kind, number] = fact_key_words(&fact.key);
+        self.0[fact_bucket(&fact.key)] ^= hash_words(&[kind, number, fact.version]) as u32;
     }
 
-    /// Adds the facts of another set, which has none in common with this one.
+    /// Adds the facts of another set, which must have none in common with this one.
     pub(super) fn join(&mut self, other: &Self) {
         for (own, other) in self.0.iter_mut().zip(other.0) {
             *own ^= other;
@@ -56,7 +56,7 @@
 }
 
 /// The buckets in which two sets differ, by bit.
-pub(super) fn differing(own: &[u32], other: &[u32]) -> u64 {
+pub(super) fn differing_buckets(own: &[u32], other: &[u32]) -> u64 {
     let mut bits = 0;
     for bucket in 0..BUCKETS {
         if own.get(bucket) != other.get(bucket) {
@@ -75,29 +75,29 @@
 }
 
 pub(super) fn fact_bucket(key: &FactKey) -> usize {
-    hash(&fact_words(key)) as usize % BUCKETS
+    hash_words(&fact_key_words(key)) as usize % BUCKETS
 }
 
-fn fact_words(key: &FactKey) -> [u64; 2] {
+fn fact_key_words(key: &FactKey) -> [u64; 2] {
     match key {
         FactKey::Configuration => [0, 0],
         FactKey::Group(group) => [1, u64::from(group.0)],
         FactKey::DaemonLoad(daemon) => [2, u64::from(daemon.0)],
         FactKey::Other(number) => [3, u64::from(*number)],
         FactKey::Document(number) => [5, u64::from(*number)],
-        FactKey::EngineLoad(engine) => [4, hash_of_text(engine.as_str())],
+        FactKey::EngineLoad(engine) => [4, hash_text(engine.as_str())],
         FactKey::BackendFailure { backend, reporter } => {
-            [6, hash_of_text(backend) ^ u64::from(reporter.0)]
+            [6, hash_text(backend) ^ u64::from(reporter.0)]
         }
     }
 }
 
-fn hash_of_text(text: &str) -> u64 {
-    hash(&text.bytes().map(u64::from).collect::<Vec<u64>>())
+fn hash_text(text: &str) -> u64 {
+    hash_words(&text.bytes().map(u64::from).collect::<Vec<u64>>())
 }
 
-/// FNV-1a over words, with a final mix so that all bits count.
-fn hash(words: &[u64]) -> u64 {
+/// FNV-1a over words, with a final mix so that all bits matter.
+fn hash_words(words: &[u64]) -> u64 {
     let mut state = FNV_OFFSET;
     for word in words {
         for byte in word.to_le_bytes() {
--- a/crates/replication/src/membership/detector.rs
+++ b/crates/replication/src/membership/detector.rs
@@ -2,28 +2,28 @@
 
 use dahlia_types::{DaemonId, Duration, ReplicaId, Timestamp};
 
-use super::gossip::News;
+use super::gossip::Updates;
 use super::state::Membership;
 use super::{Health, MemberMessage, MemberRecord};
 
-/// A probe under way.
+/// A probe that is not acknowledged yet.
 #[derive(Debug, Clone)]
 pub(super) struct Probe {
     pub sequence: u32,
     pub target: ReplicaId,
-    /// When others are asked; none once they were.
+    /// When indirect probes are requested; none once they were.
     pub indirect_at: Option<Timestamp>,
 }
 
 impl Membership {
-    /// Judges the probe of the interval that ends, and starts the next one.
+    /// Suspects the target of the last probe if it did not answer, and starts the next probe.
     pub(super) fn end_probe_interval(&mut self) {
         let interval = self.settings.probe_interval();
-        let late = self.now.since(self.next_probe);
-        let was_paused = late > interval;
+        let delay = self.now.since(self.next_probe);
+        let was_paused = delay > interval;
         if was_paused {
-            // The process itself did not run: silence in that time says nothing about others.
-            self.members.extend_suspicions(late);
+            // This process did not run in that time, so missing answers are no evidence of failures.
+            self.members.extend_suspicions(delay);
             self.probe = None;
         }
         if let Some(probe) = self.probe.take() {
@@ -35,7 +35,7 @@
         self.facts.expire(Duration::from_millis(self.settings.load_fact_lifetime_ms), self.now);
         self.next_probe = self.now + interval;
         let region = self.own.info.region.clone();
-        if let Some(daemon) = self.members.next_probed(&region, &mut self.random) {
+        if let Some(daemon) = self.members.next_probe_target(&region, &mut self.random) {
             self.start_probe(daemon);
         }
     }
@@ -50,7 +50,7 @@
         self.send(daemon, MemberMessage::Ping { sequence, to: target, on_behalf_of: None });
     }
 
-    /// Probes a member out of turn; a probe under way for it goes on.
+    /// Probes a member at once, unless a probe of it is already in flight.
     pub(super) fn connection_lost(&mut self, daemon: DaemonId) {
         let is_probed = self.probe.as_ref().is_some_and(|probe| probe.target.daemon == daemon);
         let is_present =
@@ -61,16 +61,17 @@
         }
     }
 
-    /// Pings a member beside the probes: with no news, since many are asked at once.
-    pub(super) fn ask_for_sign(&mut self, daemon: DaemonId) {
+    /// Pings a member in addition to the regular probes. The ping carries no updates, because many
+    /// members are pinged at once.
+    pub(super) fn send_ping(&mut self, daemon: DaemonId) {
         let Some(member) = self.members.get(daemon) else { return };
         let to = member.record.info.replica();
         self.next_sequence = self.next_sequence.wrapping_add(1);
         let ping = MemberMessage::Ping { sequence: self.next_sequence, to, on_behalf_of: None };
-        self.send_news(daemon, ping, News::default());
+        self.send_with_updates(daemon, ping, Updates::default());
     }
 
-    /// Asks others to probe a target that did not answer in time.
+    /// Asks other members to probe a target that did not acknowledge in time.
     pub(super) fn probe_indirectly(&mut self) {
         let Some(probe) = &mut self.probe else { return };
         if probe.indirect_at.is_none_or(|at| self.now < at) {
@@ -88,12 +89,12 @@
         }
     }
 
-    pub(super) fn ping_for(&mut self, asker: DaemonId, sequence: u32, target: ReplicaId) {
+    pub(super) fn ping_on_behalf_of(&mut self, asker: DaemonId, sequence: u32, target: ReplicaId) {
         let ping = MemberMessage::Ping { sequence, to: target, on_behalf_of: Some(asker) };
         self.send(target.daemon, ping);
     }
 
-    pub(super) fn answer_ping(
+    pub(super) fn handle_ping(
         &mut self,
         from: DaemonId,
         sequence: u32,
@@ -107,7 +108,7 @@
         self.send(from, MemberMessage::Ack { sequence, answering, on_behalf_of });
     }
 
-    pub(super) fn take_ack(
+    pub(super) fn handle_ack(
         &mut self,
         sequence: u32,
         answering: ReplicaId,
@@ -136,7 +137,7 @@
     }
 
     fn declare_dead(&mut self) {
-        for suspect in self.members.overdue_suspects(self.suspicion_timeout(), self.now) {
+        for suspect in self.members.expired_suspects(self.suspicion_timeout(), self.now) {
             self.merge_record(MemberRecord { health: Health::Dead, ..suspect });
         }
     }
--- a/crates/replication/src/membership/facts.rs
+++ b/crates/replication/src/membership/facts.rs
@@ -1,4 +1,4 @@
-//! Small opaque facts that every daemon gets to know; the newest version of each wins.
+//! Small opaque facts that are replicated to every daemon. The newest version of each wins.
 
 use std::collections::BTreeMap;
 
@@ -8,142 +8,147 @@
 
 use super::buckets::Buckets;
 
-/// What a fact is about.
+/// The subject of a fact.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum FactKey {
     /// The operators' configuration; the version is its generation.
     Configuration,
     /// A group's members and leader; see [`crate::directory::GroupDescription::version`].
     Group(GroupId),
-    /// A load report of an engine. Dropped when it is not renewed, and not compared.
+    /// A load report of an engine. Expires unless it is renewed, and is not compared.
     EngineLoad(EngineId),
-    /// A load report of a daemon. Dropped when it is not renewed, and not compared.
+    /// A load report of a daemon. Expires unless it is renewed, and is not compared.
     DaemonLoad(DaemonId),
-    /// Failed attempts at a back end, as one daemon saw them. Dropped when it is not renewed, and
-    /// not compared.
+    /// Failed attempts at a back end, as one daemon observed them. Expires unless it is renewed, and
+    /// is not compared.
     BackendFailure {
         /// The back end's identifier.
         backend: String,
-        /// Who saw them.
+        /// The daemon that observed them.
         reporter: DaemonId,
     },
-    /// Anything else, by a number that the driver assigns.
+    /// Any other fact, by a number that the driver assigns.
     Other(u32),
-    /// A document that every daemon reads elsewhere as a rule, by a number that the driver assigns.
-    /// Spread by comparison, with a few members as soon as it changes: gossip would send everybody
-    /// what everybody has.
+    /// A document that every daemon usually reads from another source, by a number that the driver
+    /// assigns. It spreads by comparison, with a few members as soon as it changes: gossip would send
+    /// every daemon a document that it already has.
     Document(u32),
 }
 
-/// Documents with a number from here on are kept by daemons that hold groups only: they are long, they
-/// change often, and others get them by a better way. Whoever lacks them asks.
+/// Documents with this number or a higher one are holder documents: only daemons that hold groups
+/// ("holders") store them. They are long and change often, and other daemons have a cheaper source
+/// for them. A daemon whose source fails requests them from a holder.
 pub const FIRST_HOLDER_DOCUMENT: u32 = 1 << 16;
 
 impl FactKey {
-    /// Whether it is a document that only daemons with groups keep.
+    /// Whether it is a document that only daemons with groups store.
     pub fn is_holder_document(&self) -> bool {
         matches!(self, Self::Document(number) if *number >= FIRST_HOLDER_DOCUMENT)
     }
 
-    /// Whether the fact is soon replaced: such facts spread by gossip only.
+    /// Whether the fact is replaced often. Such facts spread by gossip only.
     pub fn is_load(&self) -> bool {
         matches!(self, Self::EngineLoad(_) | Self::DaemonLoad(_) | Self::BackendFailure { .. })
     }
 
-    /// Whether news of the fact is passed on at once.
+    /// Whether a new version of the fact spreads by gossip.
     pub(super) fn is_gossiped(&self) -> bool {
         !matches!(self, Self::Document(_))
     }
 }
 
-/// A fact as it spreads.
+/// A versioned fact, as daemons exchange it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fact {
-    /// What it is about.
+    /// Its subject.
     pub key: FactKey,
-    /// The newest wins.
+    /// Its version; the newest wins.
     pub version: u64,
-    /// The driver's encoding.
+    /// Its content, in the driver's encoding.
     pub bytes: Bytes,
 }
 
 impl Fact {
-    /// An upper bound of its encoded bytes (bincode, standard configuration).
+    /// An upper bound of the encoded size in bytes (bincode, standard configuration).
     pub(super) fn wire_bytes(&self) -> usize {
-        const FIXED: usize = 24;
+        const FIXED_BYTES: usize = 24;
         let name = match &self.key {
             FactKey::EngineLoad(engine) => engine.as_str().len(),
             FactKey::BackendFailure { backend, .. } => backend.len(),
             _ => 0,
         };
-        FIXED + name + self.bytes.len()
+        FIXED_BYTES + name + self.bytes.len()
     }
 }
 
 #[derive(Debug, Clone)]
-struct Held {
+struct StoredFact {
     fact: Fact,
-    since: Timestamp,
+    stored_at: Timestamp,
 }
 
-/// All facts known.
+/// All known facts.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Facts {
-    held: BTreeMap<FactKey, Held>,
-    /// Of those that are compared with every other member.
+    stored: BTreeMap<FactKey, StoredFact>,
+    /// Hashes of the facts that are compared with every member.
     hashes: Buckets,
-    /// Of the documents that daemons with groups keep.
-    kept_hashes: Buckets,
+    /// Hashes of the holder documents.
+    holder_document_hashes: Buckets,
 }
 
 impl Facts {
-    /// Takes a fact in when it is newer than the one held. Returns whether it is.
+    /// Stores a fact if it is newer than the stored one. Returns whether it was stored.
     pub fn merge(&mut self, fact: Fact, max_facts: usize, now: Timestamp) -> bool {
-        let known = self.held.get(&fact.key);
-        if known.is_some_and(|held| held.fact.version >= fact.version) {
+        let known = self.stored.get(&fact.key);
+        if known.is_some_and(|stored| stored.fact.version >= fact.version) {
             return false;
         }
-        if known.is_none() && self.held.len() >= max_facts {
+        if known.is_none() && self.stored.len() >= max_facts {
             return false;
         }
         if !fact.key.is_load() {
-            let is_kept = fact.key.is_holder_document();
-            let hashes = if is_kept { &mut self.kept_hashes } else { &mut self.hashes };
-            if let Some(held) = known {
-                hashes.toggle_fact(&held.fact);
+            let is_holder_document = fact.key.is_holder_document();
+            let hashes = if is_holder_document {
+                &mut self.holder_document_hashes
+            } else {
+                &mut self.hashes
+            };
+            if let Some(stored) = known {
+                hashes.toggle_fact(&stored.fact);
             }
             hashes.toggle_fact(&fact);
         }
-        self.held.insert(fact.key.clone(), Held { fact, since: now });
+        self.stored.insert(fact.key.clone(), StoredFact { fact, stored_at: now });
         true
     }
 
-    /// Of the facts that are compared: with every member, or among daemons that hold groups.
-    pub fn hashes(&self, with_kept: bool) -> Buckets {
+    /// Hashes of the facts that are compared: with every member, or among holders.
+    pub fn hashes(&self, with_holder_documents: bool) -> Buckets {
         let mut hashes = self.hashes.clone();
-        if with_kept {
-            hashes.join(&self.kept_hashes);
+        if with_holder_documents {
+            hashes.join(&self.holder_document_hashes);
         }
         hashes
     }
 
     pub fn get(&self, key: &FactKey) -> Option<&Fact> {
-        self.held.get(key).map(|held| &held.fact)
+        self.stored.get(key).map(|stored| &stored.fact)
     }
 
     pub fn iter(&self) -> impl Iterator<Item = &Fact> {
-        self.held.values().map(|held| &held.fact)
+        self.stored.values().map(|stored| &stored.fact)
     }
 
-    /// Facts that are compared: with every member, or among daemons that hold groups.
-    pub fn lasting(&self, with_kept: bool) -> impl Iterator<Item = &Fact> {
+    /// The facts that are compared: with every member, or among holders.
+    pub fn compared(&self, with_holder_documents: bool) -> impl Iterator<Item = &Fact> {
         self.iter().filter(move |fact| {
-            !fact.key.is_load() && (with_kept || !fact.key.is_holder_document())
+            !fact.key.is_load() && (with_holder_documents || !fact.key.is_holder_document())
         })
     }
 
-    /// Drops load facts that were not renewed.
+    /// Removes load facts that were not renewed within `lifetime`.
     pub fn expire(&mut self, lifetime: Duration, now: Timestamp) {
-        self.held.retain(|key, held| !key.is_load() || now.since(held.since) < lifetime);
+        self.stored.retain(|key, stored| !key.is_load() || now.since(stored.stored_at) < lifetime);
     }
 }
--- a/crates/replication/src/membership/gossip.rs
+++ b/crates/replication/src/membership/gossip.rs
@@ -1,4 +1,4 @@
-//! The queue of news to spread, and the budget of bytes for it.
+//! The queue of updates to gossip, and the byte budget for them.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -9,7 +9,7 @@
 use super::members::Members;
 use super::{Fact, FactKey, MemberRecord};
 
-/// What a piece of news is about. A newer one on the same subject replaces it.
+/// The subject of an update. A newer update on the same subject replaces an older one.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Subject {
     Member(DaemonId),
@@ -17,9 +17,9 @@
 }
 
 impl Subject {
-    /// Load reports leave only after everything else. A failing back end loses requests until
-    /// others hear of it.
-    fn class(&self) -> u8 {
+    /// The priority class. Load reports are sent only after everything else, except reports of a
+    /// failing back end: requests sent to it fail until the other daemons have the report.
+    fn priority_class(&self) -> u8 {
         match self {
             Self::Fact(FactKey::BackendFailure { .. }) => URGENT_CLASS,
             Self::Fact(key) if key.is_load() => LOAD_CLASS,
@@ -27,8 +27,8 @@
         }
     }
 
-    /// How often it leaves a daemon.
-    fn transmissions(&self, limits: Limits) -> u32 {
+    /// How often each daemon transmits an update on this subject.
+    fn transmissions(&self, limits: TransmissionLimits) -> u32 {
         match self {
             Self::Fact(key) if key.is_load() => limits.loads,
             Self::Fact(_) | Self::Member(_) => limits.others,
@@ -36,29 +36,29 @@
     }
 }
 
-/// Class, times sent, latest arrival first: what is new never waits behind a backlog.
+/// Class, number of transmissions, latest arrival first: a new update never waits behind a backlog.
 type Rank = (u8, u32, Reverse<u64>);
 
-/// The class of members and lasting facts.
+/// The class of members, of failing back ends, and of facts that do not expire.
 const URGENT_CLASS: u8 = 0;
 
 /// The class of load reports.
 const LOAD_CLASS: u8 = 1;
 
-/// How often a piece of news leaves a daemon.
+/// How often each daemon transmits an update.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Limits {
+pub(super) struct TransmissionLimits {
     pub loads: u32,
     pub others: u32,
 }
 
-/// A piece of news in full.
-enum Item<'a> {
+/// The content of an update.
+enum UpdateContent<'a> {
     Member(&'a MemberRecord),
     Fact(&'a Fact),
 }
 
-impl Item<'_> {
+impl UpdateContent<'_> {
     fn wire_bytes(&self) -> usize {
         match self {
             Self::Member(record) => record.wire_bytes(),
@@ -67,63 +67,63 @@
     }
 }
 
-/// Where the queue looks its subjects up.
-pub(super) struct Known<'a> {
+/// The records and facts from which updates are built.
+pub(super) struct LocalState<'a> {
     pub own: &'a MemberRecord,
     pub members: &'a Members,
     pub facts: &'a Facts,
 }
 
-impl<'a> Known<'a> {
-    fn item(&self, subject: &Subject) -> Option<Item<'a>> {
+impl<'a> LocalState<'a> {
+    fn look_up(&self, subject: &Subject) -> Option<UpdateContent<'a>> {
         match subject {
             Subject::Member(daemon) if *daemon == self.own.info.daemon => {
-                Some(Item::Member(self.own))
+                Some(UpdateContent::Member(self.own))
             }
             Subject::Member(daemon) => {
-                self.members.get(*daemon).map(|member| Item::Member(&member.record))
+                self.members.get(*daemon).map(|member| UpdateContent::Member(&member.record))
             }
-            Subject::Fact(key) => self.facts.get(key).map(Item::Fact),
+            Subject::Fact(key) => self.facts.get(key).map(UpdateContent::Fact),
         }
     }
 }
 
-/// News that fits into one message.
+/// Updates that fit into one message.
 #[derive(Debug, Default)]
-pub(super) struct News {
+pub(super) struct Updates {
     pub members: Vec<MemberRecord>,
     pub facts: Vec<Fact>,
     pub bytes: usize,
 }
 
-impl News {
-    fn push(&mut self, item: Item<'_>) {
-        self.bytes += item.wire_bytes();
-        match item {
-            Item::Member(record) => self.members.push(record.clone()),
-            Item::Fact(fact) => self.facts.push(fact.clone()),
+impl Updates {
+    fn push(&mut self, content: UpdateContent<'_>) {
+        self.bytes += content.wire_bytes();
+        match content {
+            UpdateContent::Member(record) => self.members.push(record.clone()),
+            UpdateContent::Fact(fact) => self.facts.push(fact.clone()),
         }
     }
 }
 
-/// News to spread: least often sent first.
+/// Queued updates. Those with the fewest transmissions are sent first.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Queue {
+pub(super) struct UpdateQueue {
     ranks: BTreeMap<Subject, Rank>,
     order: BTreeMap<Rank, Subject>,
     arrivals: u64,
 }
 
-impl Queue {
+impl UpdateQueue {
     pub fn is_empty(&self) -> bool {
         self.order.is_empty()
     }
 
-    /// Adds news, or starts spreading anew what is newer on the same subject.
+    /// Queues an update. A newer update on the same subject starts again with no transmissions.
     pub fn push(&mut self, subject: Subject) {
         self.remove(&subject);
         self.arrivals += 1;
-        let rank = (subject.class(), 0, Reverse(self.arrivals));
+        let rank = (subject.priority_class(), 0, Reverse(self.arrivals));
         self.insert(subject, rank);
     }
 
@@ -138,60 +138,66 @@
         }
     }
 
-    /// Takes what fits into `room` bytes; each piece leaves a limited number of times in all.
-    pub fn take(&mut self, room: usize, limits: Limits, known: &Known<'_>) -> News {
-        let mut news = News::default();
-        let mut taken = Vec::new();
+    /// Takes the updates that fit into `room` bytes and drops those that were sent often enough.
+    pub fn take(
+        &mut self,
+        room: usize,
+        limits: TransmissionLimits,
+        local: &LocalState<'_>,
+    ) -> Updates {
+        let mut updates = Updates::default();
+        let mut sent_updates = Vec::new();
         for (rank, subject) in &self.order {
-            let Some(item) = known.item(subject) else {
-                taken.push((*rank, subject.clone(), true));
+            let Some(content) = local.look_up(subject) else {
+                sent_updates.push((*rank, subject.clone(), true));
                 continue;
             };
-            if news.bytes + item.wire_bytes() > room {
+            if updates.bytes + content.wire_bytes() > room {
                 break;
             }
-            news.push(item);
-            taken.push((*rank, subject.clone(), false));
+            updates.push(content);
+            sent_updates.push((*rank, subject.clone(), false));
         }
-        self.count_sent(taken, limits);
-        news
+        self.count_sent(sent_updates, limits);
+        updates
     }
 
-    fn count_sent(&mut self, taken: Vec<(Rank, Subject, bool)>, limits: Limits) {
-        for ((class, sent, arrival), subject, is_gone) in taken {
+    fn count_sent(&mut self, sent_updates: Vec<(Rank, Subject, bool)>, limits: TransmissionLimits) {
+        for ((class, sent, arrival), subject, is_missing) in sent_updates {
             self.remove(&subject);
-            if !is_gone && sent + 1 < subject.transmissions(limits) {
+            if !is_missing && sent + 1 < subject.transmissions(limits) {
                 self.insert(subject, (class, sent + 1, arrival));
             }
         }
     }
 }
 
-/// A budget of bytes that refills with time (token bucket).
+/// A token bucket of bytes.
 #[derive(Debug, Clone)]
-pub(super) struct Budget {
+pub(super) struct ByteBudget {
     bytes_per_second: u64,
-    most: f64,
-    left: f64,
-    filled_at: Timestamp,
+    capacity: f64,
+    available: f64,
+    refilled_at: Timestamp,
 }
 
-impl Budget {
+impl ByteBudget {
     pub fn new(bytes_per_second: u64, now: Timestamp) -> Self {
         const BURST_SECONDS: f64 = 2.0;
-        let most = bytes_per_second as f64 * BURST_SECONDS;
-        Self { bytes_per_second, most, left: most, filled_at: now }
+        let capacity = bytes_per_second as f64 * BURST_SECONDS;
+        Self { bytes_per_second, capacity, available: capacity, refilled_at: now }
     }
 
-    /// Bytes that may be used now.
+    /// Bytes that may be sent now.
     pub fn room(&mut self, now: Timestamp) -> usize {
-        let passed = now.since(self.filled_at).as_secs_f64();
-        self.filled_at = now;
-        self.left = (self.left + passed * self.bytes_per_second as f64).min(self.most);
-        self.left.max(0.0) as usize
+        let elapsed = now.since(self.refilled_at).as_secs_f64();
+        self.refilled_at = now;
+        self.available =
+            (self.available + elapsed * self.bytes_per_second as f64).min(self.capacity);
+        self.available.max(0.0) as usize
     }
 
     pub fn spend(&mut self, bytes: usize) {
-        self.left -= bytes as f64;
+        self.available -= bytes as f64;
     }
 }
--- a/crates/replication/src/membership/members.rs
+++ b/crates/replication/src/membership/members.rs
@@ -1,4 +1,4 @@
-//! The table of all daemons known, except the own one.
+//! The table of all known daemons except the own one.
 
 use std::collections::BTreeMap;
 
@@ -10,15 +10,17 @@
 use super::buckets::Buckets;
 use super::{Health, Member, MemberRecord};
 
-/// Fewer members than this in the own region are not enough to detect failures there.
-const FEWEST_PROBED: usize = 3;
+/// With fewer members than this in the own region, members of all regions are probed, because
+/// too few would detect failures there.
+const MIN_PROBED: usize = 3;
 
-/// All daemons known but the own one.
+/// All known daemons except the own one.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Members {
     table: BTreeMap<DaemonId, Member>,
-    /// Of what is held of them.
+    /// Hashes of the records.
     hashes: Buckets,
+    /// Members still to be probed in this round.
     probe_order: Vec<DaemonId>,
 }
 
@@ -48,15 +50,15 @@
         self.present().count()
     }
 
-    /// Takes a statement in when it overrides the one held. Returns whether it does.
+    /// Stores a record if it overrides the stored one. Returns whether it does.
     pub fn merge(&mut self, record: &MemberRecord, now: Timestamp) -> bool {
         let known = self.table.get(&record.info.daemon);
-        let is_news = match known {
+        let is_newer = match known {
             Some(member) => record.overrides(&member.record),
-            // The dead are forgotten after a while and must not come back as news.
+            // Dead members are removed after a while and must not be added again.
             None => record.health != Health::Dead,
         };
-        if !is_news {
+        if !is_newer {
             return false;
         }
         let same_health = known.filter(|member| {
@@ -72,22 +74,22 @@
         true
     }
 
-    /// Drops the dead of long ago.
+    /// Removes members that have been dead for longer than `after`.
     pub fn forget_dead(&mut self, after: Duration, now: Timestamp) {
         self.table.retain(|_, member| {
             member.record.health != Health::Dead || now.since(member.health_since) < after
         });
     }
 
-    /// Suspects whose time to object is over.
-    pub fn overdue_suspects(&self, timeout: Duration, now: Timestamp) -> Vec<MemberRecord> {
+    /// Suspects whose suspicion timeout has expired.
+    pub fn expired_suspects(&self, timeout: Duration, now: Timestamp) -> Vec<MemberRecord> {
         let overdue = self.table.values().filter(|member| {
             member.record.health == Health::Suspect && now.since(member.health_since) >= timeout
         });
         overdue.map(|member| member.record.clone()).collect()
     }
 
-    /// Gives suspects more time, because the own process did not run for `pause`.
+    /// Gives suspects `pause` more time, because the own process did not run for that long.
     pub fn extend_suspicions(&mut self, pause: Duration) {
         for member in self.table.values_mut() {
             if member.record.health == Health::Suspect {
@@ -96,8 +98,13 @@
         }
     }
 
-    /// The next member to probe: each once, in random order, then anew (SWIM, section 4.3).
-    pub fn next_probed(&mut self, region: &Region, random: &mut ChaCha8Rng) -> Option<DaemonId> {
+    /// The next member to probe. Each round probes every member once, in random order (SWIM,
+    /// section 4.3).
+    pub fn next_probe_target(
+        &mut self,
+        region: &Region,
+        random: &mut ChaCha8Rng,
+    ) -> Option<DaemonId> {
         while let Some(daemon) = self.probe_order.pop() {
             if self.is_present(daemon) {
                 return Some(daemon);
@@ -105,7 +112,7 @@
         }
         let near = self.present().filter(|member| member.record.info.region == *region);
         let near: Vec<DaemonId> = near.map(|member| member.record.info.daemon).collect();
-        self.probe_order = if near.len() >= FEWEST_PROBED {
+        self.probe_order = if near.len() >= MIN_PROBED {
             near
         } else {
             self.present().map(|member| member.record.info.daemon).collect()
@@ -143,19 +150,24 @@
         chosen
     }
 
-    /// How many present members a zone has.
-    pub fn count_of(&self, zone: &Zone) -> usize {
+    /// The number of present members in a zone.
+    pub fn count_in_zone(&self, zone: &Zone) -> usize {
         self.present().filter(|member| member.record.info.zone == *zone).count()
     }
 
     /// Up to `count` different present members of a zone.
-    pub fn choose_of(&self, zone: &Zone, count: usize, random: &mut ChaCha8Rng) -> Vec<DaemonId> {
+    pub fn choose_in_zone(
+        &self,
+        zone: &Zone,
+        count: usize,
+        random: &mut ChaCha8Rng,
+    ) -> Vec<DaemonId> {
         let there = self.present().filter(|member| member.record.info.zone == *zone);
         there.map(|member| member.record.info.daemon).choose_multiple(random, count)
     }
 
-    /// A dead member that may have come back behind a healed cut.
-    pub fn choose_dead(&self, random: &mut ChaCha8Rng) -> Option<DaemonId> {
+    /// A random dead member, which may be reachable again after a partition.
+    pub fn choose_dead_member(&self, random: &mut ChaCha8Rng) -> Option<DaemonId> {
         let dead = self.table.values().filter(|member| member.record.health == Health::Dead);
         let dead: Vec<DaemonId> = dead.map(|member| member.record.info.daemon).collect();
         if dead.is_empty() {
--- a/crates/replication/src/membership/message.rs
+++ b/crates/replication/src/membership/message.rs
@@ -7,18 +7,18 @@
 
 use super::{Fact, FactKey, MemberRecord};
 
-/// A message with the news that fit beside it.
+/// A message, with updates piggybacked on it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Envelope {
-    /// The sender, in its present life.
+    /// The sender and its incarnation.
     pub from: ReplicaId,
-    /// Where the sender listens, for receivers that do not know it yet.
+    /// The sender's address, for receivers that do not know the sender yet.
     pub address: SocketAddr,
-    /// What it says.
+    /// The message itself.
     pub body: MemberMessage,
-    /// News of members.
+    /// Records of members.
     pub members: Vec<MemberRecord>,
-    /// News of facts.
+    /// Facts.
     pub facts: Vec<Fact>,
 }
 
@@ -29,39 +29,39 @@
     }
 }
 
-/// What a message says.
+/// The body of a membership message.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MemberMessage {
-    /// Are you there?
+    /// Asks the receiver for an acknowledgement.
     Ping {
-        /// Echoed in the answer.
+        /// Echoed in the acknowledgement.
         sequence: u32,
-        /// Who is meant; a later life answers, and tells of itself.
+        /// The incarnation that is probed. A later one also answers, and gossips its own record.
         to: ReplicaId,
-        /// The daemon on whose behalf it is asked, when not the sender's own.
+        /// The daemon that requested the probe, unless it is the sender.
         on_behalf_of: Option<DaemonId>,
     },
-    /// The answer to a ping, possibly relayed.
+    /// Acknowledges a ping, possibly through the daemon that relayed it.
     Ack {
-        /// Echo.
+        /// The sequence number of the ping.
         sequence: u32,
-        /// Who answered.
+        /// The daemon that answered.
         answering: ReplicaId,
-        /// The daemon on whose behalf it was asked.
+        /// The daemon that requested the probe.
         on_behalf_of: Option<DaemonId>,
     },
-    /// Ping a member for me.
+    /// Asks the receiver to ping a member on behalf of the sender.
     PingRequest {
-        /// Echoed in the answer.
+        /// Echoed in the acknowledgement.
         sequence: u32,
-        /// Who is meant.
+        /// The member to ping.
         target: ReplicaId,
     },
-    /// News only.
+    /// Carries updates only.
     Gossip,
-    /// Hashes of what the sender knows.
+    /// Hashes of the sender's members and facts.
     SyncRequest(SyncDigest),
-    /// What the sender knows where the hashes differed.
+    /// The sender's records and facts in the buckets whose hashes differed.
     SyncChunk(SyncChunk),
 }
 
@@ -70,17 +70,17 @@
 pub struct SyncDigest {
     /// One hash for each bucket of members.
     pub members: Vec<u32>,
-    /// One hash for each bucket of facts. One more value behind them says that the documents are among
-    /// them that only daemons with groups keep.
+    /// One hash for each bucket of facts. One further value after them marks that the hashes include
+    /// holder documents.
     pub facts: Vec<u32>,
 }
 
-/// Part of an answer to a comparison; the records are in the envelope.
+/// Part of an answer to a comparison. The records and facts are in the envelope.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SyncChunk {
     /// Buckets of members, by bit, that the receiver should send in return.
     pub wanted_members: u64,
-    /// Buckets of facts, by bit, that the receiver should send in return. All of them, without a
-    /// comparison before, ask for the documents that only daemons with groups keep.
+    /// Buckets of facts, by bit, that the receiver should send in return. All bits, without a
+    /// comparison before, request the holder documents.
     pub wanted_facts: u64,
 }
--- a/crates/replication/src/membership/mod.rs
+++ b/crates/replication/src/membership/mod.rs
@@ -1,12 +1,12 @@
 //! Membership: failure detection and the spreading of small facts among all daemons.
 //!
-//! Failure detection follows SWIM (Das, Gupta and Motivala 2002): random probes, indirect probes
-//! and suspicion before a death is declared. Updates spread by gossip within a budget of bytes
-//! per second. Periodic comparison of hashes with a random member repairs what gossip missed,
-//! also after a cut.
+//! Failure detection follows SWIM (Das, Gupta and Motivala 2002): random probes, indirect probes,
+//! and a suspicion before a member is declared dead. Updates spread by gossip within a byte budget
+//! per second. Each daemon periodically compares hashes with a random member, which repairs what
+//! gossip missed, also after a network partition.
 //!
-//! Each region detects its own failures; across regions go only a share of the gossip and of
-//! the comparisons. A region that is cut off is therefore not declared dead by the others.
+//! Each region detects its own failures. Only a share of the gossip and of the comparisons goes to
+//! other regions. A region that is cut off is therefore not declared dead by the others.
 
 mod buckets;
 mod detector;
--- a/crates/replication/src/membership/settings.rs
+++ b/crates/replication/src/membership/settings.rs
@@ -3,55 +3,57 @@
 use dahlia_types::{Duration, InvalidSetting, check_range};
 use serde::{Deserialize, Serialize};
 
-/// Settings of membership. All daemons of a deployment use the same.
+/// Settings of membership. All daemons of a deployment use the same values.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct MembershipSettings {
-    /// Milliseconds between probes of one member each.
+    /// Milliseconds between probes. Each probe goes to one member.
     pub probe_interval_ms: u64,
-    /// Milliseconds to wait for an answer before others are asked to probe.
+    /// Milliseconds to wait for an acknowledgement before other members are asked to probe.
     pub probe_timeout_ms: u64,
-    /// How many others are asked.
+    /// Members that are asked for an indirect probe.
     pub indirect_probes: usize,
-    /// A suspect has this many probe intervals, times the decimal logarithm of the number of
-    /// members (at least 1), to object.
+    /// The suspicion timeout is this many probe intervals, times the decimal logarithm of the
+    /// number of members (at least 1).
     pub suspicion_factor: u64,
-    /// Milliseconds between rounds of gossip; a round without news sends nothing.
+    /// Milliseconds between gossip rounds. A round without updates sends nothing.
     pub gossip_interval_ms: u64,
-    /// Members that get each round.
+    /// Members that each gossip round sends to.
     pub gossip_fanout: usize,
-    /// Each update leaves every daemon as often as the natural logarithm of the number of
-    /// members, and this many times more. With `k` times, a share of about `exp(-k)` misses it
-    /// until the next comparison (Demers and others 1987).
+    /// Each daemon transmits an update as often as the natural logarithm of the number of
+    /// members, plus this number. With `k` transmissions, a share of about `exp(-k)` of the members
+    /// misses the update until the next comparison (Demers and others 1987).
     pub extra_transmissions: u32,
-    /// Each load fact leaves this many times: the next one comes soon.
+    /// Transmissions of each load fact by each daemon. Few are enough, because the next fact
+    /// follows soon.
     pub load_transmissions: u32,
-    /// Bytes per second that gossip may use, payload only.
+    /// Most bytes per second for gossip, counting payload only.
     pub gossip_bytes_per_second: u64,
-    /// Most bytes of one message with gossip.
+    /// Most bytes of one gossip message.
     pub max_message_bytes: usize,
-    /// Milliseconds between comparisons with a random member. A daemon that starts compares
-    /// more often at first.
+    /// Milliseconds between comparisons with a random member. After its start, a daemon compares
+    /// more often.
     pub sync_interval_ms: u64,
-    /// Bytes per second that answers to comparisons may use. Twice as many may go at once: the tables of
-    /// some 1,700 members, to a daemon that starts.
+    /// Most bytes per second for answers to comparisons. The burst is twice this value: by default
+    /// the tables of about 1,700 members, sent to a daemon that starts.
     pub sync_bytes_per_second: u64,
-    /// Most bytes of one message that answers a comparison. With its envelope it fits into a datagram: a
-    /// connection to each member that ever compared would be thousands.
+    /// Most bytes of one message that answers a comparison. The message and its envelope fit into a
+    /// datagram, because a connection to every member that ever compared would mean thousands of
+    /// connections.
     pub sync_chunk_bytes: usize,
-    /// Share of comparisons that goes to any zone, where the own one has enough members.
+    /// Share of comparisons with members of any zone, when the own zone has enough members.
     pub cross_zone_share: f64,
-    /// Share of gossip and of comparisons that goes to another region.
+    /// Share of gossip and of comparisons that goes to other regions.
     pub cross_region_share: f64,
-    /// Milliseconds that the dead are remembered.
+    /// Milliseconds after which dead members are removed from the table.
     pub forget_dead_after_ms: u64,
     /// Milliseconds after which a load fact without a newer version is dropped.
     pub load_fact_lifetime_ms: u64,
     /// Most bytes of one fact.
     pub max_fact_bytes: usize,
-    /// Most bytes of one document. Documents spread by comparison, over connections.
+    /// Most bytes of one document. Documents spread by comparisons, over connections.
     pub max_document_bytes: usize,
-    /// Most facts kept.
+    /// Most facts stored.
     pub max_facts: usize,
 }
 
@@ -86,7 +88,7 @@
     /// Checks every field.
     ///
     /// # Errors
-    /// The first field with a value that is not allowed.
+    /// The first field whose value is out of range.
     pub fn check(&self) -> Result<(), InvalidSetting> {
         let probe = self.probe_interval_ms;
         check_range("membership.probe_interval_ms", probe, 100, 60_000)?;
@@ -133,14 +135,14 @@
         Duration::from_millis(self.sync_interval_ms)
     }
 
-    /// How long a suspect among `members` may take to object.
+    /// The time within which a suspect among `members` must refute the suspicion.
     pub fn suspicion_timeout(&self, members: usize) -> Duration {
         let scale = (members.max(1) as f64).log10().max(1.0);
         let intervals = self.suspicion_factor as f64 * scale;
         Duration::from_secs_f64(self.probe_interval().as_secs_f64() * intervals)
     }
 
-    /// How often an update among `members` leaves each daemon.
+    /// Transmissions of an update by each daemon among `members`.
     pub(super) fn transmissions(&self, members: usize) -> u32 {
         (members.max(2) as f64).ln().ceil() as u32 + self.extra_transmissions
     }
--- a/crates/replication/src/membership/state.rs
+++ b/crates/replication/src/membership/state.rs
@@ -1,4 +1,4 @@
-//! Membership of one daemon: its state and public interface.
+//! The membership state of one daemon and its public interface.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -10,34 +10,35 @@
 
 use super::detector::Probe;
 use super::facts::Facts;
-use super::gossip::{Budget, Known, Limits, News, Queue, Subject};
+use super::gossip::{ByteBudget, LocalState, Subject, TransmissionLimits, UpdateQueue, Updates};
 use super::members::Members;
 use super::previous_peers::PreviousPeers;
-use super::sync::MANY_NEWS;
+use super::sync::MANY_NEW_RECORDS;
 use super::{
     Envelope, Fact, FactKey, Health, Member, MemberInfo, MemberMessage, MemberRecord, MemberState,
     MembershipSettings,
 };
 
-/// What happened.
+/// An input of the membership state machine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
-    /// Time passed. Wanted at [`Membership::next_deadline`], or every 50 to 100 milliseconds.
+    /// Time passed. The driver sends this at [`Membership::next_deadline`], or every 50 to 100
+    /// milliseconds.
     Tick,
-    /// A message came.
+    /// A message arrived.
     Received(Envelope),
-    /// A connection to a daemon broke: probe it at once.
+    /// A connection to a daemon broke. The daemon is probed at once.
     ConnectionLost(DaemonId),
-    /// Ask a daemon for a sign of life. Nothing is made of its silence.
+    /// Ping a daemon. A missing acknowledgement has no consequences.
     PingRequested(DaemonId),
 }
 
-/// What the driver must do or may want to know.
+/// An output of the membership state machine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// Send a message. May be lost, doubled and reordered.
+    /// Send a message. It may be lost, duplicated and reordered.
     Send {
-        /// Where to.
+        /// The receiver's address.
         to: SocketAddr,
         /// The message.
         message: Envelope,
@@ -46,22 +47,24 @@
     MemberChanged(MemberRecord),
     /// A fact is new or has a newer version, published elsewhere.
     FactChanged(Fact),
-    /// Another life of this daemon with a later incarnation is known: this one must stop, or,
-    /// when its clock went back, start again with a later incarnation.
+    /// A later incarnation of this daemon exists. This one must stop or, if its clock went back,
+    /// start again with a later incarnation.
     Superseded {
         /// The later incarnation.
         by: Incarnation,
     },
 }
 
-/// Low bits of a version that count changes within one life of a process; the life is above.
-const LIFE_BITS: u32 = 16;
-/// A daemon started more often than this waits for an objection, as after a suspicion.
-const MOST_LIVES: u32 = (1 << (u32::BITS - LIFE_BITS)) - 1;
-/// Rounds of gossip after a start in which unknown seeds are asked: two seconds, in which machines that
-/// lost power together are back.
+/// Low bits of a version, which count changes within one run of the process. The start count is in
+/// the bits above.
+const CHANGE_COUNT_BITS: u32 = 16;
+/// The largest start count that a version can hold. A daemon that is started more often must first
+/// refute the record of its earlier run, as after a suspicion.
+const MAX_STARTS: u32 = (1 << (u32::BITS - CHANGE_COUNT_BITS)) - 1;
+/// Gossip rounds after a start in which unknown seeds are contacted. They take two seconds, in which
+/// machines that lost power together are back.
 const SEED_ROUNDS: u32 = 10;
-/// Bytes of an envelope without news, at most.
+/// Most bytes of an envelope without updates.
 const ENVELOPE_BYTES: usize = 64;
 
 /// The membership state of one daemon.
@@ -69,40 +72,41 @@
 pub struct Membership {
     pub(super) own: MemberRecord,
     pub(super) seeds: Vec<SocketAddr>,
-    /// Rounds of gossip in which seeds that are not known yet are still asked.
+    /// Remaining gossip rounds in which seeds that are not known yet are contacted.
     seed_rounds: u32,
     pub(super) settings: MembershipSettings,
     pub(super) random: ChaCha8Rng,
     pub(super) now: Timestamp,
     pub(super) members: Members,
     pub(super) facts: Facts,
-    pub(super) queue: Queue,
-    pub(super) budget: Budget,
-    /// Of answers to comparisons.
-    pub(super) sync_budget: Budget,
+    pub(super) queue: UpdateQueue,
+    pub(super) budget: ByteBudget,
+    /// The budget of answers to comparisons.
+    pub(super) sync_budget: ByteBudget,
     pub(super) probe: Option<Probe>,
     pub(super) previous_peers: PreviousPeers,
     pub(super) next_sequence: u32,
     pub(super) next_probe: Timestamp,
     pub(super) next_gossip: Timestamp,
     pub(super) next_sync: Timestamp,
-    /// A document has changed, and nobody was told of it.
-    pub(super) has_document_news: bool,
-    /// The same of a kept one, at a daemon that holds groups.
-    pub(super) has_kept_news: bool,
-    /// From then on others may be told of it.
-    pub(super) next_kept_spread: Timestamp,
-    /// Numbers of kept documents that this daemon made, and that it handed to nobody yet.
-    pub(super) kept_news: BTreeSet<u32>,
-    /// The kept documents are wanted here, and nobody was asked for them yet.
-    pub(super) wants_kept: bool,
-    /// Time to the sync after the next one; grows from a gossip interval to the full interval.
-    sync_pause: Duration,
+    /// A document has changed and was not announced yet.
+    pub(super) has_unannounced_documents: bool,
+    /// A holder document has changed and was not announced yet, on a daemon that holds groups.
+    pub(super) has_unannounced_holder_documents: bool,
+    /// When changed holder documents may be announced next.
+    pub(super) next_holder_announcement: Timestamp,
+    /// Numbers of holder documents that this daemon created and has not sent to a holder yet.
+    pub(super) unsent_holder_documents: BTreeSet<u32>,
+    /// The holder documents are needed here and were not requested yet.
+    pub(super) wants_holder_documents: bool,
+    /// Time between the next comparison and the one after it. It doubles from a gossip interval up to the
+    /// full interval.
+    next_sync_interval: Duration,
     pub(super) actions: Vec<Action>,
 }
 
 impl Membership {
-    /// A daemon that knows only itself and some addresses to start from.
+    /// Creates the state of a daemon that knows only itself and the addresses of the seeds.
     pub fn new(
         own: MemberInfo,
         seeds: Vec<SocketAddr>,
@@ -110,8 +114,8 @@
         seed: u64,
         now: Timestamp,
     ) -> Self {
-        let budget = Budget::new(settings.gossip_bytes_per_second, now);
-        let sync_budget = Budget::new(settings.sync_bytes_per_second, now);
+        let budget = ByteBudget::new(settings.gossip_bytes_per_second, now);
+        let sync_budget = ByteBudget::new(settings.sync_bytes_per_second, now);
         let seed = seed ^ (u64::from(own.daemon.0) << 32) ^ own.incarnation.0;
         let mut membership = Self {
             own: MemberRecord { info: own, version: 0, health: Health::Alive },
@@ -119,10 +123,10 @@
             seed_rounds: SEED_ROUNDS,
             random: ChaCha8Rng::seed_from_u64(seed),
             now,
-            sync_pause: settings.gossip_interval(),
+            next_sync_interval: settings.gossip_interval(),
             members: Members::default(),
             facts: Facts::default(),
-            queue: Queue::default(),
+            queue: UpdateQueue::default(),
             budget,
             sync_budget,
             probe: None,
@@ -131,11 +135,11 @@
             next_probe: now,
             next_gossip: now,
             next_sync: now,
-            has_document_news: false,
-            has_kept_news: false,
-            next_kept_spread: Timestamp::ZERO,
-            kept_news: BTreeSet::new(),
-            wants_kept: false,
+            has_unannounced_documents: false,
+            has_unannounced_holder_documents: false,
+            next_holder_announcement: Timestamp::ZERO,
+            unsent_holder_documents: BTreeSet::new(),
+            wants_holder_documents: false,
             settings,
             actions: Vec::new(),
         };
@@ -143,46 +147,49 @@
         membership
     }
 
-    /// Puts this daemon's statements above those of its earlier lives with the same incarnation,
-    /// so that others take it for alive at once. `life` counts them from 1.
+    /// Makes the own record override those of earlier runs of the process with the same incarnation,
+    /// so that other daemons consider it alive at once. `start_count` counts the runs from 1.
     ///
-    /// A daemon that kept its disk kept its replicas, and so their incarnation. Its process
-    /// begins anew; what others hold of the earlier one, a death included, must not stand.
-    pub fn set_start_count(&mut self, life: u32) {
-        self.own.version = life.min(MOST_LIVES) << LIFE_BITS;
+    /// A daemon that kept its disk keeps its replicas, and so their incarnation. Its process is new,
+    /// so the records of the earlier process, including one that declares it dead, must not persist.
+    pub fn set_start_count(&mut self, start_count: u32) {
+        self.own.version = start_count.min(MAX_STARTS) << CHANGE_COUNT_BITS;
     }
 
-    /// Takes an event in and returns what to do, in order.
+    /// Handles an event and returns the resulting actions, in order.
     pub fn handle(&mut self, event: Event, now: Timestamp) -> Vec<Action> {
         self.now = self.now.max(now);
         match event {
             Event::Tick => self.tick(),
             Event::Received(envelope) => self.receive(envelope),
             Event::ConnectionLost(daemon) => self.connection_lost(daemon),
-            Event::PingRequested(daemon) => self.ask_for_sign(daemon),
+            Event::PingRequested(daemon) => self.send_ping(daemon),
         }
         std::mem::take(&mut self.actions)
     }
 
-    /// When the next tick has something to do, unless a message comes first.
+    /// When the next tick has work to do, unless a message arrives before.
     pub fn next_deadline(&self) -> Timestamp {
         let mut next = self.next_probe.min(self.next_sync);
         let indirect_at = self.probe.as_ref().and_then(|probe| probe.indirect_at);
         for at in indirect_at.into_iter().chain(self.previous_peers.next_round()) {
             next = next.min(at);
         }
-        let has_kept_news = self.has_kept_news || self.wants_kept || !self.kept_news.is_empty();
-        let has_news = self.has_document_news || has_kept_news || !self.queue.is_empty();
-        let has_news = has_news || self.seed_rounds > 0;
-        if has_news { next.min(self.next_gossip) } else { next }
+        let has_holder_document_work = self.has_unannounced_holder_documents
+            || self.wants_holder_documents
+            || !self.unsent_holder_documents.is_empty();
+        let has_updates =
+            self.has_unannounced_documents || has_holder_document_work || !self.queue.is_empty();
+        let has_updates = has_updates || self.seed_rounds > 0;
+        if has_updates { next.min(self.next_gossip) } else { next }
     }
 
-    /// The own description.
+    /// This daemon's description of itself.
     pub fn own(&self) -> &MemberInfo {
         &self.own.info
     }
 
-    /// All daemons known: the own one, the present and the dead of late.
+    /// All known daemons: this one, the present ones, and dead ones that are still remembered.
     pub fn members(&self) -> Vec<Member> {
         let mut members: Vec<Member> = self.members.iter().cloned().collect();
         members.push(Member { record: self.own.clone(), health_since: Timestamp::ZERO });
@@ -190,12 +197,12 @@
         members
     }
 
-    /// One daemon.
+    /// The table entry of another daemon.
     pub fn member(&self, daemon: DaemonId) -> Option<&Member> {
         self.members.get(daemon)
     }
 
-    /// Changes what this daemon says of itself.
+    /// Changes the state that this daemon reports.
     pub fn set_state(&mut self, state: MemberState) {
         if self.own.info.state != state {
             self.own.info.state = state;
@@ -204,7 +211,7 @@
         }
     }
 
-    /// Says whether replicas of groups may be placed on this daemon.
+    /// Sets whether replicas of groups may be placed on this daemon.
     pub fn set_holds_groups(&mut self, holds_groups: bool) {
         if self.own.info.holds_groups != holds_groups {
             self.own.info.holds_groups = holds_groups;
@@ -213,7 +220,7 @@
         }
     }
 
-    /// Further addresses to ask while no other daemon is known.
+    /// Adds seed addresses. Unknown seeds are contacted at once.
     pub fn add_seeds(&mut self, addresses: impl IntoIterator<Item = SocketAddr>) {
         for address in addresses {
             if !self.seeds.contains(&address) {
@@ -224,19 +231,19 @@
         self.next_sync = self.now;
     }
 
-    /// Makes a fact known to all. Returns whether it is newer than what is known, and small
-    /// enough; otherwise nothing happens.
+    /// Spreads a fact to all daemons. Returns whether it is newer than the stored one and small
+    /// enough; otherwise it is ignored.
     pub fn publish(&mut self, key: FactKey, version: u64, bytes: Vec<u8>) -> bool {
         let fact = Fact { key: key.clone(), version, bytes: Bytes::from(bytes) };
-        let is_news = self.merge_fact(fact);
+        let is_newer = self.merge_fact(fact);
         if let FactKey::Document(number) = key
-            && is_news
+            && is_newer
             && key.is_holder_document()
             && !self.own.info.holds_groups
         {
-            self.kept_news.insert(number);
+            self.unsent_holder_documents.insert(number);
         }
-        is_news
+        is_newer
     }
 
     /// The newest known version of a fact.
@@ -244,7 +251,7 @@
         self.facts.get(key)
     }
 
-    /// All facts known.
+    /// All known facts.
     pub fn facts(&self) -> impl Iterator<Item = &Fact> {
         self.facts.iter()
     }
@@ -254,18 +261,20 @@
             self.end_probe_interval();
         }
         self.probe_indirectly();
-        self.contact_due_previous_peers();
+        self.announce_to_previous_peers();
         if self.now >= self.next_gossip {
             self.next_gossip = self.now + self.settings.gossip_interval();
             self.gossip();
-            self.ask_unknown_seeds();
-            self.spread_documents();
-            self.hand_in_kept();
-            self.wants_kept &= !(self.wants_kept && self.ask_for_kept());
+            self.contact_unknown_seeds();
+            self.announce_documents();
+            self.send_new_holder_documents();
+            self.wants_holder_documents &=
+                !(self.wants_holder_documents && self.ask_for_holder_documents());
         }
         if self.now >= self.next_sync {
-            self.next_sync = self.now + self.sync_pause;
-            self.sync_pause = self.sync_pause.times(2).min(self.settings.sync_interval());
+            self.next_sync = self.now + self.next_sync_interval;
+            self.next_sync_interval =
+                self.next_sync_interval.times(2).min(self.settings.sync_interval());
             self.start_sync();
         }
     }
@@ -278,16 +287,17 @@
         let share = self.settings.cross_region_share;
         let region = self.own.info.region.clone();
         for daemon in self.members.choose(fanout, &region, share, &mut self.random) {
-            let news = self.news();
-            if news.bytes > 0 {
-                self.send_news(daemon, MemberMessage::Gossip, news);
+            let updates = self.take_updates();
+            if updates.bytes > 0 {
+                self.send_with_updates(daemon, MemberMessage::Gossip, updates);
             }
         }
     }
 
-    /// Asks the seeds that are not known yet, also when others are: where all begin at the same moment, the
-    /// first one heard of may know as little as this daemon, and the seeds hear of everybody.
-    fn ask_unknown_seeds(&mut self) {
+    /// Contacts the seeds that are not known yet, even if other daemons are known. When all daemons start
+    /// at the same moment, the first one found may know as few members as this one, while the seeds
+    /// learn of every daemon.
+    fn contact_unknown_seeds(&mut self) {
         if self.seed_rounds == 0 {
             return;
         }
@@ -300,41 +310,46 @@
         let unknown: Vec<SocketAddr> =
             self.seeds.iter().filter(|seed| !is_known(seed)).copied().collect();
         for seed in unknown {
-            self.compare_at(seed, Vec::new());
+            self.compare_with_address(seed, Vec::new());
         }
     }
 
-    /// News for one message, within the budget.
-    fn news(&mut self) -> News {
+    /// Takes updates for one message, within the budget.
+    fn take_updates(&mut self) -> Updates {
         let room = self.budget.room(self.now).saturating_sub(ENVELOPE_BYTES);
         let room = room.min(self.settings.max_message_bytes - ENVELOPE_BYTES);
         let others = self.settings.transmissions(self.members.present_count() + 1);
-        let limits = Limits { loads: self.settings.load_transmissions, others };
-        let known = Known { own: &self.own, members: &self.members, facts: &self.facts };
-        let news = self.queue.take(room, limits, &known);
-        if news.bytes > 0 {
-            self.budget.spend(news.bytes + ENVELOPE_BYTES);
+        let limits = TransmissionLimits { loads: self.settings.load_transmissions, others };
+        let local = LocalState { own: &self.own, members: &self.members, facts: &self.facts };
+        let updates = self.queue.take(room, limits, &local);
+        if updates.bytes > 0 {
+            self.budget.spend(updates.bytes + ENVELOPE_BYTES);
         }
-        news
+        updates
     }
 
-    /// Sends to a member, with news as far as they fit.
+    /// Sends a message to a member, with as many updates as fit.
     pub(super) fn send(&mut self, daemon: DaemonId, body: MemberMessage) {
-        let mut news = self.news();
-        // A suspect must hear of it to object in time.
+        let mut updates = self.take_updates();
+        // A suspect must learn of the suspicion to refute it in time.
         if let Some(member) = self.members.get(daemon)
             && member.record.health != Health::Alive
-            && !news.members.contains(&member.record)
+            && !updates.members.contains(&member.record)
         {
-            news.members.push(member.record.clone());
+            updates.members.push(member.record.clone());
         }
-        self.send_news(daemon, body, news);
+        self.send_with_updates(daemon, body, updates);
     }
 
-    pub(super) fn send_news(&mut self, daemon: DaemonId, body: MemberMessage, news: News) {
+    pub(super) fn send_with_updates(
+        &mut self,
+        daemon: DaemonId,
+        body: MemberMessage,
+        updates: Updates,
+    ) {
         let Some(member) = self.members.get(daemon) else { return };
         let to = member.record.info.address;
-        self.send_to_address(to, body, news.members, news.facts);
+        self.send_to_address(to, body, updates.members, updates.facts);
     }
 
     pub(super) fn send_to_address(
@@ -351,112 +366,117 @@
 
     fn receive(&mut self, envelope: Envelope) {
         let Envelope { from, address, body, members, facts } = envelope;
-        self.previous_peers.heard_from(&address);
-        // A table of others is known to others: only what changes an entry spreads on.
-        let is_table = matches!(body, MemberMessage::SyncChunk(_));
+        self.previous_peers.remove(&address);
+        // Records of unknown members in a sync answer are already known to others: only records that
+        // change an entry are gossiped.
+        let is_sync_answer = matches!(body, MemberMessage::SyncChunk(_));
         let known_before = self.members.len();
         for record in members {
-            if is_table && self.members.get(record.info.daemon).is_none() {
-                self.learn_record(record);
+            if is_sync_answer && self.members.get(record.info.daemon).is_none() {
+                self.merge_record_without_spreading(record);
             } else {
                 self.merge_record(record);
             }
         }
-        if is_table && self.members.len() >= known_before + MANY_NEWS {
-            // What one member can tell in one answer is bounded: there is more to learn.
+        if is_sync_answer && self.members.len() >= known_before + MANY_NEW_RECORDS {
+            // The size of one answer is bounded, so there are probably more new records.
             self.next_sync = self.next_sync.min(self.now + self.settings.gossip_interval());
         }
         for fact in facts {
-            self.take_fact(from.daemon, fact);
+            self.handle_fact(from.daemon, fact);
         }
-        // It knows an earlier life of this daemon, which knew it. Where all seeds began anew at the
-        // same moment, nobody else can tell of the daemons that went on.
-        // An answer to a comparison is no sign of that, and comes in many messages.
+        // An unknown sender knows this daemon from before its restart. When all seeds restarted at the
+        // same moment, nobody else can report the daemons that kept running.
+        // A sync answer does not imply that, and it arrives in many messages.
         let is_unknown =
             from.daemon != self.own.info.daemon && self.members.get(from.daemon).is_none();
-        if is_unknown && !is_table {
-            self.compare_at(address, Vec::new());
+        if is_unknown && !is_sync_answer {
+            self.compare_with_address(address, Vec::new());
         }
         match body {
             MemberMessage::Ping { sequence, to, on_behalf_of } => {
-                self.answer_ping(from.daemon, sequence, to, on_behalf_of);
+                self.handle_ping(from.daemon, sequence, to, on_behalf_of);
             }
             MemberMessage::Ack { sequence, answering, on_behalf_of } => {
-                self.take_ack(sequence, answering, on_behalf_of);
+                self.handle_ack(sequence, answering, on_behalf_of);
             }
             MemberMessage::PingRequest { sequence, target } => {
-                self.ping_for(from.daemon, sequence, target);
+                self.ping_on_behalf_of(from.daemon, sequence, target);
             }
             MemberMessage::Gossip => {}
-            MemberMessage::SyncRequest(digest) => self.answer_sync(from.daemon, &digest),
-            MemberMessage::SyncChunk(chunk) => self.take_sync_chunk(from.daemon, chunk),
+            MemberMessage::SyncRequest(digest) => self.handle_sync_request(from.daemon, &digest),
+            MemberMessage::SyncChunk(chunk) => self.handle_sync_chunk(from.daemon, chunk),
         }
     }
 
     pub(super) fn merge_fact(&mut self, fact: Fact) -> bool {
         let key = fact.key.clone();
-        let (is_gossiped, is_kept) = (key.is_gossiped(), key.is_holder_document());
+        let (is_gossiped, is_holder_document) = (key.is_gossiped(), key.is_holder_document());
         let settings = &self.settings;
         let limit = if is_gossiped { settings.max_fact_bytes } else { settings.max_document_bytes };
         if fact.bytes.len() > limit {
             return false;
         }
-        let is_news = self.facts.merge(fact, self.settings.max_facts, self.now);
-        if is_news && is_gossiped {
+        let is_newer = self.facts.merge(fact, self.settings.max_facts, self.now);
+        if is_newer && is_gossiped {
             self.queue.push(Subject::Fact(key));
         }
-        self.has_document_news |= is_news && !is_gossiped && !is_kept;
-        self.has_kept_news |= is_news && is_kept && self.own.info.holds_groups;
-        is_news
+        self.has_unannounced_documents |= is_newer && !is_gossiped && !is_holder_document;
+        self.has_unannounced_holder_documents |=
+            is_newer && is_holder_document && self.own.info.holds_groups;
+        is_newer
     }
 
-    /// Takes in a statement on a member and spreads it when it is news.
+    /// Stores a member's record, and gossips it if it is newer.
     pub(super) fn merge_record(&mut self, record: MemberRecord) {
         if record.info.daemon == self.own.info.daemon {
-            self.merge_own(&record);
+            self.merge_own_record(&record);
             return;
         }
-        let is_new_life = self.begins_a_life(&record);
+        let is_new = self.is_new_incarnation(&record);
         if self.members.merge(&record, self.now) {
             self.queue.push(Subject::Member(record.info.daemon));
-            if is_new_life {
-                self.greet(record.info.daemon);
+            if is_new {
+                self.compare_with_newcomer(record.info.daemon);
             }
             self.actions.push(Action::MemberChanged(record));
         }
     }
 
-    /// Whether a statement is the first one on a member's present life.
-    fn begins_a_life(&self, record: &MemberRecord) -> bool {
-        let held = self.members.get(record.info.daemon).map(|member| member.record.info.replica());
-        let is_later = held.is_none_or(|held| held.incarnation < record.info.incarnation);
+    /// Whether a record is the first one of a member's new incarnation.
+    fn is_new_incarnation(&self, record: &MemberRecord) -> bool {
+        let known = self.members.get(record.info.daemon).map(|member| member.record.info.replica());
+        let is_later = known.is_none_or(|known| known.incarnation < record.info.incarnation);
         is_later && record.health == Health::Alive
     }
 
-    /// Takes in a statement on an unknown member without spreading it.
-    fn learn_record(&mut self, record: MemberRecord) {
+    /// Stores a record of an unknown member without gossiping it.
+    fn merge_record_without_spreading(&mut self, record: MemberRecord) {
         if record.info.daemon == self.own.info.daemon {
-            self.merge_own(&record);
+            self.merge_own_record(&record);
         } else if self.members.merge(&record, self.now) {
             self.actions.push(Action::MemberChanged(record));
         }
     }
 
-    /// Objects to a suspicion, or learns of a later life.
-    fn merge_own(&mut self, record: &MemberRecord) {
+    /// Refutes a suspicion of this daemon, or detects a later incarnation of it.
+    fn merge_own_record(&mut self, record: &MemberRecord) {
         let own = self.own.info.incarnation;
         if record.info.incarnation > own {
             self.actions.push(Action::Superseded { by: record.info.incarnation });
             return;
         }
-        let is_present_life = record.info.incarnation == own;
-        if is_present_life && record.health != Health::Alive && record.version >= self.own.version {
+        let is_present_incarnation = record.info.incarnation == own;
+        if is_present_incarnation
+            && record.health != Health::Alive
+            && record.version >= self.own.version
+        {
             self.own.version = record.version.saturating_add(1);
             self.queue.push(Subject::Member(self.own.info.daemon));
         }
     }
 
-    /// The time a suspect has.
+    /// The time within which a suspect must refute a suspicion.
     pub(super) fn suspicion_timeout(&self) -> Duration {
         self.settings.suspicion_timeout(self.members.present_count() + 1)
     }
--- a/crates/replication/src/membership/types.rs
+++ b/crates/replication/src/membership/types.rs
@@ -1,72 +1,73 @@
-//! What is known of a daemon.
+//! Records of daemons: identity, state, health and version.
 
 use std::net::SocketAddr;
 
 use dahlia_types::{DaemonId, Incarnation, Region, ReplicaId, Timestamp, Zone};
 use serde::{Deserialize, Serialize};
 
-/// What a daemon says of itself.
+/// The state that a daemon reports about itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum MemberState {
-    /// Starting: takes no work yet.
+    /// Starting: accepts no work yet.
     Joining,
-    /// Takes work.
+    /// Accepts work.
     Live,
-    /// Stopping as planned: takes no new work.
+    /// Planned stop: accepts no new work.
     Leaving,
 }
 
-/// What others think of a daemon. Later ones override earlier ones at the same version.
+/// The health that other daemons attribute to a daemon. At the same version, a later variant
+/// overrides an earlier one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Health {
-    /// It answers.
+    /// It answers probes.
     Alive,
-    /// It did not answer a probe, and has some time to object.
+    /// It did not answer a probe, and may refute that until the suspicion timeout.
     Suspect,
-    /// It did not object in time.
+    /// It did not refute the suspicion in time.
     Dead,
 }
 
-/// A daemon's own description.
+/// A daemon's description of itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberInfo {
-    /// Its number.
+    /// The daemon's identifier.
     pub daemon: DaemonId,
-    /// Which life of it.
+    /// Its incarnation.
     pub incarnation: Incarnation,
-    /// Where it listens for other daemons.
+    /// The address on which it listens for other daemons.
     pub address: SocketAddr,
     /// Its zone.
     pub zone: Zone,
     /// Its region.
     pub region: Region,
-    /// What it says of itself.
+    /// The state that it reports.
     pub state: MemberState,
     /// Whether replicas of groups may be placed on it.
     pub holds_groups: bool,
 }
 
 impl MemberInfo {
-    /// The identifier of this life's replicas.
+    /// The identifier of the replicas of this incarnation.
     pub fn replica(&self) -> ReplicaId {
         ReplicaId { daemon: self.daemon, incarnation: self.incarnation }
     }
 }
 
-/// A statement on a daemon as it spreads.
+/// A versioned record of a daemon, as daemons exchange it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRecord {
     /// The daemon's own description.
     pub info: MemberInfo,
-    /// Rises within an incarnation whenever the daemon changes its state, objects to a suspicion
-    /// or is started again. Only the daemon itself raises it.
+    /// Increases within an incarnation whenever the daemon changes its state, refutes a suspicion
+    /// or is started again. Only the daemon itself increases it.
     pub version: u32,
-    /// What the sender thinks of it.
+    /// The health that the sender attributes to it.
     pub health: Health,
 }
 
 impl MemberRecord {
-    /// Whether this statement overrides the other one on the same daemon.
+    /// Whether this record overrides another record of the same daemon.
     pub fn overrides(&self, other: &Self) -> bool {
         self.rank() > other.rank()
     }
@@ -75,24 +76,24 @@
         (self.info.incarnation, self.version, self.health)
     }
 
-    /// An upper bound of its encoded bytes (bincode, standard configuration).
+    /// An upper bound of the encoded size in bytes (bincode, standard configuration).
     pub(super) fn wire_bytes(&self) -> usize {
-        const FIXED: usize = 50;
-        FIXED + self.info.zone.as_str().len() + self.info.region.as_str().len()
+        const FIXED_BYTES: usize = 50;
+        FIXED_BYTES + self.info.zone.as_str().len() + self.info.region.as_str().len()
     }
 }
 
-/// A daemon as the local view holds it.
+/// An entry of the local membership table.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Member {
-    /// Its latest statement.
+    /// The newest known record.
     pub record: MemberRecord,
-    /// Since when, by the local clock, it has this health.
+    /// When the daemon got its present health, by the local clock.
     pub health_since: Timestamp,
 }
 
 impl Member {
-    /// Whether it is alive and takes work.
+    /// Whether it is alive and accepts work.
     pub fn takes_work(&self) -> bool {
         self.record.health == Health::Alive && self.record.info.state == MemberState::Live
     }
