--- a/crates/replication/src/group/coalescer.rs
+++ b/crates/replication/src/group/coalescer.rs
@@ -1,7 +1,7 @@
 //! Merges the heartbeats of many groups between two daemons into one message.
 //!
-//! Groups led by one daemon send their heartbeats at the same multiples of the interval, so all
-//! that go to one daemon fit into one run that states the shared fields once.
+//! Groups led by one daemon send their heartbeats at the same multiples of the interval. All
+//! heartbeats to one daemon therefore fit into one batch that has the shared fields once.
 
 use std::collections::BTreeMap;
 
@@ -10,20 +10,20 @@
 
 use super::{GroupBody, GroupMessage, Heartbeat, HeartbeatResponse};
 
-/// One group's part of a run.
+/// The heartbeat of one group, or the answer to it, without the fields that the batch shares.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupHeartbeat {
     /// The group.
     pub group: GroupId,
     /// The sender's term in it.
     pub term: Term,
-    /// The leader's configuration when the receiver's present stay began.
+    /// The leader's configuration index when the receiver last became a member.
     pub session: LogIndex,
-    /// The committed entry of a heartbeat; none in an answer.
+    /// The committed entry in a heartbeat; none in an answer.
     pub committed: Option<LogIndex>,
 }
 
-/// Heartbeats, or answers to them, that share sender, receiver and time.
+/// Heartbeats, or answers to them, with the same sender, receiver and time.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeartbeatBatch {
     /// The sender.
@@ -32,11 +32,11 @@
     pub to: ReplicaId,
     /// The leader's time.
     pub sent: Timestamp,
-    /// One part for each group.
+    /// One heartbeat or answer for each group.
     pub groups: Vec<GroupHeartbeat>,
 }
 
-/// Everything that goes to one daemon at one time.
+/// All messages to one daemon at one time.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct PeerBatch {
     /// Merged heartbeats and answers.
@@ -46,7 +46,7 @@
 }
 
 impl PeerBatch {
-    /// The messages it was made of; heartbeats come first.
+    /// Splits the batch into its messages. Heartbeats come first.
     pub fn into_messages(self) -> Vec<GroupMessage> {
         let mut messages = Vec::new();
         for batch in self.heartbeats {
@@ -78,14 +78,14 @@
     messages: Vec<GroupMessage>,
 }
 
-/// Collects messages and hands them out by destination.
+/// Collects messages and batches them by destination.
 #[derive(Debug, Default)]
 pub struct Coalescer {
     pending: BTreeMap<DaemonId, Pending>,
 }
 
 impl Coalescer {
-    /// An empty one.
+    /// Creates an empty coalescer.
     pub fn new() -> Self {
         Self::default()
     }
--- a/crates/replication/src/group/delivery.rs
+++ b/crates/replication/src/group/delivery.rs
@@ -1,15 +1,15 @@
-//! Handing committed entries to the driver, and dropping them when they are no longer needed.
+//! Delivery of committed entries to the driver, and dropping of entries that are no longer needed.
 
 use dahlia_types::{LogIndex, ReplicaId};
 
 use super::replica::Replica;
 use super::{Entry, EntryData, GroupBody, Members, Output, Role};
 
-/// A peer in contact that lags may keep this many times the usual entries in the log.
-const MOST_RETAINED_FACTOR: usize = 16;
+/// For a lagging peer in contact, the log retains up to this many times `retained_entries`.
+const MAX_RETAINED_FACTOR: usize = 16;
 
 impl Replica {
-    /// Puts newly committed entries into the outputs.
+    /// Marks entries up to `index` as committed and adds them to the outputs.
     pub(super) fn commit_to(&mut self, index: LogIndex) {
         let index = index.min(self.log.last_index());
         if index <= self.committed {
@@ -24,8 +24,8 @@
 
     fn deliver(&mut self, index: LogIndex) {
         let Some(entry) = self.log.get(index) else { return };
-        let waiting = &mut self.leading.uncommitted_bytes;
-        *waiting = waiting.saturating_sub(entry.payload_bytes());
+        let uncommitted = &mut self.leader_state.uncommitted_bytes;
+        *uncommitted = uncommitted.saturating_sub(entry.payload_bytes());
         match &entry.data {
             EntryData::NoOp => {}
             EntryData::Command(payload) => {
@@ -49,7 +49,7 @@
                 self.send(replica, GroupBody::Removed { index });
             }
         } else if !members.contains(self.id) {
-            self.take_removed(index);
+            self.handle_removed(index);
         }
     }
 
@@ -58,9 +58,9 @@
         earlier.map(|(_, members)| members.clone()).unwrap_or_default()
     }
 
-    /// Drops applied entries beyond what is kept for peers that lag.
+    /// Drops applied entries that exceed what is retained for lagging peers.
     pub(super) fn drop_applied_entries(&mut self) {
-        let floor = self.needed_by_peers();
+        let floor = self.first_index_needed_by_peers();
         while self.log.base_index() < self.applied && self.has_surplus(floor) {
             self.log.drop_first();
         }
@@ -77,7 +77,7 @@
             return true;
         }
         let retained = self.settings.retained_entries;
-        if applied_entries > retained.saturating_mul(MOST_RETAINED_FACTOR) {
+        if applied_entries > retained.saturating_mul(MAX_RETAINED_FACTOR) {
             return true;
         }
         let is_over = applied_entries > retained || bytes > self.settings.retained_bytes;
--- a/crates/replication/src/group/durable.rs
+++ b/crates/replication/src/group/durable.rs
@@ -1,9 +1,9 @@
-//! What a replica must find again after its machine lost power, as changes and as a whole.
+//! The state that a replica needs after its machine lost power, as incremental changes and as an image.
 //!
-//! The replica notes what changed and the driver takes it out with
-//! [`Replica::take_durable_change`](super::Replica::take_durable_change). A change must be on the disk before
-//! anything leaves that was put into the outputs since the change before it, except for what
-//! [`Replica::may_send_unsynced`](super::Replica::may_send_unsynced) names.
+//! The replica records changes, and the driver takes them with
+//! [`Replica::take_durable_change`](super::Replica::take_durable_change). A change must be on the disk
+//! before the driver sends any output that was added since the change before it, except for messages
+//! that [`Replica::may_send_unsynced`](super::Replica::may_send_unsynced) allows.
 
 use bytes::Bytes;
 use dahlia_types::{GroupId, LogIndex, ReplicaId, Term};
@@ -12,7 +12,7 @@
 
 use super::{LogEntry, Members, Snapshot};
 
-/// What a replica promised besides its log. It lives as long as the replica's identifier.
+/// The persistent state of a replica besides its log. It has the lifetime of the identifier.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct HardState {
     /// The latest term seen.
@@ -21,29 +21,29 @@
     pub voted_for: Option<ReplicaId>,
     /// Term and index of the last entry before the replica was emptied.
     pub last_before_retirement: (Term, LogIndex),
-    /// Latest configuration by which a leader treated this replica as a member.
+    /// Latest configuration under which a leader treated this replica as a member.
     pub member_as_of: LogIndex,
 }
 
-/// All that is durable of one replica.
+/// The complete durable state of one replica.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DurableReplica {
     /// The group.
     pub group: GroupId,
-    /// What it promised.
+    /// Its term, vote and related state.
     pub hard_state: HardState,
-    /// The state machine after an applied entry. Without data it is the empty state machine.
+    /// The state machine after an applied entry. Without data, the state machine is empty.
     pub base: Snapshot,
-    /// The entries after that.
+    /// The log entries after `base`.
     pub entries: Vec<LogEntry>,
 }
 
-/// What became different since the last change of the same replica.
+/// The difference to the replica's last recorded change.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct DurableUpdate {
-    /// The first voters, where none were known.
+    /// The initial voters, if none were known before.
     pub initial_members: Option<Members>,
-    /// What it promised, when that changed.
+    /// The hard state, if it changed.
     pub hard_state: Option<HardState>,
     /// Entries at and after this index are replaced by `entries`.
     pub entries_from: Option<LogIndex>,
@@ -51,16 +51,16 @@
     pub entries: Vec<LogEntry>,
 }
 
-/// A change that must be durable.
+/// A change that must become durable.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DurableChange {
-    /// Everything of a replica: replaces all that was recorded of its group before.
+    /// The complete state of a replica, which replaces everything recorded of its group before.
     Image(Box<DurableReplica>),
-    /// An addition to what was recorded before.
+    /// A difference to what was recorded before.
     Update {
         /// The group.
         group: GroupId,
-        /// What became different.
+        /// The difference.
         update: DurableUpdate,
     },
 }
@@ -75,9 +75,9 @@
     }
 }
 
-/// An update that does not follow from what was recorded before it.
+/// An update that does not continue the entries recorded before it.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
-#[snafu(display("{group} has entries {base} to {last}, the update goes on at {from}"))]
+#[snafu(display("{group} has entries {base} to {last}, but the update starts at {from}"))]
 pub struct GapError {
     group: GroupId,
     base: LogIndex,
@@ -86,10 +86,10 @@
 }
 
 impl DurableReplica {
-    /// Takes an update in.
+    /// Applies an update.
     ///
     /// # Errors
-    /// [`GapError`] when entries are missing between the two; nothing was changed.
+    /// [`GapError`] if entries are missing between the two; nothing was changed.
     pub fn apply(&mut self, update: DurableUpdate) -> Result<(), GapError> {
         let DurableUpdate { initial_members, hard_state, entries_from, entries } = update;
         if let Some(from) = entries_from {
@@ -116,51 +116,51 @@
     }
 }
 
-/// What a replica has changed and nobody took yet.
+/// Changes of a replica that the driver has not taken yet.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Journal {
-    /// Whether anything is noted at all.
-    pub is_on: bool,
-    /// What was taken last.
-    pub taken: HardState,
+pub(super) struct DurableJournal {
+    /// Whether changes are recorded.
+    pub is_enabled: bool,
+    /// The hard state that was taken last.
+    pub last_taken: HardState,
     /// The first entry that is new or was replaced.
     pub entries_from: Option<LogIndex>,
-    /// The first voters, when they were learnt late.
+    /// The initial voters, if they were set after the replica was created.
     pub initial_members: Option<Members>,
-    /// The log was replaced, or is new: the next change is an image on this base.
+    /// Set if the log is new or was replaced: then the next change is an image with this base.
     pub base: Option<Snapshot>,
 }
 
-impl Journal {
-    /// Notes that the entries from `index` on are new, replaced or dropped.
-    pub fn note_entries(&mut self, index: LogIndex) {
-        if self.is_on {
+impl DurableJournal {
+    /// Records that the entries from `index` on are new, replaced or dropped.
+    pub fn record_entries(&mut self, index: LogIndex) {
+        if self.is_enabled {
             let first = self.entries_from.map_or(index, |from| from.min(index));
             self.entries_from = Some(first);
         }
     }
 
-    /// Notes that the log begins anew after `base`.
-    pub fn note_base(&mut self, base: Snapshot) {
-        if self.is_on {
+    /// Records that the log was replaced and now starts after `base`.
+    pub fn record_base(&mut self, base: Snapshot) {
+        if self.is_enabled {
             self.base = Some(base);
             self.entries_from = None;
             self.initial_members = None;
         }
     }
 
-    /// Notes first voters that a replica learnt after it came into being.
-    pub fn note_initial_members(&mut self, members: &Members) {
+    /// Records initial voters that were set after the replica was created.
+    pub fn record_initial_members(&mut self, members: &Members) {
         match &mut self.base {
             Some(base) if base.members == Members::default() => base.members = members.clone(),
             Some(_) => {}
-            None if self.is_on => self.initial_members = Some(members.clone()),
+            None if self.is_enabled => self.initial_members = Some(members.clone()),
             None => {}
         }
     }
 }
 
 /// The state machine before its first entry.
-pub(super) fn empty_base(members: Members) -> Snapshot {
+pub(super) fn initial_base(members: Members) -> Snapshot {
     Snapshot { index: LogIndex(0), term: Term(0), members, data: Bytes::new() }
 }
--- a/crates/replication/src/group/election.rs
+++ b/crates/replication/src/group/election.rs
@@ -3,14 +3,14 @@
 use dahlia_types::{Duration, LogIndex, ReplicaId, Term, Timestamp};
 use rand::Rng;
 
-use super::replica::{Leading, Replica};
+use super::replica::{LeaderState, Replica};
 use super::{EntryData, GroupBody, GroupMessage, HeartbeatResponse, Output, Role, VoteRequest};
 
-/// Doublings of a candidate's wait; bounds the shift.
-const MOST_DOUBLINGS: u32 = 8;
+/// Most doublings of a candidate's timeout, which bounds the shift.
+const MAX_TIMEOUT_DOUBLINGS: u32 = 8;
 
 impl Replica {
-    /// Whether a message is meant for exactly this replica.
+    /// Whether a message is plausible and addressed to exactly this replica.
     pub(super) fn accepts(&mut self, message: &GroupMessage) -> bool {
         if message.group != self.group || !message.is_plausible() {
             return false;
@@ -18,7 +18,8 @@
         if message.to == self.id {
             return true;
         }
-        // An earlier incarnation's promises are forgotten; answering for it would break them.
+        // The state of an earlier incarnation is lost, so answering in its place would break its votes
+        // and acknowledgements.
         if self.settings.faults.accept_any_incarnation && message.to.daemon == self.id.daemon {
             self.id = message.to;
             return true;
@@ -26,16 +27,16 @@
         false
     }
 
-    /// Tells a sender of an earlier term that time went on, so that a stale leader steps down.
-    pub(super) fn answer_stale(&mut self, message: &GroupMessage) {
+    /// Answers a message of an earlier term with the current term, so that a stale leader steps down.
+    pub(super) fn reject_stale_message(&mut self, message: &GroupMessage) {
         let body = match &message.body {
-            GroupBody::Append(body) => stale_answer(body.session, body.sent),
-            GroupBody::Heartbeat(body) => stale_answer(body.session, body.sent),
-            GroupBody::SnapshotChunk(body) => stale_answer(body.session, body.sent),
+            GroupBody::Append(body) => stale_term_response(body.session, body.sent),
+            GroupBody::Heartbeat(body) => stale_term_response(body.session, body.sent),
+            GroupBody::SnapshotChunk(body) => stale_term_response(body.session, body.sent),
             GroupBody::PreVote(_) => GroupBody::PreVoteResponse { granted: false },
             GroupBody::Vote(_) => GroupBody::VoteResponse { granted: false },
             GroupBody::Removed { index } => {
-                self.take_removed(*index);
+                self.handle_removed(*index);
                 return;
             }
             _ => return,
@@ -43,13 +44,15 @@
         self.send(message.from, body);
     }
 
-    /// Adopts a later term where the message asks for it. Returns whether to handle it further.
-    pub(super) fn take_higher_term(&mut self, message: &GroupMessage) -> bool {
+    /// Adopts a later term if the message requires it. Returns whether to handle the message further.
+    pub(super) fn adopt_higher_term(&mut self, message: &GroupMessage) -> bool {
         match &message.body {
             GroupBody::PreVote(_) | GroupBody::PreVoteResponse { granted: true } => {}
-            // A voter that hears its leader ignores others, so that a replica which was cut off
-            // or removed cannot depose a working leader (Ongaro 2014, section 4.2.3).
-            GroupBody::Vote(request) if !request.transfer && self.hears_leader() => return false,
+            // A voter in contact with its leader ignores vote requests, so that a replica that was cut
+            // off or removed cannot depose a working leader (Ongaro 2014, section 4.2.3).
+            GroupBody::Vote(request) if !request.transfer && self.is_in_contact_with_leader() => {
+                return false;
+            }
             GroupBody::Append(_) | GroupBody::Heartbeat(_) | GroupBody::SnapshotChunk(_) => {
                 self.become_follower(message.term, Some(message.from));
             }
@@ -78,13 +81,13 @@
                 self.handle_snapshot_response(from, response);
             }
             GroupBody::TimeoutNow => self.handle_timeout_now(),
-            GroupBody::Removed { index } => self.take_removed(index),
+            GroupBody::Removed { index } => self.handle_removed(index),
         }
     }
 
     pub(super) fn reset_election_deadline(&mut self) {
         if self.is_recovering {
-            self.election_deadline = self.now + self.recovery_wait();
+            self.election_deadline = self.now + self.next_recovery_delay();
             return;
         }
         let shortest = self.settings.election_timeout().0;
@@ -92,14 +95,14 @@
         self.election_deadline = self.now + Duration(wait);
     }
 
-    /// A candidate that is not elected has most likely shared the votes with another one. It asks
-    /// again soon, after a time drawn anew; the time doubles, since votes may also be slow in
-    /// coming, e.g. from slow disks.
-    fn await_votes(&mut self) {
+    /// Sets the deadline of a candidate. A candidate that is not elected has most likely split the
+    /// votes with another one, so it tries again soon, after a new random timeout. The timeout doubles
+    /// each time, because votes may also be slow, for example because of slow disks.
+    fn set_candidate_deadline(&mut self) {
         let longest = self.settings.election_timeout().0;
-        let doublings = self.lost_elections.min(MOST_DOUBLINGS);
+        let doublings = self.failed_elections.min(MAX_TIMEOUT_DOUBLINGS);
         let shortest = (self.settings.heartbeat_interval().0 << doublings).min(longest);
-        self.lost_elections += 1;
+        self.failed_elections += 1;
         let wait = self.random.random_range(shortest..=shortest * 2);
         self.election_deadline = self.now + Duration(wait);
     }
@@ -118,21 +121,21 @@
         self.leader = leader;
         if leader.is_some() {
             self.leader_contact = self.now;
-            self.lost_elections = 0;
+            self.failed_elections = 0;
         }
-        self.leading = Leading::default();
+        self.leader_state = LeaderState::default();
         self.snapshot = None;
-        self.is_snapshot_asked = false;
+        self.is_snapshot_requested = false;
         self.votes.clear();
-        self.role = self.resting_role();
+        self.role = self.follower_or_learner();
         self.announce();
     }
 
-    /// Asks whether an election could be won, without disturbing the term (thesis, 9.6).
+    /// Asks whether an election could be won, without increasing the term (Ongaro 2014, section 9.6).
     pub(super) fn start_pre_vote(&mut self) {
         self.reset_election_deadline();
         if !self.is_voter() {
-            self.ask_whether_member();
+            self.check_membership_with_pre_vote();
             return;
         }
         self.role = Role::PreCandidate;
@@ -154,9 +157,9 @@
         }
     }
 
-    /// A learner without a leader sends pre-votes too, whose grants it ignores: the leader
-    /// answers one that it has removed.
-    fn ask_whether_member(&mut self) {
+    /// Sends pre-votes as a learner without a leader and ignores their grants: a leader that has removed
+    /// this replica answers with that information.
+    fn check_membership_with_pre_vote(&mut self) {
         if !self.is_removed && self.members().contains(self.id) {
             self.send_pre_votes();
         }
@@ -168,7 +171,7 @@
         self.role = Role::Candidate;
         self.leader = None;
         self.votes = [self.id].into();
-        self.await_votes();
+        self.set_candidate_deadline();
         self.announce();
         if self.has_votes() {
             self.become_leader();
@@ -183,14 +186,15 @@
     fn become_leader(&mut self) {
         self.role = Role::Leader;
         self.is_recovering = false;
-        self.lost_elections = 0;
+        self.failed_elections = 0;
         self.leader = Some(self.id);
         self.votes.clear();
         self.incoming = None;
         let uncommitted_bytes = self.log.payload_bytes_after(self.committed);
-        self.leading = Leading { uncommitted_bytes, ..Leading::default() };
-        // Entries of earlier terms count as committed only below one of this term (section 5.4.2).
-        self.leading.first_index = self.append_own(EntryData::NoOp);
+        self.leader_state = LeaderState { uncommitted_bytes, ..LeaderState::default() };
+        // Entries of earlier terms are committed only through a later entry of this term (Ongaro and
+        // Ousterhout 2014, section 5.4.2).
+        self.leader_state.term_start_index = self.append_in_own_term(EntryData::NoOp);
         self.adopt_members();
         self.announce();
     }
@@ -209,68 +213,70 @@
         votes >= self.quorum()
     }
 
-    fn hears_leader(&self) -> bool {
+    fn is_in_contact_with_leader(&self) -> bool {
         if self.role == Role::Leader {
             return true;
         }
-        let silence = self.now.since(self.leader_contact);
-        self.leader.is_some() && silence < self.settings.election_timeout()
+        let contact_age = self.now.since(self.leader_contact);
+        self.leader.is_some() && contact_age < self.settings.election_timeout()
     }
 
     fn is_up_to_date(&self, request: &VoteRequest) -> bool {
         let candidate = (request.last_term, request.last_index);
-        candidate >= self.last_for_votes() || self.settings.faults.no_log_comparison
+        candidate >= self.last_entry_for_votes() || self.settings.faults.no_log_comparison
     }
 
-    /// Term and index that a candidate's last entry must reach.
-    pub(super) fn last_for_votes(&self) -> (Term, LogIndex) {
+    /// The term and index that a candidate's last entry must at least have.
+    pub(super) fn last_entry_for_votes(&self) -> (Term, LogIndex) {
         (self.log.last_term(), self.log.last_index()).max(self.last_before_retirement)
     }
 
     fn handle_pre_vote(&mut self, from: ReplicaId, term: Term, request: VoteRequest) {
-        if self.tell_removed(from) {
+        if self.notify_if_removed(from) {
             return;
         }
-        let granted = term > self.term && !self.hears_leader() && self.is_up_to_date(&request);
+        let granted =
+            term > self.term && !self.is_in_contact_with_leader() && self.is_up_to_date(&request);
         if granted {
-            self.give_way(from, &request);
+            self.yield_to_pre_candidate(from, &request);
         }
         let answer_term = if granted { term } else { self.term };
         self.send_in_term(from, answer_term, GroupBody::PreVoteResponse { granted });
     }
 
-    /// Lets a replica that was granted a pre-vote stand: else both would share the votes, and the
-    /// group would wait for another round. The wait is short, since the other one may not be
-    /// elected after all.
-    fn give_way(&mut self, to: ReplicaId, request: &VoteRequest) {
-        let is_asking = self.role == Role::PreCandidate;
-        if is_asking && !self.yields_to(to, request) {
+    /// Postpones the own election in favor of a replica that was granted a pre-vote. Otherwise both
+    /// would split the votes, and the group would wait for another round. The delay is short, because
+    /// the other replica may not be elected.
+    fn yield_to_pre_candidate(&mut self, to: ReplicaId, request: &VoteRequest) {
+        let is_pre_candidate = self.role == Role::PreCandidate;
+        if is_pre_candidate && !self.is_outranked_by(to, request) {
             return;
         }
-        let short_wait = self.now + self.settings.heartbeat_interval();
-        if is_asking {
-            self.role = self.resting_role();
+        let short_deadline = self.now + self.settings.heartbeat_interval();
+        if is_pre_candidate {
+            self.role = self.follower_or_learner();
             self.votes.clear();
-            self.election_deadline = short_wait;
+            self.election_deadline = short_deadline;
             self.announce();
         }
-        if self.is_recovering && is_asking {
+        if self.is_recovering && is_pre_candidate {
             self.reset_election_deadline();
         } else if !self.is_recovering {
-            self.election_deadline = self.election_deadline.max(short_wait);
+            self.election_deadline = self.election_deadline.max(short_deadline);
         }
     }
 
-    /// Of two that ask at the same time one gives up, the same on both sides: the one with the
-    /// later log goes on, of equal ones that with the greater identifier.
-    fn yields_to(&self, to: ReplicaId, request: &VoteRequest) -> bool {
-        let (term, index) = self.last_for_votes();
+    /// Whether another pre-candidate takes precedence, so that both decide alike when two ask at the
+    /// same time: the one with the later log continues, and with equal logs the one with the greater
+    /// identifier.
+    fn is_outranked_by(&self, to: ReplicaId, request: &VoteRequest) -> bool {
+        let (term, index) = self.last_entry_for_votes();
         (request.last_term, request.last_index, to) > (term, index, self.id)
     }
 
     fn handle_pre_vote_response(&mut self, from: ReplicaId, term: Term, granted: bool) {
-        let is_answer = self.role == Role::PreCandidate && term == self.term.next();
-        if !granted || !is_answer {
+        let is_expected = self.role == Role::PreCandidate && term == self.term.next();
+        if !granted || !is_expected {
             return;
         }
         self.votes.insert(from);
@@ -279,9 +285,9 @@
         }
     }
 
-    // A voter need not find itself in its own configuration: the candidate names it exactly, in
-    // one that the voter may not have received yet. Refusing would leave a group without a
-    // leader when the one that promoted the voter dies.
+    // The receiver need not be a voter in its own configuration: the candidate addresses exactly this
+    // replica, by a configuration that it may not have received yet. Refusing the vote would leave a
+    // group without a leader when the leader that promoted this voter dies.
     fn handle_vote(&mut self, from: ReplicaId, request: VoteRequest) {
         let is_free = self.voted_for.is_none_or(|voted| voted == from) && self.leader.is_none();
         let granted = is_free && self.is_up_to_date(&request);
@@ -308,8 +314,8 @@
         }
     }
 
-    /// A leader tells a replica that it is no member any more. Returns whether it did.
-    fn tell_removed(&mut self, replica: ReplicaId) -> bool {
+    /// Informs a replica that it is no longer a member, if this is the leader. Returns whether it did.
+    fn notify_if_removed(&mut self, replica: ReplicaId) -> bool {
         if !self.is_leader_ready() || self.members().contains(replica) {
             return false;
         }
@@ -321,24 +327,24 @@
         true
     }
 
-    /// Takes in that a committed entry removed this replica, unless it was added again later.
+    /// Handles the notice that a committed entry removed this replica, unless it was added again later.
     ///
-    /// A leader that added it again has said so with a session above the removal, before
-    /// anything that this replica acknowledged could count. So a late notice of an earlier
-    /// removal never empties a member.
-    pub(super) fn take_removed(&mut self, index: LogIndex) {
+    /// A leader that added it again has sent a session above the removal before any acknowledgement
+    /// of this replica could count. A late notice of an earlier removal therefore never empties a
+    /// member.
+    pub(super) fn handle_removed(&mut self, index: LogIndex) {
         let was_member = self.configurations.iter().any(|(_, members)| members.contains(self.id));
         let is_late = index <= self.member_as_of;
         if is_late || !was_member || self.is_removed || self.role == Role::Leader {
             return;
         }
         self.is_removed = true;
-        self.role = self.resting_role();
+        self.role = self.follower_or_learner();
         self.announce();
         self.outputs.push(Output::Removed { index });
     }
 }
 
-fn stale_answer(session: LogIndex, sent: Timestamp) -> GroupBody {
+fn stale_term_response(session: LogIndex, sent: Timestamp) -> GroupBody {
     GroupBody::HeartbeatResponse(HeartbeatResponse { session, sent })
 }
--- a/crates/replication/src/group/follower.rs
+++ b/crates/replication/src/group/follower.rs
@@ -1,4 +1,4 @@
-//! Taking in the leader's log.
+//! The follower: accepting the leader's log.
 
 use dahlia_types::{LogIndex, ReplicaId};
 
@@ -49,7 +49,7 @@
     }
 
     fn has_entry(&self, index: LogIndex, term: dahlia_types::Term) -> bool {
-        // Committed entries are equal in all logs, also where they are no longer kept.
+        // Committed entries are equal in all logs, even if they were dropped here.
         if index <= self.committed {
             return true;
         }
@@ -75,16 +75,16 @@
 
     fn drop_entries_from(&mut self, index: LogIndex) {
         self.log.truncate_from(index);
-        self.journal.note_entries(index);
+        self.journal.record_entries(index);
         self.configurations.retain(|(at, _)| *at < index);
     }
 
-    /// Adds an entry; members that it sets are in force at once (thesis, section 4.1).
+    /// Appends an entry. Members that it sets are in force at once (Ongaro 2014, section 4.1).
     pub(super) fn push_entry(&mut self, entry: LogEntry) {
         if let EntryData::Members(members) = &entry.data {
             self.configurations.push((entry.index, members.clone()));
         }
-        self.journal.note_entries(entry.index);
+        self.journal.record_entries(entry.index);
         self.log.push(entry);
     }
 
--- a/crates/replication/src/group/log.rs
+++ b/crates/replication/src/group/log.rs
@@ -1,4 +1,4 @@
-//! The replicated log, without the entries that were applied and dropped.
+//! The replicated log, without the applied entries that were dropped.
 
 use std::collections::VecDeque;
 
@@ -8,30 +8,30 @@
 
 use super::Members;
 
-/// What an entry does.
+/// The content of a log entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EntryData {
-    /// Nothing: opens a leader's term.
+    /// No operation; the first entry of a leader's term.
     NoOp,
-    /// A command of the state machine.
+    /// A command for the state machine.
     Command(Bytes),
-    /// Sets the members, from the moment it is appended.
+    /// Sets the members, as soon as it is appended.
     Members(Members),
 }
 
 /// An entry of the log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogEntry {
-    /// Its place, from 1.
+    /// Its index, starting at 1.
     pub index: LogIndex,
     /// Term of the leader that appended it.
     pub term: Term,
-    /// What it does.
+    /// Its content.
     pub data: EntryData,
 }
 
 impl LogEntry {
-    /// Bytes of its payload.
+    /// The size of its payload in bytes.
     pub fn payload_bytes(&self) -> usize {
         match &self.data {
             EntryData::Command(payload) => payload.len(),
@@ -50,7 +50,7 @@
 }
 
 impl Log {
-    /// The entry before the first one kept.
+    /// The index of the entry before the first one in the log.
     pub fn base_index(&self) -> LogIndex {
         self.base_index
     }
@@ -63,7 +63,7 @@
         self.entries.back().map_or(self.base_term, |entry| entry.term)
     }
 
-    /// Payload bytes of all entries kept.
+    /// Payload bytes of all entries in the log.
     pub fn payload_bytes(&self) -> usize {
         self.payload_bytes
     }
@@ -74,7 +74,7 @@
         later.map(LogEntry::payload_bytes).sum()
     }
 
-    /// The term of the entry at `index`; none when it is not kept or does not exist.
+    /// The term of the entry at `index`; none if it was dropped or does not exist.
     pub fn term_at(&self, index: LogIndex) -> Option<Term> {
         if index == self.base_index {
             return Some(self.base_term);
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Drops the first entry kept.
+    /// Drops the first entry in the log.
     pub fn drop_first(&mut self) {
         let Some(entry) = self.entries.pop_front() else { return };
         self.payload_bytes -= entry.payload_bytes();
@@ -110,12 +110,12 @@
         self.base_term = entry.term;
     }
 
-    /// Forgets everything; the log continues after `index`.
+    /// Drops all entries. The log continues after `index`.
     pub fn reset(&mut self, index: LogIndex, term: Term) {
         *self = Self { base_index: index, base_term: term, ..Self::default() };
     }
 
-    /// The first index of the run of entries that have the same term as the one at `index`.
+    /// The first index of the consecutive entries that have the same term as the entry at `index`.
     pub fn first_of_term(&self, index: LogIndex) -> LogIndex {
         let term = self.term_at(index);
         let mut first = index;
@@ -125,7 +125,7 @@
         first
     }
 
-    /// Entries from `first` on, at most `max_entries` and `max_bytes`, but one at least.
+    /// Entries from `first` on, at most `max_entries` and `max_bytes`, but at least one.
     pub fn batch(&self, first: LogIndex, max_entries: usize, max_bytes: usize) -> Vec<LogEntry> {
         let mut batch = Vec::new();
         let mut bytes = 0;
--- a/crates/replication/src/group/members.rs
+++ b/crates/replication/src/group/members.rs
@@ -9,20 +9,21 @@
 use super::replica::Replica;
 use super::{EntryData, Role};
 
-/// A voter counts for a change when it answered within this many heartbeat intervals.
-const FRESH_HEARTBEATS: u64 = 2;
+/// A voter counts as in contact for a member change if it answered within this many heartbeat
+/// intervals.
+const RECENT_CONTACT_HEARTBEATS: u64 = 2;
 
 /// The members of a group.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Members {
     /// Replicas that vote and count for a quorum.
     pub voters: BTreeSet<ReplicaId>,
-    /// Replicas that receive the log only.
+    /// Replicas that receive the log but do not vote.
     pub learners: BTreeSet<ReplicaId>,
 }
 
 impl Members {
-    /// Voters without learners.
+    /// Creates members with voters and no learners.
     pub fn of_voters(voters: impl IntoIterator<Item = ReplicaId>) -> Self {
         Self { voters: voters.into_iter().collect(), learners: BTreeSet::new() }
     }
@@ -42,10 +43,10 @@
         self.voters.len() / 2 + 1
     }
 
-    /// These members after a change.
+    /// Returns these members after a change.
     ///
     /// # Errors
-    /// [`ChangeError`] when the change does not fit.
+    /// [`ChangeError`] if the change does not apply to these members.
     pub fn changed(&self, change: MemberChange) -> Result<Self, ChangeError> {
         let mut members = self.clone();
         match change {
@@ -82,7 +83,7 @@
     Remove(ReplicaId),
 }
 
-/// Why the members were not changed.
+/// Why a member change was rejected.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum ChangeError {
     /// This replica does not lead.
@@ -91,7 +92,7 @@
         /// The leader, when known.
         leader: Option<ReplicaId>,
     },
-    /// The leader has not committed an entry of its own term yet, or hands over.
+    /// The leader has not committed an entry of its own term yet, or is transferring its leadership.
     #[snafu(display("the leader is not ready to change members"))]
     NotReady,
     /// An earlier change is not committed yet.
@@ -100,54 +101,54 @@
         /// The entry of the earlier change.
         index: LogIndex,
     },
-    /// To add: it is a member.
-    #[snafu(display("replica {replica} is a member already"))]
+    /// The replica to add is a member already.
+    #[snafu(display("replica {replica} is already a member"))]
     AlreadyMember {
         /// The replica.
         replica: ReplicaId,
     },
-    /// To promote: it is no learner.
-    #[snafu(display("replica {replica} is no learner"))]
+    /// The replica to promote is not a learner.
+    #[snafu(display("replica {replica} is not a learner"))]
     NotLearner {
         /// The replica.
         replica: ReplicaId,
     },
-    /// To remove: it is no member.
-    #[snafu(display("replica {replica} is no member"))]
+    /// The replica to remove is not a member.
+    #[snafu(display("replica {replica} is not a member"))]
     NotMember {
         /// The replica.
         replica: ReplicaId,
     },
-    /// To promote: it lags or was not heard from lately.
-    #[snafu(display("learner {replica} lags {lag} entries or is silent"))]
+    /// The learner to promote lags or did not answer recently.
+    #[snafu(display("learner {replica} lags {lag} entries or did not answer recently"))]
     NotCaughtUp {
         /// The replica.
         replica: ReplicaId,
         /// Entries it lacks.
         lag: u64,
     },
-    /// A leader does not remove itself; it hands over first.
-    #[snafu(display("a leader does not remove itself"))]
+    /// A leader does not remove itself. It must transfer its leadership first.
+    #[snafu(display("a leader cannot remove itself"))]
     IsLeader,
     /// Fewer voters are in contact than the quorum after the change needs.
-    #[snafu(display("{in_contact} voters are in contact, the change needs {needed}"))]
+    #[snafu(display("{in_contact} voters are in contact, but the change needs {needed}"))]
     QuorumAtRisk {
-        /// Voters that answered of late; of a promotion, those that vote already.
+        /// Voters that answered recently. For a promotion, only those that vote already.
         in_contact: usize,
         /// The quorum after the change.
         needed: usize,
     },
 }
 
-/// Why leadership is not handed over.
+/// Why a leadership transfer was rejected.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(context(suffix(TransferSnafu)), visibility(pub(super)))]
 pub enum TransferError {
-    /// This replica does not lead, or is not ready, or hands over already.
+    /// This replica does not lead, is not ready, or is transferring its leadership already.
     #[snafu(display("not a ready leader"))]
     NotReady,
-    /// The target is no other voter.
-    #[snafu(display("replica {to} is no other voter"))]
+    /// The target is not another voter.
+    #[snafu(display("replica {to} is not another voter"))]
     NotVoter {
         /// The target.
         to: ReplicaId,
@@ -155,7 +156,7 @@
 }
 
 impl Replica {
-    /// Appends a change of one member; it takes effect at once and counts when committed.
+    /// Appends a change of one member. It takes effect at once and is final when committed.
     ///
     /// # Errors
     /// [`ChangeError`]; nothing was appended.
@@ -163,9 +164,9 @@
         if self.role != Role::Leader {
             return NotLeaderSnafu { leader: self.leader }.fail();
         }
-        // Without an entry of its own term committed, two leaders could each append a change
-        // to the same configuration and reach quorums that do not meet (Ongaro 2015).
-        if !self.is_leader_ready() || self.leading.transfer.is_some() {
+        // Without a committed entry of their own terms, two leaders could each append a change to the
+        // same configuration and reach quorums that do not overlap (Ongaro 2015).
+        if !self.is_leader_ready() || self.leader_state.transfer.is_some() {
             return NotReadySnafu.fail();
         }
         if let Some(index) = self.uncommitted_change() {
@@ -173,7 +174,7 @@
         }
         let changed = self.members().changed(change)?;
         self.check_change(change, &changed)?;
-        let index = self.append_own(EntryData::Members(changed));
+        let index = self.append_in_own_term(EntryData::Members(changed));
         self.adopt_members();
         Ok(index)
     }
@@ -188,16 +189,16 @@
             }
             MemberChange::Remove(_) => {}
         }
-        // The contact must be fresh: a voter that died a moment ago would count, and the change
-        // could neither be committed nor taken back.
-        let fresh = self.fresh_contact();
-        let is_fresh = |voter: &&ReplicaId| self.was_heard_within(**voter, fresh);
-        // A promotion must not need the learner's own answer: a learner that died a moment ago
-        // would stop the group. Only a group of one cannot do without it.
+        // The contact must be recent: otherwise a voter that died a moment ago would count, and the
+        // change could neither be committed nor reverted.
+        let max_age = self.recent_contact_age();
+        let is_in_contact = |voter: &&ReplicaId| self.was_in_contact_within(**voter, max_age);
+        // A promotion must not depend on the learner's answer: a learner that died a moment ago would
+        // stop the group. Only in a group of one voter is the answer needed.
         let voters = &self.members().voters;
         let is_promotion = matches!(change, MemberChange::Promote(_)) && voters.len() > 1;
         let counted = if is_promotion { voters } else { &changed.voters };
-        let in_contact = counted.iter().filter(is_fresh).count();
+        let in_contact = counted.iter().filter(is_in_contact).count();
         let needed = changed.quorum();
         if in_contact < needed {
             return QuorumAtRiskSnafu { in_contact, needed }.fail();
@@ -205,28 +206,28 @@
         Ok(())
     }
 
-    fn fresh_contact(&self) -> Duration {
-        self.settings.heartbeat_interval().times(FRESH_HEARTBEATS)
+    fn recent_contact_age(&self) -> Duration {
+        self.settings.heartbeat_interval().times(RECENT_CONTACT_HEARTBEATS)
     }
 
     fn check_caught_up(&self, replica: ReplicaId) -> Result<(), ChangeError> {
         let last = self.log.last_index().0;
-        let matched = self.leading.peers.get(&replica).map_or(0, |peer| peer.matched.0);
+        let matched = self.leader_state.peers.get(&replica).map_or(0, |peer| peer.matched.0);
         let lag = last.saturating_sub(matched);
-        let is_silent = !self.was_heard_within(replica, self.fresh_contact());
-        if lag > self.settings.promotion_lag_entries || is_silent {
+        let is_unreachable = !self.was_in_contact_within(replica, self.recent_contact_age());
+        if lag > self.settings.promotion_lag_entries || is_unreachable {
             return NotCaughtUpSnafu { replica, lag }.fail();
         }
         Ok(())
     }
 
-    /// The entry of a change that is appended and not committed.
+    /// The index of a member change that is appended but not committed.
     pub(super) fn uncommitted_change(&self) -> Option<LogIndex> {
         let index = self.configuration_index();
         (index > self.committed).then_some(index)
     }
 
-    /// The entry that set the members in force.
+    /// The index of the entry that set the members in force.
     pub(super) fn configuration_index(&self) -> LogIndex {
         self.configurations.last().map_or(LogIndex(0), |(index, _)| *index)
     }
--- a/crates/replication/src/group/message.rs
+++ b/crates/replication/src/group/message.rs
@@ -6,7 +6,7 @@
 
 use super::{LogEntry, Members};
 
-/// A message between two replicas. A replica with another identifier than `to` drops it.
+/// A message between two replicas. A replica whose identifier is not `to` drops it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupMessage {
     /// The group.
@@ -17,17 +17,17 @@
     pub to: ReplicaId,
     /// The sender's term; in a pre-vote and its grant, the term the candidate would take.
     pub term: Term,
-    /// What it says.
+    /// The message itself.
     pub body: GroupBody,
 }
 
-/// Counters above this are not reached in any real group; such a message is damaged.
-const MOST_COUNTER: u64 = 1 << 62;
+/// A message with a counter at or above this is damaged, because no real group reaches it.
+const MAX_COUNTER: u64 = 1 << 62;
 
 impl GroupMessage {
-    /// Whether a well-behaved replica could have sent it: counters in range, entries in order.
+    /// Whether a correct replica could have sent it: its counters are in range and its entries in order.
     pub(super) fn is_plausible(&self) -> bool {
-        let in_range = |index: LogIndex| index.0 < MOST_COUNTER;
+        let in_range = |index: LogIndex| index.0 < MAX_COUNTER;
         let is_body_plausible = match &self.body {
             GroupBody::Append(append) => {
                 let mut expected = append.previous_index.0;
@@ -47,42 +47,42 @@
             },
             _ => true,
         };
-        self.term.0 < MOST_COUNTER && is_body_plausible
+        self.term.0 < MAX_COUNTER && is_body_plausible
     }
 }
 
-/// What a message says.
+/// The body of a message between replicas.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GroupBody {
-    /// Would you vote for me?
+    /// Asks whether the receiver would vote for the sender.
     PreVote(VoteRequest),
     /// The answer to a pre-vote.
     PreVoteResponse {
-        /// Whether it would.
+        /// Whether the sender would vote for the receiver.
         granted: bool,
     },
-    /// Vote for me.
+    /// Requests the receiver's vote.
     Vote(VoteRequest),
-    /// The answer to a vote.
+    /// The answer to a vote request.
     VoteResponse {
-        /// Whether the vote was given.
+        /// Whether the vote was granted.
         granted: bool,
     },
     /// Entries of the leader's log.
     Append(Append),
     /// The answer to an append.
     AppendResponse(AppendResponse),
-    /// The leader is there.
+    /// The leader's heartbeat.
     Heartbeat(Heartbeat),
     /// The answer to a heartbeat.
     HeartbeatResponse(HeartbeatResponse),
-    /// A part of a snapshot.
+    /// A chunk of a snapshot.
     SnapshotChunk(SnapshotChunk),
-    /// The answer to a part of a snapshot.
+    /// The answer to a snapshot chunk.
     SnapshotResponse(SnapshotResponse),
-    /// Stand for election at once: the leader hands over to you.
+    /// Asks the receiver to start an election at once: the leader transfers its leadership.
     TimeoutNow,
-    /// The receiver is no member since this committed entry.
+    /// Informs the receiver that a committed entry removed it from the group.
     Removed {
         /// The entry, or a later one.
         index: LogIndex,
@@ -96,16 +96,17 @@
     pub last_index: LogIndex,
     /// That entry's term.
     pub last_term: Term,
-    /// The leader asked the candidate to stand, so its contact does not speak against it.
+    /// Whether the leader asked the candidate to start the election. In that case, voters grant the
+    /// vote although they are in contact with the leader.
     pub transfer: bool,
 }
 
 /// Entries that follow `previous_index`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Append {
-    /// The leader's configuration when the receiver's present stay began; echoed.
+    /// The leader's configuration index when the receiver last became a member; echoed.
     pub session: LogIndex,
-    /// The leader's time; echoed.
+    /// The leader's time when it sent this; echoed.
     pub sent: Timestamp,
     /// The entry before the first of `entries`.
     pub previous_index: LogIndex,
@@ -120,15 +121,15 @@
 /// The answer to an append.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AppendResponse {
-    /// Echo.
+    /// The session of the request.
     pub session: LogIndex,
-    /// Echo.
+    /// The sending time of the request.
     pub sent: Timestamp,
-    /// What came of it.
+    /// The result.
     pub result: AppendResult,
 }
 
-/// What came of an append.
+/// The result of an append.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AppendResult {
     /// The receiver's log equals the leader's up to this entry.
@@ -136,21 +137,21 @@
         /// The entry.
         index: LogIndex,
     },
-    /// The receiver does not have the entry before.
+    /// The receiver does not have the entry at `previous_index`.
     Rejected {
-        /// The entry before that was asked for.
+        /// The `previous_index` of the append.
         previous_index: LogIndex,
-        /// The last entry before which the logs may agree.
+        /// The last entry up to which the logs may agree.
         hint: LogIndex,
     },
 }
 
-/// A sign of life of the leader.
+/// The leader's heartbeat to one peer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The leader's configuration when the receiver's present stay began; echoed.
+    /// The leader's configuration index when the receiver last became a member; echoed.
     pub session: LogIndex,
-    /// The leader's time; echoed.
+    /// The leader's time when it sent this; echoed.
     pub sent: Timestamp,
     /// The last committed entry that the receiver is known to have.
     pub committed: LogIndex,
@@ -159,18 +160,18 @@
 /// The answer to a heartbeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeartbeatResponse {
-    /// Echo.
+    /// The session of the request.
     pub session: LogIndex,
-    /// Echo.
+    /// The sending time of the request.
     pub sent: Timestamp,
 }
 
-/// A part of a snapshot, in order; the next part is sent when this one is answered.
+/// A chunk of a snapshot. Chunks are sent in order, each one after the answer to the one before.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotChunk {
-    /// The leader's configuration when the receiver's present stay began; echoed.
+    /// The leader's configuration index when the receiver last became a member; echoed.
     pub session: LogIndex,
-    /// The leader's time; echoed.
+    /// The leader's time when it sent this; echoed.
     pub sent: Timestamp,
     /// The last entry that the snapshot includes.
     pub index: LogIndex,
@@ -180,21 +181,21 @@
     pub members: Members,
     /// Bytes of the whole snapshot.
     pub total: u64,
-    /// Where `data` stands in it.
+    /// The offset of `data` in the snapshot.
     pub offset: u64,
-    /// The part.
+    /// The bytes of this chunk.
     pub data: Bytes,
 }
 
-/// The answer to a part of a snapshot.
+/// The answer to a snapshot chunk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotResponse {
-    /// Echo.
+    /// The session of the request.
     pub session: LogIndex,
-    /// Echo.
+    /// The sending time of the request.
     pub sent: Timestamp,
-    /// Which snapshot.
+    /// The last entry that the snapshot includes.
     pub index: LogIndex,
-    /// Bytes received in order; the next part starts here.
+    /// Bytes received in order; the next chunk starts here.
     pub received: u64,
 }
--- a/crates/replication/src/group/mod.rs
+++ b/crates/replication/src/group/mod.rs
@@ -1,11 +1,11 @@
 //! Replica groups: agreement on one log of commands by Raft (Ongaro and Ousterhout 2014).
 //!
-//! From Ongaro's thesis (2014) come pre-vote, check-quorum, learners, single-server membership
-//! changes and leadership transfer. What a replica promised (term, vote, log) lives exactly as
-//! long as its identifier. On a daemon without a disk that is the life of the process: one that
-//! restarts is a new [`ReplicaId`](dahlia_types::ReplicaId) and starts as an empty learner. With
-//! a disk, [`Replica::take_durable_change`] gives out what must be synced, and [`Replica::recover`]
-//! goes on with the same identifier.
+//! Pre-vote, check-quorum, learners, single-server membership changes and leadership transfer follow
+//! Ongaro's thesis (2014). The persistent state of a replica (term, vote, log) has exactly the
+//! lifetime of its identifier. On a daemon without a disk that is the lifetime of the process: after
+//! a restart, the replica has a new [`ReplicaId`](dahlia_types::ReplicaId) and starts as an empty
+//! learner. With a disk, [`Replica::take_durable_change`] returns what must be synced, and
+//! [`Replica::recover`] continues with the same identifier.
 
 mod coalescer;
 mod delivery;
--- a/crates/replication/src/group/output.rs
+++ b/crates/replication/src/group/output.rs
@@ -1,4 +1,4 @@
-//! What a replica asks of its driver, and the answers to its callers.
+//! Outputs of a replica to its driver, and the results of proposals.
 
 use bytes::Bytes;
 use dahlia_types::{LogIndex, ReplicaId, Term};
@@ -7,25 +7,25 @@
 
 use super::{GroupMessage, Members};
 
-/// What a replica is in its group at the moment.
+/// The present role of a replica in its group.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Role {
-    /// Not a voter of the configuration it knows: joining, being caught up, or removed.
+    /// Not a voter in the configuration that it knows: joining, catching up, or removed.
     Learner,
     /// A voter that follows a leader or waits for one.
     Follower,
-    /// A voter that asks whether it could win an election.
+    /// A voter that asks by pre-vote whether it could win an election.
     PreCandidate,
-    /// A voter that stands for election.
+    /// A voter that requests votes in an election.
     Candidate,
-    /// The leader of its term: the owner of the group's programs.
+    /// The leader of its term, which owns the group's programs.
     Leader,
 }
 
 /// A committed command.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Entry {
-    /// Its place in the log. Places of entries without a command are skipped.
+    /// Its index in the log. Indices of entries without a command are skipped.
     pub index: LogIndex,
     /// Term of the leader that appended it.
     pub term: Term,
@@ -33,7 +33,7 @@
     pub payload: Bytes,
 }
 
-/// The state after applying every entry up to an index.
+/// The state of the state machine after applying every entry up to an index.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
     /// The last entry that it includes.
@@ -42,19 +42,19 @@
     pub term: Term,
     /// The members after that entry.
     pub members: Members,
-    /// The state machine's own encoding.
+    /// The state machine's encoded state.
     pub data: Bytes,
 }
 
-/// What the driver must do, in the order given.
+/// An action for the driver. Actions must be carried out in the order given.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Output {
-    /// Send to the daemon `message.to`. May be lost, doubled and reordered.
+    /// Send to the daemon `message.to`. Messages may be lost, duplicated and reordered.
     Send(GroupMessage),
-    /// Apply to the state machine. Each index comes once, rising.
+    /// Apply to the state machine. Indices are strictly increasing.
     Committed(Entry),
-    /// Replace the state machine by this one. Proposals at or below its index that were not
-    /// seen committed have an unknown outcome.
+    /// Replace the state machine by this snapshot. Proposals at or below its index that were not
+    /// reported as committed have an unknown outcome.
     Restore(Snapshot),
     /// The role, the term or the known leader changed.
     RoleChanged {
@@ -65,19 +65,19 @@
         /// The leader of the term, when known.
         leader: Option<ReplicaId>,
     },
-    /// A committed configuration of the group.
+    /// A configuration of the group was committed.
     MembersChanged {
         /// The entry that set it.
         index: LogIndex,
         /// The members.
         members: Members,
     },
-    /// A peer needs older entries than the log keeps. Answer with
+    /// A peer needs older entries than the log retains. The driver should call
     /// [`Replica::provide_snapshot`](super::Replica::provide_snapshot) when convenient.
     SnapshotWanted,
-    /// This replica was removed by a committed configuration. The driver drops the state
-    /// machine and calls [`Replica::retire`](super::Replica::retire); it keeps the replica
-    /// itself, because its vote must be remembered for the life of its identifier.
+    /// A committed configuration removed this replica. The driver drops the state machine and calls
+    /// [`Replica::retire`](super::Replica::retire). It keeps the replica itself, because its vote must
+    /// be remembered for the lifetime of its identifier.
     Removed {
         /// The entry that removed it, or a later one.
         index: LogIndex,
@@ -86,33 +86,33 @@
 
 /// A proposal in the leader's log, not committed yet.
 ///
-/// It is committed when [`Output::Committed`] shows its index with its term, and lost when it
-/// shows its index, or a later one, with a later term and without having shown this one. A
-/// leader that steps down does not know; its proposals are unknown until one of the two.
+/// It is committed when [`Output::Committed`] reports its index with its term. It is lost when
+/// [`Output::Committed`] reports its index, or a later one, with a later term and did not report this
+/// proposal before. After its leader steps down, its outcome is unknown until one of the two happens.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Proposal {
-    /// Its place in the log.
+    /// Its index in the log.
     pub index: LogIndex,
     /// The leader's term.
     pub term: Term,
 }
 
-/// Why a proposal was not taken. It is in no log and will never be committed.
+/// Why a proposal was rejected. It was not appended and will never be committed.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum ProposeError {
-    /// This replica does not lead, or hands its leadership over.
+    /// This replica does not lead, or is transferring its leadership.
     #[snafu(display("not the leader in term {term}"))]
     NotLeader {
-        /// The leader, or the one that takes over, when known.
+        /// The leader, or the target of the transfer, when known.
         leader: Option<ReplicaId>,
         /// The term.
         term: Term,
     },
-    /// Too many bytes wait to be committed; followers are slow or away.
+    /// Too many bytes are uncommitted, because followers are slow or unreachable.
     #[snafu(display("{uncommitted} bytes wait to be committed, the limit is {limit}"))]
     Overloaded {
-        /// Bytes waiting.
+        /// Uncommitted payload bytes.
         uncommitted: usize,
         /// The limit.
         limit: usize,
--- a/crates/replication/src/group/progress.rs
+++ b/crates/replication/src/group/progress.rs
@@ -1,4 +1,4 @@
-//! What a leader knows of one peer.
+//! A leader's replication progress for one peer.
 
 use std::collections::VecDeque;
 
@@ -6,46 +6,47 @@
 
 use super::Snapshot;
 
-/// How a leader sends to a peer.
+/// How a leader replicates to a peer.
 #[derive(Debug, Clone)]
 pub(super) enum Sending {
-    /// It does not know where the logs agree: one append at a time.
+    /// The leader does not know where the logs agree, and sends one append at a time.
     Probe {
         /// When the unanswered append was sent.
         in_flight: Option<Timestamp>,
     },
-    /// The logs agree up to `matched`: appends follow each other without waiting.
+    /// The logs agree up to `matched`, and appends are sent without waiting for answers.
     Pipeline {
-        /// Unanswered appends: last entry and time sent.
+        /// Unanswered appends, as last entry and sending time.
         in_flight: VecDeque<(LogIndex, Timestamp)>,
     },
-    /// The peer needs a snapshot that the driver has not given yet.
+    /// The peer needs a snapshot that the driver has not provided yet.
     AwaitSnapshot,
-    /// The snapshot goes part by part.
+    /// The leader sends a snapshot in chunks.
     Snapshot {
         /// The snapshot.
         snapshot: Snapshot,
         /// Bytes acknowledged.
         offset: usize,
-        /// When the unanswered part was sent.
+        /// When the unanswered chunk was sent.
         in_flight: Option<Timestamp>,
     },
 }
 
-/// What a leader knows of one peer.
+/// The replication progress of one peer.
 #[derive(Debug, Clone)]
 pub(super) struct Peer {
-    /// The configuration when this stay of the peer began, which tells it from earlier ones.
+    /// The configuration index when the peer became a member. It distinguishes this membership from
+    /// earlier ones of the same replica.
     pub session: LogIndex,
-    /// Last entry known to be equal.
+    /// Last entry that is known to be equal in both logs.
     pub matched: LogIndex,
     /// Next entry to send.
     pub next: LogIndex,
-    /// How it is sent to.
+    /// The replication mode.
     pub sending: Sending,
-    /// Latest own sending time that the peer has answered.
+    /// The latest sending time, by the leader's clock, of a message that the peer answered.
     pub last_contact: Timestamp,
-    /// When the last append or heartbeat left.
+    /// When the last append, heartbeat or snapshot chunk was sent.
     pub last_sent: Timestamp,
 }
 
@@ -61,15 +62,15 @@
         }
     }
 
-    /// Starts again after the last entry known to be equal.
+    /// Probes again after the last entry that is known to be equal.
     pub fn probe(&mut self) {
         self.next = self.matched.next();
         self.sending = Sending::Probe { in_flight: None };
     }
 
-    /// Takes in that the logs are equal up to `index`. Returns whether that is news.
+    /// Records that the logs are equal up to `index`. Returns whether `matched` increased.
     pub fn match_up_to(&mut self, index: LogIndex) -> bool {
-        let is_news = index > self.matched;
+        let is_new = index > self.matched;
         self.matched = self.matched.max(index);
         self.next = self.next.max(self.matched.next());
         match &mut self.sending {
@@ -84,10 +85,10 @@
             }
             Sending::AwaitSnapshot | Sending::Snapshot { .. } => {}
         }
-        is_news
+        is_new
     }
 
-    /// When the oldest unanswered append or part was sent.
+    /// When the oldest unanswered append or chunk was sent.
     pub fn oldest_in_flight(&self) -> Option<Timestamp> {
         match &self.sending {
             Sending::Probe { in_flight } | Sending::Snapshot { in_flight, .. } => *in_flight,
--- a/crates/replication/src/group/recovery.rs
+++ b/crates/replication/src/group/recovery.rs
@@ -1,21 +1,21 @@
-//! Giving out what must be durable, and starting again from it.
+//! Durable changes of a replica, and recovery from them.
 
 use dahlia_types::{Duration, LogIndex, ReplicaId, Timestamp};
 use rand::Rng;
 
-use super::durable::{DurableChange, DurableReplica, DurableUpdate, HardState, empty_base};
+use super::durable::{DurableChange, DurableReplica, DurableUpdate, HardState, initial_base};
 use super::replica::Replica;
 use super::{GroupBody, GroupMessage, GroupSettings, LogEntry, Members, Snapshot};
 
-/// Heartbeats by which the pauses between a recovered replica's pre-votes grow at most.
-const MOST_RECOVERY_PAUSES: u64 = 3;
+/// Most heartbeat intervals by which the delay between a recovered replica's pre-votes grows.
+const MAX_RECOVERY_BACKOFF_HEARTBEATS: u64 = 3;
 
 impl Replica {
-    /// The replica with this identifier, as it was when its last change became durable.
+    /// Restores the replica with this identifier from its last durable change.
     ///
-    /// Its promises hold as if it had only been silent, so it may vote and count as before. The
-    /// driver first puts the state machine into the state of `durable.base`. Before a leader
-    /// says so, nothing after that counts as committed.
+    /// Its term, vote and log hold as if it had only been unreachable, so it may vote and count as
+    /// before. The driver first restores the state machine from `durable.base`. Later entries count as
+    /// committed only when a leader reports it.
     pub fn recover(
         id: ReplicaId,
         durable: DurableReplica,
@@ -33,16 +33,16 @@
         replica.committed = base.index;
         replica.delivered = base.index;
         replica.applied = base.index;
-        // The first layout stands in no entry: while it is not known, it may still come.
+        // The initial layout is in no entry: while it is unknown, it may still be set.
         let is_unknown = base.members == Members::default();
         let set_at = if is_unknown { LogIndex(0) } else { base.index };
         replica.configurations = vec![(set_at, base.members)];
         for entry in entries {
             replica.push_entry(entry);
         }
-        replica.role = replica.resting_role();
+        replica.role = replica.follower_or_learner();
         replica.set_announced();
-        replica.journal.taken = hard_state;
+        replica.journal.last_taken = hard_state;
         replica.journal.base = None;
         replica.journal.entries_from = None;
         replica.is_recovering = true;
@@ -50,19 +50,19 @@
         replica
     }
 
-    /// What must be durable before the outputs leave that were made since the last call. Call it
-    /// before [`take_outputs`](Self::take_outputs). Always none unless the settings turn
-    /// recording on.
+    /// Takes the change that must be durable before the outputs since the last call are sent. Call it
+    /// before [`take_outputs`](Self::take_outputs). Always none unless the settings enable
+    /// recording.
     pub fn take_durable_change(&mut self) -> Option<DurableChange> {
-        if !self.journal.is_on {
+        if !self.journal.is_enabled {
             return None;
         }
         if let Some(base) = self.journal.base.take() {
             return Some(self.record_image(base));
         }
         let hard_state = self.hard_state();
-        let is_changed = hard_state != self.journal.taken;
-        self.journal.taken = hard_state;
+        let is_changed = hard_state != self.journal.last_taken;
+        self.journal.last_taken = hard_state;
         let entries_from = self.journal.entries_from.take();
         let update = DurableUpdate {
             initial_members: self.journal.initial_members.take(),
@@ -74,50 +74,50 @@
         (!is_empty).then_some(DurableChange::Update { group: self.group, update })
     }
 
-    /// Everything of this replica on a state machine that has applied [`Self::applied`], so that
-    /// earlier changes need not be kept. Call it when all outputs were taken and carried out.
+    /// Returns an image of this replica with the state machine at [`Self::applied`], so that earlier
+    /// changes can be dropped. Call it when all outputs were taken and carried out.
     pub fn durable_image(&mut self, data: Vec<u8>) -> Option<DurableChange> {
         let index = self.applied;
-        let is_settled = self.journal.is_on && self.applied == self.delivered;
-        let term = self.log.term_at(index).filter(|_| is_settled)?;
+        let is_up_to_date = self.journal.is_enabled && self.applied == self.delivered;
+        let term = self.log.term_at(index).filter(|_| is_up_to_date)?;
         let in_force = self.configurations.iter().rev().find(|(at, _)| *at <= index);
         let members = in_force.map(|(_, members)| members.clone()).unwrap_or_default();
         let base = Snapshot { index, term, members, data: data.into() };
         Some(self.record_image(base))
     }
 
-    /// Whether a message may leave before what this replica recorded is durable.
+    /// Whether a message may be sent before the recorded changes are durable.
     ///
-    /// SAFETY: a leader's appends, heartbeats and snapshots promise nothing that it could
-    /// forget. Its term became durable before it asked for votes. An entry that it sends counts
-    /// as committed only through an answer, and the driver takes an answer in only after the
-    /// sync of the batch in which the entry left (Ongaro 2014, section 10.2.1). A leader that
-    /// is a quorum alone commits without an answer, by the configuration in force or by the
-    /// committed one that it is about to leave: of it nothing leaves before its sync.
+    /// SAFETY: a leader's appends, heartbeats and snapshots do not depend on state that it could lose.
+    /// Its term became durable before it requested votes. An entry that it sends is committed only
+    /// through an answer, and the driver handles an answer only after the sync of the batch in which
+    /// the entry was sent (Ongaro 2014, section 10.2.1). A leader that is a quorum alone, in the
+    /// configuration in force or in the committed one that it is about to leave, commits without an
+    /// answer, so it sends nothing before its sync.
     pub fn may_send_unsynced(&self, message: &GroupMessage) -> bool {
         let is_of_leader = matches!(
             message.body,
             GroupBody::Append(_) | GroupBody::Heartbeat(_) | GroupBody::SnapshotChunk(_)
         );
-        is_of_leader && self.needs_answers()
+        is_of_leader && self.needs_acknowledgements()
     }
 
-    fn needs_answers(&self) -> bool {
+    fn needs_acknowledgements(&self) -> bool {
         let committed = self.configurations.iter().rposition(|(at, _)| *at <= self.committed);
         let in_use = &self.configurations[committed.unwrap_or(0)..];
         in_use.iter().all(|(_, members)| members.quorum() > 1)
     }
 
-    /// Notes that nothing of this replica is durable yet.
-    pub(super) fn record_beginning(&mut self) {
+    /// Records that nothing of this replica is durable yet.
+    pub(super) fn record_initial_state(&mut self) {
         let members = self.members().clone();
-        self.journal.is_on = self.settings.is_durable;
-        self.journal.note_base(empty_base(members));
+        self.journal.is_enabled = self.settings.is_durable;
+        self.journal.record_base(initial_base(members));
     }
 
     fn record_image(&mut self, base: Snapshot) -> DurableChange {
         let hard_state = self.hard_state();
-        self.journal.taken = hard_state;
+        self.journal.last_taken = hard_state;
         self.journal.base = None;
         self.journal.entries_from = None;
         self.journal.initial_members = None;
@@ -140,25 +140,26 @@
         }
     }
 
-    /// Draws the wait until the next pre-vote anew, as at the start; never makes it longer.
-    pub(super) fn ask_again_soon(&mut self) {
-        let wait = self.first_recovery_wait();
-        self.election_deadline = self.election_deadline.min(self.now + wait);
+    /// Draws a new delay until the next pre-vote, as after the start. The deadline never gets later.
+    pub(super) fn advance_recovery_deadline(&mut self) {
+        let delay = self.initial_recovery_delay();
+        self.election_deadline = self.election_deadline.min(self.now + delay);
     }
 
-    /// Of those that ask at one moment one gives way; the draw makes that rare.
-    fn first_recovery_wait(&mut self) -> Duration {
+    /// The delay is random, so that replicas rarely ask at the same moment and one of them has to yield.
+    fn initial_recovery_delay(&mut self) -> Duration {
         let longest = self.settings.heartbeat_interval().0;
         Duration(self.random.random_range(longest / 8..=longest / 2))
     }
 
-    /// After a loss of power of all machines no leader is left to wait for. A pre-vote costs a
-    /// group that has a leader nothing, so a recovered replica asks at once, and again with
-    /// growing pauses: the others may not be back, or their votes wait for slow syncs.
-    pub(super) fn recovery_wait(&mut self) -> Duration {
-        let first = self.first_recovery_wait();
-        let pauses = self.recovery_asks.min(MOST_RECOVERY_PAUSES);
-        self.recovery_asks += 1;
-        Duration(first.0 + self.settings.heartbeat_interval().times(pauses).0)
+    /// The delay until the next pre-vote of a recovered replica. When all machines lost power, there is
+    /// no leader to wait for. A pre-vote does not disturb a group that has a leader, so a recovered
+    /// replica asks at once, and again with growing delays: the others may not have restarted, or
+    /// their votes wait for slow syncs.
+    pub(super) fn next_recovery_delay(&mut self) -> Duration {
+        let initial = self.initial_recovery_delay();
+        let extra_heartbeats = self.recovery_attempts.min(MAX_RECOVERY_BACKOFF_HEARTBEATS);
+        self.recovery_attempts += 1;
+        Duration(initial.0 + self.settings.heartbeat_interval().times(extra_heartbeats).0)
     }
 }
--- a/crates/replication/src/group/settings.rs
+++ b/crates/replication/src/group/settings.rs
@@ -5,14 +5,15 @@
 
 use super::faults::Faults;
 
-/// Settings of a replica group. All replicas of a deployment use the same.
+/// Settings of a replica group. All replicas of a deployment use the same values.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct GroupSettings {
-    /// Milliseconds between heartbeats. Heartbeats of all groups of a daemon fall on multiples
-    /// of it, so that they can be merged.
+    /// Milliseconds between heartbeats. Heartbeats of all groups of a daemon are sent at multiples
+    /// of this interval, so that they can be merged.
     pub heartbeat_interval_ms: u64,
-    /// Milliseconds without a leader before an election; drawn from one to two times this.
+    /// Milliseconds without a leader before an election. The delay is random, from one to two times
+    /// this value.
     pub election_timeout_ms: u64,
     /// Milliseconds after which an unanswered append or snapshot chunk is sent again.
     pub retransmit_timeout_ms: u64,
@@ -24,20 +25,20 @@
     pub max_in_flight_appends: usize,
     /// Most bytes in one snapshot chunk.
     pub snapshot_chunk_bytes: usize,
-    /// Applied entries kept for peers that lag; one further behind gets a snapshot.
+    /// Applied entries retained for lagging peers. A peer that lags more gets a snapshot.
     pub retained_entries: usize,
-    /// Payload bytes of applied entries kept for peers that lag.
+    /// Payload bytes of applied entries retained for lagging peers.
     pub retained_bytes: usize,
     /// Largest payload of one proposal in bytes.
     pub max_payload_bytes: usize,
-    /// Payload bytes a leader holds uncommitted before it refuses proposals.
+    /// Uncommitted payload bytes above which a leader rejects proposals.
     pub max_uncommitted_bytes: usize,
-    /// Entries that a learner may lag when it is promoted.
+    /// Most entries that a learner may lag when it is promoted.
     pub promotion_lag_entries: u64,
-    /// Whether replicas give out what must be durable. Set by a driver that has a disk.
+    /// Whether replicas record durable changes. Set by a driver that has a disk.
     #[serde(skip)]
     pub is_durable: bool,
-    /// Mechanisms removed by tests.
+    /// Safety mechanisms that tests switch off.
     #[doc(hidden)]
     #[serde(skip)]
     pub faults: Faults,
@@ -68,10 +69,10 @@
     /// Checks every field.
     ///
     /// # Errors
-    /// The first field with a value that is not allowed.
+    /// The first field whose value is out of range.
     pub fn check(&self) -> Result<(), InvalidSetting> {
         check_range("groups.heartbeat_interval_ms", self.heartbeat_interval_ms, 10, 10_000)?;
-        // A follower must miss at least two heartbeats before it doubts its leader.
+        // A follower must miss at least two heartbeats before it starts an election.
         let shortest = self.heartbeat_interval_ms.saturating_mul(3);
         check_range("groups.election_timeout_ms", self.election_timeout_ms, shortest, 60_000)?;
         let longest = self.election_timeout_ms;
--- a/crates/replication/src/group/snapshot.rs
+++ b/crates/replication/src/group/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshots: taken from the driver when a peer needs one, sent part by part, installed.
+//! Snapshots: requested from the driver when a peer needs one, sent in chunks, and installed.
 
 use bytes::Bytes;
 use dahlia_types::{LogIndex, ReplicaId, Term};
@@ -12,7 +12,7 @@
 
 /// A snapshot that is being received.
 #[derive(Debug, Clone)]
-pub(super) struct Incoming {
+pub(super) struct IncomingSnapshot {
     index: LogIndex,
     term: Term,
     members: Members,
@@ -21,8 +21,8 @@
 }
 
 impl Peer {
-    /// Goes on with appends once the peer has the snapshot or everything after the log's base.
-    pub(super) fn leave_snapshot(&mut self, base: LogIndex) {
+    /// Continues with appends once the peer has the snapshot, or every entry up to the log's base.
+    pub(super) fn resume_appends(&mut self, base: LogIndex) {
         let has_enough = match &self.sending {
             Sending::Snapshot { snapshot, .. } => self.matched >= snapshot.index,
             Sending::AwaitSnapshot => self.matched >= base,
@@ -35,11 +35,11 @@
 }
 
 impl Replica {
-    /// Takes the state machine's encoding after applying `index`, the driver's last one.
+    /// Provides the encoded state machine after applying `index`, the last entry that the driver applied.
     ///
-    /// Returns whether it is of use; it is not when the log has moved on past it.
+    /// Returns whether the snapshot is used. It is not if the log's base is already beyond `index`.
     pub fn provide_snapshot(&mut self, index: LogIndex, data: Vec<u8>) -> bool {
-        self.is_snapshot_asked = false;
+        self.is_snapshot_requested = false;
         if index < self.log.base_index() || index > self.delivered {
             return false;
         }
@@ -53,11 +53,11 @@
 
     pub(super) fn send_snapshot(&mut self, replica: ReplicaId) {
         let base = self.log.base_index();
-        let Some(peer) = self.leading.peers.get_mut(&replica) else { return };
+        let Some(peer) = self.leader_state.peers.get_mut(&replica) else { return };
         if matches!(peer.sending, Sending::AwaitSnapshot) {
             let fresh = self.snapshot.as_ref().filter(|snapshot| snapshot.index >= base);
             let Some(snapshot) = fresh else {
-                self.ask_snapshot();
+                self.request_snapshot();
                 return;
             };
             let snapshot = snapshot.clone();
@@ -69,7 +69,7 @@
     fn send_snapshot_chunk(&mut self, replica: ReplicaId) {
         let now = self.now;
         let limit = self.settings.snapshot_chunk_bytes;
-        let Some(peer) = self.leading.peers.get_mut(&replica) else { return };
+        let Some(peer) = self.leader_state.peers.get_mut(&replica) else { return };
         let Sending::Snapshot { snapshot, offset, in_flight } = &mut peer.sending else { return };
         if in_flight.is_some() {
             return;
@@ -91,7 +91,7 @@
     }
 
     pub(super) fn handle_snapshot_response(&mut self, from: ReplicaId, response: SnapshotResponse) {
-        let Some(peer) = self.answering_peer(from, response.session, response.sent) else {
+        let Some(peer) = self.record_contact(from, response.session, response.sent) else {
             return;
         };
         let Sending::Snapshot { snapshot, offset, in_flight } = &mut peer.sending else { return };
@@ -123,14 +123,14 @@
         self.send(from, GroupBody::AppendResponse(AppendResponse { session, sent, result }));
     }
 
-    /// Returns the bytes received in order, or nothing when the snapshot is installed.
+    /// Returns the bytes received in order, or none if the snapshot is installed.
     fn receive_chunk(&mut self, chunk: SnapshotChunk) -> Option<u64> {
         let is_same = self.incoming.as_ref().is_some_and(|incoming| {
             (incoming.index, incoming.term, incoming.total)
                 == (chunk.index, chunk.last_term, chunk.total)
         });
         if !is_same {
-            self.incoming = Some(Incoming {
+            self.incoming = Some(IncomingSnapshot {
                 index: chunk.index,
                 term: chunk.last_term,
                 members: chunk.members,
@@ -152,9 +152,9 @@
 
     fn install_incoming(&mut self) {
         let Some(incoming) = self.incoming.take() else { return };
-        let Incoming { index, term, members, data, .. } = incoming;
+        let IncomingSnapshot { index, term, members, data, .. } = incoming;
         if self.log.term_at(index) == Some(term) {
-            // The log agrees up to there: its own entries bring the state machine forward.
+            // The log agrees up to there, so the state machine can apply the own entries.
             self.commit_to(index);
             return;
         }
@@ -163,15 +163,15 @@
         self.delivered = index;
         self.configurations = vec![(index, members.clone())];
         let snapshot = Snapshot { index, term, members, data: Bytes::from(data) };
-        self.journal.note_base(snapshot.clone());
+        self.journal.record_base(snapshot.clone());
         self.outputs.push(Output::Restore(snapshot));
         self.adopt_members();
     }
 
-    /// Frees the snapshot when no peer waits for it any more.
-    pub(super) fn forget_unused_snapshot(&mut self) {
+    /// Drops the snapshot when no peer needs it any more.
+    pub(super) fn drop_unused_snapshot(&mut self) {
         let is_used =
-            self.leading.peers.values().any(|peer| {
+            self.leader_state.peers.values().any(|peer| {
                 matches!(peer.sending, Sending::AwaitSnapshot | Sending::Snapshot { .. })
             });
         if !is_used {
--- a/crates/replication/src/group/status.rs
+++ b/crates/replication/src/group/status.rs
@@ -1,4 +1,4 @@
-//! A leader's view of its group, for maintenance, metrics and operators.
+//! The status of a group as its leader sees it, for maintenance, metrics and operators.
 
 use std::collections::BTreeMap;
 
@@ -7,20 +7,20 @@
 use super::replica::Replica;
 use super::{Members, Role};
 
-/// What the leader knows of one peer.
+/// The status of one peer of the leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PeerStatus {
-    /// Last entry known to be equal.
+    /// Last entry that is known to be equal in both logs.
     pub matched: LogIndex,
-    /// Latest own sending time that the peer has answered.
+    /// The latest sending time, by the leader's clock, of a message that the peer answered.
     pub last_contact: Timestamp,
-    /// Whether it was heard from within an election timeout.
+    /// Whether it answered a message that was sent within the last election timeout.
     pub in_contact: bool,
-    /// Whether it could be promoted.
+    /// Whether it lags so little that it could be promoted.
     pub caught_up: bool,
 }
 
-/// A replica's view of its group. Peers are known to a leader only.
+/// The status of a group as one replica sees it. Only a leader knows peers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct GroupStatus {
     /// The group.
@@ -37,14 +37,14 @@
     pub members: Members,
     /// Whether that configuration is not committed yet.
     pub change_in_progress: bool,
-    /// Whether leadership is being handed over.
+    /// Whether a leadership transfer is in progress.
     pub transferring: bool,
     /// The other members.
     pub peers: BTreeMap<ReplicaId, PeerStatus>,
 }
 
 impl Replica {
-    /// The view of the group at this moment.
+    /// Returns the present status of the group.
     pub fn status(&self) -> GroupStatus {
         GroupStatus {
             group: self.group,
@@ -54,7 +54,7 @@
             ready: self.is_leader_ready(),
             members: self.members().clone(),
             change_in_progress: self.uncommitted_change().is_some(),
-            transferring: self.leading.transfer.is_some(),
+            transferring: self.leader_state.transfer.is_some(),
             peers: self.peer_statuses(),
         }
     }
@@ -62,7 +62,7 @@
     fn peer_statuses(&self) -> BTreeMap<ReplicaId, PeerStatus> {
         let last = self.log.last_index().0;
         let mut statuses = BTreeMap::new();
-        for (replica, peer) in &self.leading.peers {
+        for (replica, peer) in &self.leader_state.peers {
             let in_contact = self.in_contact(*replica);
             let lag = last.saturating_sub(peer.matched.0);
             let status = PeerStatus {
--- a/crates/replication/src/membership/documents.rs
+++ b/crates/replication/src/membership/documents.rs
@@ -1,4 +1,4 @@
-//! Documents: facts that are too long for gossip and that most daemons usually read from another source.
+//! Documents: facts that are too long for gossip. Most daemons usually read them from another source.
 //!
 //! A daemon with a new version compares with a few members at once. A daemon that lacks a document gets
 //! it by a comparison. Holder documents are stored only by daemons that hold groups; other daemons
@@ -14,8 +14,8 @@
 /// Interval between two rounds in which a daemon announces newer holder documents. Several readers of the
 /// same source each create new versions, and each round announces only the newest of them.
 const HOLDER_ANNOUNCEMENT_INTERVAL: Duration = Duration::from_secs(5);
-/// Holders that receive a new holder document from the daemon that created it. They pass it on. The second
-/// copy is for the case that the first holder dies with it.
+/// Holders that receive a new holder document from the daemon that created it. They pass it on. The
+/// second copy is for the case that the first holder dies with it.
 const HOLDER_DOCUMENT_COPIES: usize = 2;
 
 /// With at least this many holders in the own zone, these are preferred.
