--- a/crates/replication/src/directory.rs
+++ b/crates/replication/src/directory.rs
@@ -1,4 +1,4 @@
-//! Where groups are: who holds them, who leads them, and their first layout.
+//! The location of groups: their replicas, their leaders, and their initial layout.
 
 use std::collections::BTreeMap;
 
@@ -11,26 +11,27 @@
 
 pub use layout::{initial_layout, initial_layout_with_homes};
 
-/// Bits of a description's version that hold the entry's index; the term is above them.
+/// Low bits of a description's version, which hold the index of the entry. The term is in the bits
+/// above.
 const INDEX_BITS: u32 = 40;
 
-/// Where one group is, as its leader of `term` said.
+/// The location of one group, as its leader of `term` reported it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupDescription {
     /// The group.
     pub group: GroupId,
-    /// Its voters. In a first layout, the first one is to lead.
+    /// Its voters. In an initial layout, the first one should lead.
     pub members: Vec<ReplicaId>,
-    /// Its leader at the time.
+    /// Its leader in that term.
     pub leader: Option<ReplicaId>,
-    /// The leader's term; 0 in a first layout.
+    /// The leader's term; 0 in an initial layout.
     pub term: Term,
-    /// The entry that set the members; 0 in a first layout.
+    /// The entry that set the members; 0 in an initial layout.
     pub index: LogIndex,
 }
 
 impl GroupDescription {
-    /// What a leader says of its group, with the last committed configuration.
+    /// Creates a leader's description of its group, with the last committed configuration.
     pub fn of_leader(
         group: GroupId,
         members: &Members,
@@ -42,55 +43,55 @@
         Self { group, members, leader: Some(leader), term, index }
     }
 
-    /// Orders descriptions of one group: by term, then by the entry that set the members.
+    /// A version that orders descriptions of one group by term, then by the entry that set the members.
     ///
-    /// A later leader has every committed configuration of the earlier ones, so a description
-    /// with a later term is newer in both parts. 24 bits hold the term and 40 the index.
+    /// A later leader has every committed configuration of earlier leaders, so a description with a
+    /// later term has newer members and a newer leader. 24 bits hold the term and 40 the index.
     pub fn version(&self) -> u64 {
-        const MOST_INDEX: u64 = (1 << INDEX_BITS) - 1;
-        const MOST_TERM: u64 = (1 << (u64::BITS - INDEX_BITS)) - 1;
-        (self.term.0.min(MOST_TERM) << INDEX_BITS) | self.index.0.min(MOST_INDEX)
+        const MAX_INDEX: u64 = (1 << INDEX_BITS) - 1;
+        const MAX_TERM: u64 = (1 << (u64::BITS - INDEX_BITS)) - 1;
+        (self.term.0.min(MAX_TERM) << INDEX_BITS) | self.index.0.min(MAX_INDEX)
     }
 }
 
-/// All groups known. The newest description of each wins.
+/// The newest known description of each group.
 #[derive(Debug, Clone, Default)]
 pub struct Directory {
     groups: BTreeMap<GroupId, GroupDescription>,
 }
 
 impl Directory {
-    /// An empty one.
+    /// Creates an empty directory.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes a description in. Returns whether it is newer than the one held.
+    /// Stores a description if it is newer than the stored one. Returns whether it is.
     pub fn merge(&mut self, description: GroupDescription) -> bool {
         let known = self.groups.get(&description.group);
-        if known.is_some_and(|held| held.version() >= description.version()) {
+        if known.is_some_and(|known| known.version() >= description.version()) {
             return false;
         }
         self.groups.insert(description.group, description);
         true
     }
 
-    /// One group.
+    /// The description of one group.
     pub fn get(&self, group: GroupId) -> Option<&GroupDescription> {
         self.groups.get(&group)
     }
 
-    /// All groups, by number.
+    /// The descriptions of all groups, ordered by group.
     pub fn iter(&self) -> impl Iterator<Item = &GroupDescription> {
         self.groups.values()
     }
 
-    /// Who probably leads a group.
+    /// The probable leader of a group.
     pub fn leader(&self, group: GroupId) -> Option<ReplicaId> {
         self.groups.get(&group)?.leader
     }
 
-    /// Whom to ask about a group, the likely leader first, then the other voters.
+    /// The replicas to send a request about a group to: the probable leader first, then the other voters.
     pub fn route(&self, group: GroupId) -> Vec<ReplicaId> {
         let Some(description) = self.groups.get(&group) else { return Vec::new() };
         let mut route: Vec<ReplicaId> = description.leader.into_iter().collect();
@@ -100,20 +101,20 @@
         route
     }
 
-    /// Replicas that each daemon holds, by the descriptions known.
+    /// The number of replicas on each daemon, by the known descriptions.
     pub fn replica_counts(&self) -> BTreeMap<DaemonId, u32> {
         let members = self.groups.values().flat_map(|description| &description.members);
-        count(members.map(|member| member.daemon))
+        count_by_daemon(members.map(|member| member.daemon))
     }
 
-    /// Groups that each daemon leads, by the descriptions known.
+    /// The number of groups that each daemon leads, by the known descriptions.
     pub fn leader_counts(&self) -> BTreeMap<DaemonId, u32> {
         let leaders = self.groups.values().filter_map(|description| description.leader);
-        count(leaders.map(|leader| leader.daemon))
+        count_by_daemon(leaders.map(|leader| leader.daemon))
     }
 }
 
-fn count(daemons: impl Iterator<Item = DaemonId>) -> BTreeMap<DaemonId, u32> {
+fn count_by_daemon(daemons: impl Iterator<Item = DaemonId>) -> BTreeMap<DaemonId, u32> {
     let mut counts = BTreeMap::new();
     for daemon in daemons {
         *counts.entry(daemon).or_insert(0) += 1;
--- a/crates/replication/src/directory/layout.rs
+++ b/crates/replication/src/directory/layout.rs
@@ -1,8 +1,8 @@
-//! The first layout of groups over daemons.
+//! The initial layout of groups over daemons.
 //!
-//! Groups share few replica sets (copysets, Cidon and others 2013): each daemon is in two sets
-//! and so exchanges heartbeats with few others, which merge; and two or three deaths at once
-//! rarely hit the quorum of a set.
+//! Groups share few replica sets (copysets, Cidon and others 2013). Each daemon is in two sets, so it
+//! exchanges heartbeats with few other daemons, and these can be merged. Two or three simultaneous
+//! deaths rarely affect the quorum of a set.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,15 +11,15 @@
 use super::GroupDescription;
 use crate::membership::{MemberInfo, MemberState};
 
-/// Replica sets that each daemon is in.
+/// The number of replica sets that contain each daemon.
 const SETS_PER_DAEMON: usize = 2;
 
 /// Lays out `group_count` groups of `replicas_per_group` voters over the live members that may
 /// hold groups.
 ///
-/// Voters of a group are in different zones as far as there are zones, and a majority of them is
-/// in one region; leaders are balanced. The result depends on the arguments only. With fewer
-/// members than replicas each group has all members; without members there are no groups.
+/// Voters of a group are in different zones if there are enough zones, and a majority of them is in
+/// one region. Leaders are balanced. The result depends only on the arguments. With fewer members than
+/// replicas, each group has all members; without members, there are no groups.
 pub fn initial_layout(
     members: &[MemberInfo],
     group_count: u32,
@@ -28,8 +28,8 @@
     initial_layout_with_homes(members, group_count, replicas_per_group, &GroupHomes::default())
 }
 
-/// The same, with each group in its home region where that has members enough for a majority: as many
-/// of its voters as it has members, and the leader.
+/// Like [`initial_layout`], with each group in its home region if that has enough members for a
+/// majority: as many voters as the region has members, and the leader.
 pub fn initial_layout_with_homes(
     members: &[MemberInfo],
     group_count: u32,
@@ -52,12 +52,12 @@
         let description = match home {
             Some((near, groups)) => {
                 let place = groups.iter().position(|other| *other == group).unwrap_or(0);
-                let set = set_of(place, groups.len(), &near.sets);
-                describe(group, set, &near.members, &mut leaders)
+                let set = choose_set(place, groups.len(), &near.sets);
+                describe_group(group, set, &near.members, &mut leaders)
             }
             None => {
-                let set = set_of(group.0 as usize, group_count as usize, &all);
-                describe(group, set, set, &mut leaders)
+                let set = choose_set(group.0 as usize, group_count as usize, &all);
+                describe_group(group, set, set, &mut leaders)
             }
         };
         layout.push(description);
@@ -65,10 +65,10 @@
     layout
 }
 
-/// The replica sets with a majority in one region.
+/// The replica sets of one region, with as many members there as possible.
 struct RegionSets {
     region: Region,
-    /// Its members that may hold groups.
+    /// The members of the region that may hold groups.
     members: Vec<ReplicaId>,
     has_majority: bool,
     sets: Vec<Vec<ReplicaId>>,
@@ -78,21 +78,22 @@
     member.state == MemberState::Live && member.holds_groups
 }
 
-fn set_of(group: usize, group_count: usize, sets: &[Vec<ReplicaId>]) -> &[ReplicaId] {
-    // Few groups use sets from all over the list, which is ordered by region.
+fn choose_set(group: usize, group_count: usize, sets: &[Vec<ReplicaId>]) -> &[ReplicaId] {
+    // If there are fewer groups than sets, they use sets from the whole list, which is ordered by
+    // region.
     let place = if group_count < sets.len() { group * sets.len() / group_count } else { group };
     &sets[place % sets.len()]
 }
 
-fn describe(
+fn describe_group(
     group: GroupId,
     set: &[ReplicaId],
     may_lead: &[ReplicaId],
     leaders: &mut BTreeMap<DaemonId, u32>,
 ) -> GroupDescription {
-    let led = |replica: &ReplicaId| leaders.get(&replica.daemon).copied().unwrap_or(0);
+    let led_count = |replica: &ReplicaId| leaders.get(&replica.daemon).copied().unwrap_or(0);
     let candidates = set.iter().copied().filter(|replica| may_lead.contains(replica));
-    let leader = candidates.min_by_key(|replica| (led(replica), replica.daemon));
+    let leader = candidates.min_by_key(|replica| (led_count(replica), replica.daemon));
     let mut members = set.to_vec();
     members.sort_by_key(|member| (Some(*member) != leader, *member));
     if let Some(leader) = leader {
@@ -111,13 +112,13 @@
     let has_large = regions.values().any(is_large);
     let mut sets: Vec<RegionSets> = Vec::new();
     for (region, near) in &regions {
-        // A region too small for a majority holds no groups where another one can.
+        // A region too small for a majority holds no groups if another region can.
         if has_large && !is_large(near) {
             continue;
         }
         let far: Vec<&MemberInfo> =
             live.iter().copied().filter(|member| member.region != **region).collect();
-        // Far members are taken evenly over the sets of all regions.
+        // Members of other regions are used evenly over the sets of all regions.
         let mut all: Vec<Vec<ReplicaId>> =
             sets.iter().flat_map(|earlier| earlier.sets.clone()).collect();
         let earlier = all.len();
@@ -134,7 +135,7 @@
     sets
 }
 
-/// Adds sets that together use every daemon of a region at least once.
+/// Adds sets that together contain every daemon of a region at least once.
 fn add_sets_of_region(
     sets: &mut Vec<Vec<ReplicaId>>,
     near: &[&MemberInfo],
@@ -148,7 +149,7 @@
     }
     for (place, members) in unused.values_mut().enumerate() {
         members.sort_by_key(|member| member.daemon);
-        // Each turn shifts every zone differently, so that its sets differ from the last ones.
+        // Each turn rotates every zone differently, so that its sets differ from those before.
         let shift = turn * (place + 1) % members.len();
         members.rotate_left(shift);
     }
@@ -167,7 +168,8 @@
 ) -> Vec<ReplicaId> {
     let mut set: Vec<&MemberInfo> = Vec::new();
     while set.len() < replicas {
-        let Some(member) = take_unused(unused, &set).or_else(|| reuse(near, far, &set, earlier))
+        let Some(member) =
+            take_unused(unused, &set).or_else(|| choose_used(near, far, &set, earlier))
         else {
             break;
         };
@@ -176,19 +178,21 @@
     set.into_iter().map(MemberInfo::replica).collect()
 }
 
-/// An unused daemon, from the zone that the set uses least; of these the one with most left.
+/// Takes an unused daemon from the zone with the fewest members of the set. Of several such zones, it
+/// takes the one with the most unused daemons.
 fn take_unused<'a>(
     unused: &mut BTreeMap<&Zone, Vec<&'a MemberInfo>>,
     set: &[&MemberInfo],
 ) -> Option<&'a MemberInfo> {
     let zones = unused.iter_mut().filter(|(_, members)| !members.is_empty());
-    let best = zones.min_by_key(|(zone, members)| (in_zone(set, zone), usize::MAX - members.len()));
+    let best =
+        zones.min_by_key(|(zone, members)| (count_in_zone(set, zone), usize::MAX - members.len()));
     best.and_then(|(_, members)| members.pop())
 }
 
-/// A daemon that is in another set already: near before far, from the zone used least, then the one
-/// in fewest sets.
-fn reuse<'a>(
+/// Chooses a daemon that is in another set already: first of the same region, then of others; from the
+/// zone with the fewest members of the set; then the daemon in the fewest sets.
+fn choose_used<'a>(
     near: &[&'a MemberInfo],
     far: &[&'a MemberInfo],
     set: &[&MemberInfo],
@@ -199,11 +203,11 @@
     let used: BTreeSet<DaemonId> = set.iter().map(|member| member.daemon).collect();
     let pick = |members: &[&'a MemberInfo]| {
         let free = members.iter().copied().filter(|member| !used.contains(&member.daemon));
-        free.min_by_key(|member| (in_zone(set, &member.zone), uses(member), member.daemon))
+        free.min_by_key(|member| (count_in_zone(set, &member.zone), uses(member), member.daemon))
     };
     pick(near).or_else(|| pick(far))
 }
 
-fn in_zone(set: &[&MemberInfo], zone: &Zone) -> usize {
+fn count_in_zone(set: &[&MemberInfo], zone: &Zone) -> usize {
     set.iter().filter(|member| member.zone == *zone).count()
 }
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -2,13 +2,13 @@
 //!
 //! - [`group`]: one replica of one replica group, by Raft (Ongaro and Ousterhout 2014).
 //! - [`maintenance`]: which member of a group its leader should add, promote or remove next.
-//! - [`membership`]: who is there, by SWIM (Das, Gupta and Motivala 2002), and small facts.
-//! - [`directory`]: where groups are, and their first layout.
-//! - [`tolerance`]: how many voters a group needs for the losses that a deployment declares.
+//! - [`membership`]: failure detection by SWIM (Das, Gupta and Motivala 2002), and small facts.
+//! - [`directory`]: the location of groups, and their initial layout.
+//! - [`tolerance`]: how many voters a group needs to tolerate the declared losses.
 //!
-//! Every state machine takes the time and its random seed as arguments and returns what its
-//! driver must do, so that daemons and virtual-time tests run the same code.
-//! The time passed in must never go backwards: a daemon derives it from a monotonic clock.
+//! Every state machine takes the time and its random seed as arguments and returns actions for its
+//! driver, so that daemons and virtual-time tests run the same code.
+//! The time passed in must never go backwards. A daemon derives it from a monotonic clock.
 
 pub mod directory;
 pub mod group;
--- a/crates/replication/src/maintenance/balance.rs
+++ b/crates/replication/src/maintenance/balance.rs
@@ -1,33 +1,33 @@
-//! How often a daemon hands leaderships over for balance.
+//! The rate limit of a daemon's leadership transfers for balance.
 //!
-//! Groups whose leader dies go to whoever is elected, so after a few failures one daemon may lead
-//! most of them, and its own failure then stops them all. All groups of a daemon decide on the same
-//! view, which shows a hand-over only when the next leader has announced itself: without a common
-//! pace they would all hand over to the same daemon at once.
+//! After a leader's death, any voter may be elected, so after a few failures one daemon may lead most
+//! groups, and its own failure then stops them all. All groups of a daemon decide on the same view,
+//! which shows a transfer only when the new leader has announced itself. Without a common rate limit
+//! they would all transfer their leadership to the same daemon at once.
 
 use dahlia_types::{Duration, Timestamp};
 
 use super::MaintenanceSettings;
 
-/// The pace of one daemon's hand-overs, over all groups that it leads.
+/// Limits the leadership transfers of one daemon, over all groups that it leads.
 #[derive(Debug, Clone)]
 pub struct BalanceRateLimit {
     interval: Duration,
-    handed_over_at: Timestamp,
+    last_transfer: Timestamp,
 }
 
 impl BalanceRateLimit {
-    /// `now` starts the first interval without a hand-over.
+    /// Creates a rate limit. The first interval without a transfer starts at `now`.
     pub fn new(settings: &MaintenanceSettings, now: Timestamp) -> Self {
         let interval = Duration::from_millis(settings.balance_interval_ms);
-        Self { interval, handed_over_at: now }
+        Self { interval, last_transfer: now }
     }
 
-    pub(super) fn is_due(&self, now: Timestamp) -> bool {
-        now.since(self.handed_over_at) >= self.interval
+    pub(super) fn allows_transfer(&self, now: Timestamp) -> bool {
+        now.since(self.last_transfer) >= self.interval
     }
 
-    pub(super) fn handed_over(&mut self, now: Timestamp) {
-        self.handed_over_at = now;
+    pub(super) fn record_transfer(&mut self, now: Timestamp) {
+        self.last_transfer = now;
     }
 }
--- a/crates/replication/src/maintenance/candidates.rs
+++ b/crates/replication/src/maintenance/candidates.rs
@@ -1,4 +1,4 @@
-//! Which daemon a group should go to, and which voter it can best do without.
+//! The choice of the daemon for a new replica of a group, and of the voter to remove.
 
 use std::collections::BTreeMap;
 
@@ -6,34 +6,42 @@
 
 use super::view::{ClusterView, DaemonView};
 
-/// The voters that stay, and where they are.
-pub(super) struct Placement<'a> {
+/// The placement of the voters that a group keeps.
+pub(super) struct VoterPlacement<'a> {
     view: &'a ClusterView,
     kept: Vec<ReplicaId>,
     leader: ReplicaId,
     home: Option<&'a Region>,
-    target: usize,
-    /// Whether the home can have a majority again only from other regions for now.
-    home_is_short: bool,
+    target_voters: usize,
+    /// Whether the home region has too few available daemons for a majority at present.
+    lacks_available_majority_at_home: bool,
 }
 
-impl<'a> Placement<'a> {
-    /// `home` is the region that the group is at home in by rule. A region without daemons enough for
-    /// a majority, lost ones counted, is not its home: then the region of most voters is, as for a
-    /// group without a rule. `leader` decides when two regions hold equally many.
+impl<'a> VoterPlacement<'a> {
+    /// `home` is the configured home region of the group. A region without enough daemons for a
+    /// majority, counting lost ones, is not used as home: then the region with most voters is, as for
+    /// a group without a configured home. If two regions have equally many, the leader's region is
+    /// preferred.
     pub fn new(
         view: &'a ClusterView,
         kept: Vec<ReplicaId>,
         leader: ReplicaId,
-        target: usize,
+        target_voters: usize,
         home: Option<&'a Region>,
     ) -> Self {
-        let majority = target / 2 + 1;
+        let majority = target_voters / 2 + 1;
         if let Some(region) = home
-            && view.holders_in(region) >= majority
+            && view.holder_count_in(region) >= majority
         {
-            let home_is_short = view.free_in(region) < majority;
-            return Self { view, kept, leader, home, target, home_is_short };
+            let lacks_available_majority_at_home = view.available_count_in(region) < majority;
+            return Self {
+                view,
+                kept,
+                leader,
+                home,
+                target_voters,
+                lacks_available_majority_at_home,
+            };
         }
         let mut counts: BTreeMap<&Region, usize> = BTreeMap::new();
         for voter in &kept {
@@ -45,7 +53,7 @@
         let home =
             counts.iter().max_by_key(|(region, count)| (**count, Some(**region) == of_leader));
         let home = home.map(|(region, _)| *region).or(of_leader);
-        Self { view, kept, leader, home, target, home_is_short: false }
+        Self { view, kept, leader, home, target_voters, lacks_available_majority_at_home: false }
     }
 
     fn daemon(&self, daemon: DaemonId) -> Option<&'a DaemonView> {
@@ -56,8 +64,8 @@
         self.home == Some(&daemon.region)
     }
 
-    /// Kept voters in a zone of the home region.
-    fn in_zone(&self, zone: &Zone) -> usize {
+    /// The number of kept voters in a zone.
+    fn voters_in_zone(&self, zone: &Zone) -> usize {
         let zones = self.kept.iter().filter_map(|voter| self.daemon(voter.daemon));
         zones.filter(|daemon| daemon.zone == *zone).count()
     }
@@ -67,20 +75,21 @@
         daemons.filter(|daemon| self.is_home(daemon)).count()
     }
 
-    /// The best daemon that is not a member: near, in the zone used least, with few replicas.
+    /// The best daemon that is not a member: in the home region, in the zone with the fewest voters, with
+    /// few replicas.
     pub fn best_candidate(&self, group: GroupId, members: &[ReplicaId]) -> Option<ReplicaId> {
         let is_member = |replica: &ReplicaId| members.contains(replica);
         let mut best = None;
         for (daemon, view) in &self.view.daemons {
             let replica = ReplicaId { daemon: *daemon, incarnation: view.incarnation };
-            if !view.is_free() || is_member(&replica) || !self.may_hold(view) {
+            if !view.is_available() || is_member(&replica) || !self.may_hold(view) {
                 continue;
             }
             let rank = (
                 !self.is_home(view),
-                self.in_zone(&view.zone),
+                self.voters_in_zone(&view.zone),
                 view.replicas,
-                spread(group, *daemon),
+                tie_break(group, *daemon),
             );
             if best.as_ref().is_none_or(|(lowest, _)| rank < *lowest) {
                 best = Some((rank, replica));
@@ -89,50 +98,52 @@
         best.map(|(_, replica)| replica)
     }
 
-    /// One of another region only while the home region keeps a majority, or cannot have one.
+    /// Whether a daemon may get a replica. A daemon of another region may only if the home region has a
+    /// majority, or cannot have one at present.
     fn may_hold(&self, daemon: &DaemonView) -> bool {
-        self.is_home(daemon) || self.has_home_majority() || self.home_is_short
+        self.is_home(daemon) || self.has_home_majority() || self.lacks_available_majority_at_home
     }
 
     fn has_home_majority(&self) -> bool {
-        self.home_voters() > self.target / 2
+        self.home_voters() > self.target_voters / 2
     }
 
-    /// Whether a voter should lead as far as its place is concerned: one at home, once a majority of
-    /// the voters is there.
-    pub fn is_place_of_leader(&self, voter: ReplicaId) -> bool {
+    /// Whether the region of a voter allows it to lead: once the home region has a majority of the
+    /// voters, only voters there.
+    pub fn may_lead_by_region(&self, voter: ReplicaId) -> bool {
         !self.has_home_majority() || self.daemon(voter.daemon).is_some_and(|to| self.is_home(to))
     }
 
-    /// Whether a vote there, in exchange for one in the fullest zone, spreads the group better.
+    /// Whether a voter on this daemon, instead of one in the zone with most voters, improves the spread.
     pub fn improves_spread(&self, daemon: DaemonId) -> bool {
         let Some(view) = self.daemon(daemon) else { return false };
         if !self.is_home(view) {
             return false;
         }
         let zones = self.kept.iter().filter_map(|voter| self.daemon(voter.daemon));
-        let fullest = zones.map(|daemon| self.in_zone(&daemon.zone)).max().unwrap_or(0);
-        // The leader is not removed, so a far leader cannot be exchanged.
+        let fullest = zones.map(|daemon| self.voters_in_zone(&daemon.zone)).max().unwrap_or(0);
+        // The leader is not removed, so a leader in another region cannot be replaced.
         let others = self.kept.iter().filter(|voter| **voter != self.leader);
         let mut daemons = others.filter_map(|voter| self.daemon(voter.daemon));
         let has_far = daemons.any(|daemon| !self.is_home(daemon));
-        has_far || fullest >= self.in_zone(&view.zone) + 2
+        has_far || fullest >= self.voters_in_zone(&view.zone) + 2
     }
 
-    /// The voter whose removal costs least: far, then in the fullest zone, then most loaded.
-    pub fn most_dispensable(&self) -> Option<ReplicaId> {
+    /// The best voter to remove: in another region, then in the zone with most voters, then with most
+    /// replicas.
+    pub fn removal_candidate(&self) -> Option<ReplicaId> {
         let others = self.kept.iter().copied().filter(|voter| *voter != self.leader);
         others.max_by_key(|voter| {
             let daemon = self.daemon(voter.daemon);
             let is_far = daemon.is_none_or(|daemon| !self.is_home(daemon));
-            let crowd = daemon.map_or(usize::MAX, |daemon| self.in_zone(&daemon.zone));
-            (is_far, crowd, daemon.map_or(0, |daemon| daemon.replicas), *voter)
+            let zone_voters = daemon.map_or(usize::MAX, |daemon| self.voters_in_zone(&daemon.zone));
+            (is_far, zone_voters, daemon.map_or(0, |daemon| daemon.replicas), *voter)
         })
     }
 }
 
-/// Spreads ties differently for each group, the same on every daemon.
-fn spread(group: GroupId, daemon: DaemonId) -> u64 {
+/// Breaks ties differently for each group, but alike on every daemon.
+fn tie_break(group: GroupId, daemon: DaemonId) -> u64 {
     const ODD: u64 = 0x9e37_79b9_7f4a_7c15;
     let place = (u64::from(group.0) << 32) | u64::from(daemon.0);
     let mixed = (place ^ ODD).wrapping_mul(ODD);
--- a/crates/replication/src/maintenance/plan.rs
+++ b/crates/replication/src/maintenance/plan.rs
@@ -1,32 +1,34 @@
-//! One decision on one group.
+//! The decision on the next step of one group.
 
 use dahlia_types::{ReplicaId, Timestamp};
 
-use super::candidates::Placement;
+use super::candidates::VoterPlacement;
 use super::view::{ClusterView, Liveness};
 use super::{MaintenanceSettings, MaintenanceStep};
 use crate::group::{GroupStatus, MemberChange};
 
-/// A leader hands over for balance only to one that leads at least this many groups fewer.
-const BALANCE_THRESHOLD: u32 = 2;
+/// A leader transfers its leadership for balance only to a daemon that leads at least this many groups
+/// fewer.
+const MIN_LEADERSHIP_DIFFERENCE: u32 = 2;
 
-/// How a member stands.
+/// The condition of a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Standing {
-    /// It holds the log and should go on doing so.
+enum MemberCondition {
+    /// It has the log and should stay a member.
     Healthy,
-    /// It holds the log and is to be replaced.
+    /// It has the log and should be replaced.
     Leaving,
-    /// Its process runs in a later life: what it held is gone for certain.
+    /// Its daemon runs in a later incarnation, so its state is certainly lost.
     Gone,
-    /// Neither the leader nor, if it is lost early, membership has heard of it for long.
+    /// It has not answered the leader for the silent grace, or for the dead grace if membership declares
+    /// it dead.
     Lost,
-    /// The leader has not heard of it of late, and another daemon can take its place.
+    /// It has not answered the leader for the replace grace, and another daemon can replace it.
     Replaceable,
 }
 
-/// The members sorted by how they stand.
-pub(super) struct Plan<'a> {
+/// The members of a group, sorted by condition.
+pub(super) struct MaintenancePlan<'a> {
     settings: &'a MaintenanceSettings,
     status: &'a GroupStatus,
     view: &'a ClusterView,
@@ -36,10 +38,10 @@
     lost: Vec<ReplicaId>,
     replaceable: Vec<ReplicaId>,
     healthy_learners: Vec<ReplicaId>,
-    bad_learners: Vec<ReplicaId>,
+    unhealthy_learners: Vec<ReplicaId>,
 }
 
-impl<'a> Plan<'a> {
+impl<'a> MaintenancePlan<'a> {
     pub fn new(
         settings: &'a MaintenanceSettings,
         status: &'a GroupStatus,
@@ -56,54 +58,55 @@
             lost: Vec::new(),
             replaceable: Vec::new(),
             healthy_learners: Vec::new(),
-            bad_learners: Vec::new(),
+            unhealthy_learners: Vec::new(),
         };
         for voter in &status.members.voters {
-            let side = match plan.standing(*voter, now) {
-                Standing::Healthy => &mut plan.healthy,
-                Standing::Leaving => &mut plan.leaving,
-                Standing::Gone => &mut plan.gone,
-                Standing::Lost => &mut plan.lost,
-                Standing::Replaceable => &mut plan.replaceable,
+            let side = match plan.condition(*voter, now) {
+                MemberCondition::Healthy => &mut plan.healthy,
+                MemberCondition::Leaving => &mut plan.leaving,
+                MemberCondition::Gone => &mut plan.gone,
+                MemberCondition::Lost => &mut plan.lost,
+                MemberCondition::Replaceable => &mut plan.replaceable,
             };
             side.push(*voter);
         }
         for learner in &status.members.learners {
-            let is_healthy = plan.standing(*learner, now) == Standing::Healthy;
-            let side = if is_healthy { &mut plan.healthy_learners } else { &mut plan.bad_learners };
+            let is_healthy = plan.condition(*learner, now) == MemberCondition::Healthy;
+            let side =
+                if is_healthy { &mut plan.healthy_learners } else { &mut plan.unhealthy_learners };
             side.push(*learner);
         }
         plan
     }
 
-    fn standing(&self, member: ReplicaId, now: Timestamp) -> Standing {
+    fn condition(&self, member: ReplicaId, now: Timestamp) -> MemberCondition {
         let view = self.view.daemons.get(&member.daemon);
         if view.is_some_and(|view| view.incarnation > member.incarnation) {
-            return Standing::Gone;
+            return MemberCondition::Gone;
         }
-        // One that no longer holds groups serves on until its replicas are replaced.
+        // A daemon that should no longer hold groups keeps its replicas until they are replaced.
         let is_leaving =
             view.is_some_and(|view| view.liveness == Liveness::Leaving || !view.holds_groups);
         if member == self.status.id {
-            return if is_leaving { Standing::Leaving } else { Standing::Healthy };
+            return if is_leaving { MemberCondition::Leaving } else { MemberCondition::Healthy };
         }
-        let Some(peer) = self.status.peers.get(&member) else { return Standing::Healthy };
-        let silence = now.since(peer.last_contact);
+        let Some(peer) = self.status.peers.get(&member) else { return MemberCondition::Healthy };
+        let contact_age = now.since(peer.last_contact);
         let is_dead = view.is_none_or(|view| view.liveness == Liveness::Dead);
         let grace = if is_dead { self.settings.dead_grace() } else { self.settings.silent_grace() };
-        if silence >= grace {
-            return Standing::Lost;
+        if contact_age >= grace {
+            return MemberCondition::Lost;
         }
-        if silence >= self.settings.replace_grace() && self.has_successor() {
-            return Standing::Replaceable;
+        if contact_age >= self.settings.replace_grace() && self.has_replacement_daemon() {
+            return MemberCondition::Replaceable;
         }
-        if is_leaving { Standing::Leaving } else { Standing::Healthy }
+        if is_leaving { MemberCondition::Leaving } else { MemberCondition::Healthy }
     }
 
-    /// Whether another daemon has room for a replica of this group, or is being given one. One that
-    /// was started in the place of a removed machine holds nothing yet. Groups give it their
-    /// replicas one after the other, so less than the even share says that it has room.
-    fn has_successor(&self) -> bool {
+    /// Whether another daemon has room for a replica of this group, or is already receiving one. A
+    /// daemon that was started in place of a removed machine holds no replicas yet. Groups move their
+    /// replicas to it one after the other, so it has room while it holds less than the even share.
+    fn has_replacement_daemon(&self) -> bool {
         let members = &self.status.members;
         if !members.learners.is_empty() {
             return true;
@@ -111,28 +114,28 @@
         let share = self.view.even_share();
         self.view.daemons.iter().any(|(daemon, view)| {
             let is_member = members.all().any(|member| member.daemon == *daemon);
-            view.is_free() && view.replicas < share && !is_member
+            view.is_available() && view.replicas < share && !is_member
         })
     }
 
-    /// The next step for the members.
-    pub fn next(&self) -> Option<MaintenanceStep> {
-        self.hand_over_when_leaving()
+    /// The next leadership transfer or member change that is needed.
+    pub fn next_step(&self) -> Option<MaintenanceStep> {
+        self.transfer_when_leaving()
             .map(MaintenanceStep::Transfer)
             .or_else(|| self.next_change().map(MaintenanceStep::Change))
     }
 
     fn next_change(&self) -> Option<MemberChange> {
-        self.remove_dead()
-            .or_else(|| self.bad_learners.first().copied().map(MemberChange::Remove))
+        self.remove_unavailable_voter()
+            .or_else(|| self.unhealthy_learners.first().copied().map(MemberChange::Remove))
             .or_else(|| self.promote())
             .or_else(|| self.remove_replaced())
             .or_else(|| self.remove_surplus_learner())
             .or_else(|| self.add_learner())
     }
 
-    /// A leader that leaves hands over first: the next one replaces it.
-    fn hand_over_when_leaving(&self) -> Option<ReplicaId> {
+    /// A leaving leader transfers its leadership first. The next leader then replaces it.
+    fn transfer_when_leaving(&self) -> Option<ReplicaId> {
         if !self.leaving.contains(&self.status.id) {
             return None;
         }
@@ -148,32 +151,32 @@
             || self.status.peers.get(&member).is_some_and(|peer| peer.in_contact)
     }
 
-    /// Removes a voter that is gone, or a lost or silent one where keeping it is of no more use.
-    fn remove_dead(&self) -> Option<MemberChange> {
+    /// Removes a voter that is gone, or a lost or replaceable one if keeping it has no more use.
+    fn remove_unavailable_voter(&self) -> Option<MemberChange> {
         let first = self.gone.first().or(self.lost.first()).or(self.replaceable.first());
-        let dead = first.copied()?;
-        let is_useless = !self.gone.is_empty()
+        let voter = first.copied()?;
+        let should_remove = !self.gone.is_empty()
             || (!self.settings.keeps_lost_voters
                 && !self.lost.is_empty()
-                && self.rest_survives_more())
-            || self.has_ready_learner()
+                && self.removal_improves_survival())
+            || self.has_caught_up_learner()
             || !self.lacks_voters();
-        is_useless.then_some(MemberChange::Remove(dead))
+        should_remove.then_some(MemberChange::Remove(voter))
     }
 
-    /// Whether the voters without the dead survive more deaths than they do with them.
-    fn rest_survives_more(&self) -> bool {
+    /// Whether the group survives more deaths without the gone and lost voters than with them.
+    fn removal_improves_survival(&self) -> bool {
         let voters = &self.status.members.voters;
         let answering = voters.iter().filter(|voter| self.in_contact(**voter)).count();
         let rest = voters.len() - self.gone.len() - self.lost.len();
-        survives(answering.min(rest), rest) > survives(answering, voters.len())
+        survivable_deaths(answering.min(rest), rest) > survivable_deaths(answering, voters.len())
     }
 
-    fn has_ready_learner(&self) -> bool {
+    fn has_caught_up_learner(&self) -> bool {
         self.healthy_learners.iter().any(|learner| self.is_caught_up(*learner))
     }
 
-    /// Promotes a learner that is needed and caught up.
+    /// Promotes a learner that has caught up and is needed as a voter.
     fn promote(&self) -> Option<MemberChange> {
         let caught_up = self.healthy_learners.iter().copied().filter(|l| self.is_caught_up(*l));
         let needed = caught_up.into_iter().find(|learner| self.is_vote_needed(*learner));
@@ -188,17 +191,17 @@
         self.healthy.len() < self.settings.voters
     }
 
-    fn placement(&self) -> Placement<'_> {
+    fn placement(&self) -> VoterPlacement<'_> {
         let kept: Vec<ReplicaId> = if self.healthy.is_empty() {
             self.status.members.voters.iter().copied().collect()
         } else {
             self.healthy.clone()
         };
         let home = self.settings.homes.home_of(self.status.group);
-        Placement::new(self.view, kept, self.status.id, self.settings.voters, home)
+        VoterPlacement::new(self.view, kept, self.status.id, self.settings.voters, home)
     }
 
-    /// Removes a leaving voter, or one too many, once enough healthy ones vote.
+    /// Removes a leaving or surplus voter once there are enough healthy voters.
     fn remove_replaced(&self) -> Option<MemberChange> {
         let own = self.status.id;
         if self.lacks_voters() {
@@ -211,7 +214,7 @@
         if self.healthy.len() == self.settings.voters {
             return None;
         }
-        self.placement().most_dispensable().map(MemberChange::Remove)
+        self.placement().removal_candidate().map(MemberChange::Remove)
     }
 
     fn remove_surplus_learner(&self) -> Option<MemberChange> {
@@ -233,47 +236,47 @@
             .then_some(MemberChange::AddLearner(candidate))
     }
 
-    /// The voter to hand over to: one at home when the leader is not, or one whose daemon leads
-    /// clearly fewer groups.
-    pub fn balance(&self) -> Option<ReplicaId> {
-        let targets = self.healthy.iter().copied().filter(|voter| self.may_lead(*voter));
+    /// The target of a leadership transfer for balance: a voter in the home region if the leader is not
+    /// there, or a voter whose daemon leads clearly fewer groups.
+    pub fn balance_target(&self) -> Option<ReplicaId> {
+        let targets = self.healthy.iter().copied().filter(|voter| self.can_take_leadership(*voter));
         if self.settings.homes.home_of(self.status.group).is_none() {
-            return self.lead_fewer(targets);
+            return self.target_leading_fewer(targets);
         }
         let placement = self.placement();
-        let targets = targets.filter(|voter| placement.is_place_of_leader(*voter));
-        if placement.is_place_of_leader(self.status.id) {
-            return self.lead_fewer(targets);
+        let targets = targets.filter(|voter| placement.may_lead_by_region(*voter));
+        if placement.may_lead_by_region(self.status.id) {
+            return self.target_leading_fewer(targets);
         }
-        // Others need the leader's attention first, and a hand-over may cost an election.
+        // Missing voters are replaced first, and a transfer may cost an election.
         if self.lacks_voters() {
             return None;
         }
         targets.min_by_key(|voter| (self.leaderships(*voter), *voter))
     }
 
-    fn lead_fewer(&self, targets: impl Iterator<Item = ReplicaId>) -> Option<ReplicaId> {
+    fn target_leading_fewer(&self, targets: impl Iterator<Item = ReplicaId>) -> Option<ReplicaId> {
         let own = self.leaderships(self.status.id)?;
         let counted = targets.filter_map(|voter| Some((self.leaderships(voter)?, voter)));
         let (count, target) = counted.min()?;
-        (count + BALANCE_THRESHOLD <= own).then_some(target)
+        (count + MIN_LEADERSHIP_DIFFERENCE <= own).then_some(target)
     }
 
     fn leaderships(&self, replica: ReplicaId) -> Option<u32> {
         self.view.daemons.get(&replica.daemon).map(|daemon| daemon.leaderships)
     }
 
-    /// Whether a hand-over to a voter would succeed at once: one that fails stops the group for an
-    /// election timeout.
-    fn may_lead(&self, voter: ReplicaId) -> bool {
+    /// Whether a leadership transfer to a voter would succeed at once. A failed transfer stops the group
+    /// for an election timeout.
+    fn can_take_leadership(&self, voter: ReplicaId) -> bool {
         let view = self.view.daemons.get(&voter.daemon);
         let is_live = view.is_some_and(|view| view.liveness == Liveness::Live);
         is_live && voter != self.status.id && self.is_caught_up(voter) && self.in_contact(voter)
     }
 }
 
-/// Deaths that a group survives, of which `answering` of `voters` voters answer; negative when
-/// it has no quorum already.
-fn survives(answering: usize, voters: usize) -> i64 {
+/// The number of deaths that a group survives if `answering` of its `voters` voters answer. Negative
+/// if it has no quorum already.
+fn survivable_deaths(answering: usize, voters: usize) -> i64 {
     answering as i64 - (voters as i64 / 2 + 1)
 }
--- a/crates/replication/src/maintenance/view.rs
+++ b/crates/replication/src/maintenance/view.rs
@@ -1,4 +1,4 @@
-//! The daemons as a leader's daemon sees them.
+//! The view of all daemons on which maintenance decides.
 
 use std::collections::BTreeMap;
 
@@ -7,54 +7,54 @@
 use crate::directory::Directory;
 use crate::membership::{Health, Member, MemberState};
 
-/// What is thought of a daemon.
+/// The liveness of a daemon, as maintenance uses it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Liveness {
-    /// It answers and takes work.
+    /// It answers and accepts work.
     Live,
-    /// It answers and takes no new work, or does not answer of late.
+    /// It is still starting, or membership suspects it.
     NotReady,
-    /// It, or the platform's list of machines, says that it leaves.
+    /// It reports that it is leaving, or the platform's list of machines does.
     Leaving,
-    /// Membership holds it for dead.
+    /// Membership declares it dead.
     Dead,
 }
 
-/// A daemon.
+/// The view of one daemon.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DaemonView {
-    /// Its present life.
+    /// Its present incarnation.
     pub incarnation: Incarnation,
     /// Its zone.
     pub zone: Zone,
     /// Its region.
     pub region: Region,
-    /// What is thought of it.
+    /// Its liveness.
     pub liveness: Liveness,
     /// Whether replicas may be placed on it.
     pub holds_groups: bool,
-    /// Replicas it holds.
+    /// The number of replicas that it holds.
     pub replicas: u32,
-    /// Groups it leads.
+    /// The number of groups that it leads.
     pub leaderships: u32,
 }
 
 impl DaemonView {
     /// Whether a replica may be placed on it now.
-    pub(super) fn is_free(&self) -> bool {
+    pub(super) fn is_available(&self) -> bool {
         self.liveness == Liveness::Live && self.holds_groups
     }
 }
 
-/// All daemons known.
+/// The view of all known daemons.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct ClusterView {
-    /// By number.
+    /// The daemons by identifier.
     pub daemons: BTreeMap<DaemonId, DaemonView>,
 }
 
 impl ClusterView {
-    /// From membership and the directory.
+    /// Creates the view from membership and the directory.
     pub fn new(members: &[Member], directory: &Directory) -> Self {
         let replicas = directory.replica_counts();
         let leaderships = directory.leader_counts();
@@ -75,7 +75,8 @@
         Self { daemons }
     }
 
-    /// Notes that the platform's list calls a daemon leaving. It never makes one dead.
+    /// Marks a daemon as leaving, as the platform's list of machines reports. The list never makes a
+    /// daemon dead.
     pub fn mark_leaving(&mut self, daemon: DaemonId) {
         if let Some(view) = self.daemons.get_mut(&daemon)
             && view.liveness != Liveness::Dead
@@ -84,27 +85,27 @@
         }
     }
 
-    /// Replicas that each daemon which may take one would have if all had equally many, rounded
-    /// down; 1 at least, so that one without replicas always has room.
+    /// The number of replicas that each available daemon would have if they were evenly distributed,
+    /// rounded down. At least 1, so that a daemon without replicas always has room.
     pub(super) fn even_share(&self) -> u32 {
         let replicas: u32 = self.daemons.values().map(|daemon| daemon.replicas).sum();
-        let free = self.daemons.values().filter(|daemon| daemon.is_free()).count();
-        (replicas / (free as u32).max(1)).max(1)
+        let available = self.daemons.values().filter(|daemon| daemon.is_available()).count();
+        (replicas / (available as u32).max(1)).max(1)
     }
 
-    /// Daemons of a region that hold groups, whatever is thought of them now.
-    pub(super) fn holders_in(&self, region: &Region) -> usize {
+    /// The number of daemons in a region that hold groups, whatever their liveness.
+    pub(super) fn holder_count_in(&self, region: &Region) -> usize {
         let daemons = self.daemons.values().filter(|daemon| daemon.holds_groups);
         daemons.filter(|daemon| daemon.region == *region).count()
     }
 
-    /// Daemons of a region on which a replica may be placed now.
-    pub(super) fn free_in(&self, region: &Region) -> usize {
-        let daemons = self.daemons.values().filter(|daemon| daemon.is_free());
+    /// The number of daemons in a region on which a replica may be placed now.
+    pub(super) fn available_count_in(&self, region: &Region) -> usize {
+        let daemons = self.daemons.values().filter(|daemon| daemon.is_available());
         daemons.filter(|daemon| daemon.region == *region).count()
     }
 
-    /// The daemon's present replica identifier.
+    /// The identifier of replicas in the daemon's present incarnation.
     pub fn replica(&self, daemon: DaemonId) -> Option<ReplicaId> {
         let incarnation = self.daemons.get(&daemon)?.incarnation;
         Some(ReplicaId { daemon, incarnation })
--- a/crates/replication/src/tolerance.rs
+++ b/crates/replication/src/tolerance.rs
@@ -1,9 +1,9 @@
-//! How many voters a group needs to bear the losses that a deployment declares.
+//! How many voters a group needs to tolerate the losses that a deployment declares.
 //!
-//! With `2f + 1` voters every `f` of them may be lost, their disks included: an entry is committed
-//! on `f + 1`, so that one copy is left, and `f + 1` voters are left to agree. Zones are borne in
-//! the same way, by spreading the voters: the zones that may be lost together must hold no more
-//! than `f` of them.
+//! With `2f + 1` voters, any `f` of them may be lost, including their disks: a committed entry is on
+//! `f + 1` voters, so one copy remains, and the remaining `f + 1` voters are a quorum. Losses of zones
+//! are tolerated by spreading the voters: the zones that may be lost together must hold no more than
+//! `f` of them.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -13,14 +13,14 @@
 
 use crate::membership::Member;
 
-/// Most voters of a group. Each further one costs a copy of everything, and an answer that a commit
-/// waits for.
+/// Most voters of a group. Each further voter costs another copy of all data, and a further answer that
+/// commits wait for.
 pub const MAX_VOTERS: usize = 9;
-/// Largest number that a setting may say; what cannot be borne is reported, not refused.
-const MOST_LOSSES: u32 = 1_000;
+/// The largest value of a setting. A loss that cannot be tolerated is reported, not rejected.
+const MAX_LOSSES: u32 = 1_000;
 
-/// What may be lost at once without a promise broken: so many machines, or so many zones, or so
-/// many regions.
+/// The losses that a deployment must tolerate without breaking a promise: at once so many machines, or
+/// so many zones, or so many regions.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LossTolerance {
@@ -38,37 +38,37 @@
     }
 }
 
-/// What can be borne on the machines that are there.
+/// The number of voters to use on the existing machines, and the losses that it cannot tolerate.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct VoterTarget {
-    /// Voters that each group should have; odd, 1 at least.
+    /// Voters that each group should have; odd and at least 1.
     pub voters: usize,
-    /// Demands that are not met with them.
+    /// Declared losses that this number of voters does not tolerate.
     pub shortfalls: Vec<Shortfall>,
 }
 
-/// A demand that cannot be met.
+/// A declared loss that cannot be tolerated.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Shortfall {
-    /// The field of the settings.
+    /// The settings field that declares it.
     pub field: &'static str,
-    /// What it says.
+    /// The value of the field.
     pub requested: u32,
-    /// What is borne instead.
+    /// The loss that is tolerated instead.
     pub tolerated: u32,
-    /// What would be needed.
+    /// What would be required to tolerate the declared loss.
     pub requirement: String,
 }
 
 impl fmt::Display for Shortfall {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Self { field, requested, tolerated, requirement } = self;
-        write!(f, "{field} = {requested} cannot be borne, {tolerated} can: {requirement}")
+        write!(f, "{field} = {requested} cannot be tolerated, only {tolerated} can: {requirement}")
     }
 }
 
 impl LossTolerance {
-    /// So many machines, whatever their zones.
+    /// Tolerates the loss of so many machines, whatever their zones.
     pub const fn of_machines(machines: u32) -> Self {
         Self { machines, zones: 0, regions: 0 }
     }
@@ -76,26 +76,26 @@
     /// Checks every field.
     ///
     /// # Errors
-    /// The first field with a value that is not allowed.
+    /// The first field whose value is out of range.
     pub fn check(&self) -> Result<(), InvalidSetting> {
-        check_range("tolerance.machines", self.machines, 0, MOST_LOSSES)?;
-        check_range("tolerance.zones", self.zones, 0, MOST_LOSSES)?;
-        check_range("tolerance.regions", self.regions, 0, MOST_LOSSES)
+        check_range("tolerance.machines", self.machines, 0, MAX_LOSSES)?;
+        check_range("tolerance.zones", self.zones, 0, MAX_LOSSES)?;
+        check_range("tolerance.regions", self.regions, 0, MAX_LOSSES)
     }
 
-    /// Voters that each group needs where machines and zones are plenty.
+    /// Voters that each group needs if there are enough machines and zones.
     pub fn wanted_voters(&self) -> usize {
         let losses = self.machines.max(self.zones);
         (2 * losses as usize + 1).min(MAX_VOTERS)
     }
 
-    /// Voters that each group should have with these machines that may hold groups, by zone.
+    /// The number of voters that each group should have on these machines.
     pub fn target(&self, holders: &HolderCounts) -> VoterTarget {
         let most = odd_at_most(holders.total().clamp(1, MAX_VOTERS));
         let wanted = self.wanted_voters().min(most);
-        let bears_zones = |voters: &usize| holders.tolerated_zones(*voters) >= self.zones;
-        // More voters than machines need can make a spread over zones even.
-        let spread = (wanted..=most).step_by(2).find(bears_zones);
+        let tolerates_zones = |voters: &usize| holders.tolerated_zones(*voters) >= self.zones;
+        // The zones may require more voters than the machines do, so that they can be spread evenly.
+        let spread = (wanted..=most).step_by(2).find(tolerates_zones);
         let voters = spread.unwrap_or(wanted);
         VoterTarget { voters, shortfalls: self.shortfalls(voters, holders) }
     }
@@ -144,15 +144,15 @@
     }
 }
 
-/// Machines that may hold groups, counted by zone.
+/// The number of machines in each zone that may hold groups.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct HolderCounts {
     by_zone: BTreeMap<Zone, usize>,
 }
 
 impl HolderCounts {
-    /// Counts members that are to hold groups. A dead or leaving one counts: it may come back with
-    /// its disk, and a group that did without its vote would bear less.
+    /// Counts members that may hold groups. Dead and leaving ones count: they may come back with their
+    /// disks, and a group without their votes would tolerate fewer losses.
     pub fn of_members<'a>(members: impl IntoIterator<Item = &'a Member>) -> Self {
         let infos = members.into_iter().map(|member| &member.record.info);
         Self::of_zones(infos.filter(|info| info.holds_groups).map(|info| info.zone.clone()))
@@ -167,30 +167,32 @@
         Self { by_zone }
     }
 
-    /// All machines.
+    /// The number of all machines.
     pub fn total(&self) -> usize {
         self.by_zone.values().sum()
     }
 
-    /// Zones that have one.
+    /// The number of zones with at least one machine.
     pub fn zones(&self) -> usize {
         self.by_zone.len()
     }
 
-    /// Zones that a group of so many voters can lose, spread as evenly as the machines allow.
+    /// The number of zones that a group can lose with `voters` voters, spread as evenly as the machines
+    /// allow.
     fn tolerated_zones(&self, voters: usize) -> u32 {
-        let mut used = self.spread(voters);
+        let mut used = self.spread_over_zones(voters);
         used.sort_unstable_by(|a, b| b.cmp(a));
         let mut lost = 0;
-        let may_go = |in_zone: &&usize| {
+        let is_tolerated = |in_zone: &&usize| {
             lost += **in_zone;
             lost <= voters / 2
         };
-        used.iter().take_while(may_go).count() as u32
+        used.iter().take_while(is_tolerated).count() as u32
     }
 
-    /// Voters in each zone: one after the other goes to the zone with fewest that has room.
-    fn spread(&self, voters: usize) -> Vec<usize> {
+    /// The number of voters in each zone: each voter goes to the zone with the fewest voters that has
+    /// room.
+    fn spread_over_zones(&self, voters: usize) -> Vec<usize> {
         let room: Vec<usize> = self.by_zone.values().copied().collect();
         let mut used = vec![0; room.len()];
         for _ in 0..voters {
