--- a/crates/replication/examples/measure/fail_over.rs
+++ b/crates/replication/examples/measure/fail_over.rs
@@ -1,4 +1,4 @@
-//! Time from a leader's death to a leader that is ready, in virtual time.
+//! Virtual time from a leader's death until another leader is ready.
 
 use dahlia_replication::group::GroupSettings;
 use dahlia_types::{DaemonId, Duration};
@@ -6,9 +6,9 @@
 use crate::support::cluster::Cluster;
 
 const SEEDS: u64 = 500;
-const MOST: Duration = Duration::from_secs(20);
+const MAX_WAIT: Duration = Duration::from_secs(20);
 
-/// Prints percentiles over seeds, with and without the hint of a broken connection.
+/// Prints percentiles over seeds, with and without the report of a broken connection.
 pub fn run() {
     println!("a leader's death to the next ready leader, ms, {SEEDS} seeds each");
     println!("voters  hint   p50   p99   most");
@@ -25,7 +25,7 @@
 
 fn fail_over(voters: u32, has_hint: bool, seed: u64) -> Duration {
     let mut cluster = Cluster::new(voters, voters, GroupSettings::default(), seed);
-    assert!(cluster.run_until_holds(MOST, |cluster| cluster.leader().is_some()));
+    assert!(cluster.run_until_holds(MAX_WAIT, |cluster| cluster.leader().is_some()));
     cluster.run_for(Duration::from_millis(1_000 + seed * 37 % 1_000));
     let leader = cluster.leader().expect("still there");
     let lost = cluster.nodes[&leader].replica.id();
@@ -38,7 +38,7 @@
             cluster.replica_mut(daemon).peer_disconnected(lost, start);
         }
     }
-    assert!(cluster.run_until_holds(MOST, |cluster| cluster.leader().is_some()), "seed {seed}");
-    cluster.assert_sound();
+    assert!(cluster.run_until_holds(MAX_WAIT, |cluster| cluster.leader().is_some()), "seed {seed}");
+    cluster.assert_invariants_hold();
     cluster.now.since(start)
 }
--- a/crates/replication/examples/measure/groups.rs
+++ b/crates/replication/examples/measure/groups.rs
@@ -1,4 +1,4 @@
-//! Heartbeats of many groups, and the cost of a committed entry.
+//! Cost of the heartbeats of many groups, of committed entries, and memory of replicas.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Instant;
@@ -18,12 +18,12 @@
     ReplicaId { daemon: DaemonId(daemon), incarnation: Incarnation(START.0 / 1_000) }
 }
 
-/// Daemons with all their replicas; messages arrive one tick later at the latest.
+/// Daemons with all their replicas. Messages arrive within one tick.
 struct Fleet {
     now: Timestamp,
     replicas: BTreeMap<DaemonId, BTreeMap<GroupId, Replica>>,
     coalescers: BTreeMap<DaemonId, Coalescer>,
-    waiting: VecDeque<(DaemonId, PeerBatch)>,
+    in_flight: VecDeque<(DaemonId, PeerBatch)>,
     bytes: u64,
     batches: u64,
     committed: u64,
@@ -35,7 +35,7 @@
             now: START,
             replicas: BTreeMap::new(),
             coalescers: BTreeMap::new(),
-            waiting: VecDeque::new(),
+            in_flight: VecDeque::new(),
             bytes: 0,
             batches: 0,
             committed: 0,
@@ -58,7 +58,7 @@
         while self.now < end {
             self.now = self.now + TICK;
             self.tick();
-            self.exchange();
+            self.deliver_all();
         }
     }
 
@@ -67,13 +67,13 @@
             let coalescer = self.coalescers.entry(*daemon).or_default();
             for replica in replicas.values_mut() {
                 replica.tick(self.now);
-                self.committed += pass_on(replica, coalescer);
+                self.committed += coalesce_outputs(replica, coalescer);
             }
         }
     }
 
-    /// Delivers until no message is left.
-    fn exchange(&mut self) {
+    /// Delivers messages until none is left.
+    fn deliver_all(&mut self) {
         loop {
             for coalescer in self.coalescers.values_mut() {
                 for (to, batch) in coalescer.take() {
@@ -81,13 +81,13 @@
                     self.bytes += encoded.len() as u64;
                     self.batches += 1;
                     let decoded = bincode::serde::decode_from_slice(&encoded, CONFIG);
-                    self.waiting.push_back((to, decoded.expect("decodes").0));
+                    self.in_flight.push_back((to, decoded.expect("decodes").0));
                 }
             }
-            if self.waiting.is_empty() {
+            if self.in_flight.is_empty() {
                 return;
             }
-            while let Some((daemon, batch)) = self.waiting.pop_front() {
+            while let Some((daemon, batch)) = self.in_flight.pop_front() {
                 self.deliver(daemon, batch);
             }
         }
@@ -99,22 +99,22 @@
         for message in batch.into_messages() {
             let Some(replica) = replicas.get_mut(&message.group) else { continue };
             replica.step(message, self.now);
-            self.committed += pass_on(replica, coalescer);
+            self.committed += coalesce_outputs(replica, coalescer);
         }
     }
 
     fn leader(&mut self, group: GroupId) -> Option<&mut Replica> {
-        let replicas = self.replicas.values_mut().filter_map(|held| held.get_mut(&group));
+        let replicas = self.replicas.values_mut().filter_map(|replicas| replicas.get_mut(&group));
         replicas.into_iter().find(|replica| replica.role() == Role::Leader)
     }
 
-    fn reset(&mut self) {
+    fn reset_counters(&mut self) {
         (self.bytes, self.batches, self.committed) = (0, 0, 0);
     }
 }
 
-/// Hands messages to the coalescer; returns the commands that came out.
-fn pass_on(replica: &mut Replica, coalescer: &mut Coalescer) -> u64 {
+/// Adds a replica's messages to the coalescer. Returns the number of its committed commands.
+fn coalesce_outputs(replica: &mut Replica, coalescer: &mut Coalescer) -> u64 {
     let mut committed = 0;
     for output in replica.take_outputs() {
         match output {
@@ -141,7 +141,7 @@
     }
 }
 
-/// Replicas at rest, and replicas with a full log.
+/// Measures the memory of idle replicas, and of replicas with a full log.
 pub fn memory() {
     const GROUPS: u32 = 740;
     const PAYLOAD: usize = 200;
@@ -167,7 +167,7 @@
     );
 }
 
-/// Idle groups: only heartbeats.
+/// Measures the heartbeats of idle groups.
 pub fn heartbeats() {
     const SECONDS: u64 = 30;
     println!("idle groups of three, {SECONDS} s of virtual time each");
@@ -175,7 +175,7 @@
     for (daemons, groups) in [(40, 80), (100, 200), (200, 400), (370, 740), (370, 2_960)] {
         let mut fleet = Fleet::new(daemons, groups, 3);
         fleet.run_for(Duration::from_secs(5));
-        fleet.reset();
+        fleet.reset_counters();
         let started = Instant::now();
         fleet.run_for(Duration::from_secs(SECONDS));
         let cpu = started.elapsed().as_micros() as f64;
@@ -189,7 +189,7 @@
     }
 }
 
-/// One busy group: proposals in bursts of different sizes.
+/// Measures one busy group with proposals in bursts of different sizes.
 pub fn committed_entries() {
     const ENTRIES: usize = 100_000;
     const PAYLOAD: usize = 200;
@@ -199,12 +199,12 @@
         for burst in [1, 16, 64] {
             let mut fleet = Fleet::new(14, 1, voters);
             fleet.run_for(Duration::from_secs(5));
-            fleet.reset();
+            fleet.reset_counters();
             let started = Instant::now();
             for _ in 0..ENTRIES / burst {
                 fleet.now = fleet.now + Duration::from_micros(100);
                 propose(&mut fleet, burst, PAYLOAD);
-                fleet.exchange();
+                fleet.deliver_all();
             }
             let cpu = started.elapsed().as_micros() as f64;
             fleet.run_for(Duration::from_secs(1));
@@ -230,7 +230,7 @@
     }
     let mut coalescer = fleet.coalescers.remove(&daemon).unwrap_or_default();
     let leader = fleet.leader(GroupId(0)).expect("a leader");
-    let committed = pass_on(leader, &mut coalescer);
+    let committed = coalesce_outputs(leader, &mut coalescer);
     fleet.committed += committed;
     fleet.coalescers.insert(daemon, coalescer);
 }
--- a/crates/replication/examples/measure/main.rs
+++ b/crates/replication/examples/measure/main.rs
@@ -1,12 +1,12 @@
-//! Measures what membership and replica groups cost, in virtual time on one core.
+//! Measures the cost of membership and of replica groups, in virtual time on one core.
 //!
 //! `cargo run --release -p dahlia-replication --example measure -- SECTION`, where the section is
-//! `membership`, `membership-memory`, `groups`, `group-memory`, `entries` or `fail-over`. Each runs
-//! in a process of its own, so that memory freed by one does not hide the growth of another.
+//! `membership`, `membership-memory`, `groups`, `group-memory`, `entries` or `fail-over`. Each section
+//! runs in its own process, so that memory freed by one does not hide the growth of another.
 //!
-//! Bytes are those of the encoded messages, without transport headers. Processor time is that of
-//! the state machines and of encoding, measured over the whole process and divided by daemons
-//! and virtual seconds, the simulator's own share included: an upper bound.
+//! Bytes are counted on the encoded messages, without transport headers. Processor time is measured over
+//! the whole process and divided by daemons and virtual seconds. It covers the state machines and the
+//! encoding, and also the simulator, so it is an upper bound.
 
 mod fail_over;
 mod groups;
@@ -17,7 +17,7 @@
 
 use dahlia_replication::membership::{FactKey, MembershipSettings};
 use dahlia_types::{DaemonId, Duration, GroupId};
-use support::swarm::{Shape, Swarm};
+use support::membership_cluster::{MembershipCluster, Topology};
 
 const SECOND: Duration = Duration::from_secs(1);
 const SIZES: [u32; 4] = [40, 100, 200, 370];
@@ -52,18 +52,19 @@
 fn membership_memory() {
     println!("membership, resident bytes after 300 s of virtual time");
     println!("daemons  bytes/daemon");
-    let mut kept = Vec::new();
+    let mut clusters = Vec::new();
     for daemons in SIZES {
         let before = resident_bytes();
-        let mut swarm = Swarm::new(shape(daemons), MembershipSettings::default(), 1);
-        swarm.run_for(SECOND.times(300));
+        let mut cluster =
+            MembershipCluster::new(topology(daemons), MembershipSettings::default(), 1);
+        cluster.run_for(SECOND.times(300));
         println!("{daemons:7}  {:12}", (resident_bytes() - before) / u64::from(daemons));
-        kept.push(swarm);
+        clusters.push(cluster);
     }
 }
 
-fn shape(daemons: u32) -> Shape {
-    Shape { daemons, regions: 2, zones_per_region: 4 }
+fn topology(daemons: u32) -> Topology {
+    Topology { daemons, regions: 2, zones_per_region: 4 }
 }
 
 fn membership() {
@@ -77,21 +78,21 @@
 }
 
 fn membership_at(daemons: u32, has_churn: bool) {
-    let mut swarm = Swarm::new(shape(daemons), MembershipSettings::default(), 1);
-    let full = swarm.run_until_holds(SECOND.times(120), Swarm::is_complete);
-    swarm.run_for(SECOND.times(120));
-    swarm.reset_counters();
+    let mut cluster = MembershipCluster::new(topology(daemons), MembershipSettings::default(), 1);
+    let full = cluster.run_until_holds(SECOND.times(120), MembershipCluster::is_complete);
+    cluster.run_for(SECOND.times(120));
+    cluster.reset_counters();
     let started = Instant::now();
     for second in 1..=MEASURED_SECONDS {
         if has_churn {
-            churn(&mut swarm, second, daemons);
+            churn(&mut cluster, second, daemons);
         }
-        swarm.run_for(SECOND);
+        cluster.run_for(SECOND);
     }
     let cpu = started.elapsed().as_micros() as f64;
     let per = f64::from(daemons) * MEASURED_SECONDS as f64;
-    let bytes: Vec<u64> = swarm.nodes.values().map(|node| node.bytes_sent).collect();
-    let messages: u64 = swarm.nodes.values().map(|node| node.messages_sent).sum();
+    let bytes: Vec<u64> = cluster.nodes.values().map(|node| node.bytes_sent).collect();
+    let messages: u64 = cluster.nodes.values().map(|node| node.messages_sent).sum();
     println!(
         "{daemons:7}  {has_churn:5}  {:12.0}  {:3}  {:10.2}  {:8.0}  {:?}",
         bytes.iter().sum::<u64>() as f64 / per,
@@ -102,19 +103,19 @@
     );
 }
 
-/// A restart a minute (17 times the target's 86 a day), a configuration every ten seconds (10
-/// times its 830 a day) and a group description every two.
-fn churn(swarm: &mut Swarm, second: u64, daemons: u32) {
+/// Causes a restart every minute (17 times the target of 86 a day), a configuration every ten seconds (10
+/// times the target of 830 a day) and a group description every two seconds.
+fn churn(cluster: &mut MembershipCluster, second: u64, daemons: u32) {
     let number = second as u32;
     if second.is_multiple_of(60) {
         let daemon = DaemonId(4 + number % (daemons - 4));
-        swarm.kill(daemon);
-        swarm.start(daemon);
+        cluster.kill(daemon);
+        cluster.start(daemon);
     }
     if second.is_multiple_of(10) {
-        swarm.publish(1, FactKey::Configuration, second, 60);
+        cluster.publish(1, FactKey::Configuration, second, 60);
     }
     if second.is_multiple_of(2) {
-        swarm.publish(2, FactKey::Group(GroupId(number % 100)), second, 60);
+        cluster.publish(2, FactKey::Group(GroupId(number % 100)), second, 60);
     }
 }
--- a/crates/replication/tests/group_basics.rs
+++ b/crates/replication/tests/group_basics.rs
@@ -1,4 +1,5 @@
-//! A group without or with single faults: elections, proposals, members, snapshots, hand-over.
+//! A group without faults or with single faults: elections, proposals, member changes, snapshots and
+//! leadership transfer.
 
 mod support;
 
@@ -8,7 +9,7 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-fn led_cluster(daemons: u32, voters: u32, settings: GroupSettings) -> (Cluster, DaemonId) {
+fn cluster_with_leader(daemons: u32, voters: u32, settings: GroupSettings) -> (Cluster, DaemonId) {
     let mut cluster = Cluster::new(daemons, voters, settings, 11);
     assert!(cluster.run_until_holds(SECOND.times(10), |cluster| cluster.leader().is_some()));
     let leader = cluster.leader().expect("just seen");
@@ -16,13 +17,13 @@
 }
 
 fn commit(cluster: &mut Cluster, leader: DaemonId, payload: &[u8]) {
-    let proposal = cluster.propose(leader, payload).expect("the leader takes it");
+    let proposal = cluster.propose(leader, payload).expect("the leader accepts it");
     let is_done = cluster.run_until_holds(SECOND, |cluster| cluster.is_committed(proposal));
     assert!(is_done, "proposal at {} is not committed", proposal.index);
 }
 
 fn change(cluster: &mut Cluster, leader: DaemonId, change: MemberChange) {
-    let index = cluster.replica_mut(leader).change_members(change).expect("the change fits");
+    let index = cluster.replica_mut(leader).change_members(change).expect("the change is valid");
     cluster.process(leader);
     let is_done = cluster
         .run_until_holds(SECOND, |cluster| cluster.nodes[&leader].replica.committed() >= index);
@@ -31,39 +32,39 @@
 
 #[test]
 fn a_leader_commits_on_all_voters_in_order() {
-    let (mut cluster, leader) = led_cluster(3, 3, GroupSettings::default());
+    let (mut cluster, leader) = cluster_with_leader(3, 3, GroupSettings::default());
     for number in 0..200_u8 {
-        cluster.propose(leader, &[number]).expect("the leader takes it");
+        cluster.propose(leader, &[number]).expect("the leader accepts it");
     }
     cluster.run_for(SECOND);
     for node in cluster.nodes.values() {
         let payloads: Vec<u8> = node.machine.values().map(|applied| applied.payload[0]).collect();
         assert_eq!(payloads, (0..200).collect::<Vec<u8>>());
     }
-    cluster.assert_sound();
+    cluster.assert_invariants_hold();
 }
 
 #[test]
 fn a_group_of_one_commits_at_once() {
-    let (mut cluster, leader) = led_cluster(1, 1, GroupSettings::default());
-    let proposal = cluster.propose(leader, b"alone").expect("the leader takes it");
+    let (mut cluster, leader) = cluster_with_leader(1, 1, GroupSettings::default());
+    let proposal = cluster.propose(leader, b"alone").expect("the leader accepts it");
     assert!(cluster.is_committed(proposal));
 }
 
 #[test]
-fn a_follower_names_the_leader_when_it_refuses() {
-    let (mut cluster, leader) = led_cluster(3, 3, GroupSettings::default());
+fn a_follower_names_the_leader_when_it_rejects_a_proposal() {
+    let (mut cluster, leader) = cluster_with_leader(3, 3, GroupSettings::default());
     cluster.run_for(SECOND);
     let other = *cluster.nodes.keys().find(|daemon| **daemon != leader).expect("three daemons");
-    let refusal = cluster.propose(other, b"x").expect_err("no leader");
+    let error = cluster.propose(other, b"x").expect_err("no leader");
     let expected = cluster.nodes[&leader].replica.id();
-    let ProposeError::NotLeader { leader: named, .. } = refusal else { panic!("{refusal}") };
+    let ProposeError::NotLeader { leader: named, .. } = error else { panic!("{error}") };
     assert_eq!(named, Some(expected));
 }
 
 #[test]
 fn a_dead_leader_is_replaced_and_nothing_is_lost() {
-    let (mut cluster, leader) = led_cluster(3, 3, GroupSettings::default());
+    let (mut cluster, leader) = cluster_with_leader(3, 3, GroupSettings::default());
     commit(&mut cluster, leader, b"kept");
     cluster.kill(leader);
     let has_new = |cluster: &Cluster| cluster.leader().is_some();
@@ -73,12 +74,12 @@
     let kept: Vec<&[u8]> =
         cluster.nodes[&next].machine.values().map(|applied| applied.payload.as_slice()).collect();
     assert_eq!(kept, [b"kept"]);
-    cluster.assert_sound();
+    cluster.assert_invariants_hold();
 }
 
 #[test]
-fn a_broken_connection_shortens_the_wait_for_a_new_leader() {
-    let (mut cluster, leader) = led_cluster(3, 3, GroupSettings::default());
+fn a_broken_connection_shortens_the_time_to_a_new_leader() {
+    let (mut cluster, leader) = cluster_with_leader(3, 3, GroupSettings::default());
     let lost = cluster.nodes[&leader].replica.id();
     cluster.kill(leader);
     let others: Vec<DaemonId> = cluster.nodes.keys().copied().filter(|d| *d != leader).collect();
@@ -97,7 +98,7 @@
         snapshot_chunk_bytes: 64,
         ..GroupSettings::default()
     };
-    let (mut cluster, leader) = led_cluster(4, 3, settings);
+    let (mut cluster, leader) = cluster_with_leader(4, 3, settings);
     for number in 0..100_u8 {
         commit(&mut cluster, leader, &[number; 20]);
     }
@@ -111,12 +112,12 @@
     change(&mut cluster, leader, MemberChange::Promote(learner));
     cluster.run_for(SECOND);
     assert_eq!(cluster.nodes[&DaemonId(4)].replica.role(), Role::Follower);
-    cluster.assert_sound();
+    cluster.assert_invariants_hold();
 }
 
 #[test]
-fn a_removed_replica_is_told_and_may_come_back() {
-    let (mut cluster, leader) = led_cluster(4, 4, GroupSettings::default());
+fn a_removed_replica_is_notified_and_may_be_added_again() {
+    let (mut cluster, leader) = cluster_with_leader(4, 4, GroupSettings::default());
     commit(&mut cluster, leader, b"one");
     let other = *cluster.nodes.keys().find(|daemon| **daemon != leader).expect("four daemons");
     let id = cluster.nodes[&other].replica.id();
@@ -130,27 +131,27 @@
     cluster.run_for(SECOND);
     assert_eq!(cluster.nodes[&other].replica.role(), Role::Follower);
     assert_eq!(cluster.nodes[&other].machine.len(), 1);
-    cluster.assert_sound();
+    cluster.assert_invariants_hold();
 }
 
 #[test]
-fn leadership_is_handed_over_without_an_election_timeout() {
-    let (mut cluster, leader) = led_cluster(3, 3, GroupSettings::default());
+fn leadership_is_transferred_without_an_election_timeout() {
+    let (mut cluster, leader) = cluster_with_leader(3, 3, GroupSettings::default());
     let other = *cluster.nodes.keys().find(|daemon| **daemon != leader).expect("three daemons");
     let id = cluster.nodes[&other].replica.id();
     cluster.run_for(SECOND);
     cluster.replica_mut(leader).transfer_leadership(id).expect("a ready leader");
-    let refusal = cluster.propose(leader, b"x").expect_err("handing over");
-    assert!(matches!(refusal, ProposeError::NotLeader { leader: Some(to), .. } if to == id));
+    let error = cluster.propose(leader, b"x").expect_err("leadership is being transferred");
+    assert!(matches!(error, ProposeError::NotLeader { leader: Some(to), .. } if to == id));
     let is_done = cluster
         .run_until_holds(Duration::from_millis(100), |cluster| cluster.leader() == Some(other));
     assert!(is_done);
-    cluster.assert_sound();
+    cluster.assert_invariants_hold();
 }
 
 #[test]
-fn changes_that_endanger_the_quorum_are_refused() {
-    let (mut cluster, leader) = led_cluster(3, 3, GroupSettings::default());
+fn changes_that_endanger_the_quorum_are_rejected() {
+    let (mut cluster, leader) = cluster_with_leader(3, 3, GroupSettings::default());
     let own = cluster.nodes[&leader].replica.id();
     let others: Vec<DaemonId> = cluster.nodes.keys().copied().filter(|d| *d != leader).collect();
     let replica = cluster.replica_mut(leader);
@@ -158,42 +159,43 @@
     cluster.kill(others[0]);
     cluster.run_for(SECOND.times(2));
     let alive = cluster.nodes[&others[1]].replica.id();
-    let refused = cluster.replica_mut(leader).change_members(MemberChange::Remove(alive));
-    assert_eq!(refused, Err(ChangeError::QuorumAtRisk { in_contact: 1, needed: 2 }));
+    let error = cluster.replica_mut(leader).change_members(MemberChange::Remove(alive));
+    assert_eq!(error, Err(ChangeError::QuorumAtRisk { in_contact: 1, needed: 2 }));
 }
 
 #[test]
-fn limits_on_proposals_hold() {
+fn limits_on_proposals_are_enforced() {
     let settings = GroupSettings {
         max_payload_bytes: 100,
         max_uncommitted_bytes: 250,
         ..GroupSettings::default()
     };
-    let (mut cluster, leader) = led_cluster(3, 3, settings);
-    let refusal = cluster.propose(leader, &[0; 101]).expect_err("too large");
-    assert_eq!(refusal, ProposeError::TooLarge { size: 101, limit: 100 });
+    let (mut cluster, leader) = cluster_with_leader(3, 3, settings);
+    let error = cluster.propose(leader, &[0; 101]).expect_err("too large");
+    assert_eq!(error, ProposeError::TooLarge { size: 101, limit: 100 });
     cluster.propose(leader, &[0; 100]).expect("fits");
     cluster.propose(leader, &[0; 100]).expect("fits");
-    let refusal = cluster.propose(leader, &[0; 100]).expect_err("too much waits");
-    assert_eq!(refusal, ProposeError::Overloaded { uncommitted: 200, limit: 250 });
+    let error = cluster.propose(leader, &[0; 100]).expect_err("too much is uncommitted");
+    assert_eq!(error, ProposeError::Overloaded { uncommitted: 200, limit: 250 });
     cluster.run_for(SECOND);
     cluster.propose(leader, &[0; 100]).expect("fits again");
 }
 
-/// Milliseconds until another replica leads after the leader's death, by seed.
+/// Milliseconds from the leader's death until another replica leads.
 fn fail_over_ms(seed: u64) -> u64 {
     let mut cluster = Cluster::new(3, 3, GroupSettings::default(), seed);
     assert!(cluster.run_until_holds(SECOND.times(10), |cluster| cluster.leader().is_some()));
     cluster.run_for(SECOND);
     let leader = cluster.leader().expect("just seen");
-    // Votes wait for a sync of the disk and a turn at the processor.
-    cluster.network.least_delay = Duration::from_millis(5);
-    cluster.network.most_delay = Duration::from_millis(15);
+    // The latency includes a disk sync and the wait for the processor.
+    cluster.network.min_delay = Duration::from_millis(5);
+    cluster.network.max_delay = Duration::from_millis(15);
     let died = cluster.now;
     cluster.kill(leader);
-    let is_led = cluster.run_until_holds(SECOND.times(10), |cluster| cluster.leader().is_some());
-    assert!(is_led, "seed {seed}: no leader");
-    cluster.assert_sound();
+    let has_leader =
+        cluster.run_until_holds(SECOND.times(10), |cluster| cluster.leader().is_some());
+    assert!(has_leader, "seed {seed}: no leader");
+    cluster.assert_invariants_hold();
     cluster.now.since(died).as_millis()
 }
 
@@ -203,7 +205,7 @@
     // The clock's resolution, votes, and a second, short round.
     let allowance = 2 * GroupSettings::default().heartbeat_interval_ms;
     for seed in 0..300 {
-        let took = fail_over_ms(seed);
-        assert!(took <= longest_timeout + allowance, "seed {seed}: {took} ms");
+        let delay = fail_over_ms(seed);
+        assert!(delay <= longest_timeout + allowance, "seed {seed}: {delay} ms");
     }
 }
--- a/crates/replication/tests/homes.rs
+++ b/crates/replication/tests/home_regions.rs
@@ -1,4 +1,4 @@
-//! Groups at home in a region: the first layout, and what leaders do about members that are elsewhere.
+//! Home regions of groups: the initial layout, and the maintenance of groups whose members are elsewhere.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -18,8 +18,8 @@
 const VOTERS: usize = 5;
 const REGIONS: [&str; 3] = ["east", "north", "south"];
 const NOW: Timestamp = Timestamp(1_000_000_000);
-/// More steps than any of these situations needs.
-const MOST_STEPS: usize = 400;
+/// More steps than any of these cases needs.
+const MAX_STEPS: usize = 400;
 
 fn homes() -> GroupHomes {
     GroupHomes::new(REGIONS.map(Region::new))
@@ -29,7 +29,8 @@
     ReplicaId { daemon, incarnation: Incarnation(1) }
 }
 
-/// So many daemons in each region, by turns in its two zones. Numbers say the region: 1xx, 2xx, 3xx.
+/// Creates so many daemons in each region, alternating between its two zones. The hundreds of the
+/// identifier are the region: 1xx, 2xx, 3xx.
 fn members(counts: [u32; 3]) -> Vec<MemberInfo> {
     let mut members = Vec::new();
     for (place, (region, count)) in REGIONS.iter().zip(counts).enumerate() {
@@ -56,24 +57,36 @@
     REGIONS[group.0 as usize % 3]
 }
 
-fn at_home(group: GroupId, members: &[ReplicaId]) -> usize {
+fn count_at_home(group: GroupId, members: &[ReplicaId]) -> usize {
     members.iter().filter(|member| region_of(member.daemon) == home_of(group)).count()
 }
 
 #[test]
-fn the_first_layout_puts_groups_at_home() {
+fn the_initial_layout_places_groups_in_their_home_region() {
     struct Case {
         name: &'static str,
         counts: [u32; 3],
-        /// Voters at home of a group of each region, none where it lives elsewhere.
+        /// Voters in the home region for groups of each region; none if they are placed elsewhere.
         home_voters: [Option<usize>; 3],
     }
     for Case { name, counts, home_voters } in [
-        Case { name: "all large", counts: [4, 4, 3], home_voters: [Some(4), Some(4), Some(3)] },
-        Case { name: "all hold all", counts: [6, 6, 6], home_voters: [Some(5); 3] },
-        Case { name: "too few", counts: [4, 4, 2], home_voters: [Some(4), Some(4), None] },
-        Case { name: "none", counts: [0, 5, 5], home_voters: [None, Some(5), Some(5)] },
-        Case { name: "nowhere", counts: [2, 2, 1], home_voters: [None; 3] },
+        Case {
+            name: "all regions large",
+            counts: [4, 4, 3],
+            home_voters: [Some(4), Some(4), Some(3)],
+        },
+        Case { name: "room for all voters at home", counts: [6, 6, 6], home_voters: [Some(5); 3] },
+        Case {
+            name: "one region too small",
+            counts: [4, 4, 2],
+            home_voters: [Some(4), Some(4), None],
+        },
+        Case {
+            name: "one region without daemons",
+            counts: [0, 5, 5],
+            home_voters: [None, Some(5), Some(5)],
+        },
+        Case { name: "all regions too small", counts: [2, 2, 1], home_voters: [None; 3] },
     ] {
         let members = members(counts);
         let layout = initial_layout_with_homes(&members, GROUPS, VOTERS, &homes());
@@ -84,7 +97,7 @@
             *leaders.entry(leader.daemon).or_default() += 1;
             assert_eq!(members.len(), VOTERS, "{name}: {group}");
             let Some(voters) = home_voters[group.0 as usize % 3] else { continue };
-            assert_eq!(at_home(*group, members), voters, "{name}: {group}");
+            assert_eq!(count_at_home(*group, members), voters, "{name}: {group}");
             assert_eq!(region_of(leader.daemon), home_of(*group), "{name}: {group}");
             assert_eq!(members.first(), Some(&leader), "{name}: {group}");
             let zones: BTreeSet<u32> = members.iter().map(|m| m.daemon.0 % 2).collect();
@@ -96,7 +109,7 @@
 }
 
 #[test]
-fn nothing_changes_where_there_are_no_two_regions() {
+fn homes_have_no_effect_with_fewer_than_two_regions() {
     for homes in [GroupHomes::default(), GroupHomes::new([Region::new("east")])] {
         let members = members([4, 4, 3]);
         let layout = initial_layout_with_homes(&members, GROUPS, VOTERS, &homes);
@@ -104,8 +117,8 @@
     }
 }
 
-/// One group and the daemons, where each step takes effect at once.
-struct World {
+/// A group and the daemons, without a network: each step takes effect at once.
+struct SimulatedGroup {
     homes: GroupHomes,
     view: ClusterView,
     group: GroupId,
@@ -114,8 +127,8 @@
     caught_up: bool,
 }
 
-impl World {
-    /// A group led by the first of `voters`.
+impl SimulatedGroup {
+    /// Creates a group that the first of `voters` leads.
     fn new(group: u32, counts: [u32; 3], voters: &[u32]) -> Self {
         let mut view = ClusterView::default();
         for info in members(counts) {
@@ -135,7 +148,7 @@
         Self { homes: homes(), view, group: GroupId(group), leader, members, caught_up: true }
     }
 
-    fn set(&mut self, daemons: &[u32], liveness: Liveness) {
+    fn set_liveness(&mut self, daemons: &[u32], liveness: Liveness) {
         for daemon in daemons {
             let view = self.view.daemons.get_mut(&DaemonId(*daemon)).expect("it exists");
             view.liveness = liveness;
@@ -170,20 +183,20 @@
     fn next(&self) -> Option<MaintenanceStep> {
         let homes = self.homes.clone();
         let settings = MaintenanceSettings { voters: VOTERS, homes, ..Default::default() };
-        let mut pace = BalanceRateLimit::new(&settings, Timestamp::ZERO);
-        Maintenance::new(settings).next_step(&self.status(), &self.view, &mut pace, NOW)
+        let mut rate_limit = BalanceRateLimit::new(&settings, Timestamp::ZERO);
+        Maintenance::new(settings).next_step(&self.status(), &self.view, &mut rate_limit, NOW)
     }
 
-    /// Takes steps until there are none; how many there were.
-    fn settle(&mut self) -> usize {
-        for taken in 0..MOST_STEPS {
+    /// Applies steps until there are none. Returns their number.
+    fn apply_all_steps(&mut self) -> usize {
+        for taken in 0..MAX_STEPS {
             match self.next() {
                 None => return taken,
                 Some(MaintenanceStep::Transfer(to)) => self.leader = to,
                 Some(MaintenanceStep::Change(change)) => self.change(change),
             }
         }
-        panic!("steps without end: {:?}", self.members);
+        panic!("the steps do not end: {:?}", self.members);
     }
 
     fn change(&mut self, change: MemberChange) {
@@ -202,16 +215,16 @@
 
     fn home_voters(&self) -> usize {
         let voters: Vec<ReplicaId> = self.members.voters.iter().copied().collect();
-        at_home(self.group, &voters)
+        count_at_home(self.group, &voters)
     }
 
-    fn leads_at_home(&self) -> bool {
+    fn has_leader_at_home(&self) -> bool {
         region_of(self.leader.daemon) == home_of(self.group)
     }
 }
 
 #[test]
-fn a_group_goes_home_and_stays_there() {
+fn a_group_moves_to_its_home_region_and_stays_there() {
     struct Case {
         name: &'static str,
         counts: [u32; 3],
@@ -238,100 +251,100 @@
             home_voters: 5,
         },
     ] {
-        let mut world = World::new(0, counts, &voters);
-        let steps = world.settle();
+        let mut group = SimulatedGroup::new(0, counts, &voters);
+        let steps = group.apply_all_steps();
         assert!(steps <= 16, "{name}: {steps} steps");
-        assert!(world.leads_at_home(), "{name}: led by {}", world.leader);
-        assert_eq!(world.members.voters.len(), VOTERS, "{name}");
-        assert_eq!(world.home_voters(), home_voters, "{name}: {:?}", world.members.voters);
-        assert_eq!(world.next(), None, "{name}");
+        assert!(group.has_leader_at_home(), "{name}: led by {}", group.leader);
+        assert_eq!(group.members.voters.len(), VOTERS, "{name}");
+        assert_eq!(group.home_voters(), home_voters, "{name}: {:?}", group.members.voters);
+        assert_eq!(group.next(), None, "{name}");
     }
 }
 
 #[test]
-fn losses_at_home_are_made_good_and_the_group_comes_back() {
+fn losses_in_the_home_region_are_replaced_and_the_group_moves_back() {
     struct Case {
         name: &'static str,
         dead: &'static [u32],
-        /// Voters at home while they are dead.
+        /// Voters in the home region while these daemons are dead.
         home_voters: usize,
     }
     for Case { name, dead, home_voters } in [
         Case { name: "one machine", dead: &[103], home_voters: 3 },
         Case { name: "a zone", dead: &[101, 103], home_voters: 2 },
     ] {
-        let mut world = World::new(0, [4, 4, 3], &[100, 101, 102, 103, 200]);
-        assert_eq!(world.next(), None, "{name}");
-        world.set(dead, Liveness::Dead);
-        world.settle();
-        assert_eq!(world.members.voters.len(), VOTERS, "{name}: tolerance is whole again");
-        assert_eq!(world.home_voters(), home_voters, "{name}: {:?}", world.members.voters);
-        assert!(world.leads_at_home(), "{name}: led by {}", world.leader);
-        world.set(dead, Liveness::Live);
-        world.settle();
-        assert_eq!(world.home_voters(), 4, "{name}: {:?}", world.members.voters);
-        assert!(world.leads_at_home(), "{name}: led by {}", world.leader);
+        let mut group = SimulatedGroup::new(0, [4, 4, 3], &[100, 101, 102, 103, 200]);
+        assert_eq!(group.next(), None, "{name}");
+        group.set_liveness(dead, Liveness::Dead);
+        group.apply_all_steps();
+        assert_eq!(group.members.voters.len(), VOTERS, "{name}: all voters are replaced");
+        assert_eq!(group.home_voters(), home_voters, "{name}: {:?}", group.members.voters);
+        assert!(group.has_leader_at_home(), "{name}: led by {}", group.leader);
+        group.set_liveness(dead, Liveness::Live);
+        group.apply_all_steps();
+        assert_eq!(group.home_voters(), 4, "{name}: {:?}", group.members.voters);
+        assert!(group.has_leader_at_home(), "{name}: led by {}", group.leader);
     }
 }
 
 #[test]
-fn a_leader_elsewhere_hands_over_only_when_it_is_safe() {
+fn a_leader_outside_the_home_region_transfers_leadership_only_when_safe() {
     struct Case {
         name: &'static str,
-        change: fn(&mut World),
-        hands_over: bool,
+        change: fn(&mut SimulatedGroup),
+        is_transferred: bool,
     }
-    for Case { name, change, hands_over } in [
-        Case { name: "all is well", change: |_| (), hands_over: true },
+    for Case { name, change, is_transferred } in [
+        Case { name: "all daemons live", change: |_| (), is_transferred: true },
         Case {
             name: "none is caught up",
-            change: |world| world.caught_up = false,
-            hands_over: false,
+            change: |group| group.caught_up = false,
+            is_transferred: false,
         },
         Case {
             name: "all at home are suspected",
-            change: |world| world.set(&[100, 101, 102, 103], Liveness::NotReady),
-            hands_over: false,
+            change: |group| group.set_liveness(&[100, 101, 102, 103], Liveness::NotReady),
+            is_transferred: false,
         },
         Case {
             name: "a voter is missing and none can take its place",
-            change: |world| {
-                world.members.voters.remove(&id(DaemonId(103)));
-                world.set(&[103, 201, 202, 203, 300, 301, 302], Liveness::NotReady);
+            change: |group| {
+                group.members.voters.remove(&id(DaemonId(103)));
+                group.set_liveness(&[103, 201, 202, 203, 300, 301, 302], Liveness::NotReady);
             },
-            hands_over: false,
+            is_transferred: false,
         },
         Case {
-            name: "no rule",
-            change: |world| world.homes = GroupHomes::default(),
-            hands_over: false,
+            name: "no home configured",
+            change: |group| group.homes = GroupHomes::default(),
+            is_transferred: false,
         },
     ] {
-        let mut world = World::new(0, [4, 4, 3], &[200, 100, 101, 102, 103]);
-        change(&mut world);
-        let step = world.next();
-        let to_home =
+        let mut group = SimulatedGroup::new(0, [4, 4, 3], &[200, 100, 101, 102, 103]);
+        change(&mut group);
+        let step = group.next();
+        let is_transfer_home =
             matches!(step, Some(MaintenanceStep::Transfer(to)) if region_of(to.daemon) == "east");
-        assert_eq!(to_home, hands_over, "{name}: {step:?}");
+        assert_eq!(is_transfer_home, is_transferred, "{name}: {step:?}");
     }
 }
 
 #[test]
-fn balance_never_takes_a_leader_from_home() {
-    let mut world = World::new(0, [4, 4, 3], &[100, 101, 102, 103, 200]);
-    world.view.daemons.get_mut(&DaemonId(200)).expect("it exists").leaderships = 0;
-    world.view.daemons.get_mut(&DaemonId(100)).expect("it exists").leaderships = 2;
-    assert_eq!(world.next(), None, "only one elsewhere leads clearly fewer");
-    world.view.daemons.get_mut(&DaemonId(102)).expect("it exists").leaderships = 0;
-    assert_eq!(world.next(), Some(MaintenanceStep::Transfer(id(DaemonId(102)))));
+fn balance_keeps_the_leader_in_the_home_region() {
+    let mut group = SimulatedGroup::new(0, [4, 4, 3], &[100, 101, 102, 103, 200]);
+    group.view.daemons.get_mut(&DaemonId(200)).expect("it exists").leaderships = 0;
+    group.view.daemons.get_mut(&DaemonId(100)).expect("it exists").leaderships = 2;
+    assert_eq!(group.next(), None, "only a daemon of another region leads clearly fewer groups");
+    group.view.daemons.get_mut(&DaemonId(102)).expect("it exists").leaderships = 0;
+    assert_eq!(group.next(), Some(MaintenanceStep::Transfer(id(DaemonId(102)))));
 }
 
 #[test]
-fn a_region_that_cannot_hold_a_majority_is_nobodys_home() {
+fn a_region_too_small_for_a_majority_is_no_home_region() {
     // The third region has two daemons: its groups stay where most of their voters are.
-    let mut world = World::new(2, [4, 5, 2], &[200, 201, 202, 203, 300]);
-    world.settle();
-    let voters: Vec<ReplicaId> = world.members.voters.iter().copied().collect();
+    let mut group = SimulatedGroup::new(2, [4, 5, 2], &[200, 201, 202, 203, 300]);
+    group.apply_all_steps();
+    let voters: Vec<ReplicaId> = group.members.voters.iter().copied().collect();
     let north = voters.iter().filter(|voter| region_of(voter.daemon) == "north").count();
-    assert_eq!((north, region_of(world.leader.daemon)), (5, "north"), "{voters:?}");
+    assert_eq!((north, region_of(group.leader.daemon)), (5, "north"), "{voters:?}");
 }
--- a/crates/replication/tests/layout.rs
+++ b/crates/replication/tests/layout.rs
@@ -1,4 +1,4 @@
-//! The first layout of groups, the directory, merged heartbeats and checked settings.
+//! The initial layout of groups, the directory, merged heartbeats, and validation of settings.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -31,7 +31,7 @@
     }
 }
 
-/// Seven zones in two regions, as in the users' target.
+/// Members in seven zones and two regions, as in the target deployment.
 fn target_members() -> Vec<MemberInfo> {
     let zones =
         [("a", "x"), ("b", "x"), ("c", "x"), ("d", "x"), ("e", "y"), ("f", "y"), ("g", "y")];
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn the_layout_spreads_zones_keeps_to_a_region_and_balances() {
+fn the_layout_spreads_over_zones_stays_in_a_region_and_is_balanced() {
     let members = target_members();
     let infos: BTreeMap<ReplicaId, &MemberInfo> =
         members.iter().map(|info| (info.replica(), info)).collect();
@@ -57,7 +57,7 @@
         assert!(directory.merge(description));
     }
     let (replicas, leaders) = (directory.replica_counts(), directory.leader_counts());
-    assert_eq!(replicas.len(), 370, "every daemon holds something");
+    assert_eq!(replicas.len(), 370, "every daemon holds a replica");
     let range = |counts: &BTreeMap<DaemonId, u32>| {
         (counts.values().min().copied(), counts.values().max().copied())
     };
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn small_deployments_are_laid_out_as_well_as_they_allow() {
+fn small_deployments_use_all_available_members() {
     let halls = ["hall-a", "hall-b", "hall-c", "hall-d"];
     let four: Vec<MemberInfo> =
         halls.iter().zip(1..).map(|(hall, number)| member(number, hall, "gulf-south")).collect();
@@ -106,7 +106,8 @@
     for description in initial_layout(&members, 20, 3) {
         assert!(!description.members.contains(&id(5)));
     }
-    // With two near daemons, the third voter may be far: the majority stays near.
+    // With two daemons in the large region, the third voter may be in the small one: the majority stays
+    // in the large region.
     let layout = initial_layout(&members[2..], 4, 3);
     assert!(layout.iter().all(|description| description.members.len() == 3));
 }
@@ -140,7 +141,7 @@
 }
 
 #[test]
-fn merged_heartbeats_come_out_as_they_went_in() {
+fn merged_heartbeats_are_split_unchanged() {
     let mut coalescer = Coalescer::new();
     let mut sent = Vec::new();
     for group in 0..20 {
@@ -165,7 +166,7 @@
         .iter()
         .map(|message| bincode::serde::encode_to_vec(message, CONFIG).expect("encodes").len())
         .sum();
-    println!("22 messages: {separate} bytes apart, {} merged", encoded.len());
+    println!("22 messages: {separate} bytes separately, {} merged", encoded.len());
     assert!(encoded.len() * 2 < separate);
     let (decoded, _): (PeerBatch, usize) =
         bincode::serde::decode_from_slice(&encoded, CONFIG).expect("decodes");
@@ -175,7 +176,7 @@
 }
 
 #[test]
-fn the_defaults_pass_their_own_checks_and_wrong_values_are_named() {
+fn default_settings_are_valid_and_errors_name_the_field() {
     assert_eq!(GroupSettings::default().check(), Ok(()));
     assert_eq!(MembershipSettings::default().check(), Ok(()));
     assert_eq!(MaintenanceSettings::default().check(), Ok(()));
@@ -192,7 +193,7 @@
 }
 
 #[test]
-fn settings_files_are_read_strictly_and_cannot_remove_mechanisms() {
+fn settings_files_reject_unknown_fields_and_cannot_disable_mechanisms() {
     let read: GroupSettings = toml::from_str("heartbeat_interval_ms = 100").expect("reads");
     assert_eq!(read.heartbeat_interval_ms, 100);
     assert_eq!(read.faults, GroupSettings::default().faults);
@@ -201,7 +202,7 @@
 }
 
 #[test]
-fn the_layout_uses_daemons_that_hold_groups_only() {
+fn the_layout_uses_only_daemons_that_hold_groups() {
     let mut members = target_members();
     for info in &mut members {
         info.holds_groups = info.daemon.0 % 10 == 0;
--- a/crates/replication/tests/malformed.rs
+++ b/crates/replication/tests/malformed.rs
@@ -1,4 +1,5 @@
-//! Damaged messages: whatever still decodes must neither crash nor stop a replica or membership.
+//! Damaged messages: a damaged message that still decodes must neither crash nor block a replica or
+//! membership.
 
 mod support;
 
@@ -7,7 +8,7 @@
 use dahlia_types::{DaemonId, Duration, GroupId, Incarnation, ReplicaId, Timestamp};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use support::swarm::{Shape, Swarm};
+use support::membership_cluster::{MembershipCluster, Topology};
 
 const CONFIG: bincode::config::Configuration<
     bincode::config::LittleEndian,
@@ -15,7 +16,7 @@
     bincode::config::Limit<1_000_000>,
 > = bincode::config::standard().with_limit::<1_000_000>();
 
-/// Changes a few bytes, or cuts the end off.
+/// Changes a few bytes, and sometimes truncates the message.
 fn damage(random: &mut ChaCha8Rng, mut bytes: Vec<u8>) -> Vec<u8> {
     for _ in 0..random.random_range(1..4) {
         let place = random.random_range(0..bytes.len());
@@ -27,7 +28,7 @@
     bytes
 }
 
-fn group_of_three() -> Vec<Replica> {
+fn bootstrap_three_replicas() -> Vec<Replica> {
     let id = |daemon| ReplicaId { daemon: DaemonId(daemon), incarnation: Incarnation(1) };
     let voters: Vec<ReplicaId> = (0..3).map(id).collect();
     let settings = GroupSettings { retained_entries: 4, ..GroupSettings::default() };
@@ -38,22 +39,22 @@
 }
 
 #[test]
-fn damaged_group_messages_crash_nothing() {
+fn damaged_group_messages_do_not_crash_replicas() {
     const SEEDS: u64 = 120;
-    const LEAST_MESSAGES: u64 = 60_000;
-    let mut taken = 0;
+    const MIN_MESSAGES: u64 = 60_000;
+    let mut handled = 0;
     for seed in 0..SEEDS {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
-        let mut replicas = group_of_three();
+        let mut replicas = bootstrap_three_replicas();
         let mut now = Timestamp::ZERO;
         for _ in 0..200 {
             now = now + Duration::from_millis(50);
             let mut messages = Vec::new();
             for replica in &mut replicas {
                 replica.tick(now);
-                // Refused by all but the leader.
-                let _refused = replica.propose(vec![1; 20], now).err();
-                messages.extend(sends(replica));
+                // All replicas except the leader reject it.
+                let _rejected = replica.propose(vec![1; 20], now).err();
+                messages.extend(take_messages(replica));
             }
             while let Some(message) = messages.pop() {
                 let mut delivered = vec![message.clone()];
@@ -66,18 +67,18 @@
                 }
                 for message in delivered {
                     let to = message.to.daemon.0 as usize % replicas.len();
-                    taken += 1;
+                    handled += 1;
                     replicas[to].step(message, now);
-                    messages.extend(sends(&mut replicas[to]));
+                    messages.extend(take_messages(&mut replicas[to]));
                 }
                 messages.truncate(200);
             }
         }
     }
-    assert!(taken > LEAST_MESSAGES, "only {taken} messages");
+    assert!(handled > MIN_MESSAGES, "only {handled} messages");
 }
 
-fn sends(replica: &mut Replica) -> Vec<GroupMessage> {
+fn take_messages(replica: &mut Replica) -> Vec<GroupMessage> {
     let mut messages = Vec::new();
     for output in replica.take_outputs() {
         match output {
@@ -92,27 +93,27 @@
 }
 
 #[test]
-fn damaged_membership_messages_crash_nothing() {
-    let shape = Shape { daemons: 6, regions: 2, zones_per_region: 2 };
-    let mut damaged_taken = 0;
+fn damaged_membership_messages_do_not_crash_membership() {
+    let topology = Topology { daemons: 6, regions: 2, zones_per_region: 2 };
+    let mut damaged_handled = 0;
     for seed in 0..40 {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
-        let mut swarm = Swarm::new(shape, MembershipSettings::default(), seed);
-        swarm.keep_messages = true;
+        let mut cluster = MembershipCluster::new(topology, MembershipSettings::default(), seed);
+        cluster.records_messages = true;
         for _ in 0..100 {
-            swarm.run_for(Duration::from_millis(200));
-            for message in std::mem::take(&mut swarm.kept) {
+            cluster.run_for(Duration::from_millis(200));
+            for message in std::mem::take(&mut cluster.recorded_messages) {
                 let bytes = bincode::serde::encode_to_vec(&message, CONFIG).expect("encodes");
                 let damaged = damage(&mut random, bytes);
                 let decoded = bincode::serde::decode_from_slice::<Envelope, _>(&damaged, CONFIG);
                 let Ok((message, _)) = decoded else { continue };
-                let (now, daemon) = (swarm.now, random.random_range(1..=shape.daemons));
-                damaged_taken += 1;
+                let (now, daemon) = (cluster.now, random.random_range(1..=topology.daemons));
+                damaged_handled += 1;
                 let actions =
-                    swarm.node_mut(daemon).membership.handle(Event::Received(message), now);
+                    cluster.node_mut(daemon).membership.handle(Event::Received(message), now);
                 assert!(actions.len() < 1_000, "seed {seed}");
             }
         }
     }
-    assert!(damaged_taken > 1_000, "only {damaged_taken} messages");
+    assert!(damaged_handled > 1_000, "only {damaged_handled} messages");
 }
--- a/crates/replication/tests/group_cuts.rs
+++ b/crates/replication/tests/one_way_cuts.rs
@@ -1,4 +1,4 @@
-//! Cuts in one direction: a group works on wherever one voter still reaches a quorum both ways.
+//! Cuts in one direction: a group keeps working if one voter still reaches a quorum in both directions.
 
 mod support;
 
@@ -9,7 +9,7 @@
 use support::cluster::Cluster;
 
 const VOTERS: u32 = 3;
-/// Two election timeouts until the old leader is given up, and two more rounds of elections.
+/// Two election timeouts until the old leader is replaced, and two more election rounds.
 const LIMIT: Duration = Duration::from_secs(8);
 
 /// All ordered pairs of different voters.
@@ -25,7 +25,7 @@
         .any(|(one, other)| !cuts.contains(&(*one, *other)) && !cuts.contains(&(*other, *one)))
 }
 
-/// How long after the cuts a command is committed that was proposed after them.
+/// The time from the cuts until a command is committed that was proposed after them.
 fn time_to_commit(cuts: &BTreeSet<(DaemonId, DaemonId)>, seed: u64) -> Option<Duration> {
     let mut cluster = Cluster::new(VOTERS, VOTERS, GroupSettings::default(), seed);
     assert!(cluster.run_until_holds(LIMIT, |cluster| cluster.leader().is_some()));
@@ -40,7 +40,7 @@
         }
         cluster.run_for(Duration::from_millis(50));
         if proposals.iter().any(|proposal| cluster.is_committed(*proposal)) {
-            cluster.assert_sound();
+            cluster.assert_invariants_hold();
             return Some(cluster.now.since(start));
         }
     }
@@ -56,20 +56,23 @@
         let cuts: BTreeSet<(DaemonId, DaemonId)> =
             (0..links.len()).filter(is_cut).map(|place| links[place]).collect();
         for seed in 0..10 {
-            let took = time_to_commit(&cuts, seed);
+            let delay = time_to_commit(&cuts, seed);
             if has_working_pair(&cuts) {
-                let took = took.unwrap_or_else(|| panic!("pattern {pattern:#b}, seed {seed}"));
-                longest = longest.max((took, pattern, seed));
+                let delay = delay.unwrap_or_else(|| panic!("pattern {pattern:#b}, seed {seed}"));
+                longest = longest.max((delay, pattern, seed));
             } else {
-                assert_eq!(took, None, "pattern {pattern:#b}, seed {seed}: no quorum hears itself");
+                assert_eq!(
+                    delay, None,
+                    "pattern {pattern:#b}, seed {seed}: no quorum is connected"
+                );
             }
         }
     }
     println!("longest time to a commit: {} ms, pattern {:#b}", longest.0.as_millis(), longest.1);
 }
 
-/// Whether a leader that nobody can answer is replaced by one that can commit.
-fn mute_listener_is_replaced(faults: Faults) -> bool {
+/// Whether a leader that receives no messages is replaced by one that can commit.
+fn unanswered_leader_is_replaced(faults: Faults) -> bool {
     let settings = GroupSettings { faults, ..GroupSettings::default() };
     let mut cluster = Cluster::new(VOTERS, VOTERS, settings, 3);
     assert!(cluster.run_until_holds(LIMIT, |cluster| cluster.leader().is_some()));
@@ -82,11 +85,11 @@
 }
 
 #[test]
-fn a_leader_that_only_speaks_is_replaced() {
-    assert!(mute_listener_is_replaced(Faults::default()));
+fn a_leader_that_receives_nothing_is_replaced() {
+    assert!(unanswered_leader_is_replaced(Faults::default()));
 }
 
 #[test]
-fn without_check_quorum_a_leader_that_only_speaks_would_stay() {
-    assert!(!mute_listener_is_replaced(Faults { no_check_quorum: true, ..Faults::default() }));
+fn without_check_quorum_a_leader_that_receives_nothing_stays() {
+    assert!(!unanswered_leader_is_replaced(Faults { no_check_quorum: true, ..Faults::default() }));
 }
--- a/crates/replication/tests/support/checker.rs
+++ b/crates/replication/tests/support/checker.rs
@@ -1,4 +1,4 @@
-//! The invariants of Raft (Ongaro and Ousterhout 2014, figure 3), judged from outside.
+//! A checker of the invariants of Raft (Ongaro and Ousterhout 2014, figure 3), on messages and outputs.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +9,7 @@
 
 use super::cluster::Applied;
 
-/// Collects what all replicas said and did; the first violation stays.
+/// Records messages and outputs of all replicas, and the first violation.
 #[derive(Debug, Default)]
 pub struct Checker {
     leaders: BTreeMap<Term, ReplicaId>,
@@ -25,10 +25,10 @@
         self.violation.get_or_insert(text);
     }
 
-    /// A replica is only ever itself, and votes once in a term.
-    pub fn sent(&mut self, sender: ReplicaId, message: &GroupMessage) {
+    /// A replica sends only as its own incarnation, and votes once in a term.
+    pub fn check_sent(&mut self, sender: ReplicaId, message: &GroupMessage) {
         if message.from != sender {
-            self.report(format!("{sender} speaks as its former self {}", message.from));
+            self.report(format!("{sender} sends as its earlier incarnation {}", message.from));
         }
         if let GroupBody::VoteResponse { granted: true } = message.body {
             let voter = (message.from, message.term);
@@ -40,13 +40,13 @@
     }
 
     /// Election safety and leader completeness.
-    pub fn became_leader(&mut self, replica: &Replica, term: Term) {
+    pub fn check_new_leader(&mut self, replica: &Replica, term: Term) {
         let id = replica.id();
         let first = *self.leaders.entry(term).or_insert(id);
         if first != id {
             self.report(format!("{first} and {id} both lead term {term}"));
         }
-        // It may have followed another leader since, before its outputs were taken.
+        // It may have followed another leader before its outputs were taken.
         if (replica.role(), replica.term()) != (Role::Leader, term) {
             return;
         }
@@ -66,7 +66,7 @@
     }
 
     /// State machine safety.
-    pub fn delivered(&mut self, replica: ReplicaId, entry: &Entry) {
+    pub fn check_delivered(&mut self, replica: ReplicaId, entry: &Entry) {
         let applied = Applied { term: entry.term, payload: entry.payload.to_vec() };
         let first = self.committed.entry(entry.index).or_insert_with(|| applied.clone());
         if *first != applied {
@@ -76,7 +76,7 @@
     }
 
     /// A restored state machine equals the committed prefix.
-    pub fn restored(&mut self, snapshot: &Snapshot, machine: &BTreeMap<LogIndex, Applied>) {
+    pub fn check_restored(&mut self, snapshot: &Snapshot, machine: &BTreeMap<LogIndex, Applied>) {
         let prefix = self.committed.range(..=snapshot.index);
         let is_equal = prefix.eq(machine.iter());
         if !is_equal {
--- a/crates/replication/tests/support/cluster.rs
+++ b/crates/replication/tests/support/cluster.rs
@@ -1,4 +1,4 @@
-//! Daemons with one replica each of one group, in virtual time.
+//! A simulated group in virtual time: daemons with one replica each.
 
 use std::collections::BTreeMap;
 
@@ -16,35 +16,36 @@
 
 pub const GROUP: GroupId = GroupId(7);
 const TICK: Duration = Duration::from_millis(50);
-/// Logs are compared at each tick whose number is a multiple of this; prime, so that it meets all.
-const COMPARE_EVERY: u64 = 11;
+/// Logs are compared at each tick whose number is a multiple of this. It is prime, so that all nodes
+/// are compared.
+const LOG_COMPARISON_TICKS: u64 = 11;
 const CONFIG: bincode::config::Configuration = bincode::config::standard();
 
-/// A command as a state machine keeps it.
+/// A command as the state machine stores it.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Applied {
     pub term: Term,
     pub payload: Vec<u8>,
 }
 
-/// A daemon: its replica and its state machine.
+/// A simulated daemon: its replica and its state machine.
 pub struct Node {
     pub replica: Replica,
     pub machine: BTreeMap<LogIndex, Applied>,
     pub is_running: bool,
     pub paused_until: Timestamp,
     buffered: Vec<GroupMessage>,
-    /// Since when it has led without a way to and from a quorum.
+    /// When it started to lead without links to and from a quorum.
     isolated_since: Option<Timestamp>,
 }
 
-/// How often something happened.
+/// The number of occurrences of each kind of event.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Counts {
     pub leaders: u64,
     pub restored: u64,
     pub member_changes: u64,
-    pub memories_lost: u64,
+    pub memory_losses: u64,
     pub proposed: u64,
     pub committed: u64,
 }
@@ -54,7 +55,7 @@
     Tick(DaemonId),
 }
 
-/// A whole group with its links.
+/// A simulated group with its network.
 pub struct Cluster {
     pub settings: GroupSettings,
     pub seed: u64,
@@ -67,13 +68,13 @@
     next_event: u64,
     next_incarnation: u64,
     pub messages: u64,
-    /// What happened, so that a run that tests nothing is noticed.
+    /// Counts events, so that a run that tests nothing is detected.
     pub counts: Counts,
     nodes_ticked: u64,
 }
 
 impl Cluster {
-    /// Daemons 1 to `daemons`, the first `voters` of them with a bootstrapped replica.
+    /// Creates daemons 1 to `daemons`. The first `voters` of them have a bootstrapped replica.
     pub fn new(daemons: u32, voters: u32, settings: GroupSettings, seed: u64) -> Self {
         let mut cluster = Self {
             settings,
@@ -126,14 +127,14 @@
         self.events.insert((at, self.next_event), event);
     }
 
-    /// Ends a daemon; nothing of it stays.
+    /// Stops a daemon, which loses its whole state.
     pub fn kill(&mut self, daemon: DaemonId) {
         let node = self.nodes.get_mut(&daemon).expect("daemon exists");
         node.is_running = false;
         node.buffered.clear();
     }
 
-    /// Starts a daemon again with empty memory: a new incarnation.
+    /// Restarts a daemon with empty memory, as a new incarnation.
     pub fn restart_empty(&mut self, daemon: DaemonId) {
         self.next_incarnation += 1;
         let id = ReplicaId { daemon, incarnation: Incarnation(self.next_incarnation) };
@@ -153,7 +154,7 @@
             if *at > end || self.checker.violation.is_some() {
                 break;
             }
-            let ((at, _), event) = self.events.pop_first().expect("just seen");
+            let ((at, _), event) = self.events.pop_first().expect("the queue is not empty");
             self.now = at;
             match event {
                 Event::Deliver(message) => self.deliver(message),
@@ -168,8 +169,12 @@
     }
 
     /// Runs until `condition` holds; returns whether it did in time.
-    pub fn run_until_holds(&mut self, most: Duration, condition: impl Fn(&Self) -> bool) -> bool {
-        let end = self.now + most;
+    pub fn run_until_holds(
+        &mut self,
+        max_wait: Duration,
+        condition: impl Fn(&Self) -> bool,
+    ) -> bool {
+        let end = self.now + max_wait;
         while self.now < end && self.checker.violation.is_none() {
             if condition(self) {
                 return true;
@@ -200,7 +205,7 @@
         if !node.is_running || node.paused_until > now {
             return;
         }
-        // What waited in the socket is read before the timers are looked at, the worst order.
+        // Buffered messages are handled before the timers, which is the worst order.
         for message in std::mem::take(&mut node.buffered) {
             node.replica.step(message, now);
         }
@@ -208,12 +213,12 @@
         self.process(daemon);
         self.check_isolated_leader(daemon);
         self.nodes_ticked += 1;
-        if self.nodes_ticked.is_multiple_of(COMPARE_EVERY) {
+        if self.nodes_ticked.is_multiple_of(LOG_COMPARISON_TICKS) {
             self.checker.compare_log(&self.nodes[&daemon].replica);
         }
     }
 
-    /// Carries out a replica's outputs.
+    /// Takes a replica's outputs and performs them.
     pub fn process(&mut self, daemon: DaemonId) {
         let node = self.nodes.get_mut(&daemon).expect("daemon exists");
         let outputs = node.replica.take_outputs();
@@ -223,7 +228,7 @@
             match output {
                 Output::Send(message) => sends.push(message),
                 Output::Committed(entry) => {
-                    self.checker.delivered(id, &entry);
+                    self.checker.check_delivered(id, &entry);
                     let rises =
                         node.machine.last_key_value().is_none_or(|(at, _)| *at < entry.index);
                     if !rises {
@@ -236,11 +241,11 @@
                     let decoded = bincode::serde::decode_from_slice(&snapshot.data, CONFIG);
                     node.machine = decoded.expect("own encoding").0;
                     self.counts.restored += 1;
-                    self.checker.restored(&snapshot, &node.machine);
+                    self.checker.check_restored(&snapshot, &node.machine);
                 }
                 Output::RoleChanged { role: Role::Leader, term, .. } => {
                     self.counts.leaders += 1;
-                    self.checker.became_leader(&node.replica, term);
+                    self.checker.check_new_leader(&node.replica, term);
                 }
                 Output::RoleChanged { .. } => {}
                 Output::SnapshotWanted => {
@@ -261,7 +266,7 @@
     }
 
     fn send(&mut self, sender: ReplicaId, message: GroupMessage) {
-        self.checker.sent(sender, &message);
+        self.checker.check_sent(sender, &message);
         self.messages += 1;
         let (from, to) = (sender.daemon, message.to.daemon);
         for delay in self.network.deliveries(&mut self.random, from, to) {
@@ -269,7 +274,7 @@
         }
     }
 
-    /// Check-quorum: a leader that no quorum can answer must not stay leader for long.
+    /// Check-quorum: a leader that no quorum can answer must step down in time.
     fn check_isolated_leader(&mut self, daemon: DaemonId) {
         let is_isolated = self.is_isolated_leader(daemon);
         let limit = self.settings.election_timeout().times(2);
@@ -328,7 +333,7 @@
         &mut self.nodes.get_mut(&daemon).expect("daemon exists").replica
     }
 
-    /// One line for each daemon, for reports.
+    /// Describes each daemon in one line, for reports.
     pub fn describe(&self) -> String {
         let mut text = String::new();
         for node in self.nodes.values() {
@@ -350,8 +355,8 @@
         text
     }
 
-    /// Panics with the seed when an invariant broke.
-    pub fn assert_sound(&self) {
+    /// Panics with the seed if an invariant was violated.
+    pub fn assert_invariants_hold(&self) {
         assert_eq!(self.checker.violation, None, "seed {}", self.seed);
     }
 }
--- a/crates/replication/tests/support/swarm.rs
+++ b/crates/replication/tests/support/membership_cluster.rs
@@ -1,4 +1,4 @@
-//! Many daemons with membership only, in virtual time, with their bytes counted.
+//! Simulated daemons with membership only, in virtual time, with byte counts.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -13,12 +13,12 @@
 
 const CONFIG: bincode::config::Configuration = bincode::config::standard();
 const PORT: u16 = 7_000;
-/// Milliseconds since 1970 at the start of a run, so that incarnations have their real size.
-const START: u64 = 1_800_000_000_000;
+/// Milliseconds since 1970 at the start of a run, so that incarnations have a realistic encoded size.
+const START_MS: u64 = 1_800_000_000_000;
 
-/// Regions, and zones in each.
+/// The number of daemons, of regions, and of zones in each region.
 #[derive(Debug, Clone, Copy)]
-pub struct Shape {
+pub struct Topology {
     pub daemons: u32,
     pub regions: u32,
     pub zones_per_region: u32,
@@ -33,81 +33,81 @@
     pub messages_sent: u64,
 }
 
-enum Step {
+enum SimulationEvent {
     Deliver(DaemonId, Envelope),
     Tick(DaemonId),
 }
 
-pub struct Swarm {
+pub struct MembershipCluster {
     pub now: Timestamp,
     pub nodes: BTreeMap<DaemonId, Node>,
     pub loss: f64,
     pub cuts: BTreeSet<(DaemonId, DaemonId)>,
     pub largest_message: usize,
-    /// Bytes sent to daemons of other zones.
-    pub far_bytes: u64,
-    /// Messages with documents.
+    /// Bytes sent to daemons in other zones.
+    pub cross_zone_bytes: u64,
+    /// The number of sent messages with documents.
     pub documents_sent: u64,
-    /// How much longer these are on their way.
+    /// The additional latency of messages with documents.
     pub document_delay: Duration,
-    /// Daemons that began to suspect another one.
+    /// How often a daemon started to suspect another one.
     pub suspicions: u64,
-    /// Whether messages are kept beside being sent.
-    pub keep_messages: bool,
-    pub kept: Vec<Envelope>,
+    /// Whether sent messages are also recorded.
+    pub records_messages: bool,
+    pub recorded_messages: Vec<Envelope>,
     settings: MembershipSettings,
     holds_groups: fn(DaemonId) -> bool,
-    shape: Shape,
+    topology: Topology,
     random: ChaCha8Rng,
-    steps: BTreeMap<(Timestamp, u64), Step>,
-    next_step: u64,
-    lives: u64,
+    events: BTreeMap<(Timestamp, u64), SimulationEvent>,
+    next_event: u64,
+    incarnations_started: u64,
 }
 
-impl Swarm {
-    pub fn new(shape: Shape, settings: MembershipSettings, seed: u64) -> Self {
-        Self::with_holders(shape, settings, seed, |_| true)
+impl MembershipCluster {
+    pub fn new(topology: Topology, settings: MembershipSettings, seed: u64) -> Self {
+        Self::with_holders(topology, settings, seed, |_| true)
     }
 
-    /// The same where only some daemons hold groups.
+    /// Like [`Self::new`], but only some daemons hold groups.
     pub fn with_holders(
-        shape: Shape,
+        topology: Topology,
         settings: MembershipSettings,
         seed: u64,
         holds_groups: fn(DaemonId) -> bool,
     ) -> Self {
-        let mut swarm = Self {
+        let mut cluster = Self {
             holds_groups,
-            now: Timestamp(START * 1_000),
+            now: Timestamp(START_MS * 1_000),
             nodes: BTreeMap::new(),
             loss: 0.0,
             cuts: BTreeSet::new(),
             largest_message: 0,
-            far_bytes: 0,
+            cross_zone_bytes: 0,
             documents_sent: 0,
             document_delay: Duration::ZERO,
             suspicions: 0,
-            keep_messages: false,
-            kept: Vec::new(),
+            records_messages: false,
+            recorded_messages: Vec::new(),
             settings,
-            shape,
+            topology,
             random: ChaCha8Rng::seed_from_u64(seed),
-            steps: BTreeMap::new(),
-            next_step: 0,
-            lives: 0,
+            events: BTreeMap::new(),
+            next_event: 0,
+            incarnations_started: 0,
         };
-        for daemon in 1..=shape.daemons {
-            swarm.start(DaemonId(daemon));
+        for daemon in 1..=topology.daemons {
+            cluster.start(DaemonId(daemon));
         }
-        swarm
+        cluster
     }
 
     pub fn info(&self, daemon: DaemonId, incarnation: u64) -> MemberInfo {
-        let region = daemon.0 % self.shape.regions;
-        let zone = daemon.0 / self.shape.regions % self.shape.zones_per_region;
+        let region = daemon.0 % self.topology.regions;
+        let zone = daemon.0 / self.topology.regions % self.topology.zones_per_region;
         MemberInfo {
             daemon,
-            incarnation: Incarnation(START + incarnation),
+            incarnation: Incarnation(START_MS + incarnation),
             address: address(daemon),
             zone: Zone(format!("zone-{region}-{zone}")),
             region: Region(format!("region-{region}")),
@@ -116,25 +116,25 @@
         }
     }
 
-    /// Starts a daemon, or starts it again in a new life.
+    /// Starts a daemon, or restarts it as a new incarnation.
     pub fn start(&mut self, daemon: DaemonId) {
-        self.lives += 1;
-        let own = self.info(daemon, self.lives);
+        self.incarnations_started += 1;
+        let own = self.info(daemon, self.incarnations_started);
         self.start_as(own, 0);
     }
 
-    /// Starts a daemon again that kept its disk, and with it its incarnation.
-    pub fn start_with_disk(&mut self, daemon: DaemonId, life: u32) {
+    /// Restarts a daemon that kept its disk, and so its incarnation.
+    pub fn start_with_disk(&mut self, daemon: DaemonId, start_count: u32) {
         let own = self.nodes[&daemon].membership.own().clone();
-        self.start_as(own, life);
+        self.start_as(own, start_count);
     }
 
-    fn start_as(&mut self, own: MemberInfo, life: u32) {
+    fn start_as(&mut self, own: MemberInfo, start_count: u32) {
         let daemon = own.daemon;
         let seeds = (1..=3).map(|seed| address(DaemonId(seed))).collect();
         let mut membership =
-            Membership::new(own, seeds, self.settings.clone(), self.lives, self.now);
-        membership.set_start_count(life);
+            Membership::new(own, seeds, self.settings.clone(), self.incarnations_started, self.now);
+        membership.set_start_count(start_count);
         let node = Node {
             membership,
             is_running: true,
@@ -145,11 +145,11 @@
         };
         self.nodes.insert(daemon, node);
         let jitter = Duration(self.random.random_range(0..1_000_000));
-        self.schedule(self.now + jitter, Step::Tick(daemon));
+        self.schedule(self.now + jitter, SimulationEvent::Tick(daemon));
     }
 
-    /// Gives a daemon the addresses of all, as an earlier life of it may have kept them.
-    pub fn recall_all(&mut self, daemon: DaemonId) {
+    /// Makes a daemon contact the addresses of all, as if it had stored them before its restart.
+    pub fn contact_all_previous_peers(&mut self, daemon: DaemonId) {
         let all: Vec<SocketAddr> = self.nodes.keys().map(|daemon| address(*daemon)).collect();
         self.node_mut(daemon.0).membership.contact_previous_peers(all);
     }
@@ -173,15 +173,15 @@
 
     pub fn run_for(&mut self, length: Duration) {
         let end = self.now + length;
-        while let Some(((at, _), _)) = self.steps.first_key_value() {
+        while let Some(((at, _), _)) = self.events.first_key_value() {
             if *at > end {
                 break;
             }
-            let ((at, _), step) = self.steps.pop_first().expect("just seen");
+            let ((at, _), event) = self.events.pop_first().expect("the queue is not empty");
             self.now = at;
-            match step {
-                Step::Deliver(daemon, message) => self.deliver(daemon, message),
-                Step::Tick(daemon) => self.tick(daemon),
+            match event {
+                SimulationEvent::Deliver(daemon, message) => self.deliver(daemon, message),
+                SimulationEvent::Tick(daemon) => self.tick(daemon),
             }
         }
         self.now = end;
@@ -190,22 +190,22 @@
     /// Runs until `condition` holds; returns how long it took.
     pub fn run_until_holds(
         &mut self,
-        most: Duration,
+        max_wait: Duration,
         condition: impl Fn(&Self) -> bool,
     ) -> Option<Duration> {
         let start = self.now;
-        while self.now.since(start) < most {
+        while self.now.since(start) < max_wait {
             if condition(self) {
                 return Some(self.now.since(start));
             }
             self.run_for(Duration::from_millis(100));
         }
-        condition(self).then_some(most)
+        condition(self).then_some(max_wait)
     }
 
-    fn schedule(&mut self, at: Timestamp, step: Step) {
-        self.next_step += 1;
-        self.steps.insert((at, self.next_step), step);
+    fn schedule(&mut self, at: Timestamp, event: SimulationEvent) {
+        self.next_event += 1;
+        self.events.insert((at, self.next_event), event);
     }
 
     fn deliver(&mut self, daemon: DaemonId, message: Envelope) {
@@ -215,7 +215,7 @@
         };
         if node.paused_until > now {
             let until = node.paused_until;
-            self.schedule(until, Step::Deliver(daemon, message));
+            self.schedule(until, SimulationEvent::Deliver(daemon, message));
             return;
         }
         let actions = node.membership.handle(Event::Received(message), now);
@@ -230,14 +230,14 @@
         }
         if node.paused_until > now {
             let until = node.paused_until;
-            self.schedule(until, Step::Tick(daemon));
+            self.schedule(until, SimulationEvent::Tick(daemon));
             return;
         }
         let actions = node.membership.handle(Event::Tick, now);
         let next = node.membership.next_deadline().max(now + Duration::from_millis(10));
-        // News that arrives meanwhile must not wait for a far deadline.
+        // Updates that arrive in the meantime must not wait for a distant deadline.
         let next = next.min(now + Duration::from_millis(100));
-        self.schedule(next, Step::Tick(daemon));
+        self.schedule(next, SimulationEvent::Tick(daemon));
         self.carry_out(daemon, actions);
     }
 
@@ -262,27 +262,27 @@
         let node = self.nodes.get_mut(&from).expect("daemon exists");
         node.bytes_sent += bytes as u64;
         node.messages_sent += 1;
-        if self.keep_messages {
-            self.kept.push(message.clone());
+        if self.records_messages {
+            self.recorded_messages.push(message.clone());
         }
         let to = daemon_at(to);
         let zone = |daemon: &DaemonId| {
             self.nodes.get(daemon).map(|node| node.membership.own().zone.clone())
         };
         if zone(&from) != zone(&to) {
-            self.far_bytes += bytes as u64;
+            self.cross_zone_bytes += bytes as u64;
         }
         if self.cuts.contains(&(from, to)) || self.random.random_bool(self.loss) {
             return;
         }
-        let is_far = from.0 % self.shape.regions != to.0 % self.shape.regions;
+        let is_far = from.0 % self.topology.regions != to.0 % self.topology.regions;
         let base = if is_far { 30_000 } else { 1_000 };
         let mut delay = Duration(base + self.random.random_range(0..1_000));
         if message.has_documents() {
             self.documents_sent += 1;
             delay = Duration(delay.0 + self.document_delay.0);
         }
-        self.schedule(self.now + delay, Step::Deliver(to, message));
+        self.schedule(self.now + delay, SimulationEvent::Deliver(to, message));
     }
 
     pub fn node(&self, daemon: u32) -> &Node {
@@ -297,20 +297,21 @@
         self.nodes.values().filter(|node| node.is_running)
     }
 
-    /// How a daemon is seen by all other running ones.
-    pub fn healths(&self, daemon: u32) -> Vec<Option<Health>> {
+    /// The health of a daemon in the view of each other running daemon.
+    pub fn healths_seen_by_others(&self, daemon: u32) -> Vec<Option<Health>> {
         let others = self.running().filter(|node| node.membership.own().daemon.0 != daemon);
         others
             .map(|node| node.membership.member(DaemonId(daemon)).map(|member| member.record.health))
             .collect()
     }
 
-    /// Whether every running daemon sees every other running one, in its present life, alive.
+    /// Whether every running daemon considers every other running one, in its present incarnation,
+    /// alive.
     pub fn is_complete(&self) -> bool {
-        let lives: Vec<MemberInfo> =
+        let running: Vec<MemberInfo> =
             self.running().map(|node| node.membership.own().clone()).collect();
         self.running().all(|node| {
-            lives.iter().filter(|info| info.daemon != node.membership.own().daemon).all(|info| {
+            running.iter().filter(|info| info.daemon != node.membership.own().daemon).all(|info| {
                 node.membership.member(info.daemon).is_some_and(|member| {
                     member.record.health == Health::Alive
                         && member.record.info.incarnation == info.incarnation
@@ -319,8 +320,8 @@
         })
     }
 
-    /// Daemons held for dead by a running one though they run.
-    pub fn wrongly_dead(&self) -> usize {
+    /// How often a running daemon considers another running daemon dead.
+    pub fn count_wrongly_dead(&self) -> usize {
         let is_running = |daemon: &DaemonId| self.nodes[daemon].is_running;
         let views = self.running().flat_map(|node| node.membership.members());
         views
@@ -335,8 +336,8 @@
         self.node_mut(daemon).membership.publish(key, version, payload)
     }
 
-    /// Running daemons that know a version of a fact.
-    pub fn knowing(&self, key: &FactKey, version: u64) -> usize {
+    /// The number of running daemons that have a version of a fact.
+    pub fn count_knowing(&self, key: &FactKey, version: u64) -> usize {
         let knows =
             |node: &&Node| node.membership.fact(key).is_some_and(|fact| fact.version == version);
         self.running().filter(knows).count()
--- a/crates/replication/tests/support/mod.rs
+++ b/crates/replication/tests/support/mod.rs
@@ -1,9 +1,9 @@
-//! A small simulator in virtual time for replica groups, with seeded faults and checks.
+//! Simulators in virtual time for replica groups and membership, with seeded faults and invariant checks.
 
 #![allow(dead_code, reason = "each test binary uses its own part")]
 
 pub mod checker;
 pub mod cluster;
-pub mod nemesis;
+pub mod fault_injector;
+pub mod membership_cluster;
 pub mod network;
-pub mod swarm;
--- a/crates/replication/tests/support/network.rs
+++ b/crates/replication/tests/support/network.rs
@@ -11,8 +11,8 @@
 pub struct Network {
     pub loss: f64,
     pub duplication: f64,
-    pub least_delay: Duration,
-    pub most_delay: Duration,
+    pub min_delay: Duration,
+    pub max_delay: Duration,
     pub cuts: BTreeSet<(DaemonId, DaemonId)>,
 }
 
@@ -21,15 +21,15 @@
         Self {
             loss: 0.0,
             duplication: 0.0,
-            least_delay: Duration::from_micros(500),
-            most_delay: Duration::from_micros(2_000),
+            min_delay: Duration::from_micros(500),
+            max_delay: Duration::from_micros(2_000),
             cuts: BTreeSet::new(),
         }
     }
 }
 
 impl Network {
-    /// Delays of the copies that arrive; none when the message is lost.
+    /// The delay of each copy that arrives; none if the message is lost.
     pub fn deliveries(
         &self,
         random: &mut ChaCha8Rng,
@@ -40,7 +40,7 @@
             return Vec::new();
         }
         let copies = if random.random_bool(self.duplication) { 2 } else { 1 };
-        let delay = self.least_delay.0..=self.most_delay.0;
+        let delay = self.min_delay.0..=self.max_delay.0;
         (0..copies).map(|_| Duration(random.random_range(delay.clone()))).collect()
     }
 
@@ -52,6 +52,6 @@
         self.cuts.clear();
         self.loss = 0.0;
         self.duplication = 0.0;
-        self.most_delay = Duration::from_micros(2_000);
+        self.max_delay = Duration::from_micros(2_000);
     }
 }
