--- a/crates/replication/src/directory/layout.rs
+++ b/crates/replication/src/directory/layout.rs
@@ -51,8 +51,8 @@
         });
         let description = match home {
             Some((near, groups)) => {
-                let place = groups.iter().position(|other| *other == group).unwrap_or(0);
-                let set = choose_set(place, groups.len(), &near.sets);
+                let index = groups.iter().position(|other| *other == group).unwrap_or(0);
+                let set = choose_set(index, groups.len(), &near.sets);
                 describe_group(group, set, &near.members, &mut leaders)
             }
             None => {
@@ -81,8 +81,8 @@
 fn choose_set(group: usize, group_count: usize, sets: &[Vec<ReplicaId>]) -> &[ReplicaId] {
     // If there are fewer groups than sets, they use sets from the whole list, which is ordered by
     // region.
-    let place = if group_count < sets.len() { group * sets.len() / group_count } else { group };
-    &sets[place % sets.len()]
+    let index = if group_count < sets.len() { group * sets.len() / group_count } else { group };
+    &sets[index % sets.len()]
 }
 
 fn describe_group(
@@ -147,10 +147,10 @@
     for member in near {
         unused.entry(&member.zone).or_default().push(member);
     }
-    for (place, members) in unused.values_mut().enumerate() {
+    for (index, members) in unused.values_mut().enumerate() {
         members.sort_by_key(|member| member.daemon);
         // Each turn rotates every zone differently, so that its sets differ from those before.
-        let shift = turn * (place + 1) % members.len();
+        let shift = turn * (index + 1) % members.len();
         members.rotate_left(shift);
     }
     while unused.values().any(|members| !members.is_empty()) {
--- a/crates/replication/src/group/replica.rs
+++ b/crates/replication/src/group/replica.rs
@@ -431,8 +431,8 @@
 
 /// Derives a different seed for each replica, so that election timeouts differ.
 fn mix_seed(seed: u64, id: ReplicaId, group: GroupId) -> u64 {
-    const ODD: u64 = 0x9e37_79b9_7f4a_7c15;
-    let place = (u64::from(id.daemon.0) << 32) | u64::from(group.0);
-    let mixed = (seed ^ place.wrapping_mul(ODD)).wrapping_mul(ODD);
-    mixed ^ id.incarnation.0.wrapping_mul(ODD).rotate_left(31)
+    const MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
+    let key = (u64::from(id.daemon.0) << 32) | u64::from(group.0);
+    let mixed = (seed ^ key.wrapping_mul(MULTIPLIER)).wrapping_mul(MULTIPLIER);
+    mixed ^ id.incarnation.0.wrapping_mul(MULTIPLIER).rotate_left(31)
 }
--- a/crates/replication/src/maintenance/candidates.rs
+++ b/crates/replication/src/maintenance/candidates.rs
@@ -144,8 +144,8 @@
 
 /// Breaks ties differently for each group, but alike on every daemon.
 fn tie_break(group: GroupId, daemon: DaemonId) -> u64 {
-    const ODD: u64 = 0x9e37_79b9_7f4a_7c15;
-    let place = (u64::from(group.0) << 32) | u64::from(daemon.0);
-    let mixed = (place ^ ODD).wrapping_mul(ODD);
-    (mixed ^ (mixed >> 29)).wrapping_mul(ODD) >> 16
+    const MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
+    let key = (u64::from(group.0) << 32) | u64::from(daemon.0);
+    let mixed = (key ^ MULTIPLIER).wrapping_mul(MULTIPLIER);
+    (mixed ^ (mixed >> 29)).wrapping_mul(MULTIPLIER) >> 16
 }
--- a/crates/replication/src/membership/members.rs
+++ b/crates/replication/src/membership/members.rs
@@ -12,7 +12,7 @@
 
 /// With fewer members than this in the own region, members of all regions are probed, because
 /// too few would detect failures there.
-const MIN_PROBED: usize = 3;
+const MIN_PROBED_IN_REGION: usize = 3;
 
 /// All known daemons except the own one.
 #[derive(Debug, Clone, Default)]
@@ -112,7 +112,7 @@
         }
         let near = self.present().filter(|member| member.record.info.region == *region);
         let near: Vec<DaemonId> = near.map(|member| member.record.info.daemon).collect();
-        self.probe_order = if near.len() >= MIN_PROBED {
+        self.probe_order = if near.len() >= MIN_PROBED_IN_REGION {
             near
         } else {
             self.present().map(|member| member.record.info.daemon).collect()
@@ -144,8 +144,8 @@
             let is_far =
                 near.is_empty() || (!far.is_empty() && random.random_bool(cross_region_share));
             let side = if is_far { &mut far } else { &mut near };
-            let place = random.random_range(0..side.len());
-            chosen.push(side.swap_remove(place));
+            let index = random.random_range(0..side.len());
+            chosen.push(side.swap_remove(index));
         }
         chosen
     }
--- a/crates/replication/tests/durable.rs
+++ b/crates/replication/tests/durable.rs
@@ -208,10 +208,10 @@
 }
 
 fn tick_and_deliver(nodes: &mut [Replica; 2], now: u64) {
-    for place in 0..nodes.len() {
-        nodes[place].tick(at(now));
-        let _ = nodes[place].take_durable_change();
-        let outputs = nodes[place].take_outputs();
+    for index in 0..nodes.len() {
+        nodes[index].tick(at(now));
+        let _ = nodes[index].take_durable_change();
+        let outputs = nodes[index].take_outputs();
         deliver(outputs, nodes, now);
     }
 }
--- a/crates/replication/tests/fleet_start.rs
+++ b/crates/replication/tests/fleet_start.rs
@@ -119,7 +119,7 @@
     cluster.start(DaemonId(400));
     let knows_all =
         |cluster: &MembershipCluster| cluster.node(400).membership.members().len() == 500;
-    let took = cluster.run_until_holds(SECOND.times(5), knows_all);
-    println!("{took:?}");
-    assert!(took.is_some_and(|took| took <= SECOND.times(2)), "{took:?}");
+    let elapsed = cluster.run_until_holds(SECOND.times(5), knows_all);
+    println!("{elapsed:?}");
+    assert!(elapsed.is_some_and(|elapsed| elapsed <= SECOND.times(2)), "{elapsed:?}");
 }
--- a/crates/replication/tests/group_scripted.rs
+++ b/crates/replication/tests/group_scripted.rs
@@ -1,5 +1,5 @@
-//! Schedules that random tests rarely find, scripted message by message. Each runs with the safety
-//! mechanism that it tests, and without it.
+//! Schedules that random tests rarely find, scripted message by message. They run with the
+//! safety mechanism that they test and, where a switch exists, without it.
 
 use dahlia_replication::group::{
     AppendResult, ChangeError, Faults, GroupBody, GroupMessage, GroupSettings, MemberChange,
@@ -9,8 +9,8 @@
 
 const GROUP: GroupId = GroupId(1);
 
-fn id(place: usize) -> ReplicaId {
-    ReplicaId { daemon: DaemonId(place as u32), incarnation: Incarnation(1) }
+fn id(index: usize) -> ReplicaId {
+    ReplicaId { daemon: DaemonId(index as u32), incarnation: Incarnation(1) }
 }
 
 /// Replicas whose messages the test delivers or drops explicitly.
@@ -35,11 +35,11 @@
         };
         let now = Timestamp(1_000_000);
         let first: Vec<ReplicaId> = (0..voters).map(id).collect();
-        let make = |place: usize| {
-            if place < voters {
-                Replica::bootstrap(id(place), GROUP, first.clone(), settings.clone(), 3, now)
+        let make = |index: usize| {
+            if index < voters {
+                Replica::bootstrap(id(index), GROUP, first.clone(), settings.clone(), 3, now)
             } else {
-                Replica::join(id(place), GROUP, settings.clone(), 3, now)
+                Replica::join(id(index), GROUP, settings.clone(), 3, now)
             }
         };
         Self {
@@ -52,15 +52,15 @@
         }
     }
 
-    fn process_outputs(&mut self, place: usize) {
-        for output in self.replicas[place].take_outputs() {
+    fn process_outputs(&mut self, index: usize) {
+        for output in self.replicas[index].take_outputs() {
             match output {
                 Output::Send(message) => {
                     self.sent.push(message.clone());
                     self.pending.push(message);
                 }
-                Output::Committed(entry) => self.delivered[place].push(entry.payload.to_vec()),
-                Output::Removed { .. } => self.replicas[place].retire(self.now),
+                Output::Committed(entry) => self.delivered[index].push(entry.payload.to_vec()),
+                Output::Removed { .. } => self.replicas[index].retire(self.now),
                 _ => {}
             }
         }
@@ -88,19 +88,19 @@
 
     /// Lets a replica's election timeout expire until the others elect it. None of its entries are
     /// delivered.
-    fn elect(&mut self, place: usize, between: &[usize]) {
-        assert!(self.try_to_elect(place, between), "replica {place} is not elected");
+    fn elect(&mut self, index: usize, between: &[usize]) {
+        assert!(self.try_to_elect(index, between), "replica {index} is not elected");
     }
 
-    fn try_to_elect(&mut self, place: usize, between: &[usize]) -> bool {
+    fn try_to_elect(&mut self, index: usize, between: &[usize]) -> bool {
         const ATTEMPTS: usize = 5;
         for _ in 0..ATTEMPTS {
             let timeout = GroupSettings::default().election_timeout();
-            self.now = self.replicas[place].next_deadline().max(self.now + timeout);
-            self.replicas[place].tick(self.now);
-            self.process_outputs(place);
-            self.deliver_until(between, |cluster| cluster.replicas[place].role() == Role::Leader);
-            if self.replicas[place].role() == Role::Leader {
+            self.now = self.replicas[index].next_deadline().max(self.now + timeout);
+            self.replicas[index].tick(self.now);
+            self.process_outputs(index);
+            self.deliver_until(between, |cluster| cluster.replicas[index].role() == Role::Leader);
+            if self.replicas[index].role() == Role::Leader {
                 return true;
             }
         }
@@ -108,10 +108,10 @@
     }
 
     /// Lets the leader retransmit unanswered messages.
-    fn retransmit(&mut self, place: usize) {
+    fn retransmit(&mut self, index: usize) {
         self.now = self.now + GroupSettings::default().retransmit_timeout();
-        self.replicas[place].tick(self.now);
-        self.process_outputs(place);
+        self.replicas[index].tick(self.now);
+        self.process_outputs(index);
     }
 
     /// The last acknowledgement of an append by a replica.
@@ -127,11 +127,11 @@
 
     fn change_members(
         &mut self,
-        place: usize,
+        index: usize,
         change: MemberChange,
     ) -> Result<LogIndex, ChangeError> {
-        let changed = self.replicas[place].change_members(change);
-        self.process_outputs(place);
+        let changed = self.replicas[index].change_members(change);
+        self.process_outputs(index);
         changed
     }
 }
--- a/crates/replication/tests/holder_documents.rs
+++ b/crates/replication/tests/holder_documents.rs
@@ -53,9 +53,9 @@
             let all = |cluster: &MembershipCluster| {
                 count_holders_with_all_parts(cluster, version) == holders
             };
-            let took = cluster.run_until_holds(SECOND.times(20), all);
+            let elapsed = cluster.run_until_holds(SECOND.times(20), all);
             assert!(
-                took.is_some(),
+                elapsed.is_some(),
                 "{daemons}: {} have it",
                 count_holders_with_all_parts(&cluster, version)
             );
@@ -87,7 +87,7 @@
         let known = &cluster.node(5).membership;
         (0..PARTS).all(|number| known.fact(&part(number)).is_some())
     };
-    let took = cluster.run_until_holds(SECOND.times(5), has_all);
+    let elapsed = cluster.run_until_holds(SECOND.times(5), has_all);
     // It starts within a second, and requests them in the next gossip round after it knows a holder.
-    assert!(took.is_some_and(|took| took <= SECOND.times(2)), "{took:?}");
+    assert!(elapsed.is_some_and(|elapsed| elapsed <= SECOND.times(2)), "{elapsed:?}");
 }
--- a/crates/replication/tests/home_regions.rs
+++ b/crates/replication/tests/home_regions.rs
@@ -33,10 +33,10 @@
 /// identifier are the region: 1xx, 2xx, 3xx.
 fn members(counts: [u32; 3]) -> Vec<MemberInfo> {
     let mut members = Vec::new();
-    for (place, (region, count)) in REGIONS.iter().zip(counts).enumerate() {
+    for (index, (region, count)) in REGIONS.iter().zip(counts).enumerate() {
         for number in 0..count {
             members.push(MemberInfo {
-                daemon: DaemonId(100 * (place as u32 + 1) + number),
+                daemon: DaemonId(100 * (index as u32 + 1) + number),
                 incarnation: Incarnation(1),
                 address: ([127, 0, 0, 1], 1).into(),
                 zone: Zone::new(format!("{region}-{}", number % 2)),
--- a/crates/replication/tests/malformed.rs
+++ b/crates/replication/tests/malformed.rs
@@ -19,8 +19,8 @@
 /// Changes a few bytes, and sometimes truncates the message.
 fn damage(random: &mut ChaCha8Rng, mut bytes: Vec<u8>) -> Vec<u8> {
     for _ in 0..random.random_range(1..4) {
-        let place = random.random_range(0..bytes.len());
-        bytes[place] = random.random();
+        let index = random.random_range(0..bytes.len());
+        bytes[index] = random.random();
     }
     if random.random_bool(0.1) {
         bytes.truncate(random.random_range(1..=bytes.len()));
--- a/crates/replication/tests/one_way_cuts.rs
+++ b/crates/replication/tests/one_way_cuts.rs
@@ -52,9 +52,9 @@
     let links = links();
     let mut longest = (Duration::ZERO, 0, 0);
     for pattern in 0..1_u32 << links.len() {
-        let is_cut = |place: &usize| pattern & (1 << place) != 0;
+        let is_cut = |index: &usize| pattern & (1 << index) != 0;
         let cuts: BTreeSet<(DaemonId, DaemonId)> =
-            (0..links.len()).filter(is_cut).map(|place| links[place]).collect();
+            (0..links.len()).filter(is_cut).map(|index| links[index]).collect();
         for seed in 0..10 {
             let delay = time_to_commit(&cuts, seed);
             if has_working_pair(&cuts) {
--- a/crates/replication/tests/support/checker.rs
+++ b/crates/replication/tests/support/checker.rs
@@ -7,7 +7,7 @@
 };
 use dahlia_types::{LogIndex, ReplicaId, Term};
 
-use super::cluster::Applied;
+use super::cluster::AppliedCommand;
 
 /// Records messages and outputs of all replicas, and the first violation.
 #[derive(Debug, Default)]
@@ -15,7 +15,7 @@
     leaders: BTreeMap<Term, ReplicaId>,
     votes: BTreeMap<(ReplicaId, Term), ReplicaId>,
     /// Committed commands, as first delivered by any replica.
-    pub committed: BTreeMap<LogIndex, Applied>,
+    pub committed: BTreeMap<LogIndex, AppliedCommand>,
     entries: BTreeMap<(LogIndex, Term), (EntryData, Option<Term>)>,
     pub violation: Option<String>,
 }
@@ -67,7 +67,7 @@
 
     /// State machine safety.
     pub fn check_delivered(&mut self, replica: ReplicaId, entry: &Entry) {
-        let applied = Applied { term: entry.term, payload: entry.payload.to_vec() };
+        let applied = AppliedCommand { term: entry.term, payload: entry.payload.to_vec() };
         let first = self.committed.entry(entry.index).or_insert_with(|| applied.clone());
         if *first != applied {
             let index = entry.index;
@@ -76,7 +76,11 @@
     }
 
     /// A restored state machine equals the committed prefix.
-    pub fn check_restored(&mut self, snapshot: &Snapshot, machine: &BTreeMap<LogIndex, Applied>) {
+    pub fn check_restored(
+        &mut self,
+        snapshot: &Snapshot,
+        machine: &BTreeMap<LogIndex, AppliedCommand>,
+    ) {
         let prefix = self.committed.range(..=snapshot.index);
         let is_equal = prefix.eq(machine.iter());
         if !is_equal {
--- a/crates/replication/tests/support/cluster.rs
+++ b/crates/replication/tests/support/cluster.rs
@@ -23,7 +23,7 @@
 
 /// A command as the state machine stores it.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct Applied {
+pub struct AppliedCommand {
     pub term: Term,
     pub payload: Vec<u8>,
 }
@@ -31,7 +31,7 @@
 /// A simulated daemon: its replica and its state machine.
 pub struct Node {
     pub replica: Replica,
-    pub machine: BTreeMap<LogIndex, Applied>,
+    pub machine: BTreeMap<LogIndex, AppliedCommand>,
     pub is_running: bool,
     pub paused_until: Timestamp,
     buffered: Vec<GroupMessage>,
@@ -234,7 +234,8 @@
                     if !rises {
                         self.checker.report(format!("{id} delivers {} again", entry.index));
                     }
-                    let applied = Applied { term: entry.term, payload: entry.payload.to_vec() };
+                    let applied =
+                        AppliedCommand { term: entry.term, payload: entry.payload.to_vec() };
                     node.machine.insert(entry.index, applied);
                 }
                 Output::Restore(snapshot) => {
--- a/crates/replication/tests/support/fault_injector.rs
+++ b/crates/replication/tests/support/fault_injector.rs
@@ -233,8 +233,8 @@
     fn transfer_leadership(&mut self) {
         let Some(leader) = self.cluster.leader() else { return };
         let voters = self.cluster.nodes[&leader].replica.members().voters.clone();
-        let place = self.cluster.random.random_range(0..voters.len());
-        let Some(to) = voters.into_iter().nth(place) else { return };
+        let index = self.cluster.random.random_range(0..voters.len());
+        let Some(to) = voters.into_iter().nth(index) else { return };
         // Rejected if the target is the leader itself.
         if self.cluster.replica_mut(leader).transfer_leadership(to).is_ok() {
             self.cluster.process(leader);
