--- a/crates/limits/src/history.rs
+++ b/crates/limits/src/history.rs
@@ -1,7 +1,7 @@
-//! What a gateway's requests of one tenant came to of late, and which keeper counted them.
+//! A gateway's record of one tenant's recent requests and of the keeper that counted them.
 //!
-//! A keeper's count is in its memory only. One that comes after it learns from the gateways what they
-//! let pass within the window, so that two lives together let pass no more than one.
+//! A keeper's count is in memory only. Its successor learns from the gateways what they admitted within
+//! the window, so that both keepers together admit no more than one would.
 
 use std::collections::VecDeque;
 
@@ -9,62 +9,63 @@
 
 use crate::{KeeperTerm, PastRequests};
 
-/// Requests that passed within so long are told in one figure.
-const PART: Duration = Duration::from_millis(50);
+/// Requests that passed within this time are recorded as one batch.
+const BATCH_DURATION: Duration = Duration::from_millis(50);
 
 #[derive(Debug)]
-struct Passed {
+struct RequestBatch {
     at: Timestamp,
     requests: u32,
     counted_by: KeeperTerm,
 }
 
-/// Requests of one tenant at one gateway.
+/// Recent requests of one tenant at one gateway.
 #[derive(Debug, Default)]
-pub(crate) struct History {
-    passed: VecDeque<Passed>,
+pub(crate) struct RequestHistory {
+    batches: VecDeque<RequestBatch>,
 }
 
-impl History {
-    /// Requests passed that a keeper has counted. Those that no window holds any more are forgotten.
-    pub(crate) fn note(
+impl RequestHistory {
+    /// Records requests that a keeper has counted, and drops those that are older than the window.
+    pub(crate) fn record(
         &mut self,
         requests: u32,
         counted_by: KeeperTerm,
         window: Duration,
         now: Timestamp,
     ) {
-        while self.passed.front().is_some_and(|oldest| now.since(oldest.at) > window) {
-            self.passed.pop_front();
+        while self.batches.front().is_some_and(|oldest| now.since(oldest.at) > window) {
+            self.batches.pop_front();
         }
-        // Told to a keeper, an entry of none says that more may be forgotten.
+        // In a report, an entry without requests would be taken for a restart marker.
         if requests == 0 {
             return;
         }
-        let newest = self.passed.back_mut();
-        match newest.filter(|newest| newest.counted_by == counted_by && now.since(newest.at) < PART)
-        {
+        let newest = self.batches.back_mut();
+        match newest.filter(|newest| {
+            newest.counted_by == counted_by && now.since(newest.at) < BATCH_DURATION
+        }) {
             Some(newest) => newest.requests += requests,
-            None => self.passed.push_back(Passed { at: now, requests, counted_by }),
+            None => self.batches.push_back(RequestBatch { at: now, requests, counted_by }),
         }
     }
 
-    /// A request passed some time ago that a keeper has counted only now.
-    pub(crate) fn note_late(&mut self, at: Timestamp, counted_by: KeeperTerm) {
-        let place = self.passed.partition_point(|passed| passed.at <= at);
-        self.passed.insert(place, Passed { at, requests: 1, counted_by });
+    /// Records a request that passed some time ago and that a keeper has counted only now.
+    pub(crate) fn record_late(&mut self, at: Timestamp, counted_by: KeeperTerm) {
+        let index = self.batches.partition_point(|batch| batch.at <= at);
+        self.batches.insert(index, RequestBatch { at, requests: 1, counted_by });
     }
 
-    /// Whether anything passed within a time.
-    pub(crate) fn is_within(&self, time: Duration, now: Timestamp) -> bool {
-        self.passed.back().is_some_and(|newest| now.since(newest.at) < time)
+    /// Whether any request passed within the last `time`.
+    pub(crate) fn has_requests_within(&self, time: Duration, now: Timestamp) -> bool {
+        self.batches.back().is_some_and(|newest| now.since(newest.at) < time)
     }
 
-    /// What a keeper has not counted itself.
-    pub(crate) fn unknown_to(&self, keeper: KeeperTerm, now: Timestamp) -> Vec<PastRequests> {
-        let others = self.passed.iter().filter(|passed| passed.counted_by != keeper);
+    /// Returns the requests that a keeper has not counted itself.
+    pub(crate) fn not_counted_by(&self, keeper: KeeperTerm, now: Timestamp) -> Vec<PastRequests> {
+        let others = self.batches.iter().filter(|batch| batch.counted_by != keeper);
         others
-            .map(|passed| PastRequests { age: now.since(passed.at), requests: passed.requests })
+            .map(|batch| PastRequests { age: now.since(batch.at), requests: batch.requests })
             .collect()
     }
 }
--- a/crates/limits/src/keeper.rs
+++ b/crates/limits/src/keeper.rs
@@ -1,42 +1,42 @@
-//! The keeper of some tenants' limits: counts what gateways let pass, and decides what they ask.
+//! The keeper of some tenants' limits. It counts what gateways admit, and answers gateways that ask.
 //!
-//! Nothing of it is durable. A new keeper takes a quarter of a burst to be there, so that two lives
-//! together let pass no more than that beyond the limit.
+//! Its state is not durable. A new keeper starts with a quarter of a burst, so that it and its
+//! predecessor together admit no more than that above the limit.
 
 use std::collections::{BTreeMap, HashMap};
 
 use dahlia_types::{DaemonId, Duration, Incarnation, TenantId, Timestamp};
 
-use crate::kept::Kept;
-use crate::memory::Memories;
-use crate::programs::Needs;
-use crate::window::TOLD_AFTER;
+use crate::lost_history::RestartTracker;
+use crate::programs::ProgramStats;
+use crate::tenant_limit::TenantLimit;
+use crate::window::CATCH_UP_TIME;
 use crate::{
     KeeperTerm, LimitCommand, LimitReply, LimitSettings, ProgramKey, TenantUsage, UsageReport,
     Verdict, VersionedLimit,
 };
 
-/// A tenant that sent nothing for so long is forgotten. Its bucket is full by then, unless its limit
-/// is below one request in this time.
-const FORGOTTEN_AFTER: Duration = Duration::from_secs(60);
+/// The time after which an idle tenant is forgotten. By then its bucket is full, unless its limit is
+/// below one request in this time.
+const TENANT_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Keeps the limits of the tenants that fall to one replica group.
+/// Enforces the limits of the tenants that belong to one replica group.
 #[derive(Debug)]
 pub struct LimitKeeper {
     settings: LimitSettings,
     term: KeeperTerm,
-    since: Timestamp,
-    tenants: BTreeMap<TenantId, Kept>,
+    started_at: Timestamp,
+    tenants: BTreeMap<TenantId, TenantLimit>,
     /// The last report of each gateway.
     reports: HashMap<DaemonId, LastReport>,
-    /// Gateways that there are, heard or not.
+    /// The number of gateways, reachable or not.
     gateways: usize,
-    memories: Memories,
-    /// The share of gateways that are out of reach, and since when.
-    lost: Option<(f64, Timestamp)>,
-    /// Since when all are there again.
-    all_heard_since: Option<Timestamp>,
-    needs: Needs,
+    restarts: RestartTracker,
+    /// The share of gateways that are unreachable, and since when.
+    unreachable: Option<(f64, Timestamp)>,
+    /// Since when all gateways are reachable again.
+    all_reachable_since: Option<Timestamp>,
+    program_stats: ProgramStats,
     next_sweep: Timestamp,
 }
 
@@ -44,24 +44,24 @@
 struct LastReport {
     incarnation: Incarnation,
     sequence: u64,
-    heard_at: Timestamp,
+    received_at: Timestamp,
 }
 
 impl LimitKeeper {
-    /// A keeper from now on. It knows of no request before.
+    /// Creates a keeper that starts now. It knows of no earlier request.
     pub fn new(settings: LimitSettings, term: KeeperTerm, now: Timestamp) -> Self {
-        let memories = Memories::new(now, settings.window());
+        let restarts = RestartTracker::new(now, settings.window());
         Self {
             settings,
             term,
-            since: now,
+            started_at: now,
             tenants: BTreeMap::new(),
             reports: HashMap::new(),
-            memories,
+            restarts,
             gateways: 0,
-            lost: None,
-            all_heard_since: None,
-            needs: Needs::default(),
+            unreachable: None,
+            all_reachable_since: None,
+            program_stats: ProgramStats::default(),
             next_sweep: now,
         }
     }
@@ -77,28 +77,28 @@
         }
     }
 
-    /// How many gateways there are, whether they are heard or not.
+    /// Sets the number of gateways, reachable or not.
     pub fn set_gateway_count(&mut self, gateways: usize) {
         self.gateways = gateways;
     }
 
-    /// Which share of the gateways is out of reach. They go on with what passed at each of them before,
-    /// so that much is left to them.
+    /// Sets the share of gateways that are unreachable. Each of them goes on with what passed there
+    /// before, so the keeper reserves as much for them.
     pub fn set_unreachable_share(&mut self, share: f64, now: Timestamp) {
         if share <= 0.0 {
-            // Until they have told what passed there.
-            let since = *self.all_heard_since.get_or_insert(now);
-            self.lost.take_if(|_| now.since(since) >= TOLD_AFTER);
+            // The reservation stays until these gateways have reported what passed there.
+            let since = *self.all_reachable_since.get_or_insert(now);
+            self.unreachable.take_if(|_| now.since(since) >= CATCH_UP_TIME);
             return;
         }
-        self.all_heard_since = None;
-        let since = self.lost.map_or(now, |(_, since)| since);
-        self.lost = Some((share, since));
+        self.all_reachable_since = None;
+        let since = self.unreachable.map_or(now, |(_, since)| since);
+        self.unreachable = Some((share, since));
     }
 
-    /// Permits of a tenant now, for operators and tests; none when it sent nothing of late.
+    /// Returns the permits of a tenant, for operators and tests, or none if it sent nothing recently.
     pub fn available_permits(&mut self, tenant: &TenantId, now: Timestamp) -> Option<f64> {
-        self.tenants.get_mut(tenant).map(|kept| kept.level(now))
+        self.tenants.get_mut(tenant).map(|limit| limit.available(now))
     }
 
     fn count(&mut self, report: UsageReport, now: Timestamp) -> LimitReply {
@@ -107,8 +107,8 @@
         let is_repeated =
             last.is_some_and(|last| last.incarnation == incarnation && last.sequence >= sequence);
         if !is_repeated {
-            self.reports.insert(gateway, LastReport { incarnation, sequence, heard_at: now });
-            self.memories.note(&report, now);
+            self.reports.insert(gateway, LastReport { incarnation, sequence, received_at: now });
+            self.restarts.record(&report, now);
         }
         let mut scarce = Vec::new();
         for usage in report.usage {
@@ -125,17 +125,18 @@
 
     fn count_usage(&mut self, usage: TenantUsage, now: Timestamp) {
         let term = self.term;
-        let kept = self.tenants.entry(usage.tenant);
-        let kept = kept.or_insert_with(|| Kept::new(&self.settings, usage.limit, self.since, now));
-        kept.learn_limit(usage.limit, now);
-        kept.set_forgotten(self.memories.forgotten(now));
-        kept.set_lost(self.lost);
-        let others = usage.delayed.into_iter().filter(|waited| waited.counted_by != term);
-        let others = others.map(|waited| waited.program);
-        let passed: Vec<Option<ProgramKey>> = usage.requests.into_iter().chain(others).collect();
-        kept.count_earlier(&usage.past, now);
-        kept.count(&passed, &usage.refunded, now);
-        kept.forget_ended(&self.settings, &mut self.needs, now);
+        let tenant = self.tenants.entry(usage.tenant);
+        let tenant = tenant
+            .or_insert_with(|| TenantLimit::new(&self.settings, usage.limit, self.started_at, now));
+        tenant.update_limit(usage.limit, now);
+        tenant.set_lost_history(self.restarts.lost_history(now));
+        tenant.set_unreachable(self.unreachable);
+        let uncounted = usage.delayed.into_iter().filter(|request| request.counted_by != term);
+        let uncounted = uncounted.map(|request| request.program);
+        let passed: Vec<Option<ProgramKey>> = usage.requests.into_iter().chain(uncounted).collect();
+        tenant.count_past(&usage.past, now);
+        tenant.count(&passed, &usage.refunded, now);
+        tenant.expire_programs(&self.settings, &mut self.program_stats, now);
     }
 
     fn answer(
@@ -146,51 +147,53 @@
         max_wait: Duration,
         now: Timestamp,
     ) -> LimitReply {
-        let kept = self.tenants.entry(tenant);
-        let kept = kept.or_insert_with(|| Kept::new(&self.settings, limit, self.since, now));
-        kept.learn_limit(limit, now);
-        kept.set_forgotten(self.memories.forgotten(now));
-        kept.set_lost(self.lost);
-        let untold_since = untold_since(&self.reports, self.gateways);
-        kept.set_untold(&self.settings, self.gateways, untold_since, now);
-        kept.forget_ended(&self.settings, &mut self.needs, now);
-        let is_scarce = kept.is_scarce(&self.settings, &self.needs, now);
-        let is_scarce = is_scarce || kept.is_catching_up(now);
-        // A keeper that has just begun takes nobody for new: programs under way have not come by yet.
-        let knows_programs = now.since(self.since) >= self.settings.program_rest();
-        let counts_programs = self.settings.whole_programs && is_scarce && knows_programs;
-        let place = match program.filter(|_| counts_programs) {
-            Some(program) => kept.place(program, &self.needs, &self.settings, now),
-            None => kept.next_permit(now),
+        let tenant = self.tenants.entry(tenant);
+        let tenant =
+            tenant.or_insert_with(|| TenantLimit::new(&self.settings, limit, self.started_at, now));
+        tenant.update_limit(limit, now);
+        tenant.set_lost_history(self.restarts.lost_history(now));
+        tenant.set_unreachable(self.unreachable);
+        let unreported_share_since = unreported_share_since(&self.reports, self.gateways);
+        tenant.update_reservation(&self.settings, self.gateways, unreported_share_since, now);
+        tenant.expire_programs(&self.settings, &mut self.program_stats, now);
+        let is_scarce = tenant.is_scarce(&self.settings, &self.program_stats, now);
+        let is_scarce = is_scarce || tenant.is_catching_up(now);
+        // To a keeper that has just started, no program is new: active ones may not have sent it a
+        // request yet.
+        let knows_programs = now.since(self.started_at) >= self.settings.program_idle_timeout();
+        let limits_programs = self.settings.whole_programs && is_scarce && knows_programs;
+        let turn = match program.filter(|_| limits_programs) {
+            Some(program) => tenant.program_turn(program, &self.program_stats, &self.settings, now),
+            None => tenant.next_permit(now),
         };
-        let verdict = kept.decide(program, place, max_wait, now);
-        // A refused program would have sent more than the request that asked for it.
+        let verdict = tenant.decide(program, turn, max_wait, now);
+        // A refused program would have sent more than this request.
         let is_refused = matches!(verdict, Verdict::Refuse { .. });
-        kept.note_asked(if is_refused { self.needs.requests() } else { 1.0 });
+        tenant.record_requested(if is_refused { self.program_stats.mean_requests() } else { 1.0 });
         LimitReply::Answer { verdict, is_scarce, keeper: self.term }
     }
 
     fn is_scarce(&mut self, tenant: &TenantId, now: Timestamp) -> bool {
-        let (settings, needs) = (&self.settings, &self.needs);
-        self.tenants.get_mut(tenant).is_some_and(|kept| kept.is_scarce(settings, needs, now))
+        let (settings, stats) = (&self.settings, &self.program_stats);
+        self.tenants.get_mut(tenant).is_some_and(|limit| limit.is_scarce(settings, stats, now))
     }
 
     fn forget_idle(&mut self, now: Timestamp) {
         if now < self.next_sweep {
             return;
         }
-        self.next_sweep = now + FORGOTTEN_AFTER;
-        self.tenants.retain(|_, kept| kept.was_used_within(FORGOTTEN_AFTER, now));
+        self.next_sweep = now + TENANT_IDLE_TIMEOUT;
+        self.tenants.retain(|_, limit| limit.was_used_within(TENANT_IDLE_TIMEOUT, now));
     }
 }
 
-/// The share of gateways that have not reported since a moment.
-fn untold_since(
+/// Returns a function from a moment to the share of gateways that have not reported since.
+fn unreported_share_since(
     reports: &HashMap<DaemonId, LastReport>,
     gateways: usize,
 ) -> impl Fn(Timestamp) -> f64 {
     move |since| {
-        let told = reports.values().filter(|last| last.heard_at >= since).count();
-        gateways.saturating_sub(told) as f64 / gateways.max(1) as f64
+        let reported = reports.values().filter(|last| last.received_at >= since).count();
+        gateways.saturating_sub(reported) as f64 / gateways.max(1) as f64
     }
 }
--- a/crates/limits/src/message.rs
+++ b/crates/limits/src/message.rs
@@ -1,14 +1,14 @@
-//! What gateways and keepers say to each other.
+//! Messages between gateways and keepers.
 
 use dahlia_types::{DaemonId, Duration, Incarnation, TenantId};
 use serde::{Deserialize, Serialize};
 
 use crate::RateLimit;
 
-/// A tenant's limit as a gateway knows it. A keeper goes by the newest that it was told.
+/// A tenant's limit as a gateway knows it. A keeper applies the one with the highest generation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionedLimit {
-    /// The generation of the configuration that says so.
+    /// The generation of the configuration that sets the limit.
     pub generation: u64,
     /// The limit.
     pub limit: RateLimit,
@@ -19,38 +19,38 @@
 #[serde(transparent)]
 pub struct ProgramKey(pub u64);
 
-/// Names a keeper: another one counts anew. The term in which it owns its group.
+/// Identifies a keeper by the term in which it owns its group. Each new keeper starts its own count.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct KeeperTerm(pub u64);
 
-/// A request that waited for its turn and has passed. The keeper that gave it the turn has counted
-/// it; one that came after has not.
+/// A request that waited for its turn and has now passed. The keeper that gave it the turn has counted
+/// it; a later keeper has not.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DelayedRequest {
-    /// Who counted it.
+    /// The keeper that counted it.
     pub counted_by: KeeperTerm,
     /// Its program, if it has one.
     pub program: Option<ProgramKey>,
 }
 
-/// Requests that passed before a keeper began, which it cannot know of.
+/// Requests that passed some time ago and that the receiving keeper has not counted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PastRequests {
-    /// How long ago.
+    /// The time since they passed.
     pub age: Duration,
-    /// How many. 0, as a tenant's first entry: an earlier life of the gateway may have let more pass
-    /// before, which it has forgotten.
+    /// The number of requests. 0 in a tenant's first entry marks a restart of the gateway: before it,
+    /// the gateway may have admitted requests of which it has no record.
     pub requests: u32,
 }
 
 impl PastRequests {
-    /// The gateway's life began so long ago.
-    pub(crate) fn forgotten_before(age: Duration) -> Self {
+    /// Creates the entry which says that the gateway restarted this long ago.
+    pub(crate) fn restart_marker(age: Duration) -> Self {
         Self { age, requests: 0 }
     }
 
-    pub(crate) fn is_forgotten(&self) -> bool {
+    pub(crate) fn is_restart_marker(&self) -> bool {
         self.requests == 0
     }
 }
@@ -62,14 +62,15 @@
     pub tenant: TenantId,
     /// Its limit.
     pub limit: VersionedLimit,
-    /// Without asking: one entry a request, its program if it has one.
+    /// Requests admitted without asking: one entry for each, with its program if it has one.
     pub requests: Vec<Option<ProgramKey>>,
-    /// After a wait.
+    /// Requests that passed after a wait.
     pub delayed: Vec<DelayedRequest>,
-    /// Earlier requests, asked for or reported, that no server has run or will run, in the same way.
+    /// Requests that were asked for or reported before and that no server has run or will run. One entry
+    /// for each, as in `requests`.
     pub refunded: Vec<Option<ProgramKey>>,
-    /// What this keeper has not counted: what others before it counted and what this gateway has
-    /// forgotten, in the first report that it gets, and what passed unasked some time ago.
+    /// Requests that this keeper has not counted: those that passed unasked some time ago, and, in its
+    /// first report, those that earlier keepers counted and a marker if the gateway has restarted.
     pub past: Vec<PastRequests>,
 }
 
@@ -83,22 +84,22 @@
 /// What a gateway admitted since its last report to a keeper.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsageReport {
-    /// The gateway.
+    /// The gateway that reports.
     pub gateway: DaemonId,
-    /// Its life.
+    /// The gateway's incarnation.
     pub incarnation: Incarnation,
-    /// Rises with each report of this life to this keeper. A report that comes twice counts once.
+    /// Rises with each report of this incarnation to this keeper. A report that arrives twice counts once.
     pub sequence: u64,
-    /// By tenant.
+    /// The usage of each tenant.
     pub usage: Vec<TenantUsage>,
 }
 
-/// What is put to a keeper.
+/// A command to a keeper.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LimitCommand {
-    /// Count what was admitted.
+    /// Counts requests that were admitted.
     Report(UsageReport),
-    /// Whether one more request may pass.
+    /// Asks whether one more request may pass.
     Ask {
         /// The tenant.
         tenant: TenantId,
@@ -106,43 +107,43 @@
         limit: VersionedLimit,
         /// The request's program.
         program: Option<ProgramKey>,
-        /// How long it may wait for its turn.
+        /// The longest time that the request may wait for its turn.
         max_wait: Duration,
     },
 }
 
-/// What a keeper says of a request.
+/// A keeper's decision on a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Verdict {
-    /// It may pass, and is counted.
+    /// The request may pass, and is counted.
     Pass {
-        /// In so long: its permit is set aside, and until then it waits.
+        /// The time that it must wait first. Its permit is reserved.
         after: Duration,
     },
-    /// It may not.
+    /// The request may not pass.
     Refuse {
-        /// When there will be room for it.
+        /// The time after which there will be room for it.
         retry_after: Duration,
     },
 }
 
-/// A keeper's answer.
+/// A keeper's reply to a command.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LimitReply {
     /// The report is counted.
     Counted {
-        /// Tenants of the report of which permits are scarce: ask before each request.
+        /// Tenants in the report whose permits are scarce: gateways must ask before each request.
         scarce: Vec<TenantId>,
-        /// Who counted it.
+        /// The keeper that counted it.
         keeper: KeeperTerm,
     },
-    /// The answer to a question.
+    /// The answer to [`LimitCommand::Ask`].
     Answer {
         /// The verdict.
         verdict: Verdict,
         /// Whether permits are still scarce.
         is_scarce: bool,
-        /// Who answers.
+        /// The keeper that answers.
         keeper: KeeperTerm,
     },
 }
--- a/crates/limits/src/permits.rs
+++ b/crates/limits/src/permits.rs
@@ -1,37 +1,38 @@
-//! Permits of one tenant, by the window that the deployment counts in, or else by a bucket.
+//! Permits of one tenant, counted in a sliding window if the deployment sets one, else in a token bucket.
 
 use dahlia_types::{Duration, Timestamp};
 
-use crate::bucket::Bucket;
-use crate::memory::Forgotten;
-use crate::unheard::Unheard;
-use crate::window::Window;
+use crate::bucket::TokenBucket;
+use crate::lost_history::LostHistory;
+use crate::reservation::Reservation;
+use crate::window::SlidingWindow;
 use crate::{LimitSettings, RateLimit};
 
-/// How a tenant's requests are counted.
+/// The counter of a tenant's requests.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum Permits {
-    /// The deployment names no window.
-    Bucket(Bucket),
-    /// It does.
-    Window(Window),
+    /// Used if the deployment sets no window.
+    Bucket(TokenBucket),
+    /// Used if the deployment sets a window.
+    Window(SlidingWindow),
 }
 
 impl Permits {
-    /// Permits of a tenant that nothing is known of, by a keeper that has been there since a moment.
-    /// What a keeper before may have let pass has been made up for after some time.
+    /// Creates the permits of a tenant of which nothing is known, at a keeper that started at
+    /// `keeper_started_at`. A bucket makes up over time for what the previous keeper may have admitted.
     pub(crate) fn new(
         settings: &LimitSettings,
         limit: RateLimit,
-        since: Timestamp,
+        keeper_started_at: Timestamp,
         now: Timestamp,
     ) -> Self {
         if let Some(tolerance) = settings.tolerance() {
-            return Self::Window(Window::new(limit, tolerance, since));
+            return Self::Window(SlidingWindow::new(limit, tolerance, keeper_started_at));
         }
         let share = settings.first_share;
-        let refilled = now.since(since).as_secs_f64() * limit.per_second() / limit.burst();
-        Self::Bucket(Bucket::new(limit, (share + refilled).min(1.0), now))
+        let refilled =
+            now.since(keeper_started_at).as_secs_f64() * limit.per_second() / limit.burst();
+        Self::Bucket(TokenBucket::new(limit, (share + refilled).min(1.0), now))
     }
 
     pub(crate) fn limit(&self) -> RateLimit {
@@ -41,8 +42,8 @@
         }
     }
 
-    /// The most permits that there ever are.
-    pub(crate) fn most(&self) -> f64 {
+    /// Returns the most permits that can be available.
+    pub(crate) fn capacity(&self) -> f64 {
         match self {
             Self::Bucket(bucket) => bucket.limit().burst(),
             Self::Window(window) => window.allowance(),
@@ -57,58 +58,59 @@
         }
     }
 
-    /// Permits at this moment; negative when more was let pass than the limit allows.
-    pub(crate) fn level(&mut self, now: Timestamp) -> f64 {
+    /// Returns the permits available now. They are negative when more was admitted than the limit allows.
+    pub(crate) fn available(&mut self, now: Timestamp) -> f64 {
         match self {
-            Self::Bucket(bucket) => bucket.level(now),
-            Self::Window(window) => window.level(now),
+            Self::Bucket(bucket) => bucket.available(now),
+            Self::Window(window) => window.available(now),
         }
     }
 
-    /// Permits by what is known, also of a keeper that has just begun.
-    pub(crate) fn known_level(&mut self, now: Timestamp) -> f64 {
+    /// Returns the permits by what gateways have reported, even if the keeper has only just started.
+    pub(crate) fn available_by_reports(&mut self, now: Timestamp) -> f64 {
         match self {
-            Self::Bucket(bucket) => bucket.level(now),
-            Self::Window(window) => window.known_level(now),
+            Self::Bucket(bucket) => bucket.available(now),
+            Self::Window(window) => window.available_by_reports(now),
         }
     }
 
-    /// Whether requests of late may be unknown, since their keeper has just begun. A bucket makes up
-    /// for them by what it holds at first.
+    /// Whether recent requests may be unknown because the keeper has just started. A bucket accounts for
+    /// them by its initial fill.
     pub(crate) fn is_catching_up(&self, now: Timestamp) -> bool {
         matches!(self, Self::Window(window) if window.is_catching_up(now))
     }
 
-    /// What passed before that nobody remembers. A bucket makes up for it as well.
-    pub(crate) fn set_forgotten(&mut self, forgotten: Option<Forgotten>) {
+    /// Sets what passed before this keeper and is unknown. A bucket accounts for it by its initial fill.
+    pub(crate) fn set_lost_history(&mut self, lost: Option<LostHistory>) {
         if let Self::Window(window) = self {
-            window.set_forgotten(forgotten);
+            window.set_lost_history(lost);
         }
     }
 
-    /// So many requests were asked for.
-    pub(crate) fn note_asked(&mut self, requests: f64) {
+    /// Records how many requests were asked for.
+    pub(crate) fn record_requested(&mut self, requests: f64) {
         if let Self::Window(window) = self {
-            window.note_asked(requests);
+            window.record_requested(requests);
         }
     }
 
-    /// What is known of gateways that are not heard. A bucket does not go by it.
-    pub(crate) fn unheard(&mut self) -> Option<&mut Unheard> {
+    /// Returns the permits reserved for gateways that may admit requests unknown to the keeper. A bucket
+    /// reserves none.
+    pub(crate) fn reservation(&mut self) -> Option<&mut Reservation> {
         match self {
             Self::Bucket(_) => None,
-            Self::Window(window) => Some(window.unheard()),
+            Self::Window(window) => Some(window.reservation()),
         }
     }
 
-    /// Takes permits for requests that passed so long ago, under another keeper.
-    pub(crate) fn take_earlier(&mut self, permits: f64, ago: Duration, now: Timestamp) {
+    /// Takes permits for requests that passed some time ago and that this keeper has not counted.
+    pub(crate) fn take_past(&mut self, permits: f64, age: Duration, now: Timestamp) {
         if let Self::Window(window) = self {
-            window.take(permits, Timestamp(now.0.saturating_sub(ago.as_micros())));
+            window.take(permits, Timestamp(now.0.saturating_sub(age.as_micros())));
         }
     }
 
-    /// Takes permits for requests that pass in so long, whether they are there or not.
+    /// Takes permits for requests that pass after a wait, even if they are not available.
     pub(crate) fn take(&mut self, permits: f64, wait: Duration, now: Timestamp) {
         match self {
             Self::Bucket(bucket) => bucket.take(permits, now),
@@ -116,15 +118,15 @@
         }
     }
 
-    /// Puts permits back that were not used.
-    pub(crate) fn put_back(&mut self, permits: f64, now: Timestamp) {
+    /// Returns permits that were not used.
+    pub(crate) fn refund(&mut self, permits: f64, now: Timestamp) {
         match self {
-            Self::Bucket(bucket) => bucket.put_back(permits, now),
-            Self::Window(window) => window.put_back(permits, now),
+            Self::Bucket(bucket) => bucket.refund(permits, now),
+            Self::Window(window) => window.refund(permits, now),
         }
     }
 
-    /// How long until there are as many as `wanted`, if nobody takes any.
+    /// Returns the time until there are `wanted` permits, if no others are taken.
     pub(crate) fn time_until(&mut self, wanted: f64, now: Timestamp) -> Duration {
         match self {
             Self::Bucket(bucket) => bucket.time_until(wanted, now),
--- a/crates/limits/src/programs.rs
+++ b/crates/limits/src/programs.rs
@@ -1,4 +1,4 @@
-//! Programs of a tenant that are under way, and what a program needs until its end.
+//! Active programs of a tenant, and how many requests a program needs until its end.
 
 use std::collections::BTreeMap;
 
@@ -6,154 +6,175 @@
 
 use crate::ProgramKey;
 
-/// Requests of a program before any has ended. Low on purpose: until it is known better, a program
-/// that begins is rather let in.
-const FIRST_NEED: f64 = 4.0;
-/// Seconds from a program's first to its last request before any has ended.
-const FIRST_LIFE_S: f64 = 2.0;
-/// Programs that make most of a mean. Until as many have ended, each counts alike.
-const MEAN_OF: u32 = 32;
-/// The most requests that a program moves the mean by, as a multiple of it: one that loops without
-/// end says nothing of the others.
-const MOST_OF_MEAN: f64 = 4.0;
-/// Programs of one tenant that are held at most; beyond, none is taken to be new.
-const MOST_HELD: usize = 100_000;
-
-/// Requests by which programs are told apart; those with more are few, or loop.
-const MOST_REQUESTS: usize = 128;
-/// What a program counts for once another one has ended: some two hundred make the picture.
-const FADING: f64 = 0.995;
-/// The usual times between two of its requests after which a program that rests has ended.
+/// Requests of a program, assumed until one has ended. Low on purpose: as long as nothing is known,
+/// programs should rather start than be refused.
+const INITIAL_MEAN_REQUESTS: f64 = 4.0;
+/// Seconds from a program's first to its last request, assumed until one has ended.
+const INITIAL_MEAN_DURATION_S: f64 = 2.0;
+/// Programs that make up most of a mean. Until as many have ended, each has the same weight.
+const MEAN_SAMPLES: u32 = 32;
+/// The largest sample, as a multiple of the mean. Without a bound, a program that loops without end
+/// would distort the mean for the others.
+const MAX_SAMPLE_FACTOR: f64 = 4.0;
+/// The most programs of one tenant that are tracked. When there are as many, no program counts as new.
+const MAX_ACTIVE_PROGRAMS: usize = 100_000;
+
+/// The highest number of requests by which programs are counted. Longer programs are few, or loop.
+const MAX_COUNTED_REQUESTS: usize = 128;
+/// Factor by which the weight of older programs falls with each one that ends. Some two hundred
+/// programs make up most of the counts.
+const COUNT_DECAY: f64 = 0.995;
+/// Average gaps between requests, on top of the usual one, after which an idle program has ended.
 const GAPS_UNTIL_ENDED: f64 = 3.0;
 
 #[derive(Debug, Clone, Copy)]
-struct UnderWay {
+struct ActiveProgram {
     requests: u32,
-    began: Timestamp,
-    last: Timestamp,
+    started_at: Timestamp,
+    last_request_at: Timestamp,
 }
 
-/// Means over programs that have ended, of all tenants of a keeper.
+/// Statistics of programs that have ended, over all tenants of a keeper.
 #[derive(Debug, Clone)]
-pub(crate) struct Needs {
-    requests: f64,
-    life_s: f64,
-    /// Programs by their requests, older ones counted less.
+pub(crate) struct ProgramStats {
+    mean_requests: f64,
+    mean_duration_s: f64,
+    /// Number of programs by their requests. Older programs have less weight.
     by_requests: Vec<f64>,
-    /// Programs that the means are made of, up to [`MEAN_OF`].
-    ended: u32,
+    /// Programs in the means, up to [`MEAN_SAMPLES`].
+    samples: u32,
 }
 
-impl Default for Needs {
+impl Default for ProgramStats {
     fn default() -> Self {
         Self {
-            requests: FIRST_NEED,
-            life_s: FIRST_LIFE_S,
-            by_requests: vec![0.0; MOST_REQUESTS + 1],
-            ended: 0,
+            mean_requests: INITIAL_MEAN_REQUESTS,
+            mean_duration_s: INITIAL_MEAN_DURATION_S,
+            by_requests: vec![0.0; MAX_COUNTED_REQUESTS + 1],
+            samples: 0,
         }
     }
 }
 
-impl Needs {
-    /// Requests that a program has left after so many, in the mean over those that had more.
-    fn left(&self, requests: u32) -> f64 {
-        let beyond = (requests as usize).min(MOST_REQUESTS - 1) + 1;
-        let programs: f64 = self.by_requests[beyond..].iter().sum();
+impl ProgramStats {
+    /// Returns how many more requests a program sends after `requests`: the mean over programs that had
+    /// more than that.
+    fn remaining_requests(&self, requests: u32) -> f64 {
+        let longer = (requests as usize).min(MAX_COUNTED_REQUESTS - 1) + 1;
+        let programs: f64 = self.by_requests[longer..].iter().sum();
         if programs <= 0.0 {
-            return (self.requests - f64::from(requests)).max(0.0);
+            return (self.mean_requests - f64::from(requests)).max(0.0);
         }
-        let more = self.by_requests[beyond..].iter().enumerate();
-        more.map(|(more, programs)| (more + 1) as f64 * programs).sum::<f64>() / programs
+        let counts = self.by_requests[longer..].iter().enumerate();
+        counts.map(|(more, programs)| (more + 1) as f64 * programs).sum::<f64>() / programs
     }
 
-    /// How likely it is that a program that rests has not ended.
-    fn lives(&self, program: &UnderWay, rest: Duration, now: Timestamp) -> f64 {
-        let gap = self.life_s / (self.requests - 1.0).max(1.0);
-        let rested = now.since(program.last).as_secs_f64() - gap;
-        let certain = (gap * GAPS_UNTIL_ENDED).min(rest.as_secs_f64());
-        (1.0 - rested / certain).clamp(0.0, 1.0)
+    /// Returns the probability that an idle program has not ended.
+    fn probability_active(
+        &self,
+        program: &ActiveProgram,
+        idle_timeout: Duration,
+        now: Timestamp,
+    ) -> f64 {
+        let gap = self.mean_duration_s / (self.mean_requests - 1.0).max(1.0);
+        let overdue = now.since(program.last_request_at).as_secs_f64() - gap;
+        let certain = (gap * GAPS_UNTIL_ENDED).min(idle_timeout.as_secs_f64());
+        (1.0 - overdue / certain).clamp(0.0, 1.0)
     }
 
-    /// Requests of a whole program.
-    pub(crate) fn requests(&self) -> f64 {
-        self.requests
+    /// Mean number of requests of a whole program.
+    pub(crate) fn mean_requests(&self) -> f64 {
+        self.mean_requests
     }
 
-    /// Time from its first to its last request.
-    pub(crate) fn life(&self) -> Duration {
-        Duration::from_secs_f64(self.life_s)
+    /// Mean time from a program's first to its last request.
+    pub(crate) fn mean_duration(&self) -> Duration {
+        Duration::from_secs_f64(self.mean_duration_s)
     }
 
-    fn learn(&mut self, ended: &UnderWay) {
-        let life_s = ended.last.since(ended.began).as_secs_f64();
-        let requests = f64::from(ended.requests).min(self.requests * MOST_OF_MEAN);
-        self.ended = (self.ended + 1).min(MEAN_OF);
-        let weight = 1.0 / f64::from(self.ended);
-        self.by_requests.iter_mut().for_each(|programs| *programs *= FADING);
-        self.by_requests[(ended.requests as usize).min(MOST_REQUESTS)] += 1.0;
-        self.requests += (requests - self.requests) * weight;
-        self.life_s += (life_s - self.life_s) * weight;
+    fn record(&mut self, ended: &ActiveProgram) {
+        let duration_s = ended.last_request_at.since(ended.started_at).as_secs_f64();
+        let requests = f64::from(ended.requests).min(self.mean_requests * MAX_SAMPLE_FACTOR);
+        self.samples = (self.samples + 1).min(MEAN_SAMPLES);
+        let weight = 1.0 / f64::from(self.samples);
+        self.by_requests.iter_mut().for_each(|programs| *programs *= COUNT_DECAY);
+        self.by_requests[(ended.requests as usize).min(MAX_COUNTED_REQUESTS)] += 1.0;
+        self.mean_requests += (requests - self.mean_requests) * weight;
+        self.mean_duration_s += (duration_s - self.mean_duration_s) * weight;
     }
 }
 
-/// One tenant's programs under way.
+/// The active programs of one tenant.
 #[derive(Debug, Default)]
-pub(crate) struct Programs {
-    under_way: BTreeMap<ProgramKey, UnderWay>,
-    next_sweep: Timestamp,
+pub(crate) struct ActivePrograms {
+    by_key: BTreeMap<ProgramKey, ActiveProgram>,
+    next_expiry: Timestamp,
 }
 
-impl Programs {
-    /// Whether a program had a request of late.
-    pub(crate) fn is_under_way(&self, program: ProgramKey) -> bool {
-        self.under_way.contains_key(&program) || self.under_way.len() >= MOST_HELD
+impl ActivePrograms {
+    /// Whether a program has sent requests and has not ended. True for all programs once the most are
+    /// tracked.
+    pub(crate) fn is_active(&self, program: ProgramKey) -> bool {
+        self.by_key.contains_key(&program) || self.by_key.len() >= MAX_ACTIVE_PROGRAMS
     }
 
-    /// A request of a program passes.
-    pub(crate) fn note(&mut self, program: ProgramKey, now: Timestamp) {
-        if self.under_way.len() >= MOST_HELD && !self.under_way.contains_key(&program) {
+    /// Records a request of a program.
+    pub(crate) fn record_request(&mut self, program: ProgramKey, now: Timestamp) {
+        if self.by_key.len() >= MAX_ACTIVE_PROGRAMS && !self.by_key.contains_key(&program) {
             return;
         }
-        let new = UnderWay { requests: 0, began: now, last: now };
-        let held = self.under_way.entry(program).or_insert(new);
-        held.requests += 1;
-        held.last = now;
+        let new = ActiveProgram { requests: 0, started_at: now, last_request_at: now };
+        let active = self.by_key.entry(program).or_insert(new);
+        active.requests += 1;
+        active.last_request_at = now;
     }
 
-    /// Forgets programs that have rested for so long, and learns from them. Looks through them once
-    /// in half of that time.
-    pub(crate) fn sweep(&mut self, rest: Duration, needs: &mut Needs, now: Timestamp) {
-        if now < self.next_sweep {
+    /// Removes programs that were idle for `idle_timeout` and adds them to the statistics. It looks
+    /// through the programs at most once in half of that time.
+    pub(crate) fn expire(
+        &mut self,
+        idle_timeout: Duration,
+        stats: &mut ProgramStats,
+        now: Timestamp,
+    ) {
+        if now < self.next_expiry {
             return;
         }
-        self.next_sweep = now + Duration::from_micros(rest.as_micros() / 2);
-        self.under_way.retain(|_, program| {
-            let is_live = now.since(program.last) < rest;
-            if !is_live && program.requests > 0 {
-                needs.learn(program);
+        self.next_expiry = now + Duration::from_micros(idle_timeout.as_micros() / 2);
+        self.by_key.retain(|_, program| {
+            let is_active = now.since(program.last_request_at) < idle_timeout;
+            if !is_active && program.requests > 0 {
+                stats.record(program);
             }
-            is_live
+            is_active
         });
     }
 
-    /// A request that was noted has not run.
-    pub(crate) fn take_back(&mut self, program: ProgramKey) {
-        if let Some(held) = self.under_way.get_mut(&program) {
-            held.requests = held.requests.saturating_sub(1);
+    /// Takes back a recorded request that has not run.
+    pub(crate) fn refund(&mut self, program: ProgramKey) {
+        if let Some(active) = self.by_key.get_mut(&program) {
+            active.requests = active.requests.saturating_sub(1);
         }
     }
 
-    /// What those under way still need until their ends.
-    pub(crate) fn needed(&self, needs: &Needs, rest: Duration, now: Timestamp) -> f64 {
-        let under_way = self.under_way.values();
-        under_way
-            .map(|program| needs.left(program.requests) * needs.lives(program, rest, now))
+    /// Returns the requests that active programs are expected to send until their ends.
+    pub(crate) fn expected_requests(
+        &self,
+        stats: &ProgramStats,
+        idle_timeout: Duration,
+        now: Timestamp,
+    ) -> f64 {
+        let programs = self.by_key.values();
+        programs
+            .map(|program| {
+                stats.remaining_requests(program.requests)
+                    * stats.probability_active(program, idle_timeout, now)
+            })
             .sum()
     }
 
-    /// How many there are, those included whose end does not show yet.
+    /// Number of programs, including those that have ended but are not idle for long enough to show it.
     pub(crate) fn len(&self) -> usize {
-        self.under_way.len()
+        self.by_key.len()
     }
 }
--- a/crates/limits/src/rate.rs
+++ b/crates/limits/src/rate.rs
@@ -3,25 +3,25 @@
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 
-/// The highest rate and burst that are taken, far above any system's.
-const MOST: f64 = 1e9;
-/// Parts that a request is counted in, so that limits are whole numbers and compare exactly.
-const PARTS: f64 = 1_000.0;
+/// The highest rate and burst that are accepted, far above those of any system.
+const MAX_REQUESTS: f64 = 1e9;
+/// Units per request. Limits are stored in whole units, so that they compare exactly.
+const UNITS_PER_REQUEST: f64 = 1_000.0;
 
-/// A limit that cannot be kept.
+/// An error for a limit that cannot be enforced.
 #[derive(Debug, Clone, PartialEq, Snafu)]
 #[snafu(display("{field} is {value}; allowed: {allowed}"))]
 pub struct InvalidRate {
-    /// Which of the two figures.
+    /// The name of the invalid figure: `rate` or `burst`.
     pub field: &'static str,
     /// The value found.
     pub value: f64,
-    /// What is allowed.
+    /// The values that are allowed.
     pub allowed: &'static str,
 }
 
-/// Requests that all daemons together let pass: in any time of `t` seconds no more than
-/// `per_second * t + burst`.
+/// The requests that all daemons together admit: no more than `per_second * t + burst` in any `t`
+/// seconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RateLimit {
     /// In thousandths of a request.
@@ -31,34 +31,34 @@
 }
 
 impl RateLimit {
-    /// A limit; none when the rate is 0.
+    /// Creates a limit, or none if the rate is 0.
     ///
     /// # Errors
-    /// [`InvalidRate`] when a figure is negative, infinite, not a number or beyond all bounds.
+    /// [`InvalidRate`] if a figure is negative, infinite, not a number or above the maximum.
     pub fn new(per_second: f64, burst: f64) -> Result<Option<Self>, InvalidRate> {
         check("rate", per_second)?;
         check("burst", burst)?;
-        let (per_second, burst) = (parts(per_second), parts(burst));
+        let (per_second, burst) = (to_units(per_second), to_units(burst));
         Ok((per_second > 0).then_some(Self { per_second, burst }))
     }
 
     /// Requests a second.
     pub fn per_second(&self) -> f64 {
-        self.per_second as f64 / PARTS
+        self.per_second as f64 / UNITS_PER_REQUEST
     }
 
-    /// Requests beyond the rate. At least one: a bucket that holds none lets nothing pass.
+    /// Requests on top of the rate. At least one, since a bucket without room for one admits nothing.
     pub fn burst(&self) -> f64 {
-        (self.burst as f64 / PARTS).max(1.0)
+        (self.burst as f64 / UNITS_PER_REQUEST).max(1.0)
     }
 }
 
-fn parts(requests: f64) -> u64 {
-    (requests * PARTS).round() as u64
+fn to_units(requests: f64) -> u64 {
+    (requests * UNITS_PER_REQUEST).round() as u64
 }
 
 fn check(field: &'static str, value: f64) -> Result<(), InvalidRate> {
-    if (0.0..=MOST).contains(&value) {
+    if (0.0..=MAX_REQUESTS).contains(&value) {
         return Ok(());
     }
     InvalidRateSnafu { field, value, allowed: "0 to 1000000000" }.fail()
--- a/crates/limits/src/settings.rs
+++ b/crates/limits/src/settings.rs
@@ -1,55 +1,56 @@
-//! Times and shares of keeping limits.
+//! Settings of rate limiting: intervals, timeouts and shares.
 
 use dahlia_types::{Duration, InvalidSetting, check_range};
 use serde::{Deserialize, Serialize};
 
 use crate::Tolerance;
 
-/// Settings of keeping limits.
+/// Settings of rate limiting.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LimitSettings {
-    /// Milliseconds between a gateway's reports to a keeper. What a tenant sends in this time and on
-    /// the way passes uncounted: at 4.7 times its rate, 0.3 s come to 1.4 s of its rate.
+    /// Milliseconds between a gateway's reports to a keeper. Requests that a tenant sends in this time
+    /// and while the report is on its way pass uncounted: at 4.7 times its rate, 0.3 s amount to 1.4 s
+    /// of its rate.
     pub report_interval_ms: u64,
-    /// The share of a tenant's rate for one second that a gateway admits before it reports at once.
-    /// A hundredth: the heaviest of some seventy gateways then lets pass no more than the rest.
+    /// Share of a tenant's rate for one second that a gateway admits before it reports at once. At a
+    /// hundredth, the busiest of some seventy gateways admits no more unreported than the rest.
     pub report_share: f64,
-    /// The share of the burst below which permits are scarce and gateways ask. What is left covers
-    /// what is not reported yet.
+    /// Share of the burst below which permits are scarce and gateways ask. The permits that remain cover
+    /// requests that are not reported yet.
     pub scarce_share: f64,
     /// Milliseconds for which a gateway asks after it was told that permits are scarce, unless it is
-    /// told otherwise. Longer than most gateways wait for a tenant's next request while it is far
-    /// beyond its limit: one that forgets it admits that request unasked.
+    /// told otherwise. Longer than most gateways wait for the next request of a tenant that is far above
+    /// its limit: after this time, a gateway admits that request without asking.
     pub scarce_ms: u64,
-    /// Milliseconds that a request waits for the keeper's verdict before the gateway decides by
-    /// itself. Some thirty times the usual answer, less than half of the shortest objective.
+    /// Milliseconds that a request waits for the keeper's verdict before the gateway decides by itself.
+    /// Some thirty times the usual response time, and less than half of the shortest objective.
     pub answer_timeout_ms: u64,
-    /// Milliseconds without an answer to a report after which a gateway limits by its own usual
-    /// share of the tenant's requests. Longer than the election of another keeper takes.
+    /// Milliseconds without an answer to a report after which a gateway limits the tenant to the
+    /// gateway's own usual share of requests. Longer than the election of another keeper takes.
     pub silence_ms: u64,
-    /// How much of its usual own requests a gateway admits while it reaches no keeper.
+    /// What a gateway admits while it reaches no keeper, as a multiple of its own usual requests.
     pub silent_factor: f64,
-    /// The share of the burst that a new keeper takes to be there: it does not know what its
-    /// predecessor let pass.
+    /// Share of the burst that a new keeper starts with, since it does not know what its predecessor
+    /// admitted.
     pub first_share: f64,
     /// Milliseconds without a request after which a program is taken to have ended. Longer than the
     /// pauses between the turns and tool calls of nearly all programs.
     pub program_rest_ms: u64,
-    /// The share of the burst that programs do not begin on: it is for those under way that need more
-    /// than others.
+    /// Share of the burst that no program starts on. It is reserved for active programs that need more
+    /// requests than others.
     pub reserve_share: f64,
-    /// Seconds of the window that requests are counted in: any span of this length holds no
-    /// more than the limit's rate over it and its burst. 0: a bucket counts, which is tighter.
+    /// Seconds of the window that requests are counted in: any span of this length holds no more than
+    /// the limit's rate over it and its burst. 0 selects a token bucket, which is stricter.
     pub window_s: f64,
-    /// The share of a window's requests that is tolerated beyond the limit.
+    /// Share of a window's requests that is tolerated above the limit.
     pub tolerated_excess: f64,
-    /// Requests in a window that are tolerated beyond that.
+    /// Requests in a window that are tolerated on top of that.
     pub tolerated_requests: f64,
     /// With a window: the share of its requests below which permits are scarce and gateways ask.
     /// Tenants at their usual rate stay above it.
     pub scarce_window_share: f64,
-    /// Whether programs begin only where the limit leaves room for their further requests.
+    /// Whether programs start only where the limit leaves room for their further requests.
     pub whole_programs: bool,
 }
 
@@ -101,20 +102,20 @@
         Duration::from_millis(self.report_interval_ms)
     }
 
-    pub(crate) fn scarce_time(&self) -> Duration {
+    pub(crate) fn scarce_duration(&self) -> Duration {
         Duration::from_millis(self.scarce_ms)
     }
 
-    pub(crate) fn silence(&self) -> Duration {
+    pub(crate) fn unresponsive_timeout(&self) -> Duration {
         Duration::from_millis(self.silence_ms)
     }
 
-    /// How long a gateway remembers what it let pass.
+    /// The time for which a gateway remembers what it admitted.
     pub(crate) fn window(&self) -> Duration {
         Duration::from_secs_f64(self.window_s)
     }
 
-    /// The window that the deployment counts in, if it names one.
+    /// The window that the deployment counts in, if it sets one.
     pub(crate) fn tolerance(&self) -> Option<Tolerance> {
         (self.window_s > 0.0).then(|| Tolerance {
             window: Duration::from_secs_f64(self.window_s),
@@ -123,7 +124,7 @@
         })
     }
 
-    pub(crate) fn program_rest(&self) -> Duration {
+    pub(crate) fn program_idle_timeout(&self) -> Duration {
         Duration::from_millis(self.program_rest_ms)
     }
 }
