--- a/crates/limits/src/gateway.rs
+++ b/crates/limits/src/gateway.rs
@@ -35,11 +35,11 @@
 /// remembers requests of the window. A new term in the answer shows that there is a successor, which
 /// must be told of them.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(500);
-/// The time after which a lower number of gateways takes effect. Cuts of a zone are shorter, and a
+/// The time after which a lower number of gateways takes effect. Partitions of a zone are shorter, and a
 /// planned change of so many gateways takes longer.
 const GATEWAY_DECREASE_DELAY: Duration = Duration::from_secs(60);
 /// The time after which a report without an answer is sent again, so that the keeper learns soon after a
-/// cut what passed without it.
+/// partition what passed without it.
 const REPORT_RETRY_DELAY: Duration = Duration::from_millis(500);
 /// The age from which requests are reported with the time at which they passed. Newer ones are counted at
 /// the time of their report.
--- a/crates/limits/tests/gateway.rs
+++ b/crates/limits/tests/gateway.rs
@@ -1,4 +1,4 @@
-//! What a gateway admits, reports and forgets, by single events.
+//! Tests of what a gateway admits, reports and forgets, one event at a time.
 
 use dahlia_limits::{
     Admission, KeeperAnswer, KeeperTerm, LimitGateway, LimitReply, LimitSettings, PastRequests,
@@ -17,43 +17,43 @@
     TenantId::new("oak")
 }
 
-fn known(generation: u64) -> VersionedLimit {
+fn limit_of_generation(generation: u64) -> VersionedLimit {
     let limit = RateLimit::new(400.0, 400.0).expect("a limit").expect("some");
     VersionedLimit { generation, limit }
 }
 
 fn admit(gateway: &mut LimitGateway, now: Timestamp) -> Admission {
-    gateway.admit(KEEPER, &oak(), known(1), Some(ProgramKey(7)), now)
+    gateway.admit(KEEPER, &oak(), limit_of_generation(1), Some(ProgramKey(7)), now)
 }
 
-fn counted(scarce: bool) -> LimitReply {
-    let scarce = if scarce { vec![oak()] } else { Vec::new() };
+fn acknowledgement(is_scarce: bool) -> LimitReply {
+    let scarce = if is_scarce { vec![oak()] } else { Vec::new() };
     LimitReply::Counted { scarce, keeper: KeeperTerm(1) }
 }
 
-fn passes(is_scarce: bool, term: u64) -> KeeperAnswer {
+fn pass_answer(is_scarce: bool, term: u64) -> KeeperAnswer {
     let verdict = Verdict::Pass { after: Duration::ZERO };
     KeeperAnswer { verdict, is_scarce, keeper: KeeperTerm(term) }
 }
 
-/// Requests in a report.
-fn requests(report: &UsageReport) -> usize {
+/// Returns the number of requests in a report that were admitted unasked.
+fn request_count(report: &UsageReport) -> usize {
     report.usage.iter().map(|usage| usage.requests.len()).sum()
 }
 
 #[test]
-fn requests_pass_unasked_until_permits_are_scarce_and_again_when_they_are_not() {
+fn requests_pass_unasked_unless_permits_are_scarce() {
     let mut gateway = gateway();
     assert_eq!(admit(&mut gateway, START), Admission::Pass { report_now: false });
     let report = gateway.due_report(KEEPER, START).expect("one was admitted");
-    gateway.handle_acknowledgement(KEEPER, report.sequence, &counted(true), START);
+    gateway.handle_acknowledgement(KEEPER, report.sequence, &acknowledgement(true), START);
     assert_eq!(admit(&mut gateway, START), Admission::Ask);
-    gateway.handle_answer(KEEPER, &oak(), Some(ProgramKey(7)), passes(false, 1), START);
+    gateway.handle_answer(KEEPER, &oak(), Some(ProgramKey(7)), pass_answer(false, 1), START);
     assert_eq!(admit(&mut gateway, START), Admission::Pass { report_now: false });
 }
 
 #[test]
-fn a_hundredth_of_the_rate_unreported_is_reported_at_once() {
+fn report_is_due_at_once_after_a_hundredth_of_the_rate() {
     let mut gateway = gateway();
     for _ in 0..3 {
         assert_eq!(admit(&mut gateway, START), Admission::Pass { report_now: false });
@@ -62,21 +62,21 @@
 }
 
 #[test]
-fn a_report_without_an_answer_comes_again_under_its_number_and_is_never_sent_twice_at_once() {
+fn failed_report_is_sent_again_with_its_sequence_number() {
     let mut gateway = gateway();
     admit(&mut gateway, START);
     let first = gateway.due_report(KEEPER, START).expect("one was admitted");
     admit(&mut gateway, START);
-    assert_eq!(gateway.due_report(KEEPER, START), None, "the first is on its way");
+    assert_eq!(gateway.due_report(KEEPER, START), None, "the first is in flight");
     gateway.mark_report_failed(KEEPER);
     assert_eq!(gateway.due_report(KEEPER, START).as_ref(), Some(&first));
-    gateway.handle_acknowledgement(KEEPER, first.sequence, &counted(false), START);
+    gateway.handle_acknowledgement(KEEPER, first.sequence, &acknowledgement(false), START);
     let second = gateway.due_report(KEEPER, START).expect("the second request");
-    assert_eq!((requests(&second), second.sequence), (1, first.sequence + 1));
+    assert_eq!((request_count(&second), second.sequence), (1, first.sequence + 1));
 }
 
 #[test]
-fn what_was_admitted_long_ago_is_not_reported_any_more() {
+fn old_requests_are_not_reported() {
     let mut gateway = gateway();
     admit(&mut gateway, START);
     gateway.due_report(KEEPER, START).expect("one was admitted");
@@ -84,43 +84,43 @@
     let later = START + Duration::from_millis(5_500);
     gateway.mark_report_failed(KEEPER);
     admit(&mut gateway, later);
-    let report = gateway.due_report(KEEPER, later).expect("two of five and a half seconds");
-    assert_eq!(requests(&report), 2, "the first is too old");
-    gateway.handle_acknowledgement(KEEPER, report.sequence, &counted(false), later);
+    let report =
+        gateway.due_report(KEEPER, later).expect("two requests within five and a half seconds");
+    assert_eq!(request_count(&report), 2, "the first is too old");
+    gateway.handle_acknowledgement(KEEPER, report.sequence, &acknowledgement(false), later);
     admit(&mut gateway, later);
     let much_later = later + Duration::from_secs(5);
     let left = gateway.due_report(KEEPER, much_later);
-    assert_eq!(left.map_or(0, |report| requests(&report)), 0, "nothing is new enough");
+    assert_eq!(left.map_or(0, |report| request_count(&report)), 0, "nothing is new enough");
 }
 
 #[test]
-fn what_a_longer_window_still_holds_is_reported_however_long_ago_it_was_admitted() {
+fn old_requests_are_reported_if_the_window_still_holds_them() {
     let settings = LimitSettings {
         window_s: 10.0,
         tolerated_excess: 0.1,
         tolerated_requests: 20.0,
         ..LimitSettings::default()
     };
-    for (settings, ago_s, reported) in [(LimitSettings::default(), 6, 1), (settings, 6, 2)] {
+    for (settings, age_s, reported) in [(LimitSettings::default(), 6, 1), (settings, 6, 2)] {
         let mut gateway = LimitGateway::new(settings, DaemonId(1), Incarnation(1));
         admit(&mut gateway, START);
-        let later = START + Duration::from_secs(ago_s);
+        let later = START + Duration::from_secs(age_s);
         admit(&mut gateway, later);
         let report = gateway.due_report(KEEPER, later).expect("two were admitted");
-        let earlier: Vec<_> = report.usage.iter().flat_map(|usage| &usage.past).collect();
-        assert_eq!(requests(&report) + earlier.len(), reported);
-        let has_its_time = |earlier: &&PastRequests| {
-            earlier.requests == 1 && earlier.age == Duration::from_secs(ago_s)
-        };
-        assert!(earlier.iter().all(has_its_time), "{earlier:?}");
+        let past: Vec<_> = report.usage.iter().flat_map(|usage| &usage.past).collect();
+        assert_eq!(request_count(&report) + past.len(), reported);
+        let has_its_age =
+            |past: &&PastRequests| past.requests == 1 && past.age == Duration::from_secs(age_s);
+        assert!(past.iter().all(has_its_age), "{past:?}");
     }
 }
 
 #[test]
-fn without_a_keeper_a_gateway_goes_on_at_its_usual_rate() {
+fn gateway_without_a_keeper_admits_its_usual_rate() {
     let mut gateway = gateway();
     gateway.set_gateway_count(73, START);
-    // Ten a second, reported in vain from the start on.
+    // Ten requests a second. No report is answered from the start on.
     let passed = |gateway: &mut LimitGateway, from: u64, until: u64, per_second: u64| {
         let mut passed = 0;
         for request in 0..(until - from) * per_second {
@@ -134,38 +134,38 @@
     passed(&mut gateway, 0, 2, 10);
     assert!(gateway.is_keeper_unresponsive(KEEPER, START + Duration::from_secs(3)));
     let usual = passed(&mut gateway, 3, 13, 10);
-    assert!(usual >= 50, "{usual} of 100 requests as usual");
+    assert!(usual >= 50, "{usual} of 100 requests at the usual rate");
     let many = passed(&mut gateway, 13, 23, 100);
-    assert!(many <= 150, "{many} of 1,000 requests at ten times the usual");
+    assert!(many <= 150, "{many} of 1,000 requests at ten times the usual rate");
 }
 
 #[test]
-fn a_permit_that_is_given_back_is_reported_at_once_while_others_wait_for_it() {
+fn refund_is_reported_at_once_while_permits_are_scarce() {
     let mut gateway = gateway();
     let program = Some(ProgramKey(7));
     admit(&mut gateway, START);
     assert!(!gateway.refund(KEEPER, &oak(), program, START));
-    let report = gateway.due_report(KEEPER, START).expect("both");
+    let report = gateway.due_report(KEEPER, START).expect("the request and its refund");
     assert_eq!(report.usage[0].refunded, [program]);
-    gateway.handle_acknowledgement(KEEPER, report.sequence, &counted(true), START);
+    gateway.handle_acknowledgement(KEEPER, report.sequence, &acknowledgement(true), START);
     assert!(gateway.refund(KEEPER, &oak(), program, START));
 }
 
-/// Calls of one program come many at a time; the keeper knows of all of them two messages later.
+/// Calls of one program come many at a time. The keeper must know of all of them two messages later.
 #[test]
-fn what_passed_while_a_report_was_on_its_way_is_due_at_once_after_it() {
+fn requests_admitted_while_a_report_is_in_flight_are_due_right_after_it() {
     let mut gateway = gateway();
     admit(&mut gateway, START);
     let report = gateway.due_report(KEEPER, START).expect("one was admitted");
     for _ in 0..4 {
         admit(&mut gateway, START);
     }
-    assert!(!gateway.is_report_due(KEEPER, START), "one is on its way");
-    gateway.handle_acknowledgement(KEEPER, report.sequence, &counted(false), START);
+    assert!(!gateway.is_report_due(KEEPER, START), "one is in flight");
+    gateway.handle_acknowledgement(KEEPER, report.sequence, &acknowledgement(false), START);
     assert!(gateway.is_report_due(KEEPER, START));
     let rest = gateway.due_report(KEEPER, START).expect("the others");
-    assert_eq!(requests(&rest), 4);
-    gateway.handle_acknowledgement(KEEPER, rest.sequence, &counted(false), START);
+    assert_eq!(request_count(&rest), 4);
+    gateway.handle_acknowledgement(KEEPER, rest.sequence, &acknowledgement(false), START);
     assert!(!gateway.is_report_due(KEEPER, START));
 }
 
@@ -178,34 +178,35 @@
     }
 }
 
-/// After a stop of everything, nobody knows what passed in the window before.
+/// After a restart of all processes, none of them knows what passed in the window before.
 #[test]
-fn a_gateway_in_a_later_life_asks_waits_and_says_what_it_has_forgotten() {
-    let new = || LimitGateway::new(window_settings(), DaemonId(1), Incarnation(2));
-    let most_wait = Duration::from_secs(2);
-    let mut first = new();
+fn restarted_gateway_asks_waits_and_reports_its_restart() {
+    let new_gateway = || LimitGateway::new(window_settings(), DaemonId(1), Incarnation(2));
+    let max_wait = Duration::from_secs(2);
+    let mut first = new_gateway();
     assert_eq!(admit(&mut first, START), Admission::Pass { report_now: false });
-    assert!(first.answer_timeout(KEEPER, most_wait, START) < most_wait);
-    let mut gateway = new().after_restart(START);
+    assert!(first.answer_timeout(KEEPER, max_wait, START) < max_wait);
+    let mut gateway = new_gateway().after_restart(START);
     assert_eq!(admit(&mut gateway, START), Admission::Ask);
-    assert_eq!(gateway.answer_timeout(KEEPER, most_wait, START), most_wait);
-    let alone = gateway.admit_without_keeper(KEEPER, &oak(), known(1), None, START);
-    assert!(matches!(alone, Admission::Refuse { .. }), "{alone:?}");
+    assert_eq!(gateway.answer_timeout(KEEPER, max_wait, START), max_wait);
+    let admission =
+        gateway.admit_without_keeper(KEEPER, &oak(), limit_of_generation(1), None, START);
+    assert!(matches!(admission, Admission::Refuse { .. }), "{admission:?}");
     let later = START + Duration::from_secs(1);
-    gateway.handle_answer(KEEPER, &oak(), None, passes(true, 4), later);
-    assert!(gateway.is_report_due(KEEPER, later), "the keeper is to know of it at once");
-    let report = gateway.due_report(KEEPER, later).expect("what it has forgotten");
-    let forgotten = PastRequests { age: Duration::from_secs(1), requests: 0 };
-    assert_eq!(report.usage[0].past, [forgotten]);
-    gateway.handle_acknowledgement(KEEPER, report.sequence, &counted(true), later);
-    assert!(gateway.answer_timeout(KEEPER, most_wait, later) < most_wait);
+    gateway.handle_answer(KEEPER, &oak(), None, pass_answer(true, 4), later);
+    assert!(gateway.is_report_due(KEEPER, later), "the keeper must learn of the restart at once");
+    let report = gateway.due_report(KEEPER, later).expect("its restart");
+    let marker = PastRequests { age: Duration::from_secs(1), requests: 0 };
+    assert_eq!(report.usage[0].past, [marker]);
+    gateway.handle_acknowledgement(KEEPER, report.sequence, &acknowledgement(true), later);
+    assert!(gateway.answer_timeout(KEEPER, max_wait, later) < max_wait);
     let long_after = START + Duration::from_secs(7);
     assert_eq!(admit(&mut gateway, long_after), Admission::Pass { report_now: false });
 }
 
-/// Behind a cut, as many pass as before it, programs that are under way before others.
+/// In a partition, as many requests pass as before it, those of active programs first.
 #[test]
-fn without_a_keeper_a_window_holds_no_more_than_the_last_one_that_a_keeper_knew() {
+fn gateway_without_a_keeper_admits_no_more_than_in_the_last_known_window() {
     let limit = VersionedLimit {
         generation: 1,
         limit: RateLimit::new(10.0, 10.0).expect("a limit").expect("some"),
@@ -216,7 +217,7 @@
     let mut passed = Vec::new();
     for _ in 0..8 {
         gateway.admit(KEEPER, &oak(), limit, Some(ProgramKey(1)), now);
-        gateway.handle_answer(KEEPER, &oak(), Some(ProgramKey(1)), passes(true, 1), now);
+        gateway.handle_answer(KEEPER, &oak(), Some(ProgramKey(1)), pass_answer(true, 1), now);
         passed.push(now);
         now = now + Duration::from_millis(100);
     }
@@ -239,9 +240,9 @@
     assert!(most.max() <= Some(8));
 }
 
-/// A keeper that comes after one that was told late learns of the same requests.
+/// Requests are reported to the next keeper even if they reached the last one late.
 #[test]
-fn what_was_told_late_is_told_to_the_next_keeper_too() {
+fn requests_reported_late_are_reported_to_the_next_keeper_too() {
     let mut gateway = LimitGateway::new(window_settings(), DaemonId(1), Incarnation(1));
     for _ in 0..3 {
         admit(&mut gateway, START);
@@ -249,16 +250,16 @@
     let later = START + Duration::from_secs(2);
     let late = gateway.due_report(KEEPER, later).expect("three were admitted");
     assert_eq!(late.usage[0].past.len(), 3);
-    gateway.handle_acknowledgement(KEEPER, late.sequence, &counted(false), later);
+    gateway.handle_acknowledgement(KEEPER, late.sequence, &acknowledgement(false), later);
     let next = START + Duration::from_secs(3);
-    gateway.handle_answer(KEEPER, &oak(), None, passes(true, 2), next);
-    let report = gateway.due_report(KEEPER, next).expect("the next keeper is to be told");
-    let told = PastRequests { age: Duration::from_secs(3), requests: 1 };
-    assert_eq!(report.usage[0].past, [told; 3]);
+    gateway.handle_answer(KEEPER, &oak(), None, pass_answer(true, 2), next);
+    let report = gateway.due_report(KEEPER, next).expect("the next keeper must be told");
+    let past = PastRequests { age: Duration::from_secs(3), requests: 1 };
+    assert_eq!(report.usage[0].past, [past; 3]);
 }
 
 #[test]
-fn without_a_keeper_a_program_that_loops_is_stopped() {
+fn gateway_without_a_keeper_stops_a_looping_program() {
     let mut gateway = LimitGateway::new(window_settings(), DaemonId(1), Incarnation(1));
     gateway.set_gateway_count(10, START);
     let limit = VersionedLimit {
@@ -267,26 +268,26 @@
     };
     let program = Some(ProgramKey(1));
     let pass = |_: &u32| {
-        let decided = gateway.admit_without_keeper(KEEPER, &oak(), limit, program, START);
-        matches!(decided, Admission::Pass { .. })
+        let admission = gateway.admit_without_keeper(KEEPER, &oak(), limit, program, START);
+        matches!(admission, Admission::Pass { .. })
     };
     let passed = (0..100).filter(pass).count();
     assert!((4..=20).contains(&passed), "{passed}");
 }
 
-/// An entry of no requests says that something is forgotten.
+/// An entry without requests would mark a restart.
 #[test]
-fn permits_that_went_back_are_not_told_as_forgotten() {
+fn refunds_are_not_reported_as_a_restart() {
     let mut gateway = LimitGateway::new(window_settings(), DaemonId(1), Incarnation(1));
     admit(&mut gateway, START);
     let first = gateway.due_report(KEEPER, START).expect("one was admitted");
-    gateway.handle_acknowledgement(KEEPER, first.sequence, &counted(false), START);
+    gateway.handle_acknowledgement(KEEPER, first.sequence, &acknowledgement(false), START);
     gateway.refund(KEEPER, &oak(), None, START);
     let later = START + Duration::from_secs(1);
-    let back = gateway.due_report(KEEPER, later).expect("a permit went back");
-    gateway.handle_acknowledgement(KEEPER, back.sequence, &counted(false), later);
-    gateway.handle_answer(KEEPER, &oak(), None, passes(false, 2), later);
-    let report = gateway.due_report(KEEPER, later).expect("the next keeper is to be told");
-    let told = PastRequests { age: Duration::from_secs(1), requests: 1 };
-    assert_eq!(report.usage[0].past, [told]);
+    let refund = gateway.due_report(KEEPER, later).expect("a permit was refunded");
+    gateway.handle_acknowledgement(KEEPER, refund.sequence, &acknowledgement(false), later);
+    gateway.handle_answer(KEEPER, &oak(), None, pass_answer(false, 2), later);
+    let report = gateway.due_report(KEEPER, later).expect("the next keeper must be told");
+    let past = PastRequests { age: Duration::from_secs(1), requests: 1 };
+    assert_eq!(report.usage[0].past, [past]);
 }
--- a/crates/limits/tests/keeper.rs
+++ b/crates/limits/tests/keeper.rs
@@ -1,4 +1,4 @@
-//! What a keeper counts, by single commands.
+//! Tests of what a keeper counts, one command at a time.
 
 use dahlia_limits::{
     DelayedRequest, KeeperTerm, LimitCommand, LimitKeeper, LimitReply, LimitSettings, PastRequests,
@@ -6,7 +6,7 @@
 };
 use dahlia_types::{DaemonId, Duration, Incarnation, TenantId, Timestamp};
 
-const AT_ONCE: Verdict = Verdict::Pass { after: Duration::ZERO };
+const PASS_AT_ONCE: Verdict = Verdict::Pass { after: Duration::ZERO };
 const START: Timestamp = Timestamp(1_000_000_000);
 
 fn limit(generation: u64, per_second: f64, burst: f64) -> VersionedLimit {
@@ -18,8 +18,8 @@
     TenantId::new("oak")
 }
 
-/// A keeper that has been there for long enough to take buckets for full.
-fn keeper() -> LimitKeeper {
+/// Returns a keeper that started so long ago that buckets are full.
+fn long_running_keeper() -> LimitKeeper {
     LimitKeeper::new(LimitSettings::default(), KeeperTerm(1), Timestamp(0))
 }
 
@@ -54,32 +54,36 @@
     }
 }
 
-fn level(keeper: &mut LimitKeeper, now: Timestamp) -> f64 {
-    keeper.available_permits(&oak(), now).expect("it is known")
+fn available(keeper: &mut LimitKeeper, now: Timestamp) -> f64 {
+    keeper.available_permits(&oak(), now).expect("the tenant is known")
 }
 
 #[test]
-fn a_report_that_comes_twice_counts_once() {
-    let (mut keeper, limit) = (keeper(), limit(1, 10.0, 100.0));
+fn repeated_report_counts_once() {
+    let (mut keeper, limit) = (long_running_keeper(), limit(1, 10.0, 100.0));
     keeper.serve(report(1, limit, 30, 0), START);
     keeper.serve(report(1, limit, 30, 0), START);
-    assert_eq!(level(&mut keeper, START), 70.0);
+    assert_eq!(available(&mut keeper, START), 70.0);
     keeper.serve(report(2, limit, 5, 0), START);
     keeper.serve(report(1, limit, 30, 0), START);
-    assert_eq!(level(&mut keeper, START), 65.0, "an old one that was held up counts no more");
+    assert_eq!(available(&mut keeper, START), 65.0, "a delayed older report does not count");
     keeper.serve(report(2, limit, 5, 0), START);
-    assert_eq!(level(&mut keeper, START), 65.0, "nor does the newer one after it");
-    let mut next_life = report(1, limit, 5, 0);
-    if let LimitCommand::Report(report) = &mut next_life {
+    assert_eq!(
+        available(&mut keeper, START),
+        65.0,
+        "a repeated report does not count after an older one"
+    );
+    let mut after_restart = report(1, limit, 5, 0);
+    if let LimitCommand::Report(report) = &mut after_restart {
         report.incarnation = Incarnation(2);
     }
-    keeper.serve(next_life, START);
-    assert_eq!(level(&mut keeper, START), 60.0, "a new life counts from one again");
+    keeper.serve(after_restart, START);
+    assert_eq!(available(&mut keeper, START), 60.0, "a new incarnation starts at sequence 1 again");
 }
 
 #[test]
-fn permits_come_back_up_to_the_burst_and_are_scarce_below_three_quarters() {
-    let (mut keeper, limit) = (keeper(), limit(1, 10.0, 100.0));
+fn permits_refill_up_to_the_burst_and_are_scarce_below_three_quarters() {
+    let (mut keeper, limit) = (long_running_keeper(), limit(1, 10.0, 100.0));
     let scarce = |reply| match reply {
         LimitReply::Counted { scarce, .. } => scarce,
         other => panic!("expected a count, found {other:?}"),
@@ -87,68 +91,68 @@
     assert!(scarce(keeper.serve(report(1, limit, 25, 0), START)).is_empty());
     assert_eq!(scarce(keeper.serve(report(2, limit, 1, 0), START)), [oak()]);
     keeper.serve(report(3, limit, 0, 6), START);
-    assert_eq!(level(&mut keeper, START), 80.0);
-    assert_eq!(level(&mut keeper, START + Duration::from_secs(60)), 100.0);
+    assert_eq!(available(&mut keeper, START), 80.0);
+    assert_eq!(available(&mut keeper, START + Duration::from_secs(60)), 100.0);
 }
 
 #[test]
-fn the_newest_limit_counts_whoever_names_it() {
-    let mut keeper = keeper();
+fn newest_limit_applies() {
+    let mut keeper = long_running_keeper();
     keeper.serve(report(1, limit(3, 10.0, 100.0), 10, 0), START);
     keeper.serve(report(2, limit(4, 10.0, 20.0), 0, 1), START);
-    assert_eq!(level(&mut keeper, START), 20.0, "a lower burst holds at once");
+    assert_eq!(available(&mut keeper, START), 20.0, "a lower burst applies at once");
     keeper.serve(report(3, limit(3, 10.0, 100.0), 1, 0), START);
     let later = START + Duration::from_secs(60);
-    assert_eq!(level(&mut keeper, later), 20.0, "an older limit says nothing");
+    assert_eq!(available(&mut keeper, later), 20.0, "an older limit has no effect");
 }
 
 #[test]
-fn a_new_keeper_takes_a_quarter_of_a_burst_to_be_there() {
+fn new_keeper_starts_with_a_quarter_of_the_burst() {
     let mut keeper = LimitKeeper::new(LimitSettings::default(), KeeperTerm(2), START);
     let limit = limit(1, 10.0, 100.0);
-    assert_eq!(verdict(&mut keeper, ask(limit, None), START), AT_ONCE);
-    assert_eq!(level(&mut keeper, START), 24.0);
+    assert_eq!(verdict(&mut keeper, ask(limit, None), START), PASS_AT_ONCE);
+    assert_eq!(available(&mut keeper, START), 24.0);
 }
 
 #[test]
-fn a_request_whose_turn_comes_soon_waits_for_it_and_others_wait_behind() {
-    let (mut keeper, limit) = (keeper(), limit(1, 10.0, 10.0));
+fn requests_wait_one_after_the_other_for_permits_that_come_soon() {
+    let (mut keeper, limit) = (long_running_keeper(), limit(1, 10.0, 10.0));
     keeper.serve(report(1, limit, 10, 0), START);
     for turn in 1..=6 {
         let after = Duration::from_millis(turn * 100);
         assert_eq!(verdict(&mut keeper, ask(limit, Some(7)), START), Verdict::Pass { after });
     }
-    assert_eq!(level(&mut keeper, START), -6.0, "their permits are taken");
+    assert_eq!(available(&mut keeper, START), -6.0, "permits of waiting requests are taken");
 }
 
 #[test]
-fn who_waited_for_a_turn_of_an_earlier_keeper_is_counted_by_the_present_one() {
-    let (mut keeper, limit) = (keeper(), limit(1, 10.0, 100.0));
+fn keeper_counts_requests_that_an_earlier_keeper_delayed() {
+    let (mut keeper, limit) = (long_running_keeper(), limit(1, 10.0, 100.0));
     let mut report = report(1, limit, 0, 0);
-    let waited = |term| DelayedRequest { counted_by: KeeperTerm(term), program: None };
+    let delayed = |term| DelayedRequest { counted_by: KeeperTerm(term), program: None };
     if let LimitCommand::Report(report) = &mut report {
-        report.usage[0].delayed = vec![waited(1), waited(1), waited(0)];
+        report.usage[0].delayed = vec![delayed(1), delayed(1), delayed(0)];
     }
     keeper.serve(report, START);
-    assert_eq!(level(&mut keeper, START), 99.0);
+    assert_eq!(available(&mut keeper, START), 99.0);
 }
 
 #[test]
-fn a_request_whose_turn_is_far_is_refused_at_once_and_each_is_told_a_time_of_its_own() {
-    let (mut keeper, limit) = (keeper(), limit(1, 10.0, 10.0));
+fn requests_that_would_wait_too_long_are_refused_with_different_retry_times() {
+    let (mut keeper, limit) = (long_running_keeper(), limit(1, 10.0, 10.0));
     keeper.serve(report(1, limit, 16, 0), START);
     for turn in 7..=9 {
         let retry_after = Duration::from_millis(turn * 100);
         let refused = Verdict::Refuse { retry_after };
         assert_eq!(verdict(&mut keeper, ask(limit, Some(7)), START), refused);
     }
-    assert_eq!(level(&mut keeper, START), -6.0, "a refusal takes no permit");
-    let told = START + Duration::from_millis(700);
-    assert_eq!(verdict(&mut keeper, ask(limit, Some(7)), told), AT_ONCE);
+    assert_eq!(available(&mut keeper, START), -6.0, "a refusal takes no permit");
+    let retried_at = START + Duration::from_millis(700);
+    assert_eq!(verdict(&mut keeper, ask(limit, Some(7)), retried_at), PASS_AT_ONCE);
 }
 
 #[test]
-fn limits_that_cannot_be_kept_are_named() {
+fn invalid_limits_are_rejected_with_the_name_of_the_figure() {
     for (rate, burst, field) in [
         (-1.0, 1.0, "rate"),
         (f64::NAN, 1.0, "rate"),
@@ -156,14 +160,15 @@
         (1.0, -0.5, "burst"),
         (1.0, f64::NAN, "burst"),
     ] {
-        let error = RateLimit::new(rate, burst).expect_err("it is no limit");
+        let error = RateLimit::new(rate, burst).expect_err("the limit is invalid");
         assert!(error.to_string().starts_with(field), "{error}");
     }
     assert_eq!(RateLimit::new(0.0, 5.0).expect("no limit"), None);
 }
 
-/// A keeper of limits in a window that hears of a gateway what it let pass so long ago, or forgot.
-fn level_after(told: &[(u64, u32)]) -> f64 {
+/// Returns the permits available two seconds after a gateway has reported these past requests to a new
+/// keeper that counts in a window: the age in milliseconds and the number of each entry.
+fn available_after(past: &[(u64, u32)]) -> f64 {
     let settings = LimitSettings {
         window_s: 5.0,
         tolerated_excess: 0.1,
@@ -174,34 +179,34 @@
     keeper.serve(report(1, limit(1, 10.0, 10.0), 1, 0), START);
     let mut second = report(2, limit(1, 10.0, 10.0), 0, 0);
     if let LimitCommand::Report(report) = &mut second {
-        let earlier = told.iter().map(|(ago_ms, requests)| PastRequests {
-            age: Duration::from_millis(*ago_ms),
+        let past = past.iter().map(|(age_ms, requests)| PastRequests {
+            age: Duration::from_millis(*age_ms),
             requests: *requests,
         });
-        report.usage[0].past = earlier.collect();
+        report.usage[0].past = past.collect();
     }
     keeper.serve(second, START);
-    level(&mut keeper, START + Duration::from_secs(2))
+    available(&mut keeper, START + Duration::from_secs(2))
 }
 
-/// A gateway's report for the keeper before may come to the next one, before it knows of it.
+/// A report that a gateway made for the previous keeper may reach the next one first.
 #[test]
-fn what_a_gateway_has_forgotten_counts_also_after_a_report_that_was_made_for_another() {
-    let (all, forgotten) = (level_after(&[]), level_after(&[(500, 0)]));
-    // Half of the gateways forgot, and half of what they may have let pass is still in the window.
-    let still_there = 60.0 / 2.0 / 2.0;
-    assert!(all > 60.0 && all - forgotten >= still_there, "{all} and {forgotten}");
+fn lost_history_counts_after_a_report_made_for_another_keeper() {
+    let (all, with_restart) = (available_after(&[]), available_after(&[(500, 0)]));
+    // Half of the gateways restarted, and half of what they may have admitted is still in the window.
+    let still_in_window = 60.0 / 2.0 / 2.0;
+    assert!(all > 60.0 && all - with_restart >= still_in_window, "{all} and {with_restart}");
 }
 
-/// A window may have been used up just before the gateway ended, by a tenant that asks for little after it.
+/// A tenant may have used up the window just before the gateway restarted, and ask for little after it.
 #[test]
-fn what_a_gateway_has_forgotten_counts_whole_until_a_window_has_passed() {
-    let (all, forgotten) = (level_after(&[]), level_after(&[(500, 0)]));
-    assert!(all > 60.0 && forgotten < 20.0, "{all} and {forgotten}");
+fn lost_history_counts_in_full_until_a_window_has_passed() {
+    let (all, with_restart) = (available_after(&[]), available_after(&[(500, 0)]));
+    assert!(all > 60.0 && with_restart < 20.0, "{all} and {with_restart}");
 }
 
-/// Older builds tell of times in which permits only went back.
+/// Older builds send empty entries for times in which permits were only refunded.
 #[test]
-fn an_entry_of_none_beside_older_requests_is_nothing_forgotten() {
-    assert_eq!(level_after(&[(1_000, 1), (500, 0)]), level_after(&[(1_000, 1)]));
+fn empty_entry_after_older_requests_is_no_restart_marker() {
+    assert_eq!(available_after(&[(1_000, 1), (500, 0)]), available_after(&[(1_000, 1)]));
 }
--- a/crates/limits/tests/tenant_ways.rs
+++ b/crates/limits/tests/tenant_ways.rs
@@ -1,24 +1,26 @@
-//! What a tenant's programs earn at its limit, beside the best order that knows them all ahead.
+//! What a tenant's programs earn at its limit, compared with the best order that knows them all in
+//! advance.
 //!
-//! Two kinds of program: long ones of much worth, a third as many as short ones. Tenants of the sizes
-//! of a deployment with 78 gateways, their limit at 1.6 times what they usually send.
+//! There are two kinds of programs: long ones of much worth, and 2.4 times as many short ones. Tenants
+//! have the sizes of a deployment with 78 gateways, with limits of 1.6 times what they usually send.
 
 mod fleet;
 
 use dahlia_limits::LimitSettings;
-use fleet::{Fleet, Load, Outcome, Plan, WINDOW_S, limit, oracle};
+use fleet::{Load, Outcome, Scenario, Simulation, WINDOW_S, limit, oracle};
 
 const RATES: [f64; 5] = [3.0, 13.0, 40.0, 150.0, 354.0];
 const SEEDS: u64 = 4;
-/// Requests of a long and of a short program, and the milliseconds between two.
+/// Requests of a long program, and the milliseconds between two of them.
 const LONG: (u32, u64) = (18, 120);
+/// The same for a short program.
 const SHORT: (u32, u64) = (6, 120);
 /// Short programs for each long one.
-const SHORT_SHARE: f64 = 2.4;
+const SHORT_PER_LONG: f64 = 2.4;
 
-/// Programs of both kinds that come to a multiple of the limit's rate in requests.
-fn both(from_s: f64, until_s: f64, rate: f64, factor: f64) -> Vec<Load> {
-    let requests = f64::from(LONG.0) + SHORT_SHARE * f64::from(SHORT.0);
+/// Programs of both kinds that send requests at a multiple of the limit's rate.
+fn mixed_loads(from_s: f64, until_s: f64, rate: f64, factor: f64) -> Vec<Load> {
+    let requests = f64::from(LONG.0) + SHORT_PER_LONG * f64::from(SHORT.0);
     let long_per_s = rate * factor / requests;
     let load = |(requests, gap_ms): (u32, u64), programs_per_s, worth| Load {
         from_s,
@@ -28,18 +30,19 @@
         gap_ms,
         worth,
     };
-    vec![load(LONG, long_per_s, 10.0), load(SHORT, long_per_s * SHORT_SHARE, 3.0)]
+    vec![load(LONG, long_per_s, 10.0), load(SHORT, long_per_s * SHORT_PER_LONG, 3.0)]
 }
 
-/// A load, as a multiple of a limit's rate over time.
+/// A load over time, as a multiple of a limit's rate.
 struct Case {
     name: &'static str,
-    /// From, until, factor: added up.
+    /// Start and end in seconds, and factor. Loads at the same time add up.
     loads: &'static [(f64, f64, f64)],
-    /// The limit is lowered to this part of itself after three seconds.
+    /// The factor by which the limit is lowered after three seconds.
     lowered: Option<f64>,
 }
 
+/// A tenant's usual rate, as a share of its limit.
 const USUAL: f64 = 1.0 / 1.6;
 const CASES: [Case; 5] = [
     Case {
@@ -62,21 +65,22 @@
 ];
 
 impl Case {
-    fn plan(&self, seed: u64, rate: f64, settings: &LimitSettings) -> Plan {
+    fn scenario(&self, seed: u64, rate: f64, settings: &LimitSettings) -> Scenario {
         let loads = self.loads.iter();
-        let loads = loads.flat_map(|(from, until, factor)| both(*from, *until, rate, *factor));
-        let lower = self.lowered.map(|part| (3.0, limit(rate * part, rate * part)));
-        Plan {
+        let loads =
+            loads.flat_map(|(from, until, factor)| mixed_loads(*from, *until, rate, *factor));
+        let limit_change = self.lowered.map(|factor| (3.0, limit(rate * factor, rate * factor)));
+        Scenario {
             gateways: 78,
             settings: settings.clone(),
-            change: lower,
-            ..Plan::new(seed, rate, loads.collect())
+            limit_change,
+            ..Scenario::new(seed, rate, loads.collect())
         }
     }
 }
 
-/// The window and the tolerance of the users' pages.
-fn window() -> LimitSettings {
+/// Settings with the window and the tolerance of the users' documentation.
+fn window_settings() -> LimitSettings {
     LimitSettings {
         window_s: 5.0,
         tolerated_excess: 0.1,
@@ -85,76 +89,87 @@
     }
 }
 
-/// Sums over seeds.
+/// Results summed over the seeds of a case.
 #[derive(Default)]
-struct Sum {
+struct Totals {
     earned: f64,
-    owed: f64,
+    /// The worth of all programs.
+    offered: f64,
+    /// What the best order earns.
     best: f64,
     refused: usize,
-    below: usize,
-    most: usize,
-    whole: usize,
+    refused_with_room: usize,
+    max_in_window: usize,
+    completed: usize,
     programs: usize,
 }
 
-fn sum(case: &Case, rate: f64, settings: &LimitSettings) -> Sum {
-    let mut sum = Sum::default();
+fn run_all(case: &Case, rate: f64, settings: &LimitSettings) -> Totals {
+    let mut totals = Totals::default();
     for seed in 0..SEEDS {
-        let outcome: Outcome = Fleet::run(case.plan(seed, rate, settings));
-        let last = rate * case.lowered.unwrap_or(1.0);
-        sum.earned += outcome.earned;
-        sum.owed += outcome.offered.iter().map(|program| program.worth).sum::<f64>();
-        sum.best += oracle::earns(&outcome.offered, last * (WINDOW_S + 1.0));
-        sum.refused += outcome.refused;
-        sum.below += outcome.refused_below;
-        sum.most = sum.most.max(outcome.most_in(WINDOW_S));
-        sum.whole += outcome.whole;
-        sum.programs += outcome.programs;
+        let outcome: Outcome = Simulation::run(case.scenario(seed, rate, settings));
+        let last_rate = rate * case.lowered.unwrap_or(1.0);
+        totals.earned += outcome.earned;
+        totals.offered += outcome.offered.iter().map(|program| program.worth).sum::<f64>();
+        totals.best += oracle::best_earnings(&outcome.offered, last_rate * (WINDOW_S + 1.0));
+        totals.refused += outcome.refused;
+        totals.refused_with_room += outcome.refused_with_room;
+        totals.max_in_window = totals.max_in_window.max(outcome.max_in_window(WINDOW_S));
+        totals.completed += outcome.completed;
+        totals.programs += outcome.programs;
     }
-    sum
+    totals
 }
 
-fn table(name: &str, settings: &LimitSettings) {
+fn print_table(name: &str, settings: &LimitSettings) {
     for case in &CASES {
         for rate in RATES {
-            let sum = sum(case, rate, settings);
+            let totals = run_all(case, rate, settings);
             eprintln!(
                 "{name} | {} | {rate} | {:.3} | {:.3} | {} | {} | {} of {:.0} | {} of {}",
                 case.name,
-                sum.earned / sum.owed,
-                sum.best / sum.owed,
-                sum.refused,
-                sum.below,
-                sum.most,
+                totals.earned / totals.offered,
+                totals.best / totals.offered,
+                totals.refused,
+                totals.refused_with_room,
+                totals.max_in_window,
                 (rate * (WINDOW_S + 1.0)) * 1.1 + 20.0,
-                sum.whole,
-                sum.programs
+                totals.completed,
+                totals.programs
             );
         }
     }
 }
 
 #[test]
-fn a_window_refuses_next_to_nothing_below_the_limit_and_earns_what_the_best_order_does() {
+fn window_refuses_little_below_the_limit_and_earns_nearly_as_much_as_the_best_order() {
     for case in CASES.iter().filter(|case| ["usual", "burst of 1.7"].contains(&case.name)) {
         for rate in RATES {
-            let (bucket, window) =
-                (sum(case, rate, &LimitSettings::default()), sum(case, rate, &window()));
-            // What is left are programs of the smallest tenants that would not fit to their end.
-            let few = window.below <= 1 || window.below * 4 <= bucket.below;
-            assert!(few, "{}, {rate} a second: {} of {}", case.name, window.below, bucket.below);
-            assert!(window.earned >= window.best - 0.03 * window.owed, "{}, {rate}", case.name);
-            let had_room = bucket.below > 0;
+            let (bucket, window) = (
+                run_all(case, rate, &LimitSettings::default()),
+                run_all(case, rate, &window_settings()),
+            );
+            // The refusals that remain are of programs of the smallest tenants that would not fit to
+            // their end.
+            let few = window.refused_with_room <= 1
+                || window.refused_with_room * 4 <= bucket.refused_with_room;
+            assert!(
+                few,
+                "{}, {rate} a second: {} of {}",
+                case.name, window.refused_with_room, bucket.refused_with_room
+            );
+            assert!(window.earned >= window.best - 0.03 * window.offered, "{}, {rate}", case.name);
+            let had_room = bucket.refused_with_room > 0;
             assert_eq!(had_room, bucket.refused > 0, "a bucket's refusals have room in the window");
         }
     }
 }
 
-/// For the page: `cargo test -p dahlia-limits --test tenant_ways -- --ignored --nocapture`.
+/// Prints the table for the documentation:
+/// `cargo test -p dahlia-limits --test tenant_ways -- --ignored --nocapture`.
 #[test]
 #[ignore = "prints a table and checks nothing"]
-fn table_of_ways() {
-    table("bucket", &LimitSettings::default());
-    table("window", &window());
+fn table_of_counters() {
+    print_table("bucket", &LimitSettings::default());
+    print_table("window", &window_settings());
 }
--- a/crates/limits/tests/window_faults.rs
+++ b/crates/limits/tests/window_faults.rs
@@ -1,22 +1,24 @@
-//! A limit that is counted in a sliding window, under faults: no window holds more than is tolerated.
+//! Limits counted in a sliding window, under faults: no window holds more requests than are tolerated.
 //!
-//! The load is of programs of ten requests; one tenant sends 7.5 times its usual for 6.5 s.
+//! Programs have ten requests. A tenant that overloads its limit sends 7.5 times its usual rate for
+//! 6.5 s.
 
 mod fleet;
 
 use dahlia_limits::LimitSettings;
-use fleet::{Cut, Fleet, Load, Outcome, Plan, Stop, WINDOW_S, limit};
+use fleet::{Load, Outcome, Partition, Restart, Scenario, Simulation, WINDOW_S, limit};
 
 const RATES: [f64; 5] = [3.0, 13.0, 40.0, 150.0, 440.0];
 const SEEDS: u64 = 4;
 const REQUESTS: u32 = 10;
 
-/// The allowance of the users' pages: a tenth, and twenty requests, in any five seconds.
-fn allowed(rate: f64) -> f64 {
+/// The allowance of the users' documentation: a tenth and twenty requests above the limit in any five
+/// seconds.
+fn allowance(rate: f64) -> f64 {
     rate * (WINDOW_S + 1.0) * 1.1 + 20.0
 }
 
-fn settings() -> LimitSettings {
+fn window_settings() -> LimitSettings {
     LimitSettings {
         window_s: WINDOW_S,
         tolerated_excess: 0.1,
@@ -25,312 +27,364 @@
     }
 }
 
+/// Programs that send requests at a multiple of the rate.
 fn load(from_s: f64, until_s: f64, rate: f64, factor: f64) -> Load {
     let programs_per_s = rate * factor / f64::from(REQUESTS);
     Load { from_s, until_s, programs_per_s, requests: REQUESTS, gap_ms: 200, worth: 1.0 }
 }
 
-fn usual(seed: u64, rate: f64) -> Plan {
+/// The usual load of a tenant, at 1 / 1.6 of its limit.
+fn usual_scenario(seed: u64, rate: f64) -> Scenario {
     let loads = vec![load(0.0, 20.0, rate, 1.0 / 1.6)];
-    Plan { settings: settings(), ..Plan::new(seed, rate, loads) }
+    Scenario { settings: window_settings(), ..Scenario::new(seed, rate, loads) }
 }
 
-fn hot(seed: u64, rate: f64) -> Plan {
-    let mut plan = usual(seed, rate);
-    plan.loads.push(load(6.0, 12.5, rate, 6.5 / 1.6));
-    plan
+/// The usual load, and a period in which the tenant sends 7.5 times as much.
+fn overload_scenario(seed: u64, rate: f64) -> Scenario {
+    let mut scenario = usual_scenario(seed, rate);
+    scenario.loads.push(load(6.0, 12.5, rate, 6.5 / 1.6));
+    scenario
 }
 
-/// The runs of a fault in which some window holds more than is tolerated.
-fn beyond(name: &str, plan: impl Fn(u64, f64) -> Plan) -> Vec<String> {
-    RATES.into_iter().flat_map(|rate| beyond_at(name, rate, &plan)).collect()
+/// Runs a scenario at all rates. Returns a line for each run in which some window exceeds the allowance.
+fn exceeded(name: &str, scenario: impl Fn(u64, f64) -> Scenario) -> Vec<String> {
+    RATES.into_iter().flat_map(|rate| exceeded_at(name, rate, &scenario)).collect()
 }
 
 /// The same at one rate.
-fn beyond_at(name: &str, rate: f64, plan: &impl Fn(u64, f64) -> Plan) -> Vec<String> {
-    let most = |seed| {
-        let outcome: Outcome = Fleet::run(plan(seed, rate));
-        let most = outcome.most_in(WINDOW_S);
-        let allowed = allowed(rate);
-        (most as f64 > allowed)
-            .then(|| format!("{name}, {rate} a second, seed {seed}: {most} of {allowed}"))
+fn exceeded_at(name: &str, rate: f64, scenario: &impl Fn(u64, f64) -> Scenario) -> Vec<String> {
+    let run = |seed| {
+        let outcome: Outcome = Simulation::run(scenario(seed, rate));
+        let most = outcome.max_in_window(WINDOW_S);
+        let allowance = allowance(rate);
+        (most as f64 > allowance)
+            .then(|| format!("{name}, {rate} a second, seed {seed}: {most} of {allowance}"))
     };
-    (0..SEEDS).filter_map(most).collect()
+    (0..SEEDS).filter_map(run).collect()
 }
 
-fn new_keeper(gap_s: f64) -> impl Fn(u64, f64) -> Plan {
+/// An overload during which the keeper fails, and another one starts after `outage_s`.
+fn keeper_failover(outage_s: f64) -> impl Fn(u64, f64) -> Scenario {
     move |seed, rate| {
-        let new_keepers_s = vec![(7.0 + seed as f64 * 0.6, gap_s)];
-        Plan { new_keepers_s, ..hot(seed, rate) }
+        let keeper_outages_s = vec![(7.0 + seed as f64 * 0.6, outage_s)];
+        Scenario { keeper_outages_s, ..overload_scenario(seed, rate) }
     }
 }
 
 #[test]
-fn far_beyond_its_limit_a_tenant_is_held_to_it() {
-    assert_eq!(beyond("7.5 times", hot), Vec::<String>::new());
+fn overload_exceeds_no_window() {
+    assert_eq!(exceeded("7.5 times", overload_scenario), Vec::<String>::new());
 }
 
 #[test]
-fn a_new_keeper_lets_no_window_beyond_what_is_tolerated() {
-    for gap_s in [0.0, 1.2, 2.5] {
-        let found = beyond(&format!("a new keeper after {gap_s} s"), new_keeper(gap_s));
+fn keeper_failover_exceeds_no_window() {
+    for outage_s in [0.0, 1.2, 2.5] {
+        let found =
+            exceeded(&format!("a new keeper after {outage_s} s"), keeper_failover(outage_s));
         assert_eq!(found, Vec::<String>::new());
     }
 }
 
-/// At 13 a second a bucket let 126 of 105.8 requests pass in one of these eight runs.
+/// Without a window, a token bucket let 126 of 105.8 requests pass in one of these eight runs at 13
+/// requests a second.
 #[test]
-fn a_keeper_that_is_gone_for_long_under_a_hot_tenant_costs_no_window() {
+fn long_keeper_outage_during_overload_exceeds_no_window() {
     for seed in 0..8 {
-        let new_keepers_s = vec![(7.0 + seed as f64 * 0.3, 2.5)];
-        let outcome = Fleet::run(Plan { new_keepers_s, ..hot(seed, 13.0) });
-        let most = outcome.most_in(WINDOW_S);
-        assert!(most as f64 <= allowed(13.0), "seed {seed}: {most} of {}", allowed(13.0));
+        let keeper_outages_s = vec![(7.0 + seed as f64 * 0.3, 2.5)];
+        let outcome =
+            Simulation::run(Scenario { keeper_outages_s, ..overload_scenario(seed, 13.0) });
+        let most = outcome.max_in_window(WINDOW_S);
+        assert!(most as f64 <= allowance(13.0), "seed {seed}: {most} of {}", allowance(13.0));
     }
 }
 
+/// The lowered limit holds half a second after the change. Until then, the higher one holds.
 #[test]
-fn a_limit_that_is_lowered_and_raised_holds_one_window_later() {
+fn lowered_limit_exceeds_no_window() {
     let lowered = |seed, rate| {
-        let change = Some((9.0, limit(rate / 5.0, rate / 5.0)));
-        Plan { change, ..hot(seed, rate) }
+        let limit_change = Some((9.0, limit(rate / 5.0, rate / 5.0)));
+        Scenario { limit_change, ..overload_scenario(seed, rate) }
     };
     for rate in RATES {
         for seed in 0..SEEDS {
-            let mut outcome = Fleet::run(lowered(seed, rate));
-            outcome.passed.retain(|passed| *passed >= 9_500_000);
-            let most = outcome.most_in(WINDOW_S) as f64;
-            assert!(most <= allowed(rate / 5.0), "rate {rate}, seed {seed}: {most}");
+            let mut outcome = Simulation::run(lowered(seed, rate));
+            outcome.passed_us.retain(|passed| *passed >= 9_500_000);
+            let most = outcome.max_in_window(WINDOW_S) as f64;
+            assert!(most <= allowance(rate / 5.0), "rate {rate}, seed {seed}: {most}");
         }
     }
-    assert_eq!(beyond("lowered", lowered), Vec::<String>::new(), "the higher one holds as before");
+    assert_eq!(
+        exceeded("lowered", lowered),
+        Vec::<String>::new(),
+        "the higher one holds as before"
+    );
 }
 
 #[test]
-fn gateways_that_are_cut_off_go_on_as_usual_and_no_further() {
-    let cut = |seed, rate| {
-        let cut = Cut { from_s: 5.0, until_s: 17.0, share: 0.35 };
-        Plan { cuts: vec![cut], ..usual(seed, rate) }
+fn partitioned_gateways_exceed_no_window() {
+    let partitioned = |seed, rate| {
+        let partition = Partition { from_s: 5.0, until_s: 17.0, share: 0.35 };
+        Scenario { partitions: vec![partition], ..usual_scenario(seed, rate) }
     };
-    assert_eq!(beyond("cut off", cut), Vec::<String>::new());
+    assert_eq!(exceeded("partition", partitioned), Vec::<String>::new());
 }
 
-fn stop(at_s: f64, without_keeper_s: f64, share: f64) -> Option<Stop> {
-    Some(Stop { at_s, down_s: 0.66, without_keeper_s, share })
+fn restart(at_s: f64, without_keeper_s: f64, share: f64) -> Option<Restart> {
+    Some(Restart { at_s, down_s: 0.66, without_keeper_s, share })
 }
 
 #[test]
-fn all_gateways_and_keepers_forget_and_no_window_holds_more() {
+fn restart_of_all_processes_exceeds_no_window() {
     for without_keeper_s in [0.0, 0.3, 1.5] {
-        let stopped = |seed, rate| {
-            let stop = stop(8.0 + seed as f64 * 0.4, without_keeper_s, 1.0);
-            Plan { stop, ..hot(seed, rate) }
+        let restarted = |seed, rate| {
+            let restart = restart(8.0 + seed as f64 * 0.4, without_keeper_s, 1.0);
+            Scenario { restart, ..overload_scenario(seed, rate) }
         };
-        let found = beyond(&format!("a stop of all, {without_keeper_s} s without keeper"), stopped);
+        let found =
+            exceeded(&format!("a restart of all, {without_keeper_s} s without keeper"), restarted);
         assert_eq!(found, Vec::<String>::new());
     }
 }
 
-/// The tenant is far beyond its limit until the stop, and at its usual after it.
+/// The tenant is far above its limit until the restart, and at its usual rate after it.
 #[test]
-fn a_window_that_was_used_up_just_before_a_stop_holds_no_more_after_it() {
+fn restart_after_a_used_up_window_exceeds_no_window() {
     let used_up = |seed, rate| {
         let at_s = 7.0 + seed as f64 * 0.4;
-        let mut plan = usual(seed, rate);
-        plan.loads.push(load(at_s - 1.5, at_s, rate, 6.5 / 1.6));
-        Plan { stop: stop(at_s, 0.3, 1.0), ..plan }
+        let mut scenario = usual_scenario(seed, rate);
+        scenario.loads.push(load(at_s - 1.5, at_s, rate, 6.5 / 1.6));
+        Scenario { restart: restart(at_s, 0.3, 1.0), ..scenario }
     };
-    assert_eq!(beyond("used up before a stop", used_up), Vec::<String>::new());
+    assert_eq!(exceeded("used up before a restart", used_up), Vec::<String>::new());
 }
 
-/// A keeper that begins just then hears of what passed from the others.
+/// A keeper that starts just then learns from the other gateways what passed.
 #[test]
-fn one_gateway_that_forgets_beside_a_new_keeper_costs_its_tenants_nothing() {
+fn restart_of_one_gateway_during_keeper_failover_refuses_hardly_more() {
     for rate in RATES {
         for seed in 0..SEEDS {
-            let new_keepers_s = vec![(8.2, 0.3)];
-            let run = |stop| {
-                let new_keepers_s = new_keepers_s.clone();
-                Fleet::run(Plan { stop, new_keepers_s, ..usual(seed, rate) })
+            let keeper_outages_s = vec![(8.2, 0.3)];
+            let run = |restart| {
+                let keeper_outages_s = keeper_outages_s.clone();
+                Simulation::run(Scenario {
+                    restart,
+                    keeper_outages_s,
+                    ..usual_scenario(seed, rate)
+                })
             };
-            let (beside, without) = (run(stop(8.0, 0.0, 1.0 / 73.0)), run(None));
-            let most = without.refused + without.passed.len() / 100;
-            assert!(beside.refused <= most, "rate {rate}, seed {seed}: {}", beside.refused);
+            let (with, without) = (run(restart(8.0, 0.0, 1.0 / 73.0)), run(None));
+            let most = without.refused + without.passed_us.len() / 100;
+            assert!(with.refused <= most, "rate {rate}, seed {seed}: {}", with.refused);
         }
     }
 }
 
-fn cut_while_hot(from_s: f64) -> impl Fn(u64, f64) -> Plan {
+/// An overload with a partition of a quarter of the gateways.
+fn partition_with_overload(from_s: f64) -> impl Fn(u64, f64) -> Scenario {
     move |seed, rate| {
-        let cut = Cut { from_s, until_s: from_s + 5.7, share: 0.25 };
-        Plan { cuts: vec![cut], ..hot(seed, rate) }
+        let partition = Partition { from_s, until_s: from_s + 5.7, share: 0.25 };
+        Scenario { partitions: vec![partition], ..overload_scenario(seed, rate) }
     }
 }
 
-/// Gateways that are cut off go on with what was theirs, and the keeper leaves them their part.
+/// Partitioned gateways go on with their own quota, and the keeper reserves it for them.
 #[test]
-fn a_cut_while_a_tenant_is_hot_costs_no_window() {
-    assert_eq!(beyond("hot, then cut", cut_while_hot(8.0)), Vec::<String>::new());
+fn partition_during_overload_exceeds_no_window() {
+    assert_eq!(
+        exceeded("overload, then partition", partition_with_overload(8.0)),
+        Vec::<String>::new()
+    );
 }
 
-/// Until the keeper's daemon notices the cut, the keeper gives out the part of those behind it.
+/// Until the keeper's daemon notices the partition, the keeper gives out the share of the gateways behind
+/// it.
 #[test]
-fn a_tenant_that_turns_hot_in_a_cut_costs_no_window() {
-    assert_eq!(beyond("hot in a cut", cut_while_hot(5.0)), Vec::<String>::new());
+fn overload_during_a_partition_exceeds_no_window() {
+    assert_eq!(
+        exceeded("overload in a partition", partition_with_overload(5.0)),
+        Vec::<String>::new()
+    );
 }
 
-/// Shortly before and after the tenant turns hot.
-const MOMENTS_OF_CUTS_S: [f64; 4] = [5.4, 5.9, 6.3, 6.6];
+/// Partitions that start shortly before and after the overload does.
+const PARTITION_STARTS_S: [f64; 4] = [5.4, 5.9, 6.3, 6.6];
 
-fn beyond_around_a_turn_to_hot(rate: f64) -> Vec<String> {
-    let cuts = MOMENTS_OF_CUTS_S.into_iter();
-    cuts.flat_map(|from_s| beyond_at(&format!("cut at {from_s} s"), rate, &cut_while_hot(from_s)))
+fn exceeded_around_overload_start(rate: f64) -> Vec<String> {
+    let starts = PARTITION_STARTS_S.into_iter();
+    starts
+        .flat_map(|from_s| {
+            exceeded_at(&format!("partition at {from_s} s"), rate, &partition_with_overload(from_s))
+        })
         .collect()
 }
 
-/// Gateways behind the cut go by what was free before, while those outside already ask for it.
+/// Partitioned gateways still use what was free before, while the others already ask for it.
 #[test]
-fn a_cut_at_any_moment_of_a_turn_to_hot_costs_no_window() {
-    let found = RATES[1..].iter().flat_map(|rate| beyond_around_a_turn_to_hot(*rate));
+fn partition_around_overload_start_exceeds_no_window() {
+    let found = RATES[1..].iter().flat_map(|rate| exceeded_around_overload_start(*rate));
     assert_eq!(found.collect::<Vec<String>>(), Vec::<String>::new());
 }
 
-/// A tenant of few requests has more of them behind the cut than the share of gateways there.
+/// A tenant with few requests may have more of them at the partitioned gateways than the share of these
+/// gateways.
 #[test]
-fn a_cut_at_any_moment_costs_no_window_of_a_small_tenant() {
-    assert_eq!(beyond_around_a_turn_to_hot(RATES[0]), Vec::<String>::new());
+fn partition_around_overload_start_exceeds_no_window_of_a_small_tenant() {
+    assert_eq!(exceeded_around_overload_start(RATES[0]), Vec::<String>::new());
 }
 
-/// Rates at which a hundredth of programs or more fails in vain, and the shares.
-fn in_vain_beyond(plan: impl Fn(u64, f64) -> Plan) -> Vec<(f64, f64)> {
-    let share =
-        |rate| (0..8).map(|seed| in_vain(&Fleet::run(plan(seed, rate)), rate)).sum::<f64>() / 8.0;
+/// Returns the rates at which at least one percent of programs fail needlessly, and the shares.
+fn needless_failures(scenario: impl Fn(u64, f64) -> Scenario) -> Vec<(f64, f64)> {
+    let share = |rate| {
+        (0..8)
+            .map(|seed| needless_failure_share(&Simulation::run(scenario(seed, rate)), rate))
+            .sum::<f64>()
+            / 8.0
+    };
     RATES.into_iter().map(|rate| (rate, share(rate))).filter(|(_, share)| *share >= 0.01).collect()
 }
 
-/// Tenants at their usual, while there is no keeper.
+/// Tenants send at their usual rates while there is no keeper.
 #[test]
-fn without_a_keeper_under_a_hundredth_of_programs_fails_in_vain() {
-    let gone = |seed, rate| Plan { new_keepers_s: vec![(8.0, 2.5)], ..usual(seed, rate) };
-    assert_eq!(in_vain_beyond(gone), []);
+fn keeper_outage_fails_under_one_percent_of_programs_needlessly() {
+    let outage =
+        |seed, rate| Scenario { keeper_outages_s: vec![(8.0, 2.5)], ..usual_scenario(seed, rate) };
+    assert_eq!(needless_failures(outage), []);
 }
 
 /// The same for as long as all stores may be down.
 #[test]
-fn without_a_keeper_for_long_under_a_hundredth_of_programs_fails_in_vain() {
-    let gone = |gap_s| {
+fn long_keeper_outage_fails_under_one_percent_of_programs_needlessly() {
+    let outage = |outage_s| {
         move |seed, rate| {
             let loads = vec![load(0.0, 100.0, rate, 1.0 / 1.6)];
-            Plan { new_keepers_s: vec![(8.0, gap_s)], loads, ..usual(seed, rate) }
+            Scenario {
+                keeper_outages_s: vec![(8.0, outage_s)],
+                loads,
+                ..usual_scenario(seed, rate)
+            }
         }
     };
-    let found = [30.0, 85.0].map(|gap_s| in_vain_beyond(gone(gap_s)));
+    let found = [30.0, 85.0].map(|outage_s| needless_failures(outage(outage_s)));
     assert_eq!(found, [vec![], vec![]]);
 }
 
-/// Tenants at their usual, a quarter of whose gateways reaches no keeper.
+/// Tenants send at their usual rates while a quarter of the gateways reaches no keeper.
 #[test]
-fn behind_a_cut_under_a_hundredth_of_programs_fails_in_vain() {
-    let cut = Cut { from_s: 8.0, until_s: 13.7, share: 0.25 };
-    assert_eq!(in_vain_beyond(|seed, rate| Plan { cuts: vec![cut], ..usual(seed, rate) }), []);
+fn partition_fails_under_one_percent_of_programs_needlessly() {
+    let partition = Partition { from_s: 8.0, until_s: 13.7, share: 0.25 };
+    assert_eq!(
+        needless_failures(|seed, rate| Scenario {
+            partitions: vec![partition],
+            ..usual_scenario(seed, rate)
+        }),
+        []
+    );
 }
 
-/// The tests above have teeth: without reports, or where a new keeper is told nothing.
+/// Shows that the tests above detect a fault: windows are exceeded without reports, or if gateways do not
+/// report to a new keeper what passed before it.
 #[test]
-fn without_the_mechanism_windows_hold_more() {
+fn windows_are_exceeded_without_reports_or_history() {
     let unreported = |seed, rate| {
-        let mut plan = hot(seed, rate);
-        plan.settings.report_interval_ms = 10_000;
-        plan.settings.report_share = 1.0;
-        plan
+        let mut scenario = overload_scenario(seed, rate);
+        scenario.settings.report_interval_ms = 10_000;
+        scenario.settings.report_share = 1.0;
+        scenario
+    };
+    assert!(!exceeded("no reports", unreported).is_empty());
+    let without_history =
+        |seed, rate| Scenario { reports_history: false, ..keeper_failover(0.6)(seed, rate) };
+    assert!(!exceeded("a new keeper without history", without_history).is_empty());
+    let restarted = |seed, rate| Scenario {
+        reports_history: false,
+        restart: restart(8.5, 0.3, 1.0),
+        ..overload_scenario(seed, rate)
     };
-    assert!(!beyond("no reports", unreported).is_empty());
-    let untold = |seed, rate| Plan { tells: false, ..new_keeper(0.6)(seed, rate) };
-    assert!(!beyond("a new keeper that knows nothing", untold).is_empty());
-    let stopped = |seed, rate| Plan { tells: false, stop: stop(8.5, 0.3, 1.0), ..hot(seed, rate) };
-    assert!(!beyond("a stop of which keepers are not told", stopped).is_empty());
+    assert!(!exceeded("a restart that is not reported to keepers", restarted).is_empty());
 }
 
 #[test]
 #[ignore = "prints a table and checks nothing"]
-fn table_of_stops() {
+fn table_of_restarts() {
     for rate in RATES {
-        for (name, stop) in [("none", None), ("all", stop(8.0, 0.3, 1.0))] {
-            let (mut whole, mut programs, mut refused, mut earned) = (0, 0, 0, 0.0);
+        for (name, restart) in [("none", None), ("all", restart(8.0, 0.3, 1.0))] {
+            let (mut completed, mut programs, mut refused, mut earned) = (0, 0, 0, 0.0);
             for seed in 0..8 {
-                let outcome = Fleet::run(Plan { stop, ..usual(seed, rate) });
-                whole += outcome.whole;
+                let outcome = Simulation::run(Scenario { restart, ..usual_scenario(seed, rate) });
+                completed += outcome.completed;
                 programs += outcome.programs;
                 refused += outcome.refused;
                 earned += outcome.earned;
             }
             eprintln!(
-                "{name} | {rate} | whole {whole} of {programs}, refused {refused}, earned {earned:.1}"
+                "{name} | {rate} | completed {completed} of {programs}, refused {refused}, earned {earned:.1}"
             );
         }
     }
 }
 
-/// Programs that fail beside those that the limit leaves no room for, known all ahead.
-fn in_vain(outcome: &Outcome, rate: f64) -> f64 {
-    let best = fleet::oracle::earns(&outcome.offered, allowed(rate));
-    let owed = (outcome.programs as f64 - best).max(0.0);
-    (outcome.programs as f64 - outcome.whole as f64 - owed).max(0.0) / outcome.programs as f64
+/// Returns the share of programs that fail although the limit has room for them, by the best order that
+/// knows all programs in advance.
+fn needless_failure_share(outcome: &Outcome, rate: f64) -> f64 {
+    let best = fleet::oracle::best_earnings(&outcome.offered, allowance(rate));
+    let unavoidable = (outcome.programs as f64 - best).max(0.0);
+    (outcome.programs as f64 - outcome.completed as f64 - unavoidable).max(0.0)
+        / outcome.programs as f64
 }
 
 #[test]
 #[ignore = "prints a table and checks nothing"]
-fn table_without_keepers() {
-    type Make = fn(u64, f64) -> Plan;
-    let cut: Make = |seed, rate| {
-        let cut = Cut { from_s: 8.0, until_s: 13.7, share: 0.25 };
-        Plan { cuts: vec![cut], ..usual(seed, rate) }
+fn table_of_outages() {
+    type MakeScenario = fn(u64, f64) -> Scenario;
+    let partition: MakeScenario = |seed, rate| {
+        let partition = Partition { from_s: 8.0, until_s: 13.7, share: 0.25 };
+        Scenario { partitions: vec![partition], ..usual_scenario(seed, rate) }
     };
-    let near: Make = |seed, rate| {
-        let cut = Cut { from_s: 8.0, until_s: 13.7, share: 0.25 };
+    let near_limit_partition: MakeScenario = |seed, rate| {
+        let partition = Partition { from_s: 8.0, until_s: 13.7, share: 0.25 };
         let loads = vec![load(0.0, 20.0, rate, 0.9)];
-        Plan { cuts: vec![cut], loads, ..usual(seed, rate) }
+        Scenario { partitions: vec![partition], loads, ..usual_scenario(seed, rate) }
     };
-    let near_none: Make = |seed, rate| {
+    let near_limit: MakeScenario = |seed, rate| {
         let loads = vec![load(0.0, 20.0, rate, 0.9)];
-        Plan { loads, ..usual(seed, rate) }
+        Scenario { loads, ..usual_scenario(seed, rate) }
     };
-    let hot_cut: Make = |seed, rate| {
-        let cut = Cut { from_s: 8.0, until_s: 13.7, share: 0.25 };
-        Plan { cuts: vec![cut], ..hot(seed, rate) }
+    let overload_then_partition: MakeScenario = |seed, rate| {
+        let partition = Partition { from_s: 8.0, until_s: 13.7, share: 0.25 };
+        Scenario { partitions: vec![partition], ..overload_scenario(seed, rate) }
     };
-    let hot_in_cut: Make = |seed, rate| {
-        let cut = Cut { from_s: 5.0, until_s: 10.7, share: 0.25 };
-        Plan { cuts: vec![cut], ..hot(seed, rate) }
+    let overload_in_partition: MakeScenario = |seed, rate| {
+        let partition = Partition { from_s: 5.0, until_s: 10.7, share: 0.25 };
+        Scenario { partitions: vec![partition], ..overload_scenario(seed, rate) }
     };
-    let gone: Make = |seed, rate| {
-        let new_keepers_s = vec![(8.0, 2.5)];
-        Plan { new_keepers_s, ..usual(seed, rate) }
+    let keeper_outage: MakeScenario = |seed, rate| {
+        let keeper_outages_s = vec![(8.0, 2.5)];
+        Scenario { keeper_outages_s, ..usual_scenario(seed, rate) }
     };
     let cases = [
-        ("no fault", usual as Make),
-        ("cut", cut),
-        ("keeper gone", gone),
-        ("0.9", near_none),
-        ("0.9 and cut", near),
-        ("hot", hot),
-        ("hot, keeper gone", |seed, rate| new_keeper(1.2)(seed, rate)),
-        ("hot, then cut", hot_cut),
-        ("hot in cut", hot_in_cut),
+        ("no fault", usual_scenario as MakeScenario),
+        ("partition", partition),
+        ("keeper outage", keeper_outage),
+        ("0.9", near_limit),
+        ("0.9 and partition", near_limit_partition),
+        ("overload", overload_scenario),
+        ("overload, keeper outage", |seed, rate| keeper_failover(1.2)(seed, rate)),
+        ("overload, then partition", overload_then_partition),
+        ("overload in partition", overload_in_partition),
     ];
-    for (name, plan) in cases {
+    for (name, scenario) in cases {
         for rate in RATES {
-            let (mut vain, mut refused, mut later, mut most) = (0.0, 0, 0, 0);
+            let (mut needless, mut refused, mut after_start, mut most) = (0.0, 0, 0, 0);
             for seed in 0..8 {
-                let outcome = Fleet::run(plan(seed, rate));
-                vain += in_vain(&outcome, rate) / 8.0;
+                let outcome = Simulation::run(scenario(seed, rate));
+                needless += needless_failure_share(&outcome, rate) / 8.0;
                 refused += outcome.refused;
-                later += outcome.refused_later;
-                most = most.max(outcome.most_in(WINDOW_S));
+                after_start += outcome.refused_after_start;
+                most = most.max(outcome.max_in_window(WINDOW_S));
             }
             eprintln!(
-                "{name} | {rate} | in vain {vain:.4}, refused {refused}, {later} later, most {most} of {:.0}",
-                allowed(rate)
+                "{name} | {rate} | needless {needless:.4}, refused {refused}, {after_start} after the start, most {most} of {:.0}",
+                allowance(rate)
             );
         }
     }
