--- a/crates/admission/src/fair_share.rs
+++ b/crates/admission/src/fair_share.rs
@@ -1,8 +1,8 @@
-//! Which tenant is next, by what each has had: start-time fair queueing.
+//! Which tenant is next, by start-time fair queueing.
 //!
-//! A tenant's tag is the virtual time at which what it was given so far is paid for. The one with the
-//! least tag is next. Virtual time is the tag of whoever went last, so that a tenant that was quiet
-//! has saved up nothing, and one that sends many times its share delays only itself.
+//! A tenant's tag is the virtual time at which its requests so far are paid for. The tenant with the
+//! lowest tag is next. Virtual time is the tag of the last request that went. So an idle tenant saves up
+//! nothing, and a tenant that sends many times its share delays only itself.
 
 use std::collections::BTreeMap;
 
@@ -10,28 +10,28 @@
 
 use crate::TenantKey;
 
-/// Tags of tenants since the queue was last empty.
+/// The tags of tenants since the queue was last empty.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct FairShares {
-    now: u64,
-    paid_until: BTreeMap<TenantKey, u64>,
+    virtual_time: u64,
+    tags: BTreeMap<TenantKey, u64>,
 }
 
 impl FairShares {
-    /// The virtual time at which a tenant's next request would begin.
+    /// Returns the virtual time at which a tenant's next request would start.
     pub(crate) fn start(&self, tenant: TenantKey) -> u64 {
-        self.paid_until.get(&tenant).copied().unwrap_or(0).max(self.now)
+        self.tags.get(&tenant).copied().unwrap_or(0).max(self.virtual_time)
     }
 
-    /// A request of the tenant goes.
+    /// Charges a tenant for a request that goes.
     pub(crate) fn charge(&mut self, tenant: TenantKey, cost: Tokens) {
         let start = self.start(tenant);
-        self.now = start;
-        self.paid_until.insert(tenant, start.saturating_add(cost.0.max(1)));
+        self.virtual_time = start;
+        self.tags.insert(tenant, start.saturating_add(cost.0.max(1)));
     }
 
-    /// Nobody waits any more: there is nothing left to share.
-    pub(crate) fn forget(&mut self) {
+    /// Resets all tags. Used when the queue is empty, so that there is nothing to share.
+    pub(crate) fn reset(&mut self) {
         *self = Self::default();
     }
 }
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,29 +1,31 @@
-//! Which requests wait at a gateway while no server has a place for them, who goes next, and who is
-//! refused. No I/O: `(state, event, now)` in, a decision out.
+//! Admission of requests while all servers are full: which requests wait at a gateway, which goes next,
+//! and which are refused. The crate does no I/O: it takes a state, an event and the current time, and
+//! returns a decision.
 //!
-//! Each service has a queue of its own at each gateway. It is bounded in number and bytes, and nobody
-//! stays in it for longer than leaves time to be served elsewhere. Its order is
+//! Each service has its own queue at each gateway. The queue is bounded in requests and bytes, and a
+//! request stays in it only as long as there is time left to be served elsewhere. Its order is
 //!
 //! 1. the rank of the request's route,
-//! 2. tenants within their share of programs, then those far beyond it,
-//! 3. programs under way, then those that were told to come back, then new ones,
-//! 4. whether it can still be in time,
-//! 5. the tenant that has had the least, in tokens (start-time fair queueing: Goyal, Vin, Cheng, 1996),
-//! 6. the earliest due.
+//! 2. tenants within their share of programs, then those far above it,
+//! 3. active programs, then those that were told to come back, then new ones,
+//! 4. requests that can still be in time, then those that will be late,
+//! 5. the tenant that has been given the least, in tokens (start-time fair queueing: Goyal, Vin, Cheng,
+//!    1996),
+//! 6. the earliest due time.
 //!
-//! | module | job |
+//! | module | contents |
 //! |---|---|
-//! | `queued_request` | a request that may not go yet |
-//! | `queue` | those that wait for one service |
+//! | `queued_request` | a request that may have to wait |
+//! | `queue` | requests that wait for one service |
 //! | `fair_share` | which tenant is next |
-//! | `programs` | how many programs may begin |
-//! | `drain` | how fast a queue empties |
-//! | `returns` | when those that are refused come back |
+//! | `program_pacing` | how many programs may start |
+//! | `drain_rate` | how fast a queue empties |
+//! | `returns` | when refused callers come back |
 //! | `settings` | bounds |
 
-mod drain;
+mod drain_rate;
 mod fair_share;
-mod programs;
+mod program_pacing;
 mod queue;
 mod queued_request;
 mod returns;
--- a/crates/admission/src/returns.rs
+++ b/crates/admission/src/returns.rs
@@ -1,36 +1,36 @@
-//! When those that are refused come back. Each is told a moment of its own, one behind the other at the
-//! pace at which places become free, so that they do not come as a wave. One of an earlier rank is told
-//! the moment behind those of its own and earlier ranks, whoever of later ranks was told before.
+//! When refused callers come back. Each is given a time of its own, one after the other at the rate at
+//! which slots become free, so that they do not come back all at once. A caller is given the time after
+//! those of its own and earlier ranks, whatever callers of later ranks were given before.
 
 use std::collections::BTreeMap;
 
 use dahlia_types::Timestamp;
 
-/// Moments that are remembered for each rank; beyond, callers are told the latest return.
-const MOST_OF_RANK: usize = 1_024;
+/// Return times that are remembered for each rank. Callers above this number are given the latest time.
+const MAX_RETURNS_PER_RANK: usize = 1_024;
 
-/// Who was told to come back and is not due yet.
+/// The times at which refused callers are expected back.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Returns {
+pub(crate) struct ScheduledReturns {
     by_rank: BTreeMap<u32, Vec<Timestamp>>,
 }
 
-impl Returns {
-    /// Those of this rank and earlier ones that are still to come.
-    pub(crate) fn ahead_of(&mut self, rank: u32, now: Timestamp) -> usize {
-        let earlier = self.by_rank.range_mut(..=rank);
-        let left = earlier.map(|(_, moments)| {
-            moments.retain(|moment| *moment > now);
-            moments.len()
+impl ScheduledReturns {
+    /// Returns how many callers of this rank and earlier ones are still expected.
+    pub(crate) fn count_ahead(&mut self, rank: u32, now: Timestamp) -> usize {
+        let ranks = self.by_rank.range_mut(..=rank);
+        let counts = ranks.map(|(_, times)| {
+            times.retain(|time| *time > now);
+            times.len()
         });
-        left.sum()
+        counts.sum()
     }
 
-    /// Someone comes back at this moment.
-    pub(crate) fn note(&mut self, rank: u32, moment: Timestamp) {
-        let moments = self.by_rank.entry(rank).or_default();
-        if moments.len() < MOST_OF_RANK {
-            moments.push(moment);
+    /// Records the time at which a caller is expected back.
+    pub(crate) fn record(&mut self, rank: u32, time: Timestamp) {
+        let times = self.by_rank.entry(rank).or_default();
+        if times.len() < MAX_RETURNS_PER_RANK {
+            times.push(time);
         }
     }
 }
--- a/crates/admission/src/settings.rs
+++ b/crates/admission/src/settings.rs
@@ -1,37 +1,38 @@
-//! Bounds on those that wait, checked at load.
+//! Bounds on requests that wait, validated when settings are loaded.
 
 use dahlia_types::{Duration, InvalidSetting, check_range};
 use serde::{Deserialize, Serialize};
 
-/// Bounds on those that wait for one service at one gateway.
+/// Bounds on requests that wait for one service at one gateway.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct WaitingSettings {
-    /// Whether requests wait while all servers are full; otherwise they are refused at once.
+    /// Whether requests wait while all servers are full. Otherwise they are refused at once.
     pub enabled: bool,
-    /// Requests that wait at most; 0 refuses at once.
+    /// The most requests that wait. 0 refuses all at once.
     pub most_waiting: usize,
-    /// Kilobytes held for them at most.
+    /// The most kilobytes that are held for them.
     pub most_waiting_kb: usize,
-    /// The share of its caller's time that a request waits at most. A caller that is refused then comes
-    /// back within as much again, and has half of its time left to be served.
+    /// The largest share of its caller's time that a request waits. A caller that is refused then comes
+    /// back within as much time again, and has half of its time left to be served.
     pub wait_share: f64,
-    /// Milliseconds in which the count of ended attempts fades to a half, when it is asked how fast a
-    /// queue empties.
+    /// Half-life in milliseconds of the count of ended attempts, from which the rate at which a queue
+    /// empties is estimated.
     pub drain_half_life_ms: u64,
-    /// The share of its time that a program needs when nothing is in its way. The rest is its slack, which
-    /// its first turn must leave to those that follow.
+    /// Share of its time that a program needs if nothing delays it. The rest is its slack, which its
+    /// first turn must leave to those that follow.
     pub needed_share: f64,
-    /// Milliseconds in which the memory of programs that began, and of their turns, fades to a half.
+    /// Half-life in milliseconds of the counts of started programs and of their turns.
     pub programs_half_life_ms: u64,
-    /// Milliseconds after all servers were full for which no more programs begin than can be served to
+    /// Milliseconds after all servers were full for which no more programs start than can be served to
     /// their end.
     pub scarce_ms: u64,
-    /// The share of what a queue lets go that callers are told to come back for; the rest is for new ones.
+    /// Share of the rate at which a queue empties that is given to callers told to come back. The rest
+    /// is for new ones.
     pub return_share: f64,
-    /// Milliseconds after which a refused caller comes back at the earliest, and at the latest.
+    /// The shortest time in milliseconds after which a refused caller comes back.
     pub least_return_ms: u64,
-    /// See [`Self::least_return_ms`].
+    /// The longest time in milliseconds after which a refused caller comes back.
     pub most_return_ms: u64,
 }
 
@@ -78,7 +79,7 @@
         check_range("relay.waiting.least_return_ms", self.least_return_ms, 1, most)
     }
 
-    pub(crate) fn most_bytes(&self) -> usize {
+    pub(crate) fn max_bytes(&self) -> usize {
         self.most_waiting_kb * 1_024
     }
 
@@ -90,7 +91,7 @@
         Duration::from_millis(self.programs_half_life_ms)
     }
 
-    pub(crate) fn scarce(&self) -> Duration {
+    pub(crate) fn pacing_duration(&self) -> Duration {
         Duration::from_millis(self.scarce_ms)
     }
 
