--- a/crates/admission/tests/support/mod.rs
+++ b/crates/admission/tests/support/mod.rs
@@ -1,46 +1,49 @@
-//! One gateway's queue before a service with some slots, and programs that come by a pattern.
+//! A simulation of one gateway's queue in front of a service with some slots, with programs that arrive
+//! at given times.
 
 use std::collections::{BTreeMap, HashMap};
 
 use dahlia_admission::{AdmissionQueue, QueuedRequest, Stage, TenantKey, Ticket, WaitingSettings};
 use dahlia_types::{Duration, Timestamp, Tokens};
 
-/// How a program is made.
+/// The shape of a program.
 #[derive(Debug, Clone, Copy)]
-pub struct Kind {
+pub struct ProgramKind {
     pub rank: u32,
     pub turns: u32,
-    /// How long a server works on one turn.
+    /// Milliseconds that a server works on one turn.
     pub turn_ms: u64,
-    /// Between two turns.
+    /// Milliseconds between two turns.
     pub pause_ms: u64,
-    /// Within which the program is in time.
-    pub aim_ms: u64,
-    /// How long the caller of one turn waits.
-    pub patience_ms: u64,
-    /// Tries of one turn.
-    pub tries: u32,
+    /// Milliseconds within which the program is in time.
+    pub objective_ms: u64,
+    /// Milliseconds that the caller of one turn waits.
+    pub timeout_ms: u64,
+    /// The most tries of one turn.
+    pub max_tries: u32,
 }
 
-/// A program that begins at a moment.
+/// The arrival of a program.
 #[derive(Debug, Clone, Copy)]
 pub struct Arrival {
     pub at_ms: u64,
     pub tenant: u64,
-    pub kind: Kind,
+    pub kind: ProgramKind,
 }
 
-/// What became of programs.
+/// How many programs ended in which way.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Outcome {
     pub in_time: u32,
     pub late: u32,
+    /// Programs refused at their first turn.
     pub refused_first: u32,
+    /// Programs refused at a later turn.
     pub refused_later: u32,
 }
 
 impl Outcome {
-    pub fn asked(self) -> u32 {
+    pub fn total(self) -> u32 {
         self.in_time + self.late + self.refused()
     }
 
@@ -49,37 +52,40 @@
     }
 
     pub fn share_in_time(self) -> f64 {
-        f64::from(self.in_time) / f64::from(self.asked().max(1))
+        f64::from(self.in_time) / f64::from(self.total().max(1))
     }
 }
 
-/// What a day showed.
+/// The results of a scenario.
 #[derive(Debug, Clone, Default)]
 pub struct Report {
     pub all: Outcome,
     pub by_rank: BTreeMap<u32, Outcome>,
     pub by_tenant: BTreeMap<u64, Outcome>,
-    /// Tries after a refusal, and those of them that were served.
-    pub came_back: u32,
-    pub came_back_served: u32,
+    /// Retries after a refusal.
+    pub retries: u32,
+    /// Retries that were served.
+    pub retries_served: u32,
 }
 
-struct Program {
+struct ProgramState {
     arrival: Arrival,
     turns_left: u32,
     tries_left: u32,
     was_refused: bool,
 }
 
-/// Plays arrivals, one step a millisecond.
+/// Runs arrivals, one step a millisecond.
 pub struct Scenario {
     queue: AdmissionQueue,
     slots: usize,
+    /// The end in milliseconds and the program of each turn that runs.
     running: Vec<(u64, usize)>,
-    programs: Vec<Program>,
+    programs: Vec<ProgramState>,
+    /// The program of each ticket, and the time in milliseconds at which it leaves the queue.
     tickets: HashMap<Ticket, (usize, u64)>,
-    /// Programs whose next try comes at a moment.
-    coming: BTreeMap<u64, Vec<usize>>,
+    /// Programs by the time in milliseconds of their next try.
+    next_tries: BTreeMap<u64, Vec<usize>>,
     report: Report,
 }
 
@@ -91,38 +97,38 @@
             running: Vec::new(),
             programs: Vec::new(),
             tickets: HashMap::new(),
-            coming: BTreeMap::new(),
+            next_tries: BTreeMap::new(),
             report: Report::default(),
         }
     }
 
-    pub fn play(mut self, arrivals: &[Arrival]) -> Report {
+    pub fn run(mut self, arrivals: &[Arrival]) -> Report {
         for arrival in arrivals {
             let program = self.programs.len();
-            let (turns_left, tries_left) = (arrival.kind.turns, arrival.kind.tries);
-            self.programs.push(Program {
+            let (turns_left, tries_left) = (arrival.kind.turns, arrival.kind.max_tries);
+            self.programs.push(ProgramState {
                 arrival: *arrival,
                 turns_left,
                 tries_left,
                 was_refused: false,
             });
-            self.coming.entry(arrival.at_ms).or_default().push(program);
+            self.next_tries.entry(arrival.at_ms).or_default().push(program);
         }
         let mut now = 0;
-        while !self.coming.is_empty() || !self.running.is_empty() || !self.queue.is_empty() {
+        while !self.next_tries.is_empty() || !self.running.is_empty() || !self.queue.is_empty() {
             self.end_turns(now);
             self.end_waits(now);
-            for program in self.coming.remove(&now).unwrap_or_default() {
-                self.ask(program, now);
+            for program in self.next_tries.remove(&now).unwrap_or_default() {
+                self.request_turn(program, now);
             }
-            self.fill(now);
+            self.dispatch_waiting(now);
             now += 1;
         }
         self.report
     }
 
     fn request(&self, program: usize, now: u64) -> QueuedRequest {
-        let Program { arrival, turns_left, was_refused, .. } = &self.programs[program];
+        let ProgramState { arrival, turns_left, was_refused, .. } = &self.programs[program];
         let Arrival { kind, tenant, at_ms } = *arrival;
         let stage = match (*turns_left < kind.turns, was_refused) {
             (true, _) => Stage::UnderWay,
@@ -135,27 +141,27 @@
             tenant: TenantKey(tenant),
             cost: Tokens(kind.turn_ms),
             bytes: 1,
-            due: moment(at_ms + kind.aim_ms),
-            leave_by: moment(now + kind.patience_ms / 4),
+            due: timestamp(at_ms + kind.objective_ms),
+            leave_by: timestamp(now + kind.timeout_ms / 4),
         }
     }
 
-    fn ask(&mut self, program: usize, now: u64) {
+    fn request_turn(&mut self, program: usize, now: u64) {
         let request = self.request(program, now);
-        self.queue.record_arrival(&request, moment(now));
-        if self.queue.may_skip_queue(&request, moment(now)) {
+        self.queue.record_arrival(&request, timestamp(now));
+        if self.queue.may_skip_queue(&request, timestamp(now)) {
             if self.running.len() < self.slots {
-                self.run(program, now);
+                self.start_turn(program, now);
                 return;
             }
-            self.queue.record_servers_full(moment(now));
+            self.queue.record_servers_full(timestamp(now));
         }
-        match self.queue.enqueue(request, moment(now)) {
+        match self.queue.enqueue(request, timestamp(now)) {
             Err(_) => self.refuse(program, now),
-            Ok(joined) => {
+            Ok(entry) => {
                 let leave_at = request.leave_by.0 / 1_000;
-                self.tickets.insert(joined.ticket, (program, leave_at));
-                for ticket in joined.displaced {
+                self.tickets.insert(entry.ticket, (program, leave_at));
+                for ticket in entry.displaced {
                     let (program, _) = self.tickets.remove(&ticket).expect("it waited");
                     self.refuse(program, now);
                 }
@@ -163,23 +169,23 @@
         }
     }
 
-    fn run(&mut self, program: usize, now: u64) {
+    fn start_turn(&mut self, program: usize, now: u64) {
         let request = self.request(program, now);
-        self.queue.record_dispatch(&request, moment(now));
-        let Program { arrival, was_refused, .. } = &mut self.programs[program];
-        self.report.came_back_served += u32::from(std::mem::take(was_refused));
+        self.queue.record_dispatch(&request, timestamp(now));
+        let ProgramState { arrival, was_refused, .. } = &mut self.programs[program];
+        self.report.retries_served += u32::from(std::mem::take(was_refused));
         self.running.push((now + arrival.kind.turn_ms, program));
     }
 
     fn refuse(&mut self, program: usize, now: u64) {
         let request = self.request(program, now);
-        let wait = self.queue.retry_after(&request, Duration::ZERO, moment(now)).as_millis();
+        let wait = self.queue.retry_after(&request, Duration::ZERO, timestamp(now)).as_millis();
         let program_state = &mut self.programs[program];
         program_state.tries_left -= 1;
-        if program_state.tries_left > 0 && wait <= program_state.arrival.kind.patience_ms / 3 {
+        if program_state.tries_left > 0 && wait <= program_state.arrival.kind.timeout_ms / 3 {
             program_state.was_refused = true;
-            self.report.came_back += 1;
-            self.coming.entry(now + wait.max(1)).or_default().push(program);
+            self.report.retries += 1;
+            self.next_tries.entry(now + wait.max(1)).or_default().push(program);
             return;
         }
         let is_first = program_state.turns_left == program_state.arrival.kind.turns;
@@ -194,16 +200,16 @@
         self.running = running;
         let ended: Vec<(u64, usize)> = ended;
         for (_, program) in ended {
-            let Program { arrival, turns_left, tries_left, .. } = &mut self.programs[program];
+            let ProgramState { arrival, turns_left, tries_left, .. } = &mut self.programs[program];
             let kind = arrival.kind;
-            self.queue.record_attempt_end(Duration::from_millis(kind.turn_ms), moment(now));
+            self.queue.record_attempt_end(Duration::from_millis(kind.turn_ms), timestamp(now));
             *turns_left -= 1;
-            *tries_left = kind.tries;
+            *tries_left = kind.max_tries;
             if *turns_left > 0 {
-                self.coming.entry(now + kind.pause_ms.max(1)).or_default().push(program);
+                self.next_tries.entry(now + kind.pause_ms.max(1)).or_default().push(program);
                 continue;
             }
-            let is_in_time = now <= arrival.at_ms + kind.aim_ms;
+            let is_in_time = now <= arrival.at_ms + kind.objective_ms;
             self.count(program, |outcome| match is_in_time {
                 true => outcome.in_time += 1,
                 false => outcome.late += 1,
@@ -222,11 +228,11 @@
         }
     }
 
-    fn fill(&mut self, now: u64) {
+    fn dispatch_waiting(&mut self, now: u64) {
         while self.running.len() < self.slots {
-            let Some(ticket) = self.queue.dequeue(moment(now)) else { return };
+            let Some(ticket) = self.queue.dequeue(timestamp(now)) else { return };
             let (program, _) = self.tickets.remove(&ticket).expect("it waited");
-            self.run(program, now);
+            self.start_turn(program, now);
         }
     }
 
@@ -238,6 +244,6 @@
     }
 }
 
-fn moment(millis: u64) -> Timestamp {
+fn timestamp(millis: u64) -> Timestamp {
     Timestamp(millis * 1_000)
 }
