--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -7,7 +7,7 @@
 
 use dahlia_adapters::{ClientSettings, KeyValueClient};
 use dahlia_configuration::ConfigurationRecord;
-use dahlia_durable::Opened;
+use dahlia_durable::OpenedLog;
 use dahlia_node::wire::MessageKind;
 use dahlia_node::{Node, RecoverError};
 use dahlia_replication::group::DurableReplica;
@@ -255,13 +255,13 @@
         return Ok(Durable { groups, replicas: Vec::new(), incarnation: fresh, life: 0 });
     };
     let opened = group_log::open(folder, settings.durable.clone(), fresh).context(GroupsSnafu)?;
-    let Opened { log, replicas } = opened;
+    let OpenedLog { log, replicas } = opened;
     let identity = log.identity();
     Ok(Durable {
         groups: GroupLog::new(log),
         replicas,
         incarnation: identity.incarnation,
-        life: identity.life,
+        life: identity.start_count,
     })
 }
 
--- a/crates/daemon/src/group_log.rs
+++ b/crates/daemon/src/group_log.rs
@@ -5,7 +5,9 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use dahlia_durable::{Disk, DurableLog, DurableSettings, FolderDisk, Identity, LogError, Opened};
+use dahlia_durable::{
+    Disk, DurableLog, DurableSettings, FolderDisk, LogError, LogIdentity, OpenedLog,
+};
 use dahlia_replication::group::DurableChange;
 use dahlia_types::{GroupId, Incarnation};
 use snafu::{ResultExt, Snafu};
@@ -63,7 +65,7 @@
     folder: &Path,
     settings: DurableSettings,
     fresh: Incarnation,
-) -> Result<Opened, OpenGroupsError> {
+) -> Result<OpenedLog, OpenGroupsError> {
     let folder = folder.join(FOLDER);
     let disk = FolderDisk::open(&folder).context(FolderSnafu)?;
     let mut has_waited = false;
@@ -74,12 +76,13 @@
         has_waited = true;
         thread::sleep(FULL_RETRY);
     };
-    let disks = || -> Box<dyn Disk> { Box::new(disk.reopened()) };
-    let opened = DurableLog::open_when_room(disks, &settings, fresh, wait).context(LogSnafu)?;
-    let Identity { incarnation, life } = opened.log.identity();
+    let disks = || -> Box<dyn Disk> { Box::new(disk.reopen()) };
+    let opened =
+        DurableLog::open_waiting_for_space(disks, &settings, fresh, wait).context(LogSnafu)?;
+    let LogIdentity { incarnation, start_count } = opened.log.identity();
     log::info!(
         target: part::STORE,
-        "{} groups and {} bytes in the log; incarnation {incarnation}, life {life}.",
+        "{} groups and {} bytes in the log; incarnation {incarnation}, life {start_count}.",
         opened.replicas.len(),
         opened.log.bytes()
     );
@@ -137,7 +140,7 @@
     /// Lets the next process of this daemon be a later life than `by`, if nothing is lost by it.
     pub async fn begin_anew(&mut self, by: Incarnation) {
         let Some(mut log) = self.log.take() else { return };
-        match spawn_blocking(move || log.begin_anew(by)).await {
+        match spawn_blocking(move || log.advance_incarnation(by)).await {
             Ok(Ok(true)) => log::warn!(target: part::STORE, "The next start is a life after {by}."),
             Ok(Ok(false)) => {
                 log::error!(target: part::STORE, "The groups here belong to a life before {by}.");
@@ -164,7 +167,7 @@
                 "A batch waited long for a thread to write it."
             );
         }
-        let result = self.log.append(&self.changes).map(|()| self.log.wanted_images());
+        let result = self.log.append(&self.changes).map(|()| self.log.groups_needing_image());
         (self, result)
     }
 }
--- a/crates/daemon/src/kept_documents.rs
+++ b/crates/daemon/src/kept_documents.rs
@@ -10,7 +10,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use dahlia_durable::{FolderDisk, KeptDocument, KeptDocuments, LogError, OpenedDocuments};
+use dahlia_durable::{DocumentCopies, DocumentCopy, FolderDisk, LogError, OpenedCopies};
 use dahlia_node::{Event, SharedDocument};
 use snafu::{ResultExt, Snafu};
 use tokio::sync::mpsc::UnboundedReceiver;
@@ -54,13 +54,13 @@
     documents: UnboundedReceiver<SharedDocument>,
 ) -> Result<(), KeepError> {
     let disk = FolderDisk::open(&folder.join(FOLDER)).context(FolderSnafu)?;
-    let opened = KeptDocuments::open(Box::new(disk)).context(ReadSnafu)?;
-    let OpenedDocuments { documents: kept, found, bad } = opened;
-    for error in bad {
+    let opened = DocumentCopies::open(Box::new(disk)).context(ReadSnafu)?;
+    let OpenedCopies { copies: kept, newest, invalid } = opened;
+    for error in invalid {
         log::warn!(target: part::STORE, cause:% = error; "A kept document is passed over.");
     }
     let mut addresses = KeptAddresses::new(core.clone());
-    for KeptDocument { number, version, bytes } in found {
+    for DocumentCopy { number, version, bytes } in newest {
         if number == kept_addresses::NUMBER {
             addresses.recall(&SharedDocument { number, version, bytes }).await;
             continue;
@@ -77,7 +77,7 @@
 }
 
 async fn keep(
-    mut kept: KeptDocuments,
+    mut kept: DocumentCopies,
     mut documents: UnboundedReceiver<SharedDocument>,
     mut addresses: KeptAddresses,
 ) {
@@ -112,7 +112,7 @@
     }
 }
 
-fn keep_one(kept: &mut KeptDocuments, document: SharedDocument) -> Result<(), LogError> {
+fn keep_one(kept: &mut DocumentCopies, document: SharedDocument) -> Result<(), LogError> {
     let SharedDocument { number, version, bytes } = document;
-    kept.keep(&KeptDocument { number, version, bytes })
+    kept.save(&DocumentCopy { number, version, bytes })
 }
--- a/crates/durable/examples/appends.rs
+++ b/crates/durable/examples/appends.rs
@@ -32,7 +32,7 @@
         let changes: Vec<DurableChange> = (next..next + batch).map(update).collect();
         next += batch;
         log.append(&changes).expect("room");
-        if !log.wanted_images().is_empty() {
+        if !log.groups_needing_image().is_empty() {
             log.append(&[image(next - 1)]).expect("room");
         }
     }
--- a/crates/durable/examples/opening.rs
+++ b/crates/durable/examples/opening.rs
@@ -7,7 +7,7 @@
 use std::time::Instant;
 
 use bytes::Bytes;
-use dahlia_durable::{DurableLog, DurableSettings, FolderDisk, Opened};
+use dahlia_durable::{DurableLog, DurableSettings, FolderDisk, OpenedLog};
 use dahlia_replication::group::{
     DurableChange, DurableReplica, DurableUpdate, EntryData, HardState, LogEntry, Members, Snapshot,
 };
@@ -40,7 +40,7 @@
         let changes: Vec<DurableChange> = (next..next + BATCH).map(update).collect();
         next += BATCH;
         log.append(&changes).expect("room");
-        for group in log.wanted_images() {
+        for group in log.groups_needing_image() {
             let applied = next / u64::from(GROUPS);
             log.append(&[image(group.0, applied)]).expect("room");
         }
@@ -55,7 +55,7 @@
     std::fs::remove_dir_all(folder).expect("the folder is ours");
 }
 
-fn open(folder: &Path) -> Opened {
+fn open(folder: &Path) -> OpenedLog {
     let disk = FolderDisk::open(folder).expect("a folder");
     let opened = DurableLog::open(Box::new(disk), DurableSettings::default(), Incarnation(1));
     opened.expect("it opens")
--- a/crates/durable/src/disk.rs
+++ b/crates/durable/src/disk.rs
@@ -81,7 +81,7 @@
 
     /// The same folder with no file open.
     #[must_use]
-    pub fn reopened(&self) -> Self {
+    pub fn reopen(&self) -> Self {
         Self { folder: self.folder.clone(), open: None }
     }
 
--- a/crates/durable/src/documents.rs
+++ b/crates/durable/src/documents.rs
@@ -17,7 +17,7 @@
 use snafu::Snafu;
 
 use crate::Disk;
-use crate::error::{LogError, Step};
+use crate::error::{DiskOperation, LogError};
 
 /// The format that this build writes and reads.
 const FORMAT: u32 = 1;
@@ -27,7 +27,7 @@
 
 /// A document of which a copy is kept.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct KeptDocument {
+pub struct DocumentCopy {
     /// Which document.
     pub number: u32,
     /// Rises with every change.
@@ -38,7 +38,7 @@
 
 /// Why a file is no copy of a document. It is left alone and written over in its turn.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
-pub enum BadCopy {
+pub enum CopyError {
     /// The last write was cut off by a loss of power, or bytes were changed since.
     #[snafu(display("{name}: the checksum does not fit"))]
     Torn {
@@ -47,7 +47,7 @@
     },
     /// Another build wrote it.
     #[snafu(display("{name} has format {format}, this build reads {FORMAT}"))]
-    OtherFormat {
+    UnsupportedFormat {
         /// The file.
         name: String,
         /// Its format.
@@ -55,7 +55,7 @@
     },
     /// It holds another document than its name says.
     #[snafu(display("{name} holds document {number}"))]
-    OtherDocument {
+    WrongDocument {
         /// The file.
         name: String,
         /// What it holds.
@@ -87,34 +87,36 @@
 }
 
 /// Copies of documents in one folder. All calls block on the disk.
-pub struct KeptDocuments {
+pub struct DocumentCopies {
     disk: Box<dyn Disk>,
     places: BTreeMap<u32, Place>,
 }
 
 /// Copies as they were found.
-pub struct OpenedDocuments {
+pub struct OpenedCopies {
     /// Where further ones are kept.
-    pub documents: KeptDocuments,
+    pub copies: DocumentCopies,
     /// The newest intact copy of each document.
-    pub found: Vec<KeptDocument>,
+    pub newest: Vec<DocumentCopy>,
     /// Files that are no copies.
-    pub bad: Vec<BadCopy>,
+    pub invalid: Vec<CopyError>,
 }
 
-impl KeptDocuments {
+impl DocumentCopies {
     /// Reads all copies in a folder.
     ///
     /// # Errors
     /// The folder or a file in it cannot be read.
-    pub fn open(disk: Box<dyn Disk>) -> Result<OpenedDocuments, LogError> {
-        let names = disk.list().map_err(|source| LogError::io(Step::List, "documents", source))?;
-        let mut newest: BTreeMap<u32, (Side, KeptDocument)> = BTreeMap::new();
-        let mut bad = Vec::new();
+    pub fn open(disk: Box<dyn Disk>) -> Result<OpenedCopies, LogError> {
+        let names =
+            disk.list().map_err(|source| LogError::io(DiskOperation::List, "documents", source))?;
+        let mut newest: BTreeMap<u32, (Side, DocumentCopy)> = BTreeMap::new();
+        let mut invalid = Vec::new();
         for name in names {
             let Some((number, side)) = parse(&name) else { continue };
-            let bytes =
-                disk.read(&name).map_err(|source| LogError::io(Step::Read, &name, source))?;
+            let bytes = disk
+                .read(&name)
+                .map_err(|source| LogError::io(DiskOperation::Read, &name, source))?;
             match decode(&name, number, &bytes) {
                 Ok(copy) => {
                     let held = newest.get(&number).map(|(_, held)| held.version);
@@ -122,14 +124,14 @@
                         newest.insert(number, (side, copy));
                     }
                 }
-                Err(error) => bad.push(error),
+                Err(error) => invalid.push(error),
             }
         }
-        let place = |side: Side, copy: &KeptDocument| Place { side, version: copy.version };
+        let place = |side: Side, copy: &DocumentCopy| Place { side, version: copy.version };
         let places =
             newest.iter().map(|(number, (side, copy))| (*number, place(*side, copy))).collect();
         let found = newest.into_values().map(|(_, copy)| copy).collect();
-        Ok(OpenedDocuments { documents: Self { disk, places }, found, bad })
+        Ok(OpenedCopies { copies: Self { disk, places }, newest: found, invalid })
     }
 
     /// Keeps a copy, unless the one that is kept is as new. The copy before it stays until this
@@ -137,7 +139,7 @@
     ///
     /// # Errors
     /// The disk failed or is full; the copy before is still there.
-    pub fn keep(&mut self, document: &KeptDocument) -> Result<(), LogError> {
+    pub fn save(&mut self, document: &DocumentCopy) -> Result<(), LogError> {
         let held = self.places.get(&document.number).copied();
         if held.is_some_and(|held| held.version >= document.version) {
             return Ok(());
@@ -145,7 +147,7 @@
         let side = held.map_or(Side::A, |held| held.side.other());
         let name = file_name(document.number, side);
         let written = self.write(&name, &encode(document));
-        written.map_err(|source| LogError::io(Step::Write, &name, source))?;
+        written.map_err(|source| LogError::io(DiskOperation::Write, &name, source))?;
         self.places.insert(document.number, Place { side, version: document.version });
         Ok(())
     }
@@ -173,7 +175,7 @@
     Some((number.parse().ok()?, side))
 }
 
-fn encode(document: &KeptDocument) -> Vec<u8> {
+fn encode(document: &DocumentCopy) -> Vec<u8> {
     let mut bytes = vec![0; CHECKSUM_BYTES];
     bytes.extend_from_slice(&FORMAT.to_le_bytes());
     bytes.extend_from_slice(&document.number.to_le_bytes());
@@ -184,24 +186,24 @@
     bytes
 }
 
-fn decode(name: &str, number: u32, bytes: &[u8]) -> Result<KeptDocument, BadCopy> {
+fn decode(name: &str, number: u32, bytes: &[u8]) -> Result<DocumentCopy, CopyError> {
     let name = || name.to_owned();
     let Some(header) = bytes.first_chunk::<HEADER_BYTES>() else {
-        return Err(BadCopy::Torn { name: name() });
+        return Err(CopyError::Torn { name: name() });
     };
     let word = |at: usize| {
         u32::from_le_bytes([header[at], header[at + 1], header[at + 2], header[at + 3]])
     };
     if word(0) != crc32c::crc32c(&bytes[CHECKSUM_BYTES..]) {
-        return Err(BadCopy::Torn { name: name() });
+        return Err(CopyError::Torn { name: name() });
     }
     let format = word(4);
     if format != FORMAT {
-        return Err(BadCopy::OtherFormat { name: name(), format });
+        return Err(CopyError::UnsupportedFormat { name: name(), format });
     }
     if word(8) != number {
-        return Err(BadCopy::OtherDocument { name: name(), number: word(8) });
+        return Err(CopyError::WrongDocument { name: name(), number: word(8) });
     }
     let version = u64::from(word(12)) | u64::from(word(16)) << u32::BITS;
-    Ok(KeptDocument { number, version, bytes: bytes[HEADER_BYTES..].to_vec() })
+    Ok(DocumentCopy { number, version, bytes: bytes[HEADER_BYTES..].to_vec() })
 }
--- a/crates/durable/src/error.rs
+++ b/crates/durable/src/error.rs
@@ -10,7 +10,7 @@
 
 /// What was being done to a file.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Step {
+pub enum DiskOperation {
     /// Looking for segments.
     List,
     /// Reading a segment back.
@@ -30,18 +30,18 @@
 #[snafu(visibility(pub(crate)))]
 pub enum LogError {
     /// The disk is full. Nothing of the frame counts; it may be tried again.
-    #[snafu(display("the disk is full ({step:?} of {name})"))]
+    #[snafu(display("the disk is full ({operation:?} of {name})"))]
     Full {
         /// What was being done.
-        step: Step,
+        operation: DiskOperation,
         /// The file.
         name: String,
     },
     /// Any other failure of the disk.
-    #[snafu(display("{step:?} of {name}: {source}"))]
+    #[snafu(display("{operation:?} of {name}: {source}"))]
     Io {
         /// What was being done.
-        step: Step,
+        operation: DiskOperation,
         /// The file.
         name: String,
         /// Cause.
@@ -63,7 +63,7 @@
     },
     /// A segment's beginning was changed, or it is not the segment that its name says.
     #[snafu(display("{name} does not begin as this segment should"))]
-    BadHeader {
+    InvalidHeader {
         /// The file.
         name: String,
     },
@@ -77,13 +77,13 @@
     },
     /// A segment between two others is not there.
     #[snafu(display("{name} is missing"))]
-    Missing {
+    MissingSegment {
         /// The file.
         name: String,
     },
     /// Written by a build with another format.
     #[snafu(display("{name} has format {version}, this build reads {}", crate::FORMAT_VERSION))]
-    OtherVersion {
+    UnsupportedVersion {
         /// The file.
         name: String,
         /// Its version.
@@ -101,11 +101,11 @@
 
 impl LogError {
     /// From an I/O error, with a full disk told from other failures.
-    pub(crate) fn io(step: Step, name: &str, source: io::Error) -> Self {
+    pub(crate) fn io(operation: DiskOperation, name: &str, source: io::Error) -> Self {
         let is_full =
             matches!(source.kind(), io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded);
         let name = name.to_owned();
-        if is_full { Self::Full { step, name } } else { Self::Io { step, name, source } }
+        if is_full { Self::Full { operation, name } } else { Self::Io { operation, name, source } }
     }
 
     /// Whether the same changes may be written again later.
--- a/crates/durable/src/lib.rs
+++ b/crates/durable/src/lib.rs
@@ -33,10 +33,10 @@
 mod settings;
 
 pub use disk::{Disk, FolderDisk};
-pub use documents::{BadCopy, KeptDocument, KeptDocuments, OpenedDocuments};
-pub use error::{LogError, Step};
+pub use documents::{CopyError, DocumentCopies, DocumentCopy, OpenedCopies};
+pub use error::{DiskOperation, LogError};
 pub use frame::{FORMAT_VERSION, Frame, FrameError, encode_frame, read_frames};
-pub use log::{DurableLog, Opened};
+pub use log::{DurableLog, OpenedLog};
 pub use replay::ReplayError;
-pub use segment::Identity;
+pub use segment::LogIdentity;
 pub use settings::DurableSettings;
--- a/crates/durable/src/log.rs
+++ b/crates/durable/src/log.rs
@@ -7,11 +7,11 @@
 use snafu::ResultExt;
 
 use crate::disk::Disk;
-use crate::error::{EncodeSnafu, LogError, ReplaySnafu, Step};
+use crate::error::{DiskOperation, EncodeSnafu, LogError, ReplaySnafu};
 use crate::frame::encode_frame;
 use crate::open::{cut, next_identity, read_all};
 use crate::replay::ImagePlace;
-use crate::segment::{Header, Identity, file_name};
+use crate::segment::{Header, LogIdentity, file_name};
 use crate::settings::DurableSettings;
 
 /// Images are written again only when changes outweigh them this many times, so that a large
@@ -24,7 +24,7 @@
 pub struct DurableLog {
     disk: Box<dyn Disk>,
     settings: DurableSettings,
-    identity: Identity,
+    identity: LogIdentity,
     /// Synced bytes of each segment. The last one is written to.
     segments: BTreeMap<u64, u64>,
     current: u64,
@@ -35,7 +35,7 @@
 }
 
 /// A log that was opened.
-pub struct Opened {
+pub struct OpenedLog {
     /// The log, ready to be appended to.
     pub log: DurableLog,
     /// The replicas as they were when their last change became durable.
@@ -53,7 +53,7 @@
         mut disk: Box<dyn Disk>,
         settings: DurableSettings,
         fresh: Incarnation,
-    ) -> Result<Opened, LogError> {
+    ) -> Result<OpenedLog, LogError> {
         let found = read_all(disk.as_mut())?;
         let (replicas, images) =
             found.replay.finish().context(ReplaySnafu { name: "the whole log" })?;
@@ -70,7 +70,7 @@
         };
         log.begin_segment(current)?;
         log.drop_covered();
-        Ok(Opened { log, replicas })
+        Ok(OpenedLog { log, replicas })
     }
 
     /// Opens the log as [`Self::open`] does. While the disk is too full for the beginning of a
@@ -78,12 +78,12 @@
     ///
     /// # Errors
     /// As [`Self::open`], except for a full disk.
-    pub fn open_when_room(
+    pub fn open_waiting_for_space(
         mut disk: impl FnMut() -> Box<dyn Disk>,
         settings: &DurableSettings,
         fresh: Incarnation,
         mut wait: impl FnMut(&LogError),
-    ) -> Result<Opened, LogError> {
+    ) -> Result<OpenedLog, LogError> {
         loop {
             match Self::open(disk(), settings.clone(), fresh) {
                 Err(error) if error.is_full() => wait(&error),
@@ -93,7 +93,7 @@
     }
 
     /// Whose log it is.
-    pub fn identity(&self) -> Identity {
+    pub fn identity(&self) -> LogIdentity {
         self.identity
     }
 
@@ -132,13 +132,13 @@
     ///
     /// # Errors
     /// [`LogError`]; the identity is then as before.
-    pub fn begin_anew(&mut self, after: Incarnation) -> Result<bool, LogError> {
+    pub fn advance_incarnation(&mut self, after: Incarnation) -> Result<bool, LogError> {
         let is_older = self.identity.incarnation <= after;
         if !self.images.is_empty() || !is_older {
             return Ok(false);
         }
         let earlier = self.identity;
-        self.identity = Identity { incarnation: Incarnation(after.0 + 1), life: 0 };
+        self.identity = LogIdentity { incarnation: Incarnation(after.0 + 1), start_count: 0 };
         if let Err(error) = self.begin_segment(self.current + 1) {
             self.identity = earlier;
             return Err(error);
@@ -148,7 +148,7 @@
     }
 
     /// Groups to be recorded anew as a whole, so that old segments can be removed.
-    pub fn wanted_images(&self) -> Vec<GroupId> {
+    pub fn groups_needing_image(&self) -> Vec<GroupId> {
         let images: u64 = self.images.values().map(|image| image.bytes).sum();
         let limit = self.settings.compact_above_bytes + IMAGES_FACTOR * images;
         if self.bytes() <= limit && self.segments.len() <= MOST_SEGMENTS {
@@ -169,8 +169,8 @@
         // Until the sync has returned, what is behind the synced bytes is unknown.
         self.needs_cut = true;
         let written = self.disk.append(&name, frame);
-        written.map_err(|source| LogError::io(Step::Write, &name, source))?;
-        self.disk.sync(&name).map_err(|source| LogError::io(Step::Sync, &name, source))?;
+        written.map_err(|source| LogError::io(DiskOperation::Write, &name, source))?;
+        self.disk.sync(&name).map_err(|source| LogError::io(DiskOperation::Sync, &name, source))?;
         self.needs_cut = false;
         *self.segments.entry(self.current).or_default() += frame.len() as u64;
         Ok(())
@@ -195,7 +195,7 @@
             .and_then(|()| disk.append(&name, &header))
             .and_then(|()| disk.sync(&name))
             .and_then(|()| disk.sync_folder());
-        begun.map_err(|source| LogError::io(Step::Create, &name, source))?;
+        begun.map_err(|source| LogError::io(DiskOperation::Create, &name, source))?;
         self.segments.insert(number, header.len() as u64);
         self.current = number;
         Ok(())
--- a/crates/durable/src/open.rs
+++ b/crates/durable/src/open.rs
@@ -7,12 +7,12 @@
 
 use crate::disk::Disk;
 use crate::error::{
-    BadHeaderSnafu, DamagedEndSnafu, DamagedSnafu, LogError, MissingSnafu, OtherVersionSnafu,
-    ReplaySnafu, Step,
+    DamagedEndSnafu, DamagedSnafu, DiskOperation, InvalidHeaderSnafu, LogError,
+    MissingSegmentSnafu, ReplaySnafu, UnsupportedVersionSnafu,
 };
 use crate::frame::read_frames;
 use crate::replay::Replay;
-use crate::segment::{BadHeader, HEADER_BYTES, Header, Identity, file_name, number_of};
+use crate::segment::{HEADER_BYTES, Header, InvalidHeader, LogIdentity, file_name, number_of};
 
 /// What the segments hold.
 #[derive(Debug, Default)]
@@ -21,7 +21,7 @@
     /// Bytes of each segment.
     pub(crate) segments: BTreeMap<u64, u64>,
     pub(crate) next_sequence: u64,
-    pub(crate) identity: Option<Identity>,
+    pub(crate) identity: Option<LogIdentity>,
 }
 
 /// Reads all segments, and cuts off what a loss of power tore.
@@ -29,13 +29,14 @@
 /// # Errors
 /// [`LogError`] when anything but the end of the last segment is damaged.
 pub(crate) fn read_all(disk: &mut dyn Disk) -> Result<Found, LogError> {
-    let names = disk.list().map_err(|source| LogError::io(Step::List, "the folder", source))?;
+    let names =
+        disk.list().map_err(|source| LogError::io(DiskOperation::List, "the folder", source))?;
     let mut numbers: Vec<u64> = names.iter().filter_map(|name| number_of(name)).collect();
     numbers.sort_unstable();
     let mut found = Found::default();
     let Some(last) = numbers.last().copied() else { return Ok(found) };
     for (number, expected) in numbers.iter().copied().zip(numbers[0]..) {
-        ensure!(number == expected, MissingSnafu { name: file_name(expected) });
+        ensure!(number == expected, MissingSegmentSnafu { name: file_name(expected) });
         read_segment(disk, number, number == last, &mut found)?;
     }
     sync_read(disk, last)?;
@@ -46,7 +47,7 @@
 /// take. What follows builds on them, so they must be as durable as all others.
 fn sync_read(disk: &mut dyn Disk, last: u64) -> Result<(), LogError> {
     let name = file_name(last);
-    disk.sync(&name).map_err(|source| LogError::io(Step::Sync, &name, source))
+    disk.sync(&name).map_err(|source| LogError::io(DiskOperation::Sync, &name, source))
 }
 
 fn read_segment(
@@ -56,22 +57,23 @@
     found: &mut Found,
 ) -> Result<(), LogError> {
     let name = file_name(number);
-    let bytes = disk.read(&name).map_err(|source| LogError::io(Step::Read, &name, source))?;
+    let bytes =
+        disk.read(&name).map_err(|source| LogError::io(DiskOperation::Read, &name, source))?;
     let header = match Header::decode(&bytes) {
         Ok(header) => header,
-        Err(BadHeader::OtherVersion(version)) => {
-            return OtherVersionSnafu { name, version }.fail();
+        Err(InvalidHeader::UnsupportedVersion(version)) => {
+            return UnsupportedVersionSnafu { name, version }.fail();
         }
-        Err(BadHeader::Damaged) => {
-            ensure!(is_last && never_began(&bytes, number, found), BadHeaderSnafu { name });
+        Err(InvalidHeader::Damaged) => {
+            ensure!(is_last && never_began(&bytes, number, found), InvalidHeaderSnafu { name });
             // Its name may stay, so that the next segment takes it over.
             return Ok(());
         }
     };
     let follows = found.identity.is_none() || header.first_sequence == found.next_sequence;
-    // It rises only in a log without groups; see `DurableLog::begin_anew`.
+    // It rises only in a log without groups; see `DurableLog::advance_incarnation`.
     let rises = found.identity.is_none_or(|known| known.incarnation <= header.identity.incarnation);
-    ensure!(header.number == number && follows && rises, BadHeaderSnafu { name });
+    ensure!(header.number == number && follows && rises, InvalidHeaderSnafu { name });
     let read = read_frames(&bytes[HEADER_BYTES..], header.first_sequence);
     let (frames, taken) = read.context(DamagedSnafu { name: &name })?;
     let length = HEADER_BYTES + taken;
@@ -99,13 +101,13 @@
 
 /// Cuts off the torn end of a segment.
 pub(crate) fn cut(disk: &mut dyn Disk, name: &str, length: u64) -> Result<(), LogError> {
-    disk.truncate(name, length).map_err(|source| LogError::io(Step::Cut, name, source))
+    disk.truncate(name, length).map_err(|source| LogError::io(DiskOperation::Cut, name, source))
 }
 
 /// Who goes on with the log.
-pub(crate) fn next_identity(found: Option<Identity>, fresh: Incarnation) -> Identity {
-    found.map_or(Identity { incarnation: fresh, life: 1 }, |known| Identity {
-        life: known.life.saturating_add(1),
+pub(crate) fn next_identity(found: Option<LogIdentity>, fresh: Incarnation) -> LogIdentity {
+    found.map_or(LogIdentity { incarnation: fresh, start_count: 1 }, |known| LogIdentity {
+        start_count: known.start_count.saturating_add(1),
         ..known
     })
 }
--- a/crates/durable/src/replay.rs
+++ b/crates/durable/src/replay.rs
@@ -32,7 +32,7 @@
     },
     /// A group has changes and no image that they follow from.
     #[snafu(display("{group} has changes without a beginning"))]
-    NoImage {
+    MissingImage {
         /// The group.
         group: GroupId,
     },
@@ -72,7 +72,7 @@
         self,
     ) -> Result<(Vec<DurableReplica>, BTreeMap<GroupId, ImagePlace>), ReplayError> {
         if let Some(group) = self.headless.first() {
-            return NoImageSnafu { group: *group }.fail();
+            return MissingImageSnafu { group: *group }.fail();
         }
         Ok((self.replicas.into_values().collect(), self.images))
     }
--- a/crates/durable/src/segment.rs
+++ b/crates/durable/src/segment.rs
@@ -25,11 +25,11 @@
 
 /// Whose log it is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Identity {
+pub struct LogIdentity {
     /// The incarnation of the daemon's replicas. Drawn when the folder was empty, kept since.
     pub incarnation: Incarnation,
     /// How often the log was opened, from 1: tells the processes of one incarnation apart.
-    pub life: u32,
+    pub start_count: u32,
 }
 
 /// What a segment begins with.
@@ -37,16 +37,16 @@
 pub(crate) struct Header {
     pub(crate) number: u64,
     pub(crate) first_sequence: u64,
-    pub(crate) identity: Identity,
+    pub(crate) identity: LogIdentity,
 }
 
 /// A header that cannot be used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum BadHeader {
+pub(crate) enum InvalidHeader {
     /// Torn or damaged.
     Damaged,
     /// Written by another version of the format.
-    OtherVersion(u32),
+    UnsupportedVersion(u32),
 }
 
 /// The file of a segment.
@@ -66,23 +66,23 @@
         bytes.extend(self.number.to_le_bytes());
         bytes.extend(self.first_sequence.to_le_bytes());
         bytes.extend(self.identity.incarnation.0.to_le_bytes());
-        bytes.extend(self.identity.life.to_le_bytes());
+        bytes.extend(self.identity.start_count.to_le_bytes());
         bytes.extend(crc32c::crc32c(&bytes).to_le_bytes());
         bytes
     }
 
-    pub(crate) fn decode(segment: &[u8]) -> Result<Self, BadHeader> {
-        let bytes = segment.get(..HEADER_BYTES).ok_or(BadHeader::Damaged)?;
+    pub(crate) fn decode(segment: &[u8]) -> Result<Self, InvalidHeader> {
+        let bytes = segment.get(..HEADER_BYTES).ok_or(InvalidHeader::Damaged)?;
         let checksum = crc32c::crc32c(&bytes[..CHECKSUM_AT]);
         if !bytes.starts_with(MAGIC) || number_at::<4>(bytes, CHECKSUM_AT) != u64::from(checksum) {
-            return Err(BadHeader::Damaged);
+            return Err(InvalidHeader::Damaged);
         }
         let version = number_at::<4>(bytes, 8) as u32;
         if version != FORMAT_VERSION {
-            return Err(BadHeader::OtherVersion(version));
+            return Err(InvalidHeader::UnsupportedVersion(version));
         }
         let incarnation = Incarnation(number_at::<8>(bytes, 28));
-        let identity = Identity { incarnation, life: number_at::<4>(bytes, 36) as u32 };
+        let identity = LogIdentity { incarnation, start_count: number_at::<4>(bytes, 36) as u32 };
         let first_sequence = number_at::<8>(bytes, 20);
         Ok(Self { number: number_at::<8>(bytes, 12), first_sequence, identity })
     }
--- a/crates/durable/tests/codec.rs
+++ b/crates/durable/tests/codec.rs
@@ -76,5 +76,5 @@
     let name = disk.names().remove(0);
     disk.set_version(&name, 9);
     let opened = DurableLog::open(disk.handle(), settings(), Incarnation(7));
-    assert!(matches!(opened, Err(LogError::OtherVersion { version: 9, .. })));
+    assert!(matches!(opened, Err(LogError::UnsupportedVersion { version: 9, .. })));
 }
--- a/crates/durable/tests/documents.rs
+++ b/crates/durable/tests/documents.rs
@@ -2,29 +2,29 @@
 
 mod support;
 
-use dahlia_durable::{BadCopy, KeptDocument, KeptDocuments, OpenedDocuments};
+use dahlia_durable::{CopyError, DocumentCopies, DocumentCopy, OpenedCopies};
 use support::disk::MemoryDisk;
 
-fn document(number: u32, version: u64) -> KeptDocument {
+fn document(number: u32, version: u64) -> DocumentCopy {
     let length = 100 + (version as usize * 37) % 900;
-    KeptDocument { number, version, bytes: vec![version as u8; length] }
+    DocumentCopy { number, version, bytes: vec![version as u8; length] }
 }
 
-fn open(disk: &MemoryDisk) -> OpenedDocuments {
-    KeptDocuments::open(disk.handle()).expect("the folder is read")
+fn open(disk: &MemoryDisk) -> OpenedCopies {
+    DocumentCopies::open(disk.handle()).expect("the folder is read")
 }
 
 #[test]
 fn the_newest_copy_of_each_document_is_found() {
     let disk = MemoryDisk::new(1);
-    let mut kept = open(&disk).documents;
+    let mut copies = open(&disk).copies;
     for (number, version) in [(1, 4), (2, 9), (1, 7), (1, 6), (2, 10)] {
-        kept.keep(&document(number, version)).unwrap();
+        copies.save(&document(number, version)).unwrap();
     }
     disk.lose_power();
     let opened = open(&disk);
-    assert_eq!(opened.found, vec![document(1, 7), document(2, 10)]);
-    assert_eq!(opened.bad, Vec::new());
+    assert_eq!(opened.newest, vec![document(1, 7), document(2, 10)]);
+    assert_eq!(opened.invalid, Vec::new());
 }
 
 /// Power may go at any step: the copy before stays until the new one is durable.
@@ -32,25 +32,25 @@
 fn a_loss_of_power_leaves_a_copy_that_is_as_new_as_the_last_kept() {
     for seed in 0..200 {
         let disk = MemoryDisk::new(seed);
-        let mut kept = open(&disk).documents;
+        let mut copies = open(&disk).copies;
         disk.lose_power_after(seed % 40);
         let mut durable = 0;
         for version in 1.. {
-            if kept.keep(&document(1, version)).is_err() {
+            if copies.save(&document(1, version)).is_err() {
                 break;
             }
             durable = version;
         }
         disk.lose_power();
         let opened = open(&disk);
-        let found = opened.found.first();
+        let found = opened.newest.first();
         let version = found.map_or(0, |found| found.version);
         assert!(version == durable || version == durable + 1, "seed {seed}: {version}, {durable}");
         assert!(found.is_none_or(|found| *found == document(1, version)), "seed {seed}");
         // The next copy must not be written over the one that was found.
-        let mut kept = opened.documents;
-        kept.keep(&document(1, version + 5)).unwrap();
-        assert_eq!(open(&disk).found, vec![document(1, version + 5)], "seed {seed}");
+        let mut copies = opened.copies;
+        copies.save(&document(1, version + 5)).unwrap();
+        assert_eq!(open(&disk).newest, vec![document(1, version + 5)], "seed {seed}");
     }
 }
 
@@ -58,12 +58,12 @@
     name: &'static str,
     file: &'static str,
     change: fn(&mut Vec<u8>),
-    expected: Option<BadCopy>,
+    expected: Option<CopyError>,
 }
 
 #[test]
 fn files_that_are_no_copies_are_named_and_passed_over() {
-    let torn = || BadCopy::Torn { name: "document-1.b".to_owned() };
+    let torn = || CopyError::Torn { name: "document-1.b".to_owned() };
     let cases = [
         BadCase {
             name: "cut off in its header",
@@ -84,7 +84,10 @@
                 bytes[4] = 9;
                 reseal(bytes);
             },
-            expected: Some(BadCopy::OtherFormat { name: "document-1.b".to_owned(), format: 9 }),
+            expected: Some(CopyError::UnsupportedFormat {
+                name: "document-1.b".to_owned(),
+                format: 9,
+            }),
         },
         BadCase {
             name: "of another document",
@@ -93,7 +96,7 @@
                 bytes[8] = 3;
                 reseal(bytes);
             },
-            expected: Some(BadCopy::OtherDocument { name: "document-1.b".to_owned(), number: 3 }),
+            expected: Some(CopyError::WrongDocument { name: "document-1.b".to_owned(), number: 3 }),
         },
         BadCase {
             name: "of another part of the daemon",
@@ -104,20 +107,20 @@
     ];
     for case in cases {
         let source = MemoryDisk::new(1);
-        let mut kept = open(&source).documents;
-        kept.keep(&document(1, 5)).unwrap();
-        kept.keep(&document(1, 6)).unwrap();
+        let mut copies = open(&source).copies;
+        copies.save(&document(1, 5)).unwrap();
+        copies.save(&document(1, 6)).unwrap();
         let mut bytes = source.handle().read("document-1.b").unwrap();
         (case.change)(&mut bytes);
 
         let disk = MemoryDisk::new(2);
-        open(&disk).documents.keep(&document(1, 5)).unwrap();
+        open(&disk).copies.save(&document(1, 5)).unwrap();
         let mut handle = disk.handle();
         handle.create(case.file).unwrap();
         handle.append(case.file, &bytes).unwrap();
         let opened = open(&disk);
-        assert_eq!(opened.found, vec![document(1, 5)], "{}", case.name);
-        assert_eq!(opened.bad.first().cloned(), case.expected, "{}", case.name);
+        assert_eq!(opened.newest, vec![document(1, 5)], "{}", case.name);
+        assert_eq!(opened.invalid.first().cloned(), case.expected, "{}", case.name);
     }
 }
 
--- a/crates/durable/tests/log.rs
+++ b/crates/durable/tests/log.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use dahlia_durable::{Disk, DurableLog, FolderDisk, LogError, Opened};
+use dahlia_durable::{Disk, DurableLog, FolderDisk, LogError, OpenedLog};
 use dahlia_replication::group::{DurableChange, DurableReplica};
 use dahlia_types::{GroupId, Incarnation};
 use support::disk::MemoryDisk;
@@ -20,7 +20,7 @@
     in_flight: Option<DurableChange>,
 }
 
-fn open(disk: Box<dyn Disk>) -> Opened {
+fn open(disk: Box<dyn Disk>) -> OpenedLog {
     DurableLog::open(disk, settings(), Incarnation(7)).expect("the log opens")
 }
 
@@ -52,7 +52,7 @@
 
     /// Entry after entry, and images where the log wants them.
     fn step(&mut self, number: u64) -> Result<(), LogError> {
-        for group in self.log.wanted_images() {
+        for group in self.log.groups_needing_image() {
             let last = self.expected[&group].last_index().0;
             self.append(image(group.0, last, 200))?;
         }
@@ -88,7 +88,7 @@
     let opened = open(Box::new(FolderDisk::open(&path).unwrap()));
     assert_eq!(by_group(opened.replicas), written.expected);
     assert_eq!(opened.log.identity().incarnation, identity.incarnation);
-    assert_eq!(opened.log.identity().life, identity.life + 1);
+    assert_eq!(opened.log.identity().start_count, identity.start_count + 1);
 }
 
 #[test]
@@ -185,7 +185,7 @@
     for number in 0..10 {
         written.step(number).unwrap();
     }
-    let life = written.log.identity().life;
+    let life = written.log.identity().start_count;
     drop(written.log);
     // Room for a part of a segment's beginning only.
     disk.set_capacity(disk.bytes() + 5);
@@ -200,9 +200,10 @@
         }
     };
     let handle = || disk.handle();
-    let opened = DurableLog::open_when_room(handle, &settings(), Incarnation(9), wait).unwrap();
+    let opened =
+        DurableLog::open_waiting_for_space(handle, &settings(), Incarnation(9), wait).unwrap();
     assert_eq!(waits, 3);
-    assert_eq!(opened.log.identity().life, life + 1);
+    assert_eq!(opened.log.identity().start_count, life + 1);
     assert_eq!(by_group(opened.replicas), written.expected);
 }
 
@@ -214,7 +215,7 @@
     let opened = DurableLog::open(disk.handle(), settings(), Incarnation(8)).unwrap();
     assert!(opened.replicas.is_empty());
     assert!(opened.log.identity().incarnation > first.incarnation);
-    assert_eq!(opened.log.identity().life, 1);
+    assert_eq!(opened.log.identity().start_count, 1);
 }
 
 #[test]
@@ -233,7 +234,7 @@
     disk.clone().remove(&disk.names()[1]).unwrap();
     assert!(matches!(
         DurableLog::open(disk.handle(), settings(), Incarnation(7)),
-        Err(LogError::Missing { .. })
+        Err(LogError::MissingSegment { .. })
     ));
 }
 
@@ -241,12 +242,12 @@
 fn a_log_without_groups_takes_a_later_incarnation_and_one_with_groups_does_not() {
     let disk = MemoryDisk::new(1);
     let mut log = open(disk.handle()).log;
-    assert!(log.begin_anew(Incarnation(20)).unwrap());
+    assert!(log.advance_incarnation(Incarnation(20)).unwrap());
     let mut log = open(disk.handle()).log;
-    assert_eq!((log.identity().incarnation, log.identity().life), (Incarnation(21), 1));
-    assert!(!log.begin_anew(Incarnation(20)).unwrap(), "it is later already");
+    assert_eq!((log.identity().incarnation, log.identity().start_count), (Incarnation(21), 1));
+    assert!(!log.advance_incarnation(Incarnation(20)).unwrap(), "it is later already");
     log.append(&[image(1, 0, 10)]).unwrap();
-    assert!(!log.begin_anew(Incarnation(30)).unwrap());
+    assert!(!log.advance_incarnation(Incarnation(30)).unwrap());
     let opened = open(disk.handle());
     assert_eq!(opened.log.identity().incarnation, Incarnation(21));
     assert_eq!(opened.replicas.len(), 1);
--- a/crates/durable/tests/support/machine.rs
+++ b/crates/durable/tests/support/machine.rs
@@ -144,7 +144,7 @@
             self.log.append(&batch.changes)?;
             left.messages.extend(batch.left.messages);
             left.committed.extend(batch.left.committed);
-            self.wants_image = !self.log.wanted_images().is_empty();
+            self.wants_image = !self.log.groups_needing_image().is_empty();
         }
         Ok(())
     }
