--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -23,4 +23,4 @@
 pub use disk::{Disk, FolderDisk};
 pub use record::FORMAT_VERSION;
 pub use settings::StoreSettings;
-pub use store::{ChunkStore, Recovery, StoreError, StoreUsage};
+pub use store::{ChunkStore, RecoveryReport, StoreError, StoreUsage};
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -17,10 +17,10 @@
 #[derive(Debug, Snafu)]
 pub enum StoreError {
     /// A file operation failed.
-    #[snafu(display("{step} {file}: {source}"))]
+    #[snafu(display("{operation} {file}: {source}"))]
     File {
         /// What was being done.
-        step: &'static str,
+        operation: &'static str,
         /// The file.
         file: String,
         /// Cause.
@@ -44,7 +44,7 @@
     },
     /// A segment was written by a build with another format.
     #[snafu(display("{file} has format {version}; this build reads 1"))]
-    OtherFormat {
+    UnsupportedFormat {
         /// The segment's file.
         file: String,
         /// Its version.
@@ -62,7 +62,7 @@
 
 /// What a start found and mended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Recovery {
+pub struct RecoveryReport {
     /// Chunks that are held.
     pub chunks: u64,
     /// Bytes of a torn last write that were cut off.
@@ -108,19 +108,20 @@
     /// Reads the folder back. A torn last write is cut off.
     ///
     /// # Errors
-    /// [`StoreError::OtherFormat`] for a segment of another version, which is left alone;
+    /// [`StoreError::UnsupportedFormat`] for a segment of another version, which is left alone;
     /// [`StoreError::File`] when the folder cannot be read or mended.
     pub fn open(
         disk: Box<dyn Disk>,
         settings: StoreSettings,
-    ) -> Result<(Self, Recovery), StoreError> {
+    ) -> Result<(Self, RecoveryReport), StoreError> {
         let mut store =
             Self { disk, settings, index: HashMap::new(), segments: BTreeMap::new(), active: 0 };
-        let names = store.disk.list().context(FileSnafu { step: "listing", file: "the folder" })?;
+        let names =
+            store.disk.list().context(FileSnafu { operation: "listing", file: "the folder" })?;
         let mut numbers: Vec<SegmentNumber> =
             names.iter().filter_map(|name| number_of(name)).collect();
         numbers.sort_unstable();
-        let mut recovery = Recovery::default();
+        let mut recovery = RecoveryReport::default();
         for number in &numbers {
             store.read_segment(*number, numbers.last() == Some(number), &mut recovery)?;
         }
@@ -134,17 +135,18 @@
         &mut self,
         number: SegmentNumber,
         is_last: bool,
-        recovery: &mut Recovery,
+        recovery: &mut RecoveryReport,
     ) -> Result<(), StoreError> {
         let file = file_name(number);
-        let found = scan(&*self.disk, &file).context(FileSnafu { step: "reading", file: &file })?;
+        let found =
+            scan(&*self.disk, &file).context(FileSnafu { operation: "reading", file: &file })?;
         if let Some(version) = found.other_version {
-            return OtherFormatSnafu { file, version }.fail();
+            return UnsupportedFormatSnafu { file, version }.fail();
         }
         if is_last && found.damaged_bytes > 0 {
             recovery.torn_bytes = found.damaged_bytes;
             let cut = self.disk.truncate(&file, found.intact_bytes);
-            cut.context(FileSnafu { step: "cutting off the torn end of", file: &file })?;
+            cut.context(FileSnafu { operation: "cutting off the torn end of", file: &file })?;
         } else {
             recovery.damaged_bytes += found.damaged_bytes;
         }
@@ -214,7 +216,7 @@
         let file = file_name(location.segment);
         let length = RECORD_HEADER + location.length as usize;
         let record = self.disk.read(&file, location.offset, length);
-        let mut record = record.context(FileSnafu { step: "reading", file: &file })?;
+        let mut record = record.context(FileSnafu { operation: "reading", file: &file })?;
         let header = decode_header(&record).filter(|header| is_intact(header, &record));
         if header.is_none_or(|header| header.key != *key) {
             self.forget(key);
@@ -278,7 +280,7 @@
         }
         // The copies are durable before the originals go.
         let file = file_name(number);
-        self.disk.remove(&file).context(FileSnafu { step: "removing", file })?;
+        self.disk.remove(&file).context(FileSnafu { operation: "removing", file })?;
         self.segments.remove(&number);
         Ok(true)
     }
@@ -329,7 +331,7 @@
             let limit = self.settings.max_bytes;
             return FullSnafu { used: self.usage().bytes, limit }.fail();
         }
-        Err(source).context(FileSnafu { step: "appending to", file })
+        Err(source).context(FileSnafu { operation: "appending to", file })
     }
 }
 
--- a/crates/store/tests/store.rs
+++ b/crates/store/tests/store.rs
@@ -192,7 +192,7 @@
 fn reopen(disk: &MemoryDisk) -> Option<ChunkStore> {
     match ChunkStore::open(Box::new(disk.clone()), settings()) {
         Ok((store, _)) => Some(store),
-        Err(StoreError::OtherFormat { .. }) => None,
+        Err(StoreError::UnsupportedFormat { .. }) => None,
         Err(error) => panic!("{error}"),
     }
 }
