--- a/crates/logging/src/buffer.rs
+++ b/crates/logging/src/buffer.rs
@@ -7,11 +7,11 @@
 
 /// Which lines go first when there is no room.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Rank {
+pub enum LinePriority {
     /// A decision on a request that goes well.
     Routine,
     /// A change of what the process believes, a start or a stop.
-    Belief,
+    StateChange,
     /// A failure or a refusal.
     Failure,
 }
@@ -23,20 +23,20 @@
 
 /// Lines taken out of the buffer.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Taken {
+pub struct DrainedLines {
     /// The lines, one after the other.
     pub lines: String,
     /// Lines dropped since the last time, by rank.
     pub dropped: [u64; 3],
     /// One of so many requests has its plain lines kept from now on.
-    pub one_of: u32,
+    pub one_in: u32,
 }
 
 #[derive(Debug, Default)]
 struct State {
     lines: String,
     dropped: [u64; 3],
-    dropped_ever: u64,
+    total_dropped: u64,
     sampling: RequestSampling,
     is_writing: bool,
 }
@@ -66,17 +66,17 @@
     }
 
     /// Whether a plain line on this request is worth making.
-    pub fn keeps(&self, request: &str) -> bool {
+    pub fn keeps_request(&self, request: &str) -> bool {
         self.lock().sampling.keeps(request)
     }
 
     /// Puts a line in, or counts it as dropped.
-    pub fn push(&self, rank: Rank, line: &str) {
+    pub fn push(&self, rank: LinePriority, line: &str) {
         let mut state = self.lock();
         let room = self.most_bytes / 4 * QUARTERS[rank as usize];
         if state.lines.len() + line.len() > room {
             state.dropped[rank as usize] += 1;
-            state.dropped_ever += 1;
+            state.total_dropped += 1;
             return;
         }
         let was_empty = state.lines.is_empty();
@@ -88,33 +88,33 @@
     }
 
     /// Lines dropped since the start.
-    pub fn dropped_ever(&self) -> u64 {
-        self.lock().dropped_ever
+    pub fn total_dropped(&self) -> u64 {
+        self.lock().total_dropped
     }
 
     /// Waits until there are lines.
-    pub fn await_lines(&self) {
+    pub fn wait_for_lines(&self) {
         let is_empty = |state: &mut State| state.lines.is_empty();
         let waited = self.has_lines.wait_while(self.lock(), is_empty);
         drop(waited.unwrap_or_else(PoisonError::into_inner));
     }
 
-    /// Takes all lines out, for the writer. [`Self::written`] must follow.
-    pub fn take(&self) -> Taken {
+    /// Takes all lines out, for the writer. [`Self::finish_write`] must follow.
+    pub fn drain(&self) -> DrainedLines {
         let mut state = self.lock();
         let dropped = std::mem::take(&mut state.dropped);
-        if dropped[Rank::Routine as usize] > 0 {
-            state.sampling.narrow();
+        if dropped[LinePriority::Routine as usize] > 0 {
+            state.sampling.halve();
         } else if state.lines.len() < self.most_bytes / 4 * PLENTY_QUARTERS {
-            state.sampling.widen();
+            state.sampling.double();
         }
         state.is_writing = true;
         let lines = std::mem::take(&mut state.lines);
-        Taken { lines, dropped, one_of: state.sampling.one_of() }
+        DrainedLines { lines, dropped, one_in: state.sampling.one_in() }
     }
 
     /// What was taken is written, or lost.
-    pub fn written(&self) {
+    pub fn finish_write(&self) {
         self.lock().is_writing = false;
         self.is_written.notify_all();
     }
--- a/crates/logging/src/install.rs
+++ b/crates/logging/src/install.rs
@@ -10,7 +10,9 @@
 use snafu::ResultExt;
 
 use crate::settings::{FileSnafu, InstallSnafu, LevelSnafu, ThreadSnafu, parse_level};
-use crate::{LineBuffer, LineWriter, LogSettings, LoggingError, REQUEST_FIELD, Rank, format_line};
+use crate::{
+    LineBuffer, LinePriority, LineWriter, LogSettings, LoggingError, REQUEST_FIELD, format_line,
+};
 
 /// Libraries that speak up only when something is wrong.
 const LIBRARIES: [&str; 8] =
@@ -55,8 +57,9 @@
 fn put(buffer: &LineBuffer, record: &Record<'_>) {
     let request = record.key_values().get(Key::from_str(REQUEST_FIELD));
     let request = request.map(|request| request.to_string());
-    let rank = Rank::of(record, request.is_some());
-    let is_kept = rank != Rank::Routine || request.is_none_or(|request| buffer.keeps(&request));
+    let rank = LinePriority::of(record, request.is_some());
+    let is_kept = rank != LinePriority::Routine
+        || request.is_none_or(|request| buffer.keeps_request(&request));
     if is_kept {
         buffer.push(rank, &format_line(record, SystemTime::now()));
     }
@@ -71,5 +74,5 @@
 
 /// Lines dropped for want of room since the start.
 pub fn dropped_lines() -> u64 {
-    INSTALLED.get().map_or(0, |buffer| buffer.dropped_ever())
+    INSTALLED.get().map_or(0, |buffer| buffer.total_dropped())
 }
--- a/crates/logging/src/lib.rs
+++ b/crates/logging/src/lib.rs
@@ -10,7 +10,7 @@
 //! carry it, in every process.
 //!
 //! Lines go through a bounded buffer to a thread that writes them. What does not fit is dropped and
-//! counted: lines of requests that go well first, failures last ([`Rank`]). A reader that stops
+//! counted: lines of requests that go well first, failures last ([`LinePriority`]). A reader that stops
 //! reading, a closed pipe or a full disk therefore changes nothing for the rest of the process.
 //!
 //! | module | job |
@@ -29,7 +29,7 @@
 mod settings;
 mod writer;
 
-pub use buffer::{LineBuffer, Rank, Taken};
+pub use buffer::{DrainedLines, LineBuffer, LinePriority};
 pub use install::{dropped_lines, flush, install};
 pub use line::{REQUEST_FIELD, format_line};
 pub use sampling::RequestSampling;
--- a/crates/logging/src/sampling.rs
+++ b/crates/logging/src/sampling.rs
@@ -32,17 +32,17 @@
     }
 
     /// Lines were dropped for want of room.
-    pub fn narrow(&mut self) {
+    pub fn halve(&mut self) {
         self.halvings = (self.halvings + 1).min(MOST_HALVINGS);
     }
 
     /// There is plenty of room.
-    pub fn widen(&mut self) {
+    pub fn double(&mut self) {
         self.halvings = self.halvings.saturating_sub(1);
     }
 
     /// One of so many requests is kept.
-    pub fn one_of(&self) -> u32 {
+    pub fn one_in(&self) -> u32 {
         1 << self.halvings
     }
 }
--- a/crates/logging/src/writer.rs
+++ b/crates/logging/src/writer.rs
@@ -7,7 +7,7 @@
 
 use log::{Level, Record};
 
-use crate::{LineBuffer, Rank, Taken, format_line};
+use crate::{DrainedLines, LineBuffer, LinePriority, format_line};
 
 /// The part that speaks of the logs themselves.
 const PART: &str = "logs";
@@ -32,38 +32,38 @@
     pub fn start(mut self) -> io::Result<()> {
         let run = move || {
             loop {
-                self.buffer.await_lines();
+                self.buffer.wait_for_lines();
                 thread::sleep(self.gather);
-                self.write_once();
+                self.write_pending();
             }
         };
         thread::Builder::new().name(PART.to_owned()).spawn(run).map(drop)
     }
 
     /// Writes all that is there. What cannot be written is lost: nobody reads it.
-    pub fn write_once(&mut self) {
-        let taken = self.buffer.take();
+    pub fn write_pending(&mut self) {
+        let taken = self.buffer.drain();
         let told = dropped_line(&taken);
         let _ = self.sink.write_all(taken.lines.as_bytes());
         if let Some(line) = told {
             let _ = self.sink.write_all(line.as_bytes());
         }
         let _ = self.sink.flush();
-        self.buffer.written();
+        self.buffer.finish_write();
     }
 }
 
-fn dropped_line(taken: &Taken) -> Option<String> {
+fn dropped_line(taken: &DrainedLines) -> Option<String> {
     let [routine, beliefs, failures] = taken.dropped;
     if routine + beliefs + failures == 0 {
         return None;
     }
-    let one_of = taken.one_of;
+    let one_in = taken.one_in;
     let fields = [
         ("routine", routine),
         ("beliefs", beliefs),
         ("failures", failures),
-        ("requests_logged_one_of", u64::from(one_of)),
+        ("requests_logged_one_of", u64::from(one_in)),
     ];
     let record = Record::builder()
         .level(Level::Warn)
@@ -74,12 +74,12 @@
     Some(format_line(&record, SystemTime::now()))
 }
 
-impl Rank {
+impl LinePriority {
     /// The rank of a record.
     pub fn of(record: &Record<'_>, is_of_request: bool) -> Self {
         match record.level() {
             Level::Error | Level::Warn => Self::Failure,
-            Level::Info if !is_of_request => Self::Belief,
+            Level::Info if !is_of_request => Self::StateChange,
             _ => Self::Routine,
         }
     }
--- a/crates/logging/tests/lines.rs
+++ b/crates/logging/tests/lines.rs
@@ -6,7 +6,9 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, SystemTime};
 
-use dahlia_logging::{LineBuffer, LineWriter, LogSettings, Rank, RequestSampling, format_line};
+use dahlia_logging::{
+    LineBuffer, LinePriority, LineWriter, LogSettings, RequestSampling, format_line,
+};
 use log::{Level, Record};
 
 const NO_WAIT: Duration = Duration::ZERO;
@@ -65,30 +67,30 @@
 fn plain_lines_are_dropped_first_and_failures_last() {
     let buffer = LineBuffer::new(40);
     let ten = "123456789\n";
-    for rank in [Rank::Routine, Rank::Belief, Rank::Failure] {
+    for rank in [LinePriority::Routine, LinePriority::StateChange, LinePriority::Failure] {
         for _ in 0..4 {
             buffer.push(rank, ten);
         }
     }
-    let taken = buffer.take();
+    let taken = buffer.drain();
     assert_eq!(taken.lines.len(), 40);
     assert_eq!(taken.dropped, [2, 3, 3]);
-    assert_eq!(buffer.dropped_ever(), 8);
-    assert_eq!(buffer.take().dropped, [0, 0, 0], "told once");
+    assert_eq!(buffer.total_dropped(), 8);
+    assert_eq!(buffer.drain().dropped, [0, 0, 0], "told once");
 }
 
 #[test]
 fn a_request_keeps_all_its_plain_lines_or_none() {
     let mut sampling = RequestSampling::new();
     assert!((0..100).all(|number| sampling.keeps(&format!("r{number}"))));
-    sampling.narrow();
-    sampling.narrow();
+    sampling.halve();
+    sampling.halve();
     let kept: Vec<bool> = (0..1_000).map(|n| sampling.keeps(&format!("r{n}"))).collect();
     let count = kept.iter().filter(|kept| **kept).count();
     assert!((150..350).contains(&count), "a quarter of 1,000 is {count}");
     let again: Vec<bool> = (0..1_000).map(|n| sampling.keeps(&format!("r{n}"))).collect();
     assert_eq!(kept, again);
-    sampling.widen();
+    sampling.double();
     let kept_now: Vec<bool> = (0..1_000).map(|n| sampling.keeps(&format!("r{n}"))).collect();
     let lost = kept.iter().zip(&kept_now).filter(|(before, now)| **before && !**now).count();
     assert_eq!(lost, 0, "a wider share holds the narrower one");
@@ -98,10 +100,10 @@
 fn fewer_requests_are_kept_while_there_is_no_room() {
     let buffer = LineBuffer::new(40);
     for _ in 0..10 {
-        buffer.push(Rank::Routine, "123456789\n");
+        buffer.push(LinePriority::Routine, "123456789\n");
     }
-    assert_eq!(buffer.take().one_of, 2);
-    assert_eq!(buffer.take().one_of, 1, "there is plenty of room again");
+    assert_eq!(buffer.drain().one_in, 2);
+    assert_eq!(buffer.drain().one_in, 1, "there is plenty of room again");
 }
 
 /// A reader that takes nothing until it is told to.
@@ -133,13 +135,13 @@
     let stuck = Stuck { began, release: released, written: Arc::clone(&written) };
     let buffer = Arc::new(LineBuffer::new(1_000));
     LineWriter::new(Arc::clone(&buffer), stuck, NO_WAIT).start().expect("a thread");
-    buffer.push(Rank::Failure, "first\n");
+    buffer.push(LinePriority::Failure, "first\n");
     begins.recv_timeout(PATIENCE).expect("the writer begins");
     // The writer hangs from here on. All these calls come back.
     for _ in 0..LINES {
-        buffer.push(Rank::Failure, "later\n");
+        buffer.push(LinePriority::Failure, "later\n");
     }
-    assert_eq!(buffer.dropped_ever(), LINES - 1_000 / 6);
+    assert_eq!(buffer.total_dropped(), LINES - 1_000 / 6);
     drop(release);
     buffer.flush(PATIENCE);
     let text = String::from_utf8(written.lock().expect("no panic").clone()).expect("text");
@@ -166,13 +168,13 @@
     let was_asked = Arc::new(AtomicBool::new(false));
     let buffer = Arc::new(LineBuffer::new(1_000));
     let mut writer = LineWriter::new(Arc::clone(&buffer), Broken(was_asked.clone()), NO_WAIT);
-    buffer.push(Rank::Belief, "lost\n");
-    writer.write_once();
+    buffer.push(LinePriority::StateChange, "lost\n");
+    writer.write_pending();
     assert!(was_asked.load(Ordering::SeqCst));
-    buffer.push(Rank::Belief, "lost too\n");
-    writer.write_once();
+    buffer.push(LinePriority::StateChange, "lost too\n");
+    writer.write_pending();
     buffer.flush(NO_WAIT);
-    assert_eq!(buffer.take().lines, "", "nothing piles up");
+    assert_eq!(buffer.drain().lines, "", "nothing piles up");
 }
 
 #[test]
