--- a/crates/daemon/src/chunk_store.rs
+++ b/crates/daemon/src/chunk_store.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use dahlia_node::Event;
-use dahlia_node::history::{ChunkMessage, StoreOperation, StoreOrder, StoreResult};
+use dahlia_node::history::{ChunkMessage, StoreOperation, StoreRequest, StoreResult};
 use dahlia_store::{ChunkStore, FolderDisk, StoreError, StoreSettings};
 use snafu::{ResultExt, Snafu};
 
@@ -46,7 +46,7 @@
 /// Passes orders to the store's thread. Without a data folder every order fails.
 #[derive(Default)]
 pub struct StoreTasks {
-    orders: Option<blocking::SyncSender<StoreOrder>>,
+    orders: Option<blocking::SyncSender<StoreRequest>>,
 }
 
 impl StoreTasks {
@@ -74,8 +74,8 @@
         Ok(Self { orders: Some(orders) })
     }
 
-    /// Queues an order. One that finds no place is dropped: its asker goes elsewhere.
-    pub fn order(&self, order: StoreOrder) {
+    /// Queues an order. One that finds no place is dropped: its requester goes elsewhere.
+    pub fn order(&self, order: StoreRequest) {
         let queued = self.orders.as_ref().is_some_and(|orders| orders.try_send(order).is_ok());
         if !queued {
             log::warn!(target: part::STORE, "Dropped an order. The queue is full.");
@@ -83,13 +83,13 @@
     }
 }
 
-fn run(mut store: ChunkStore, waiting: &blocking::Receiver<StoreOrder>, core: &CoreHandle) {
+fn run(mut store: ChunkStore, waiting: &blocking::Receiver<StoreRequest>, core: &CoreHandle) {
     loop {
         match waiting.recv_timeout(IDLE) {
             Ok(order) => {
-                let asker = order.asker;
+                let requester = order.requester;
                 let answer = carry_out(&mut store, order.operation);
-                let result = StoreResult { asker, answer };
+                let result = StoreResult { requester, answer };
                 core.event_blocking(Event::StoreEnded(Box::new(result)));
             }
             Err(blocking::RecvTimeoutError::Timeout) => {
@@ -116,7 +116,7 @@
         StoreOperation::Check { keys } => {
             let lacking: Vec<_> = keys.into_iter().filter(|key| !store.contains(key)).collect();
             let any = !lacking.is_empty();
-            Ok(any.then_some(ChunkMessage::Lacking { keys: lacking }))
+            Ok(any.then_some(ChunkMessage::MissingKeys { keys: lacking }))
         }
         StoreOperation::Forget { program } => forget(store, program).map(|()| None),
     };
--- a/crates/daemon/src/configuration_key.rs
+++ b/crates/daemon/src/configuration_key.rs
@@ -3,7 +3,7 @@
 use dahlia_adapters::key_value::{Version, Versioned, WatchEvent};
 use dahlia_adapters::{Certainty, KeyValueClient, KeyValueError};
 use dahlia_configuration::{CONFIGURATION_KEY, ServiceUnavailable, SwapFailure, VersionedValue};
-use dahlia_node::{Event, KeyValueEvent, KeyValueStep};
+use dahlia_node::{Event, KeyValueEvent, KeyValueOperation};
 use tokio::task::AbortHandle;
 
 use crate::core_handle::CoreHandle;
@@ -23,14 +23,14 @@
     }
 
     /// Carries out a step. Its answer is put to the node.
-    pub fn perform(&mut self, step: KeyValueStep) {
+    pub fn perform(&mut self, step: KeyValueOperation) {
         let client = self.client.clone();
         match step {
-            KeyValueStep::Read => self.answer(async move {
+            KeyValueOperation::Read => self.answer(async move {
                 let found = read(client).await;
                 KeyValueEvent::Read(found.map(|found| found.map(|found| found.value)))
             }),
-            KeyValueStep::ReadForChange(step) => self.answer(async move {
+            KeyValueOperation::ReadForChange(step) => self.answer(async move {
                 let found = read(client).await;
                 let record = |found: Versioned| VersionedValue {
                     version: found.version.0,
@@ -39,12 +39,12 @@
                 let result = found.map(|found| found.map(record));
                 KeyValueEvent::ReadForChange { step, result }
             }),
-            KeyValueStep::Swap { step, expected, value } => self.answer(async move {
+            KeyValueOperation::Swap { step, expected, value } => self.answer(async move {
                 let result = swap(client, expected, value).await;
                 KeyValueEvent::Swapped { step, result }
             }),
-            KeyValueStep::OpenWatch => self.open_watch(),
-            KeyValueStep::CloseWatch => self.close_watch(),
+            KeyValueOperation::OpenWatch => self.open_watch(),
+            KeyValueOperation::CloseWatch => self.close_watch(),
         }
     }
 
--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -198,7 +198,7 @@
         metrics: metrics.clone(),
     };
     let mut node_settings = node_settings(settings, own, peer_address, clock);
-    node_settings.life = life;
+    node_settings.start_count = life;
     node_settings.follows_configuration = surroundings.follows_configuration;
     let node = Node::recover(node_settings, replicas, clock.now()).context(RecoverSnafu)?;
     let core_task = tokio::spawn(Core::new(node, clock, inbox, parts).run());
--- a/crates/daemon/src/core.rs
+++ b/crates/daemon/src/core.rs
@@ -253,26 +253,26 @@
             }
             Action::CancelAttempt { attempt, epoch } => self.parts.engines.cancel(attempt, epoch),
             Action::RecallAttempt { attempt, epoch } => self.parts.engines.recall(attempt, epoch),
-            Action::LeaveAttempt { attempt } => self.parts.engines.leave(attempt),
+            Action::DetachAttempt { attempt } => self.parts.engines.leave(attempt),
             Action::ForgetAnswer { call } => self.parts.engines.forget(call),
             Action::Release(order) => self.parts.engines.release(*order),
-            Action::Hold { program, engine, epoch, length } => {
+            Action::HoldCache { program, engine, epoch, length } => {
                 self.parts.engines.hold(program, engine, epoch, length);
             }
-            Action::UseEngines(addresses) => self.parts.engines.use_engines(addresses),
+            Action::SetEngines(addresses) => self.parts.engines.use_engines(addresses),
             Action::Order(order) => self.parts.engines.order(*order),
             Action::KeyValue(step) => self.parts.configuration_key.perform(step),
-            Action::Decided { id, verdict } => {
+            Action::AnswerChange { id, outcome } => {
                 if let Some(reply) = self.changes.remove(&id) {
                     // The asker may have gone; the change stands all the same.
-                    let _ = reply.send(verdict);
+                    let _ = reply.send(outcome);
                 }
             }
             Action::ConfigurationInForce(record) => {
                 self.parts.in_force.send_replace(Some(record));
             }
             Action::Layout(step) => self.parts.platform.layout(step),
-            Action::Shared(document) => {
+            Action::DocumentShared(document) => {
                 // A daemon that reads no documents has dropped the receiver.
                 let _ = self.parts.shared.documents.send(document);
             }
@@ -280,15 +280,15 @@
                 // A daemon that follows no source has dropped the receiver.
                 let _ = self.parts.shared.feed.send(order);
             }
-            Action::BackendFailureHeard(failure) => {
+            Action::BackendFailureReported(failure) => {
                 // A daemon that passes no requests on has dropped the receiver.
                 let _ = self.parts.shared.failures.send(failure);
             }
-            Action::LoadsHeard(loads) => {
+            Action::LoadsReported(loads) => {
                 // A daemon that passes no requests on has dropped the receiver.
                 let _ = self.parts.shared.loads.send(loads);
             }
-            Action::Reach(reach) => {
+            Action::ReachChanged(reach) => {
                 self.parts.metrics.note_reach(&reach);
                 self.parts.reach.send_replace(reach);
             }
--- a/crates/daemon/src/frames.rs
+++ b/crates/daemon/src/frames.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use dahlia_node::wire::LARGEST_FRAME;
+use dahlia_node::wire::MAX_FRAME_BYTES;
 use futures::{SinkExt, StreamExt};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -111,7 +111,7 @@
 
     /// The other side is a daemon of this system: frames may be as large as the protocol allows.
     pub fn trust(&mut self) {
-        self.framed.codec_mut().set_max_frame_length(LARGEST_FRAME);
+        self.framed.codec_mut().set_max_frame_length(MAX_FRAME_BYTES);
     }
 
     /// The other side's address.
@@ -196,7 +196,7 @@
 /// [`FrameError::Decode`] when they are malformed or claim more than the protocol's largest frame.
 pub fn decode<T: DeserializeOwned>(frame: &[u8], peer: SocketAddr) -> Result<T, FrameError> {
     // The limit bounds what a forged length inside the frame may make the decoder allocate.
-    let config = bincode::config::standard().with_limit::<LARGEST_FRAME>();
+    let config = bincode::config::standard().with_limit::<MAX_FRAME_BYTES>();
     let decoded = bincode::serde::decode_from_slice(frame, config);
     let (value, _) = decoded.context(DecodeSnafu { peer })?;
     Ok(value)
--- a/crates/daemon/src/gateway/chat.rs
+++ b/crates/daemon/src/gateway/chat.rs
@@ -13,7 +13,7 @@
 
 use super::Gateway;
 use super::body;
-use super::follow::{Followed, Follower, StartPosition};
+use super::follow::{AnswerEvent, Follower, StartPosition};
 use super::render::{self, AnswerForm};
 
 /// Serves chat requests.
@@ -76,7 +76,7 @@
         let frame = render::frame(accepted.call, &accepted.model);
         render::name_call(gateway, response, accepted.call);
         let first = follower.next().await;
-        if let Some(Followed::Text { .. }) = &first {
+        if let Some(AnswerEvent::Text { .. }) = &first {
             gateway.metrics.first_text.observe(accepted.arrived.elapsed().as_secs_f64());
         }
         match accepted.form {
--- a/crates/daemon/src/gateway/follow.rs
+++ b/crates/daemon/src/gateway/follow.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use dahlia_api::{ApiError, ErrorKind};
-use dahlia_node::wire::{AnswerFrame, Purpose};
-use dahlia_node::{AnswerReader, Taken};
+use dahlia_node::wire::{AnswerFrame, ConnectionPurpose};
+use dahlia_node::{AnswerReader, FrameOutcome};
 use dahlia_types::{CallId, TenantId};
 use tokio::time::{Instant, sleep, timeout};
 
@@ -19,7 +19,7 @@
 use crate::logging::part;
 use crate::serve_answers;
 
-pub use dahlia_node::{Followed, StartPosition};
+pub use dahlia_node::{AnswerEvent, StartPosition};
 
 /// Pause before asking again who owns the program.
 const RELOCATE_PAUSE: Duration = Duration::from_millis(50);
@@ -38,7 +38,7 @@
     reader: AnswerReader,
     source: Option<AnswerSource>,
     last_contact: Instant,
-    waiting: VecDeque<Followed>,
+    waiting: VecDeque<AnswerEvent>,
 }
 
 impl Follower {
@@ -56,7 +56,7 @@
     }
 
     /// The next event; `None` after the end.
-    pub async fn next(&mut self) -> Option<Followed> {
+    pub async fn next(&mut self) -> Option<AnswerEvent> {
         loop {
             if let Some(followed) = self.waiting.pop_front() {
                 return Some(followed);
@@ -71,10 +71,10 @@
                 sleep(RELOCATE_PAUSE).await;
                 continue;
             };
-            match self.reader.take(frame) {
-                Taken::Nothing => {}
-                Taken::Yield(followed) => self.waiting.extend(followed),
-                Taken::Relocate => {
+            match self.reader.handle_frame(frame) {
+                FrameOutcome::Nothing => {}
+                FrameOutcome::Events(followed) => self.waiting.extend(followed),
+                FrameOutcome::FindOwner => {
                     self.source = None;
                     sleep(RELOCATE_PAUSE).await;
                 }
@@ -113,7 +113,7 @@
             return Some(AnswerSource::Local(frames));
         }
         let owner: SocketAddr = self.core.owner(group).await?;
-        let connected = self.identity.connect(owner, Purpose::Answer(read)).await;
+        let connected = self.identity.connect(owner, ConnectionPurpose::Answer(read)).await;
         connected
             .inspect_err(|error| {
                 log::debug!(target: part::GATEWAY, "No answer of {}. {error}.", self.reader.call());
--- a/crates/daemon/src/gateway/render.rs
+++ b/crates/daemon/src/gateway/render.rs
@@ -14,7 +14,7 @@
 use tokio::sync::OwnedSemaphorePermit;
 
 use super::Gateway;
-use super::follow::{Followed, Follower};
+use super::follow::{AnswerEvent, Follower};
 
 /// How a caller wants its answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -61,20 +61,20 @@
     gateway: &Gateway,
     response: &mut Response,
     frame: AnswerFrame,
-    first: Option<Followed>,
+    first: Option<AnswerEvent>,
     mut follower: Follower,
 ) {
     let mut content = String::new();
     let mut next = first;
     while let Some(followed) = next {
         match followed {
-            Followed::Text { text, .. } => content.push_str(&text),
-            Followed::End { usage } => {
+            AnswerEvent::Text { text, .. } => content.push_str(&text),
+            AnswerEvent::End { usage } => {
                 let answer = Message { role: Role::Assistant, content };
                 response.render(Json(frame.completion(&answer, usage)));
                 return;
             }
-            Followed::Failed(failure) => {
+            AnswerEvent::Failed(failure) => {
                 error(gateway, response, &failure);
                 return;
             }
@@ -89,11 +89,11 @@
     gateway: &Arc<Gateway>,
     response: &mut Response,
     frame: AnswerFrame,
-    first: Option<Followed>,
+    first: Option<AnswerEvent>,
     follower: Follower,
     permit: OwnedSemaphorePermit,
 ) {
-    if let Some(Followed::Failed(failure)) = &first {
+    if let Some(AnswerEvent::Failed(failure)) = &first {
         error(gateway, response, failure);
         return;
     }
@@ -114,7 +114,7 @@
     gateway: Arc<Gateway>,
     frame: AnswerFrame,
     follower: Follower,
-    first: Option<Followed>,
+    first: Option<AnswerEvent>,
     sent: u64,
     /// Keeps the request's place until its last byte.
     #[allow(dead_code)]
@@ -122,19 +122,19 @@
 }
 
 impl StreamState {
-    fn event(&mut self, followed: Followed) -> String {
+    fn event(&mut self, followed: AnswerEvent) -> String {
         match followed {
-            Followed::Text { attempt, offset, text } => {
+            AnswerEvent::Text { attempt, offset, text } => {
                 let chunk = self.frame.piece(&text, self.sent == 0);
                 self.sent += 1;
                 let end = offset + text.len() as u64;
                 let call = self.frame.id.split_once('/').map_or("", |(_, rest)| rest);
                 format!("id: {call}/{attempt}/{end}\n{}", data(&chunk))
             }
-            Followed::End { usage } => {
+            AnswerEvent::End { usage } => {
                 format!("{}data: [DONE]\n\n", data(&self.frame.end(usage)))
             }
-            Followed::Failed(failure) => {
+            AnswerEvent::Failed(failure) => {
                 self.gateway.metrics.count_error(failure.kind);
                 format!("event: error\n{}", data(&failure.body()))
             }
--- a/crates/daemon/src/handshake.rs
+++ b/crates/daemon/src/handshake.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use dahlia_node::wire::{Hello, PROTOCOL_VERSION, Purpose};
+use dahlia_node::wire::{ConnectionPurpose, Hello, PROTOCOL_VERSION};
 use dahlia_types::{DaemonId, Incarnation, PeerKey};
 use tokio::net::TcpStream;
 use tokio::time::timeout;
@@ -37,7 +37,7 @@
     pub async fn connect(
         &self,
         peer: SocketAddr,
-        purpose: Purpose,
+        purpose: ConnectionPurpose,
     ) -> Result<FrameStream, FrameError> {
         let step = "connecting to";
         let connecting = timeout(CONNECT_TIMEOUT, TcpStream::connect(peer)).await;
@@ -72,7 +72,7 @@
         Ok(hello)
     }
 
-    fn hello(&self, purpose: Purpose) -> Hello {
+    fn hello(&self, purpose: ConnectionPurpose) -> Hello {
         Hello {
             version: PROTOCOL_VERSION,
             daemon: self.daemon,
--- a/crates/daemon/src/kept_addresses.rs
+++ b/crates/daemon/src/kept_addresses.rs
@@ -60,7 +60,7 @@
             addresses = addresses.len(), version = document.version;
             "Daemons that an earlier life knew are greeted."
         );
-        self.core.event(Event::Recalled(addresses.clone())).await;
+        self.core.event(Event::PreviousPeers(addresses.clone())).await;
         self.recalled = addresses.into_iter().collect();
         self.held = self.recalled.clone();
     }
--- a/crates/daemon/src/kept_documents.rs
+++ b/crates/daemon/src/kept_documents.rs
@@ -70,7 +70,7 @@
             number = number, version = version, bytes = bytes.len();
             "A kept document is shared."
         );
-        core.event(Event::Share(SharedDocument { number, version, bytes })).await;
+        core.event(Event::ShareDocument(SharedDocument { number, version, bytes })).await;
     }
     tokio::spawn(keep(kept, documents, addresses));
     Ok(())
--- a/crates/daemon/src/load_sharing.rs
+++ b/crates/daemon/src/load_sharing.rs
@@ -94,7 +94,7 @@
             let own = lock(&self.backends).take_own_loads(self.clock.now());
             self.core.event(Event::OwnLoads(own.iter().map(item_load).collect())).await;
         } else if was_telling {
-            self.core.event(Event::OwnLoadsEnd).await;
+            self.core.event(Event::OwnLoadsEnded).await;
         }
     }
 
--- a/crates/daemon/src/node_settings.rs
+++ b/crates/daemon/src/node_settings.rs
@@ -35,7 +35,7 @@
         tolerance: settings.tolerance,
         bootstrap_daemons: settings.layout.bootstrap_daemons,
         holds_groups: settings.daemon.holds_groups,
-        life: 0,
+        start_count: 0,
         group: GroupSettings { is_durable, ..settings.groups.clone() },
         has_store: settings.daemon.data_folder.is_some(),
         history: settings.history.clone(),
--- a/crates/daemon/src/operators/configuration.rs
+++ b/crates/daemon/src/operators/configuration.rs
@@ -36,7 +36,7 @@
     ) -> Result<Response<rpc::ConfigurationGeneration>, Status> {
         let wanted = Generation(request.into_inner().generation);
         let view = self.configuration().await?;
-        let mut held = view.current.iter().chain(&view.earlier);
+        let mut held = view.current.iter().chain(&view.previous);
         let found = match wanted {
             Generation(0) => held.next(),
             _ => held.find(|record| record.generation() == wanted),
@@ -78,7 +78,7 @@
         let view = self.configuration().await?;
         let changes = view.current.iter().flat_map(|record| record.changes());
         let shown = |change: &ChangeSummary| {
-            let mut held = view.current.iter().chain(&view.earlier);
+            let mut held = view.current.iter().chain(&view.previous);
             let record = held.find(|record| record.change() == change);
             summary(change, record.map_or("", |record| record.text()))
         };
--- a/crates/daemon/src/operators/convert.rs
+++ b/crates/daemon/src/operators/convert.rs
@@ -1,7 +1,9 @@
 //! Views of the node as messages of the operators' schema.
 
 use dahlia_api::operators as rpc;
-use dahlia_node::request::{CallStateName, CallView, HeldView, ProgramStateName, ProgramView};
+use dahlia_node::request::{
+    CacheHolderView, CallStateName, CallView, ProgramStateName, ProgramView,
+};
 
 /// A program.
 pub(super) fn program(view: ProgramView) -> rpc::Program {
@@ -17,7 +19,7 @@
         }),
         chains: view.chains,
         turns: view.turns,
-        held: view.held.into_iter().map(held).collect(),
+        held: view.cache_holders.into_iter().map(held).collect(),
         owner: view.owner.to_string(),
         epoch: view.epoch.0,
         calls: view.calls.into_iter().map(call).collect(),
@@ -32,7 +34,7 @@
     }
 }
 
-fn held(view: HeldView) -> rpc::HeldCache {
+fn held(view: CacheHolderView) -> rpc::HeldCache {
     rpc::HeldCache { engine: view.engine.to_string(), engine_incarnation: view.incarnation.0 }
 }
 
--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use dahlia_node::LineLimit;
-use dahlia_node::wire::{Carriage, PeerMessage, Purpose, ReadAnswer};
+use dahlia_node::wire::{ConnectionPurpose, PeerMessage, ReadAnswer, Transport};
 use dahlia_types::ReplicaId;
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
@@ -77,11 +77,11 @@
 
     /// Sends a message to the daemon at `peer`; drops it when the queue is full.
     pub fn send(&self, peer: SocketAddr, message: PeerMessage) {
-        let carriage = message.carriage();
-        if carriage != Carriage::Connection {
+        let transport = message.transport();
+        if transport != Transport::Connection {
             match self.datagrams.send(peer, &message) {
                 Ok(()) => return,
-                Err(error) if carriage == Carriage::Datagram => {
+                Err(error) if transport == Transport::DatagramOnly => {
                     return self.note_dropped(&message, &error);
                 }
                 // It goes over a connection.
@@ -128,7 +128,7 @@
     let mut pauses = ReconnectPauses::default();
     let mut failures: u32 = 0;
     loop {
-        match identity.connect(peer, Purpose::Messages).await {
+        match identity.connect(peer, ConnectionPurpose::Messages).await {
             Ok(frames) => {
                 log::info!(
                     target: part::PEERS,
@@ -224,7 +224,7 @@
             return;
         }
     };
-    if let Purpose::Answer(read) = hello.purpose {
+    if let ConnectionPurpose::Answer(read) = hello.purpose {
         let _ = inbox.send(Incoming::Answer { read, frames }).await;
         return;
     }
--- a/crates/daemon/tests/hostile_input.rs
+++ b/crates/daemon/tests/hostile_input.rs
@@ -11,7 +11,9 @@
 use dahlia_api::validation::{CallHeaders, validate};
 use dahlia_daemon::frames::{decode, encode};
 use dahlia_daemon::settings::Settings;
-use dahlia_node::wire::{AnswerFrame, Hello, PROTOCOL_VERSION, PeerMessage, Purpose, ReadAnswer};
+use dahlia_node::wire::{
+    AnswerFrame, ConnectionPurpose, Hello, PROTOCOL_VERSION, PeerMessage, ReadAnswer,
+};
 use dahlia_types::{AttemptId, DaemonId, Incarnation, ProgramId, TenantId};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -50,7 +52,7 @@
         daemon: DaemonId(1),
         incarnation: Incarnation(7),
         proof: [3; 32],
-        purpose: Purpose::Answer(read),
+        purpose: ConnectionPurpose::Answer(read),
     }
 }
 
--- a/crates/node/src/answer.rs
+++ b/crates/node/src/answer.rs
@@ -13,7 +13,7 @@
 
 /// What a reader yields.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Followed {
+pub enum AnswerEvent {
     /// The next piece of the text.
     Text {
         /// The attempt that it belongs to.
@@ -43,14 +43,14 @@
 
 /// What became of a frame.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Taken {
+pub enum FrameOutcome {
     /// Nothing for the caller.
     Nothing,
     /// For the caller, in this order.
-    Yield(Vec<Followed>),
+    Events(Vec<AnswerEvent>),
     /// The sender does not own the program: find the owner and ask it with
     /// [`AnswerReader::request`].
-    Relocate,
+    FindOwner,
 }
 
 /// Puts one call's answer together from the frames of its owners.
@@ -63,7 +63,7 @@
     passed_on: String,
     ended: bool,
     #[cfg(feature = "test-switches")]
-    glues: bool,
+    is_comparison_disabled: bool,
 }
 
 impl AnswerReader {
@@ -77,14 +77,14 @@
             passed_on: String::new(),
             ended: false,
             #[cfg(feature = "test-switches")]
-            glues: false,
+            is_comparison_disabled: false,
         }
     }
 
     /// Switches the comparison of attempts off, to show that a checker notices.
     #[cfg(feature = "test-switches")]
-    pub fn glue(&mut self) {
-        self.glues = true;
+    pub fn disable_comparison(&mut self) {
+        self.is_comparison_disabled = true;
     }
 
     /// The call.
@@ -108,32 +108,34 @@
     }
 
     /// Takes in a frame of the owner that was asked last.
-    pub fn take(&mut self, frame: AnswerFrame) -> Taken {
+    pub fn handle_frame(&mut self, frame: AnswerFrame) -> FrameOutcome {
         match frame {
-            AnswerFrame::KeepAlive => Taken::Nothing,
-            AnswerFrame::NotOwner { .. } => Taken::Relocate,
-            AnswerFrame::Failed(error) => Taken::Yield(vec![self.fail(error)]),
+            AnswerFrame::KeepAlive => FrameOutcome::Nothing,
+            AnswerFrame::NotOwner { .. } => FrameOutcome::FindOwner,
+            AnswerFrame::Failed(error) => FrameOutcome::Events(vec![self.fail(error)]),
             AnswerFrame::Piece { attempt, offset, text } => {
                 match self.take_piece(attempt, offset, &text) {
-                    None => Taken::Nothing,
-                    Some(followed) => Taken::Yield(vec![followed]),
+                    None => FrameOutcome::Nothing,
+                    Some(followed) => FrameOutcome::Events(vec![followed]),
                 }
             }
-            AnswerFrame::End { attempt, outcome } => Taken::Yield(self.take_end(attempt, outcome)),
+            AnswerFrame::End { attempt, outcome } => {
+                FrameOutcome::Events(self.take_end(attempt, outcome))
+            }
         }
     }
 
     /// Ends with an error.
-    pub fn fail(&mut self, error: ApiError) -> Followed {
+    pub fn fail(&mut self, error: ApiError) -> AnswerEvent {
         self.ended = true;
-        Followed::Failed(error)
+        AnswerEvent::Failed(error)
     }
 
     fn position(&self) -> u64 {
         self.start.offset + self.passed_on.len() as u64
     }
 
-    fn take_piece(&mut self, attempt: u32, offset: u64, text: &str) -> Option<Followed> {
+    fn take_piece(&mut self, attempt: u32, offset: u64, text: &str) -> Option<AnswerEvent> {
         match self.unseen_part(attempt, offset, text) {
             Ok(unseen) => {
                 let unseen = unseen.to_owned();
@@ -160,7 +162,9 @@
         let seen = &self.passed_on[(from - start) as usize..];
         let comparable = text.get((from - offset) as usize..).unwrap_or_default();
         let length = seen.len().min(comparable.len());
-        if seen.as_bytes()[..length] != comparable.as_bytes()[..length] && !self.glues() {
+        if seen.as_bytes()[..length] != comparable.as_bytes()[..length]
+            && !self.is_comparison_disabled()
+        {
             return Err(replaced());
         }
         Ok(comparable.get(seen.len()..).unwrap_or_default())
@@ -170,19 +174,19 @@
     /// start is held by the caller only, so it can be compared by the attempt's number alone.
     fn is_other_attempt(&self, attempt: u32) -> bool {
         let held = self.start.attempt;
-        self.start.offset > 0 && held != 0 && attempt != held && !self.glues()
+        self.start.offset > 0 && held != 0 && attempt != held && !self.is_comparison_disabled()
     }
 
-    fn pass_on(&mut self, text: String) -> Option<Followed> {
+    fn pass_on(&mut self, text: String) -> Option<AnswerEvent> {
         if text.is_empty() {
             return None;
         }
         let offset = self.position();
         self.passed_on.push_str(&text);
-        Some(Followed::Text { attempt: self.attempt, offset, text })
+        Some(AnswerEvent::Text { attempt: self.attempt, offset, text })
     }
 
-    fn take_end(&mut self, attempt: u32, outcome: CallOutcome) -> Vec<Followed> {
+    fn take_end(&mut self, attempt: u32, outcome: CallOutcome) -> Vec<AnswerEvent> {
         if let Some(error) = outcome_error(&outcome) {
             return vec![self.fail(error)];
         }
@@ -199,18 +203,18 @@
                 self.attempt = attempt;
                 self.ended = true;
                 let text = self.pass_on(rest);
-                text.into_iter().chain([Followed::End { usage }]).collect()
+                text.into_iter().chain([AnswerEvent::End { usage }]).collect()
             }
         }
     }
 
     #[cfg(feature = "test-switches")]
-    fn glues(&self) -> bool {
-        self.glues
+    fn is_comparison_disabled(&self) -> bool {
+        self.is_comparison_disabled
     }
 
     #[cfg(not(feature = "test-switches"))]
-    fn glues(&self) -> bool {
+    fn is_comparison_disabled(&self) -> bool {
         false
     }
 }
--- a/crates/node/src/attempts.rs
+++ b/crates/node/src/attempts.rs
@@ -382,7 +382,7 @@
         if let Some(group) = self.groups.get(&program.group) {
             let epoch = group.replica.term();
             let length = until.since(now);
-            self.actions.push(Action::Hold { program, engine, epoch, length });
+            self.actions.push(Action::HoldCache { program, engine, epoch, length });
         }
     }
 }
--- a/crates/node/src/configuration.rs
+++ b/crates/node/src/configuration.rs
@@ -17,7 +17,7 @@
 use dahlia_replication::membership::{Health, MemberState};
 use dahlia_types::{DaemonId, Duration, Generation, Timestamp};
 
-use crate::key_value::{ChangeStep, KeyValueEvent, KeyValueStep};
+use crate::key_value::{ChangeStep, KeyValueEvent, KeyValueOperation};
 use crate::node::Node;
 use crate::request::RequestId;
 use crate::wire::PeerMessage;
@@ -36,7 +36,7 @@
     /// The newest record; none before the first.
     pub current: Option<Arc<ConfigurationRecord>>,
     /// Records that this node had in force before, newest first.
-    pub earlier: Vec<Arc<ConfigurationRecord>>,
+    pub previous: Vec<Arc<ConfigurationRecord>>,
 }
 
 /// State of the configuration on this node.
@@ -176,7 +176,7 @@
         ConfigurationView {
             serving_generation: follower.serving_generation(),
             current: follower.current().cloned(),
-            earlier: follower.previous_records().cloned().collect(),
+            previous: follower.previous_records().cloned().collect(),
         }
     }
 
@@ -267,13 +267,13 @@
         for action in self.configuration.follower.handle(event, now) {
             match action {
                 FollowerAction::ReadService => {
-                    self.actions.push(Action::KeyValue(KeyValueStep::Read));
+                    self.actions.push(Action::KeyValue(KeyValueOperation::Read));
                 }
                 FollowerAction::OpenWatch => {
-                    self.actions.push(Action::KeyValue(KeyValueStep::OpenWatch));
+                    self.actions.push(Action::KeyValue(KeyValueOperation::OpenWatch));
                 }
                 FollowerAction::CloseWatch => {
-                    self.actions.push(Action::KeyValue(KeyValueStep::CloseWatch));
+                    self.actions.push(Action::KeyValue(KeyValueOperation::CloseWatch));
                 }
                 FollowerAction::Send { to, message } => self.tell(to, message),
                 FollowerAction::Ready => {
--- a/crates/node/src/configuration/changes.rs
+++ b/crates/node/src/configuration/changes.rs
@@ -8,7 +8,7 @@
 use dahlia_types::{Duration, Generation, Timestamp};
 
 use crate::Action;
-use crate::key_value::{ChangeStep, KeyValueStep};
+use crate::key_value::{ChangeStep, KeyValueOperation};
 use crate::node::Node;
 use crate::request::RequestId;
 
@@ -29,16 +29,16 @@
     ) {
         if !self.configuration.is_followed {
             // A daemon that does not know the newest generation cannot tell what follows it.
-            let verdict = ChangeOutcome::Unavailable;
-            self.actions.push(Action::Decided { id, verdict });
+            let outcome = ChangeOutcome::Unavailable;
+            self.actions.push(Action::AnswerChange { id, outcome });
             return;
         }
         let change = proposal.change.clone();
         let decisions =
             self.configuration.change_writer.handle(ChangeWriterEvent::Proposed(proposal), now);
-        if let [ChangeWriterAction::Answer(_, verdict)] = decisions.as_slice() {
+        if let [ChangeWriterAction::Answer(_, outcome)] = decisions.as_slice() {
             // Refused at once: whoever waits for an earlier request of this change waits on.
-            self.actions.push(Action::Decided { id, verdict: verdict.clone() });
+            self.actions.push(Action::AnswerChange { id, outcome: outcome.clone() });
             return;
         }
         self.configuration.waiting.entry(change).or_default().insert(id);
@@ -55,14 +55,14 @@
             match decision {
                 ChangeWriterAction::Read => {
                     let step = self.next_step();
-                    self.actions.push(Action::KeyValue(KeyValueStep::ReadForChange(step)));
+                    self.actions.push(Action::KeyValue(KeyValueOperation::ReadForChange(step)));
                 }
                 ChangeWriterAction::Swap { expected, value } => {
                     let step = self.next_step();
-                    let swap = KeyValueStep::Swap { step, expected, value };
+                    let swap = KeyValueOperation::Swap { step, expected, value };
                     self.actions.push(Action::KeyValue(swap));
                 }
-                ChangeWriterAction::Answer(change, verdict) => self.decided(&change, &verdict, now),
+                ChangeWriterAction::Answer(change, outcome) => self.decided(&change, &outcome, now),
             }
         }
     }
@@ -72,15 +72,15 @@
         self.configuration.step
     }
 
-    fn decided(&mut self, change: &ChangeId, verdict: &ChangeOutcome, now: Timestamp) {
-        log::info!(target: "configuration", "Change {change}: {}.", summary(verdict));
-        if let ChangeOutcome::Accepted(record) = verdict {
+    fn decided(&mut self, change: &ChangeId, outcome: &ChangeOutcome, now: Timestamp) {
+        log::info!(target: "configuration", "Change {change}: {}.", summary(outcome));
+        if let ChangeOutcome::Accepted(record) = outcome {
             // Others get the record before the operator gets the answer: an acceptance that only
             // this daemon knew of could be lost with it while the service is down.
             self.follow(FollowerEvent::Accepted(record.clone()), now);
         }
         for id in self.configuration.waiting.remove(change).unwrap_or_default() {
-            self.actions.push(Action::Decided { id, verdict: verdict.clone() });
+            self.actions.push(Action::AnswerChange { id, outcome: outcome.clone() });
         }
     }
 
@@ -114,8 +114,8 @@
     }
 }
 
-fn summary(verdict: &ChangeOutcome) -> String {
-    match verdict {
+fn summary(outcome: &ChangeOutcome) -> String {
+    match outcome {
         ChangeOutcome::Accepted(record) => {
             format!("accepted as generation {}", record.generation())
         }
--- a/crates/node/src/engine_sources.rs
+++ b/crates/node/src/engine_sources.rs
@@ -162,7 +162,7 @@
         let addresses = self.sources.addresses();
         if addresses != self.sources.used {
             self.sources.used.clone_from(&addresses);
-            self.actions.push(Action::UseEngines(addresses));
+            self.actions.push(Action::SetEngines(addresses));
         }
         for report in self.engines.reports() {
             let leaving = self.sources.leaving(&report);
--- a/crates/node/src/event.rs
+++ b/crates/node/src/event.rs
@@ -18,8 +18,8 @@
 use crate::engine_sources::{EngineAddress, MachineListing};
 use crate::engines::EngineReport;
 use crate::feed::{FeedOrder, SourceReport};
-use crate::history::{StoreOrder, StoreResult};
-use crate::key_value::{KeyValueEvent, KeyValueStep};
+use crate::history::{StoreRequest, StoreResult};
+use crate::key_value::{KeyValueEvent, KeyValueOperation};
 use crate::load_sharing::{HeardLoads, ItemLoad};
 use crate::request::{AttemptEnd, ReleaseEnd, Request, RequestId, Response};
 use crate::wire::PeerMessage;
@@ -50,7 +50,7 @@
 /// Something that happened.
 #[derive(Debug, Clone)]
 pub enum Event {
-    /// Time passed. Due about every [`crate::Node::TICK`].
+    /// Time passed. Due about every [`crate::Node::TICK_INTERVAL`].
     Tick,
     /// A message of another daemon.
     Message {
@@ -108,7 +108,7 @@
     Machines(MachineListing),
     /// The key-value service answered about the configuration.
     KeyValue(KeyValueEvent),
-    /// An operator asks for a change of the configuration. Answered by [`Action::Decided`].
+    /// An operator asks for a change of the configuration. Answered by [`Action::AnswerChange`].
     ProposeChange {
         /// Its name; the verdict carries it.
         id: RequestId,
@@ -120,19 +120,19 @@
     /// An operation on this daemon's store has ended.
     StoreEnded(Box<StoreResult>),
     /// Further addresses of daemons to start from, used while no other daemon is known.
-    Seeds(Vec<SocketAddr>),
+    SeedsFound(Vec<SocketAddr>),
     /// Addresses of daemons that an earlier life of this one knew: it makes itself known there.
-    Recalled(Vec<SocketAddr>),
+    PreviousPeers(Vec<SocketAddr>),
     /// What may be lost at once has changed.
-    Tolerance(LossTolerance),
+    ToleranceChanged(LossTolerance),
     /// This daemon has read a document that others may need from it.
-    Share(SharedDocument),
+    ShareDocument(SharedDocument),
     /// The same of a document that others have by the same way as this daemon: it is kept for those that
     /// ask, and nobody is told.
-    Hold(SharedDocument),
+    KeepDocument(SharedDocument),
     /// The source that this daemon reads does not answer: the documents are wanted that daemons with
     /// groups keep of it.
-    DocumentsWanted,
+    RequestDocuments,
     /// This daemon has read the outside source that daemons share.
     SourceRead(SourceReport),
     /// Attempts of this daemon at a back end failed: others are told.
@@ -141,7 +141,7 @@
     /// [`LoadSharingSettings::tell_interval`](crate::LoadSharingSettings::tell_interval).
     OwnLoads(Vec<ItemLoad>),
     /// The loads that this daemon makes are told no more, until the next [`Self::OwnLoads`].
-    OwnLoadsEnd,
+    OwnLoadsEnded,
     /// The driver wants a group recorded as a whole, to drop its earlier changes.
     ImageWanted(GroupId),
     /// This daemon is to be emptied: its replicas are replaced elsewhere while it serves on.
@@ -205,7 +205,7 @@
         epoch: Term,
     },
     /// Ask an engine to keep a program's cache until a time.
-    Hold {
+    HoldCache {
         /// The program.
         program: ProgramId,
         /// The engine.
@@ -216,7 +216,7 @@
         length: Duration,
     },
     /// Stop reading an attempt without touching the engine: a new owner takes over.
-    LeaveAttempt {
+    DetachAttempt {
         /// The attempt.
         attempt: AttemptId,
     },
@@ -228,34 +228,34 @@
     /// Ask an engine to free a program's memory.
     Release(Box<ReleaseOrder>),
     /// Talk to these engines from now on. Readings of others go on for as long as they answer.
-    UseEngines(Vec<EngineAddress>),
+    SetEngines(Vec<EngineAddress>),
     /// Give an engine an order. It may be lost.
     Order(Box<FencedOrder>),
     /// Read, swap or watch the configuration's key.
-    KeyValue(KeyValueStep),
+    KeyValue(KeyValueOperation),
     /// Answer an operator's change.
-    Decided {
+    AnswerChange {
         /// The request.
         id: RequestId,
         /// What became of the change.
-        verdict: ChangeOutcome,
+        outcome: ChangeOutcome,
     },
     /// A generation is in force on this daemon. Generations only rise.
     ConfigurationInForce(Arc<ConfigurationRecord>),
     /// Read or write the layout of groups at the key-value service.
     Layout(LayoutStep),
     /// Another daemon shared a newer version of a document.
-    Shared(SharedDocument),
+    DocumentShared(SharedDocument),
     /// Read the outside source that daemons share, or take in what another one read of it.
     Feed(FeedOrder),
     /// Another daemon saw attempts at a back end fail.
-    BackendFailureHeard(BackendFailure),
+    BackendFailureReported(BackendFailure),
     /// Other daemons told the loads that they make.
-    LoadsHeard(HeardLoads),
+    LoadsReported(HeardLoads),
     /// Whom this daemon reaches has changed.
-    Reach(Reach),
+    ReachChanged(Reach),
     /// Carry out an operation on this daemon's store.
-    Store(Box<StoreOrder>),
+    Store(Box<StoreRequest>),
     /// End the process: another life of this daemon has taken its place.
     Stop {
         /// That life, or a later one.
--- a/crates/node/src/helpers.rs
+++ b/crates/node/src/helpers.rs
@@ -30,7 +30,7 @@
                 group:% = request.group(), helper:% = helper;
                 "A command goes by way of another daemon."
             );
-            let message = PeerMessage::PassOn { id, request, reply_to: self.settings.address };
+            let message = PeerMessage::Forward { id, request, reply_to: self.settings.address };
             self.actions.push(Action::Send { to, message });
         }
     }
--- a/crates/node/src/history/message.rs
+++ b/crates/node/src/history/message.rs
@@ -41,7 +41,7 @@
         keys: Vec<ChunkKey>,
     },
     /// These I do not have.
-    Lacking {
+    MissingKeys {
         /// The chunks.
         keys: Vec<ChunkKey>,
     },
@@ -81,9 +81,9 @@
 
 /// An operation with the daemon that its result goes to.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct StoreOrder {
+pub struct StoreRequest {
     /// Who asked.
-    pub asker: ReplicaId,
+    pub requester: ReplicaId,
     /// What to do.
     pub operation: StoreOperation,
 }
@@ -92,7 +92,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoreResult {
     /// Who asked.
-    pub asker: ReplicaId,
-    /// The answer to send; none when the operation failed, so that the asker goes elsewhere.
+    pub requester: ReplicaId,
+    /// The answer to send; none when the operation failed, so that the requester goes elsewhere.
     pub answer: Option<ChunkMessage>,
 }
--- a/crates/node/src/history/mod.rs
+++ b/crates/node/src/history/mod.rs
@@ -23,7 +23,7 @@
 use serde::{Deserialize, Serialize};
 
 pub(crate) use cache::ChunkCache;
-pub use message::{ChunkMessage, StoreOperation, StoreOrder, StoreResult};
+pub use message::{ChunkMessage, StoreOperation, StoreRequest, StoreResult};
 pub(crate) use moving::Moves;
 pub(crate) use reading::Reads;
 pub(crate) use repair::Repair;
--- a/crates/node/src/history/serving.rs
+++ b/crates/node/src/history/serving.rs
@@ -2,7 +2,7 @@
 
 use dahlia_types::{DaemonId, ProgramId, ReplicaId, Timestamp};
 
-use super::message::{ChunkMessage, StoreOperation, StoreOrder, StoreResult};
+use super::message::{ChunkMessage, StoreOperation, StoreRequest, StoreResult};
 use crate::Action;
 use crate::node::Node;
 use crate::wire::PeerMessage;
@@ -25,20 +25,20 @@
                 self.chunk_found(key, &bytes, now);
             }
             ChunkMessage::Missing { key } => self.chunk_missing(key, now),
-            ChunkMessage::Lacking { keys } => self.chunks_lacking(from.daemon, keys, now),
+            ChunkMessage::MissingKeys { keys } => self.chunks_lacking(from.daemon, keys, now),
         }
     }
 
-    fn order_store(&mut self, asker: ReplicaId, operation: StoreOperation) {
+    fn order_store(&mut self, requester: ReplicaId, operation: StoreOperation) {
         if self.settings.has_store {
-            self.actions.push(Action::Store(Box::new(StoreOrder { asker, operation })));
+            self.actions.push(Action::Store(Box::new(StoreRequest { requester, operation })));
         }
     }
 
     /// An operation on the store of this daemon has ended.
     pub(crate) fn store_ended(&mut self, result: StoreResult) {
         if let Some(answer) = result.answer {
-            self.send_chunk(result.asker.daemon, answer);
+            self.send_chunk(result.requester.daemon, answer);
         }
     }
 
--- a/crates/node/src/key_value.rs
+++ b/crates/node/src/key_value.rs
@@ -9,7 +9,7 @@
 
 /// A step for the driver. The key is [`dahlia_configuration::CONFIGURATION_KEY`].
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum KeyValueStep {
+pub enum KeyValueOperation {
     /// Read the key, to follow it. Answered by [`KeyValueEvent::Read`].
     Read,
     /// Read the key and watch it from there. Answered by [`KeyValueEvent::Watched`] for each
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -75,7 +75,7 @@
 
 pub use dahlia_replication::membership::FIRST_HOLDER_DOCUMENT;
 
-pub use answer::{AnswerReader, Followed, StartPosition, Taken};
+pub use answer::{AnswerEvent, AnswerReader, FrameOutcome, StartPosition};
 pub use bootstrap::{LAYOUT_KEY, LayoutStep};
 pub use configuration::ConfigurationView;
 pub use durable::RecoverError;
@@ -84,7 +84,7 @@
 pub use event::{Action, BackendFailure, Event, ReleaseOrder, SharedDocument, StartAttempt};
 pub use feed::{FeedMessage, FeedOrder, FeedSettings, SourceReading, SourceReport};
 pub use history::HistorySettings;
-pub use key_value::{ChangeStep, KeyValueEvent, KeyValueStep};
+pub use key_value::{ChangeStep, KeyValueEvent, KeyValueOperation};
 pub use line_limit::LineLimit;
 pub use load_sharing::{HeardLoads, ItemLoad, LoadSharingSettings, LoadSharingStatus};
 pub use members::DaemonView;
--- a/crates/node/src/members.rs
+++ b/crates/node/src/members.rs
@@ -105,13 +105,13 @@
         if let FactKey::Document(number) = fact.key {
             let bytes = fact.bytes.to_vec();
             let document = SharedDocument { number, version: fact.version, bytes };
-            self.actions.push(Action::Shared(document));
+            self.actions.push(Action::DocumentShared(document));
             return;
         }
         if let FactKey::BackendFailure { backend, .. } = &fact.key {
             let failures = fact.bytes.first().copied().unwrap_or_default();
             let failure = BackendFailure { backend: backend.clone(), failures };
-            self.actions.push(Action::BackendFailureHeard(failure));
+            self.actions.push(Action::BackendFailureReported(failure));
             return;
         }
         if let FactKey::Group(_) = fact.key
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -115,18 +115,22 @@
 
 impl Node {
     /// How often the driver sends [`Event::Tick`], at least.
-    pub const TICK: Duration = Duration::from_millis(20);
+    pub const TICK_INTERVAL: Duration = Duration::from_millis(20);
     /// The same while nothing is under way: what is left then are probes, gossip and subscriptions, which
     /// are due every 200 ms and more. A gateway that takes two requests a second is idle most of the time,
     /// and each wake-up costs.
-    const IDLE_TICK: Duration = Duration::from_millis(100);
+    const IDLE_TICK_INTERVAL: Duration = Duration::from_millis(100);
 
     /// How long after the last tick the next one is wanted.
     pub fn tick_interval(&self) -> Duration {
         let has_work = !self.router.is_empty() || !self.groups.is_empty() || self.draining;
         let follows = self.settings.follows_configuration;
         let is_asking = self.zone_liveness.as_ref().is_some_and(ZoneLiveness::is_asking);
-        if has_work || follows || is_asking { Self::TICK } else { Self::IDLE_TICK }
+        if has_work || follows || is_asking {
+            Self::TICK_INTERVAL
+        } else {
+            Self::IDLE_TICK_INTERVAL
+        }
     }
 
     /// A node that knows nothing but its settings.
@@ -147,7 +151,7 @@
             settings.seed,
             now,
         );
-        membership.set_start_count(settings.life);
+        membership.set_start_count(settings.start_count);
         let voters = settings.tolerance.wanted_voters();
         let voter_target = VoterTarget { voters, shortfalls: Vec::new() };
         let scheduler = Scheduler::new(settings.placement.clone(), settings.policy, settings.seed);
@@ -223,16 +227,16 @@
             Event::ProposeChange { id, proposal } => self.propose_change(id, proposal, now),
             Event::Layout(step) => self.layout(step, now),
             Event::StoreEnded(result) => self.store_ended(*result),
-            Event::Seeds(addresses) => self.membership.add_seeds(addresses),
-            Event::Recalled(addresses) => self.membership.contact_previous_peers(addresses),
-            Event::Tolerance(tolerance) => self.change_tolerance(tolerance, now),
-            Event::Share(document) => self.share(document),
-            Event::Hold(document) => self.hold_document(document),
-            Event::DocumentsWanted => self.membership.request_holder_documents(),
+            Event::SeedsFound(addresses) => self.membership.add_seeds(addresses),
+            Event::PreviousPeers(addresses) => self.membership.contact_previous_peers(addresses),
+            Event::ToleranceChanged(tolerance) => self.change_tolerance(tolerance, now),
+            Event::ShareDocument(document) => self.share(document),
+            Event::KeepDocument(document) => self.hold_document(document),
+            Event::RequestDocuments => self.membership.request_holder_documents(),
             Event::SourceRead(report) => self.source_read(report, now),
             Event::BackendFailed(failure) => self.report_backend_failure(&failure),
             Event::OwnLoads(own) => self.own_loads(&own, now),
-            Event::OwnLoadsEnd => self.own_loads_end(),
+            Event::OwnLoadsEnded => self.own_loads_end(),
             Event::ImageWanted(group) => self.record_image(group),
             Event::Retire => self.retire_daemon(now),
             Event::Drain => self.drain(now),
@@ -373,7 +377,7 @@
                 self.serve(ReplyTo::Peer { address: reply_to, id }, request, now);
             }
             PeerMessage::Response { id, response } => self.response(from, id, response, now),
-            PeerMessage::PassOn { id, request, reply_to } => {
+            PeerMessage::Forward { id, request, reply_to } => {
                 self.take_for_other(ReplyTo::Peer { address: reply_to, id }, request, now);
             }
             PeerMessage::Feed(message) => self.feed_message(from.daemon, message, now),
--- a/crates/node/src/reach.rs
+++ b/crates/node/src/reach.rs
@@ -59,7 +59,7 @@
         self.router
             .pass_over(|daemon| is_in_silent_zone(&self.membership, zone_liveness, daemon), now);
         self.give_up_owners(&reach, now);
-        self.actions.push(Action::Reach(reach));
+        self.actions.push(Action::ReachChanged(reach));
     }
 
     /// Zones of owners that missed a heartbeat are asked for a sign.
--- a/crates/node/src/recovery.rs
+++ b/crates/node/src/recovery.rs
@@ -111,7 +111,7 @@
         let programs: Vec<ProgramId> = group.state.programs().map(|program| program.id()).collect();
         self.drop_reads(&programs);
         for attempt in attempts.into_keys() {
-            self.actions.push(Action::LeaveAttempt { attempt });
+            self.actions.push(Action::DetachAttempt { attempt });
             // Whoever resumes the attempt reads its text from the start. If that is this daemon
             // again, the text must not stand behind what was read before.
             self.actions.push(Action::ForgetAnswer { call: attempt.call });
--- a/crates/node/src/request.rs
+++ b/crates/node/src/request.rs
@@ -172,7 +172,7 @@
     /// Calls that were answered.
     pub turns: u32,
     /// Engines that may hold its context.
-    pub held: Vec<HeldView>,
+    pub cache_holders: Vec<CacheHolderView>,
     /// The owner.
     pub owner: DaemonId,
     /// The owner's epoch.
@@ -194,7 +194,7 @@
 
 /// An engine that may hold a program's context.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HeldView {
+pub struct CacheHolderView {
     /// The engine.
     pub engine: EngineId,
     /// Its life.
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -39,7 +39,7 @@
     pub holds_groups: bool,
     /// Which process of this incarnation runs, from 1; 0 where no incarnation outlives its
     /// process.
-    pub life: u32,
+    pub start_count: u32,
     /// Timing and bounds of replica groups.
     pub group: GroupSettings,
     /// Timing and bounds of membership.
--- a/crates/node/src/view.rs
+++ b/crates/node/src/view.rs
@@ -4,7 +4,7 @@
 use dahlia_types::{CallId, GroupId, ProgramId, TenantId, Usage};
 
 use crate::node::Node;
-use crate::request::{CallStateName, CallView, HeldView, ProgramStateName, ProgramView};
+use crate::request::{CacheHolderView, CallStateName, CallView, ProgramStateName, ProgramView};
 
 impl Node {
     /// One program of a group that this node owns.
@@ -61,9 +61,9 @@
         reserved: budget.reserved,
         chains: program.chains().count() as u32,
         turns: program.calls().filter(|(_, call)| answered(call)).count() as u32,
-        held: program
+        cache_holders: program
             .obligations()
-            .map(|(life, _)| HeldView {
+            .map(|(life, _)| CacheHolderView {
                 engine: life.engine.clone(),
                 incarnation: life.incarnation,
             })
--- a/crates/node/src/wire.rs
+++ b/crates/node/src/wire.rs
@@ -18,7 +18,7 @@
 pub const PROTOCOL_VERSION: u32 = 6;
 
 /// Largest frame in bytes; a longer one ends the connection.
-pub const LARGEST_FRAME: usize = 16 * 1024 * 1024;
+pub const MAX_FRAME_BYTES: usize = 16 * 1024 * 1024;
 
 /// The first frame of a connection.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -32,12 +32,12 @@
     /// Keyed hash over the fields above: shows that the sender has the peer key.
     pub proof: [u8; 32],
     /// What the connection is for.
-    pub purpose: Purpose,
+    pub purpose: ConnectionPurpose,
 }
 
 /// What a connection is for.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Purpose {
+pub enum ConnectionPurpose {
     /// [`PeerMessage`]s from the connecting side.
     Messages,
     /// [`AnswerFrame`]s from the accepting side.
@@ -117,7 +117,7 @@
     },
     /// A request to the owner of a group that the asker does not reach: the receiver puts it to the
     /// owner by its own direct way, and passes the answer on as a [`Self::Response`].
-    PassOn {
+    Forward {
         /// The asker's name for it.
         id: RequestId,
         /// The request: a command to a ledger.
@@ -187,14 +187,14 @@
 
 /// How a message travels between daemons.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Carriage {
+pub enum Transport {
     /// Over a connection.
     Connection,
     /// In a datagram; over a connection when it is too long.
-    DatagramIfItFits,
+    DatagramIfFits,
     /// In a datagram or not at all: a peer of another build may not know the message, and a connection
     /// would end with it.
-    Datagram,
+    DatagramOnly,
 }
 
 impl PeerMessage {
@@ -206,7 +206,7 @@
             Self::Membership(envelope) if envelope.has_documents() => MessageKind::Documents,
             Self::Membership(_) => MessageKind::Membership,
             Self::Chunks(_) => MessageKind::Chunks,
-            Self::Request { .. } | Self::PassOn { .. } => MessageKind::Requests,
+            Self::Request { .. } | Self::Forward { .. } => MessageKind::Requests,
             Self::Response { .. } => MessageKind::Responses,
             Self::Feed(_) => MessageKind::Feed,
             Self::Loads(_) => MessageKind::Loads,
@@ -214,11 +214,11 @@
     }
 
     /// How it travels.
-    pub fn carriage(&self) -> Carriage {
+    pub fn transport(&self) -> Transport {
         match self {
-            Self::Membership(_) => Carriage::DatagramIfItFits,
-            Self::Loads(_) => Carriage::Datagram,
-            _ => Carriage::Connection,
+            Self::Membership(_) => Transport::DatagramIfFits,
+            Self::Loads(_) => Transport::DatagramOnly,
+            _ => Transport::Connection,
         }
     }
 }
--- a/crates/node/tests/cluster/mod.rs
+++ b/crates/node/tests/cluster/mod.rs
@@ -302,7 +302,7 @@
         }
         let event = match delivery {
             Delivery::Tick => {
-                self.push(self.now + Node::TICK, daemon, Delivery::Tick);
+                self.push(self.now + Node::TICK_INTERVAL, daemon, Delivery::Tick);
                 Event::Tick
             }
             Delivery::Message { from, message } => Event::Message { from: replica(from), message },
@@ -323,7 +323,7 @@
                     self.answers.insert(id, (now, response));
                 }
                 Action::Layout(_) => self.push(now + LINK, daemon, Delivery::Layout),
-                Action::Reach(reach) => {
+                Action::ReachChanged(reach) => {
                     self.reach.insert(daemon, reach);
                 }
                 _ => {}
@@ -337,7 +337,7 @@
             PeerMessage::Groups(_) => self.messages.groups += 1,
             PeerMessage::Request { .. } => self.messages.requests += 1,
             PeerMessage::Response { .. } => self.messages.responses += 1,
-            PeerMessage::PassOn { .. } => self.messages.passed_on += 1,
+            PeerMessage::Forward { .. } => self.messages.passed_on += 1,
             _ => {}
         }
         if to == STRANGER && matches!(message, PeerMessage::Response { .. }) {
--- a/crates/node/tests/stores/mod.rs
+++ b/crates/node/tests/stores/mod.rs
@@ -168,7 +168,7 @@
     fn deliver(&mut self, to: ReplicaId, delivery: Delivery) {
         let event = match delivery {
             Delivery::Tick => {
-                self.push(self.now + Node::TICK, to, Delivery::Tick);
+                self.push(self.now + Node::TICK_INTERVAL, to, Delivery::Tick);
                 Event::Tick
             }
             Delivery::Message { from, message } => Event::Message { from, message },
@@ -190,7 +190,7 @@
                     let answer = self.keep_layout(step);
                     self.push(now + LAYOUT_ANSWER, own, Delivery::Layout(answer));
                 }
-                Action::BackendFailureHeard(failure) => {
+                Action::BackendFailureReported(failure) => {
                     self.heard.entry(daemon).or_default().push(failure);
                 }
                 _ => {}
--- a/crates/node/tests/tolerance.rs
+++ b/crates/node/tests/tolerance.rs
@@ -36,7 +36,7 @@
     let mut stores = Stores::started(&[1, 2, 3, 4, 5], LossTolerance::of_machines(1));
     stores.wait_until_whole(Duration::from_secs(10));
     assert_eq!(stores.voters_at_first(), vec![3; GROUPS as usize]);
-    stores.tell_all(|| Event::Tolerance(LossTolerance::of_machines(2)));
+    stores.tell_all(|| Event::ToleranceChanged(LossTolerance::of_machines(2)));
     stores.wait_until_held(5 * GROUPS as usize, Duration::from_secs(20));
 }
 
--- a/crates/node/tests/wire_forms.rs
+++ b/crates/node/tests/wire_forms.rs
@@ -24,7 +24,7 @@
 use dahlia_node::feed::{FeedMessage, SourceReport};
 use dahlia_node::load_sharing::{ItemLoad, LoadMessage, LoadPart, TellerState};
 use dahlia_node::request::{Request, RequestId, Response};
-use dahlia_node::wire::{Carriage, Hello, PROTOCOL_VERSION, PeerMessage, Purpose};
+use dahlia_node::wire::{ConnectionPurpose, Hello, PROTOCOL_VERSION, PeerMessage, Transport};
 use dahlia_program::Command;
 use dahlia_replication::group::{
     Append, AppendResponse, AppendResult, EntryData, GroupBody, GroupHeartbeat, GroupMessage,
@@ -264,7 +264,7 @@
     checker.check("ledger-close-broken", request(close(TurnEnd::Incomplete)));
     checker.check("ledger-read-for", request(read));
     let request = Request::Ledger { group: GroupId(5), command: open() };
-    let passed_on = PeerMessage::PassOn { id: RequestId(78), request, reply_to: address() };
+    let passed_on = PeerMessage::Forward { id: RequestId(78), request, reply_to: address() };
     checker.check("ledger-passed-on", passed_on);
     let opened = OpenedTurn { history: b"kept".to_vec(), last_served_by: Some("i-1@5".into()) };
     let previous = turn("40c8f1a7b3e9265d");
@@ -377,13 +377,13 @@
 #[test]
 fn a_kind_that_came_later_never_goes_over_a_connection() {
     for (name, message) in loads() {
-        assert_eq!(message.carriage(), Carriage::Datagram, "{name}");
+        assert_eq!(message.transport(), Transport::DatagramOnly, "{name}");
     }
     // Whatever else is sent is among the samples of that build, or older.
     let envelope = envelope(MemberMessage::Gossip, Vec::new());
-    assert_eq!(envelope.carriage(), Carriage::DatagramIfItFits);
+    assert_eq!(envelope.transport(), Transport::DatagramIfFits);
     let subscribe = FeedMessage::Subscribe { known: 1, reply_to: address() };
-    assert_eq!(PeerMessage::Feed(subscribe).carriage(), Carriage::Connection);
+    assert_eq!(PeerMessage::Feed(subscribe).transport(), Transport::Connection);
 }
 
 #[test]
@@ -394,7 +394,7 @@
         daemon: DaemonId(3_310_598_380),
         incarnation: Incarnation(1_800_000_000_123),
         proof: [0xab; 32],
-        purpose: Purpose::Messages,
+        purpose: ConnectionPurpose::Messages,
     };
     checker.check("hello", hello);
     check_membership(&mut checker);
--- a/crates/replay/src/world/actions.rs
+++ b/crates/replay/src/world/actions.rs
@@ -72,13 +72,13 @@
                     self.call_engine(id, engine, request, RpcPurpose::Nothing);
                 }
             }
-            Action::LeaveAttempt { attempt } => self.leave_attempt(id, attempt),
+            Action::DetachAttempt { attempt } => self.leave_attempt(id, attempt),
             Action::ForgetAnswer { call } => {
                 if let Some(daemon) = self.daemons.get_mut(&id) {
                     daemon.board.remove(&call);
                 }
             }
-            Action::Hold { program, engine, epoch, length } => {
+            Action::HoldCache { program, engine, epoch, length } => {
                 if let Some(engine) = engine_number(&engine) {
                     let request = EngineRequest::Hold { program, epoch, length };
                     self.call_engine(id, engine, request, RpcPurpose::Nothing);
@@ -89,18 +89,18 @@
                 let life = self.daemons[&id].life;
                 self.layout_step(id, life, step);
             }
-            Action::UseEngines(addresses) => {
+            Action::SetEngines(addresses) => {
                 if let Some(daemon) = self.daemons.get_mut(&id) {
                     let named = addresses.iter().filter_map(|it| engine_number(&it.engine));
                     daemon.uses.extend(named);
                 }
             }
             Action::KeyValue(step) => self.key_value_step(id, step),
-            Action::Decided { id: request, verdict } => {
+            Action::AnswerChange { id: request, outcome } => {
                 let daemon = self.daemons.get_mut(&id);
                 let waiter = daemon.and_then(|daemon| daemon.waiting.remove(&request));
                 if let Some(Waiter::Connection(connection)) = waiter {
-                    self.change_answered(id, connection, verdict);
+                    self.change_answered(id, connection, outcome);
                 }
             }
             Action::ConfigurationInForce(record) => {
@@ -112,9 +112,11 @@
             Action::Order(_)
             | Action::Store(_)
             | Action::Persist(_)
-            | Action::Shared(_)
+            | Action::DocumentShared(_)
             | Action::Feed(_) => {}
-            Action::BackendFailureHeard(_) | Action::LoadsHeard(_) | Action::Reach(_) => {}
+            Action::BackendFailureReported(_)
+            | Action::LoadsReported(_)
+            | Action::ReachChanged(_) => {}
             Action::Stop { .. } => self.kill_daemon(id, Duration::ZERO),
         }
     }
--- a/crates/replay/src/world/daemon.rs
+++ b/crates/replay/src/world/daemon.rs
@@ -155,7 +155,11 @@
         }
         match delivery {
             Delivery::Tick => {
-                self.agenda.push(self.now + Node::TICK, Target::Daemon(id, life), Delivery::Tick);
+                self.agenda.push(
+                    self.now + Node::TICK_INTERVAL,
+                    Target::Daemon(id, life),
+                    Delivery::Tick,
+                );
                 self.node_event(id, NodeEvent::Tick);
             }
             Delivery::Actions(actions) => self.perform_all(id, actions),
--- a/crates/replay/src/world/gateway.rs
+++ b/crates/replay/src/world/gateway.rs
@@ -7,7 +7,7 @@
 use dahlia_configuration::{ChangeOutcome, ChangeProposal};
 use dahlia_node::request::{Request, Response};
 use dahlia_node::wire::AnswerFrame;
-use dahlia_node::{AnswerReader, Followed, StartPosition, Taken};
+use dahlia_node::{AnswerEvent, AnswerReader, FrameOutcome, StartPosition};
 use dahlia_types::{CallId, DaemonId, Duration, TenantId, Timestamp};
 
 use super::World;
@@ -130,7 +130,7 @@
         let mut reader = AnswerReader::new(connection.tenant.clone(), call, start);
         #[cfg(feature = "test-switches")]
         if glues {
-            reader.glue();
+            reader.disable_comparison();
         }
         connection.follow =
             Some(Follow { reader, source: None, last_contact: now, last_frame: now, step: 0 });
@@ -247,10 +247,10 @@
         let Some(follow) = self.follow_of(id, name) else { return };
         follow.last_contact = now;
         follow.last_frame = now;
-        match follow.reader.take(frame) {
-            Taken::Nothing => {}
-            Taken::Relocate => self.relocate(id, name),
-            Taken::Yield(followed) => {
+        match follow.reader.handle_frame(frame) {
+            FrameOutcome::Nothing => {}
+            FrameOutcome::FindOwner => self.relocate(id, name),
+            FrameOutcome::Events(followed) => {
                 for followed in followed {
                     self.pass_on(id, name, followed);
                 }
@@ -258,19 +258,19 @@
         }
     }
 
-    fn pass_on(&mut self, id: DaemonId, name: u64, followed: Followed) {
+    fn pass_on(&mut self, id: DaemonId, name: u64, followed: AnswerEvent) {
         match followed {
-            Followed::Text { attempt, offset, text } => {
+            AnswerEvent::Text { attempt, offset, text } => {
                 let Some(caller) = self.connection(id, name).map(|held| held.caller) else {
                     return;
                 };
                 let message = CallerMessage::Text { connection: name, attempt, offset, text };
                 self.send_to_caller(id, name, caller, message);
             }
-            Followed::End { .. } => {
+            AnswerEvent::End { .. } => {
                 self.last_to_caller(id, name, CallerMessage::End { connection: name });
             }
-            Followed::Failed(error) => {
+            AnswerEvent::Failed(error) => {
                 self.last_to_caller(id, name, CallerMessage::Failed { connection: name, error });
             }
         }
--- a/crates/replay/src/world/key_value.rs
+++ b/crates/replay/src/world/key_value.rs
@@ -1,7 +1,7 @@
 //! The key-value service: the layout of groups and the configuration.
 
 use dahlia_configuration::{ServiceUnavailable, SwapFailure, VersionedValue};
-use dahlia_node::{Event as NodeEvent, KeyValueEvent, KeyValueStep, LayoutStep};
+use dahlia_node::{Event as NodeEvent, KeyValueEvent, KeyValueOperation, LayoutStep};
 use dahlia_types::{DaemonId, Duration, Timestamp};
 use rand::Rng;
 
@@ -82,7 +82,7 @@
     }
 
     /// A daemon's step with the configuration's key.
-    pub(crate) fn key_value_step(&mut self, id: DaemonId, step: KeyValueStep) {
+    pub(crate) fn key_value_step(&mut self, id: DaemonId, step: KeyValueOperation) {
         let now = self.now;
         let Some(daemon) = self.daemons.get_mut(&id) else { return };
         let life = daemon.life;
@@ -90,17 +90,17 @@
         let down = service.is_down(now);
         let read = service.configuration.at(service.read_at(now));
         let event = match step {
-            KeyValueStep::Read => {
+            KeyValueOperation::Read => {
                 let found = read.map(|(_, value)| value.clone());
                 KeyValueEvent::Read(if down { Err(ServiceUnavailable) } else { Ok(found) })
             }
-            KeyValueStep::ReadForChange(step) => {
+            KeyValueOperation::ReadForChange(step) => {
                 let found =
                     read.map(|(version, value)| VersionedValue { version, bytes: value.clone() });
                 let result = if down { Err(ServiceUnavailable) } else { Ok(found) };
                 KeyValueEvent::ReadForChange { step, result }
             }
-            KeyValueStep::OpenWatch => {
+            KeyValueOperation::OpenWatch => {
                 daemon.watches = !down;
                 match read {
                     Some((_, value)) if !down => KeyValueEvent::Watched(value.clone()),
@@ -108,11 +108,11 @@
                     _ => KeyValueEvent::WatchEnded,
                 }
             }
-            KeyValueStep::CloseWatch => {
+            KeyValueOperation::CloseWatch => {
                 daemon.watches = false;
                 return;
             }
-            KeyValueStep::Swap { step, expected, value } => {
+            KeyValueOperation::Swap { step, expected, value } => {
                 let result = self.swap(expected, value);
                 KeyValueEvent::Swapped { step, result }
             }
