--- a/crates/daemon/src/core.rs
+++ b/crates/daemon/src/core.rs
@@ -9,7 +9,7 @@
 use dahlia_node::request::{RequestId, Response};
 use dahlia_node::wire::PeerMessage;
 use dahlia_node::{
-    Action, BackendFailure, Event, FeedOrder, HeardLoads, Node, Reach, SharedDocument,
+    Action, BackendFailure, Event, FeedOrder, Node, PeerLoads, Reachability, SharedDocument,
 };
 use dahlia_replication::group::DurableChange;
 use dahlia_types::{GroupId, Incarnation, ReplicaId};
@@ -42,7 +42,7 @@
     /// What to do about the outside source that daemons share.
     pub feed: mpsc::UnboundedSender<FeedOrder>,
     /// Loads that other daemons make.
-    pub loads: mpsc::UnboundedSender<HeardLoads>,
+    pub loads: mpsc::UnboundedSender<PeerLoads>,
 }
 
 impl SharedSenders {
@@ -76,7 +76,7 @@
     /// Where goes what other daemons shared.
     pub shared: SharedSenders,
     /// Where it is told whom this daemon reaches.
-    pub reach: watch::Sender<Reach>,
+    pub reach: watch::Sender<Reachability>,
     /// Counters.
     pub metrics: Arc<Metrics>,
 }
--- a/crates/daemon/src/core_handle.rs
+++ b/crates/daemon/src/core_handle.rs
@@ -7,7 +7,7 @@
 use dahlia_api::{ApiError, ErrorKind};
 use dahlia_configuration::{ChangeOutcome, ChangeProposal};
 use dahlia_node::request::{Request, Response};
-use dahlia_node::{ConfigurationView, DaemonView, EngineView, Event, NodeStatus, Reach};
+use dahlia_node::{ConfigurationView, DaemonView, EngineView, Event, NodeStatus, Reachability};
 use dahlia_replication::membership::Member;
 use dahlia_types::{GroupId, ReplicaId};
 use tokio::sync::{mpsc, oneshot, watch};
@@ -57,7 +57,7 @@
     inbox: mpsc::Sender<CoreMessage>,
     own: ReplicaId,
     keys: Arc<AtomicU64>,
-    reach: watch::Sender<Reach>,
+    reach: watch::Sender<Reachability>,
 }
 
 impl CoreHandle {
@@ -67,14 +67,14 @@
     }
 
     /// Whom this daemon reaches, and news of it; what was told before counts as news.
-    pub fn reach(&self) -> watch::Receiver<Reach> {
+    pub fn reach(&self) -> watch::Receiver<Reachability> {
         let mut reach = self.reach.subscribe();
         reach.mark_changed();
         reach
     }
 
     /// Where the node's task tells whom this daemon reaches.
-    pub fn reach_sender(&self) -> watch::Sender<Reach> {
+    pub fn reach_sender(&self) -> watch::Sender<Reachability> {
         self.reach.clone()
     }
 
@@ -183,6 +183,6 @@
     // A replica's identifier may outlive the process: keys must not repeat those of earlier lives.
     let first_key = Clock::start().now().0;
     let keys = Arc::new(AtomicU64::new(first_key));
-    let reach = watch::Sender::new(Reach::default());
+    let reach = watch::Sender::new(Reachability::default());
     (CoreHandle { inbox: sender, own, keys, reach }, inbox)
 }
--- a/crates/daemon/src/ledger_client.rs
+++ b/crates/daemon/src/ledger_client.rs
@@ -8,7 +8,7 @@
     TurnId, TurnRefusal, group_in_region, group_of,
 };
 use dahlia_node::request::{Request, Response};
-use dahlia_node::{CutOff, Reach};
+use dahlia_node::{CutOff, Reachability};
 use dahlia_relay::{LedgerUnavailable, TurnLedger};
 use dahlia_types::{Duration, GroupHomes, GroupId, Region, Timestamp};
 use futures::future::join_all;
@@ -333,7 +333,7 @@
 }
 
 /// Returns when this daemon is cut off.
-async fn cut_off(reach: &mut watch::Receiver<Reach>) -> CutOff {
+async fn cut_off(reach: &mut watch::Receiver<Reachability>) -> CutOff {
     let seen = reach.wait_for(|reach| reach.cut_off.is_some()).await;
     match seen.ok().and_then(|reach| reach.cut_off) {
         Some(cut) => cut,
--- a/crates/daemon/src/load_sharing.rs
+++ b/crates/daemon/src/load_sharing.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use dahlia_backends::{Backends, LoadView, ServerDigest, ServerLoad, TokenTimes};
-use dahlia_node::{Event, HeardLoads, ItemLoad, LoadSharingSettings};
+use dahlia_node::{Event, ItemLoad, LoadSharingSettings, PeerLoads};
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::time::{Instant, MissedTickBehavior, interval};
 
@@ -38,7 +38,7 @@
 /// `heard`. The switch is off at first.
 pub fn share(
     backends: &Arc<Mutex<Backends>>,
-    heard: UnboundedReceiver<HeardLoads>,
+    heard: UnboundedReceiver<PeerLoads>,
     core: &CoreHandle,
     settings: &LoadSharingSettings,
     clock: Clock,
@@ -71,7 +71,7 @@
 
 impl Teller {
     async fn run(mut self) {
-        let pause = Duration::from_micros(self.settings.tell_interval().as_micros());
+        let pause = Duration::from_micros(self.settings.report_interval().as_micros());
         let mut ticks = interval(pause);
         // After a stall one look says all.
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -114,7 +114,7 @@
 }
 
 async fn hear(
-    mut heard: UnboundedReceiver<HeardLoads>,
+    mut heard: UnboundedReceiver<PeerLoads>,
     backends: Arc<Mutex<Backends>>,
     clock: Clock,
 ) {
@@ -139,8 +139,8 @@
     }
 }
 
-fn load_view(heard: HeardLoads) -> LoadView {
-    let HeardLoads { first, last, age, loads } = heard;
+fn load_view(heard: PeerLoads) -> LoadView {
+    let PeerLoads { first, last, age, loads } = heard;
     let server_load = |load: &ItemLoad| ServerLoad {
         server: ServerDigest(load.item),
         in_flight: load.in_flight.try_into().unwrap_or(u16::MAX),
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -4,7 +4,7 @@
 
 use dahlia_api::ErrorKind;
 use dahlia_node::request::AttemptEnd;
-use dahlia_node::{LoadSharingStatus, NodeStatus, Reach};
+use dahlia_node::{LoadSharingStatus, NodeStatus, Reachability};
 use prometheus::{
     Encoder, Gauge, Histogram, HistogramOpts, IntCounter, IntCounterVec, IntGauge, Opts, Registry,
     TextEncoder,
@@ -184,7 +184,7 @@
     }
 
     /// Takes over whom the daemon reaches.
-    pub fn note_reach(&self, reach: &Reach) {
+    pub fn note_reach(&self, reach: &Reachability) {
         self.silent_zones.set(reach.silent_zones.len() as i64);
         self.cut_off.set(i64::from(reach.cut_off.is_some()));
     }
--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-use dahlia_node::LineLimit;
+use dahlia_node::LogLineLimit;
 use dahlia_node::wire::{Carriage, PeerMessage, Purpose, ReadAnswer};
 use dahlia_types::ReplicaId;
 use tokio::net::TcpListener;
@@ -57,7 +57,7 @@
     traffic: Arc<Traffic>,
     datagrams: DatagramSender,
     clock: Clock,
-    drop_lines: Arc<Mutex<LineLimit>>,
+    drop_lines: Arc<Mutex<LogLineLimit>>,
     queues: Arc<Mutex<HashMap<SocketAddr, mpsc::Sender<PeerMessage>>>>,
 }
 
--- a/crates/daemon/tests/core_handle.rs
+++ b/crates/daemon/tests/core_handle.rs
@@ -1,7 +1,7 @@
 //! What the handle of a core tells its other parts.
 
 use dahlia_daemon::core_handle::channel;
-use dahlia_node::Reach;
+use dahlia_node::Reachability;
 use dahlia_types::{DaemonId, Incarnation, ReplicaId, Zone};
 
 /// A part that starts later would miss a cut that goes on.
@@ -10,7 +10,7 @@
     let own = ReplicaId { daemon: DaemonId(1), incarnation: Incarnation(1) };
     let (core, _inbox) = channel(own);
     let silent_zones = [Zone::new("b")].into();
-    core.reach_sender().send_replace(Reach { silent_zones, cut_off: None });
+    core.reach_sender().send_replace(Reachability { silent_zones, cut_off: None });
     let mut reach = core.reach();
     assert!(reach.has_changed().expect("its sender lives"));
     reach.borrow_and_update();
--- a/crates/daemon/tests/ledger_client.rs
+++ b/crates/daemon/tests/ledger_client.rs
@@ -13,7 +13,7 @@
     TurnId, TurnInput, TurnRefusal, group_of,
 };
 use dahlia_node::request::{Request, Response};
-use dahlia_node::{CutOff, Reach};
+use dahlia_node::{CutOff, Reachability};
 use dahlia_relay::TurnLedger;
 use dahlia_types::{DaemonId, Duration, GroupId, Incarnation, ReplicaId, Timestamp, Tokens};
 use futures::FutureExt;
@@ -112,7 +112,7 @@
 struct Owner {
     answers: watch::Sender<bool>,
     asked: Arc<AtomicUsize>,
-    reach: watch::Sender<Reach>,
+    reach: watch::Sender<Reachability>,
 }
 
 /// A client that gives up soon, and holds nobody for a new owner.
@@ -199,7 +199,7 @@
             tokio::task::yield_now().await;
         }
         let cut = CutOff { since: Timestamp::ZERO, is_alone: true };
-        owner.reach.send_replace(Reach { cut_off: Some(cut), ..Reach::default() });
+        owner.reach.send_replace(Reachability { cut_off: Some(cut), ..Reachability::default() });
     };
     let (let_go, ()) = tokio::join!(waiting, cutting);
     let let_go = let_go.expect_err("cut off");
@@ -208,7 +208,7 @@
     let refused = client.ask(open(&program, "two", None), PATIENCE).now_or_never();
     assert!(refused.expect("at once").expect_err("cut off").was_not_asked);
     assert_eq!(owner.asked.load(Ordering::SeqCst), 1);
-    owner.reach.send_replace(Reach::default());
+    owner.reach.send_replace(Reachability::default());
     owner.answers.send_replace(true);
     assert!(client.ask(open(&program, "three", None), PATIENCE).await.is_ok());
 }
--- a/crates/daemon/tests/load_sharing.rs
+++ b/crates/daemon/tests/load_sharing.rs
@@ -5,7 +5,7 @@
 use dahlia_daemon::control::{ControlParts, Surroundings, start_control_in};
 use dahlia_daemon::core::SharedSenders;
 use dahlia_daemon::settings::Settings;
-use dahlia_node::{Event, HeardLoads, ItemLoad, LoadSharingSettings};
+use dahlia_node::{Event, ItemLoad, LoadSharingSettings, PeerLoads};
 use tokio::sync::mpsc::{self, UnboundedReceiver};
 use tokio::time::{sleep, timeout};
 
@@ -30,7 +30,7 @@
 
 struct Gateway {
     control: ControlParts,
-    heard: UnboundedReceiver<HeardLoads>,
+    heard: UnboundedReceiver<PeerLoads>,
     load: ItemLoad,
 }
 
--- a/crates/node/src/event.rs
+++ b/crates/node/src/event.rs
@@ -20,10 +20,10 @@
 use crate::feed::{FeedOrder, SourceReport};
 use crate::history::{StoreOrder, StoreResult};
 use crate::key_value::{KeyValueEvent, KeyValueStep};
-use crate::load_sharing::{HeardLoads, ItemLoad};
+use crate::load_sharing::{ItemLoad, PeerLoads};
 use crate::request::{AttemptEnd, ReleaseEnd, Request, RequestId, Response};
 use crate::wire::PeerMessage;
-use crate::zone_liveness::Reach;
+use crate::zone_liveness::Reachability;
 
 /// A document that the driver keeps in step with an outside source. Daemons that cannot reach the
 /// source learn it from those that could. The newest version of each number wins.
@@ -138,7 +138,7 @@
     /// Attempts of this daemon at a back end failed: others are told.
     BackendFailed(BackendFailure),
     /// The loads that this daemon makes, each item once. Due every
-    /// [`LoadSharingSettings::tell_interval`](crate::LoadSharingSettings::tell_interval).
+    /// [`LoadSharingSettings::report_interval`](crate::LoadSharingSettings::report_interval).
     OwnLoads(Vec<ItemLoad>),
     /// The loads that this daemon makes are told no more, until the next [`Self::OwnLoads`].
     OwnLoadsEnd,
@@ -251,9 +251,9 @@
     /// Another daemon saw attempts at a back end fail.
     BackendFailureHeard(BackendFailure),
     /// Other daemons told the loads that they make.
-    LoadsHeard(HeardLoads),
+    LoadsHeard(PeerLoads),
     /// Whom this daemon reaches has changed.
-    Reach(Reach),
+    Reach(Reachability),
     /// Carry out an operation on this daemon's store.
     Store(Box<StoreOrder>),
     /// End the process: another life of this daemon has taken its place.
--- a/crates/node/src/feed.rs
+++ b/crates/node/src/feed.rs
@@ -113,7 +113,7 @@
     /// Read it, or not.
     Read(SourceReading),
     /// Take in what another daemon read. It follows on what is known here.
-    Take(SourceReport),
+    Apply(SourceReport),
     /// Read what changed up to now, at once: what another daemon reports begins later than what is known
     /// here ends, and so will all that it reports.
     CatchUp,
@@ -286,7 +286,7 @@
         self.reported_as_of = self.reported_as_of.max(Some(as_of));
         // For those that subscribe here next, when this daemon has become their reader.
         self.keep(report.clone(), now);
-        self.actions.push(FeedAction::Order(FeedOrder::Take(report)));
+        self.actions.push(FeedAction::Order(FeedOrder::Apply(report)));
     }
 
     /// A source may count changes that nobody is told of. Then a read that waits for news lasts, and what
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -85,9 +85,9 @@
 pub use feed::{FeedMessage, FeedOrder, FeedSettings, SourceReading, SourceReport};
 pub use history::HistorySettings;
 pub use key_value::{ChangeStep, KeyValueEvent, KeyValueStep};
-pub use line_limit::LineLimit;
-pub use load_sharing::{HeardLoads, ItemLoad, LoadSharingSettings, LoadSharingStatus};
+pub use line_limit::LogLineLimit;
+pub use load_sharing::{ItemLoad, LoadSharingSettings, LoadSharingStatus, PeerLoads};
 pub use members::DaemonView;
 pub use node::{Node, NodeStatus};
 pub use settings::{NodeFaults, NodeSettings};
-pub use zone_liveness::{CutOff, Reach, ZoneLivenessSettings};
+pub use zone_liveness::{CutOff, Reachability, ZoneLivenessSettings};
--- a/crates/node/src/line_limit.rs
+++ b/crates/node/src/line_limit.rs
@@ -9,20 +9,20 @@
 
 /// Counts lines of one kind.
 #[derive(Debug, Clone)]
-pub struct LineLimit {
+pub struct LogLineLimit {
     most: u32,
     since: Timestamp,
     written: u32,
     passed_over: u64,
 }
 
-impl Default for LineLimit {
+impl Default for LogLineLimit {
     fn default() -> Self {
         Self::new(MOST_LINES)
     }
 }
 
-impl LineLimit {
+impl LogLineLimit {
     /// Allows `most` lines a minute.
     pub fn new(most: u32) -> Self {
         Self { most, since: Timestamp::ZERO, written: 0, passed_over: 0 }
--- a/crates/node/src/load_sharing.rs
+++ b/crates/node/src/load_sharing.rs
@@ -23,10 +23,10 @@
 use dahlia_types::{DaemonId, Duration, ReplicaId, Timestamp};
 use serde::Serialize;
 
-pub use message::{ItemLoad, LoadMessage, LoadPart, TellerState};
+pub use message::{ItemLoad, LoadMessage, LoadPart, ReporterState};
 pub use settings::LoadSharingSettings;
 
-use crate::line_limit::LineLimit;
+use crate::line_limit::LogLineLimit;
 use crate::zone_choice::{Candidate, Purpose, chosen, serving};
 use aggregation::Aggregation;
 use byte_budget::ByteBudget;
@@ -40,7 +40,7 @@
 
 /// The loads that all other daemons make of the items in a range. One that is not named has none.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct HeardLoads {
+pub struct PeerLoads {
     /// The first item of the range.
     pub first: u64,
     /// The last one.
@@ -66,7 +66,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LoadAction {
     /// Take in what others make.
-    Heard(HeardLoads),
+    PeerLoads(PeerLoads),
     /// Send a message; it may be lost.
     Send {
         /// Where to.
@@ -126,7 +126,7 @@
     stepped_at: Timestamp,
     last_view: Option<LastView>,
     reaching: Vec<DaemonId>,
-    lines: LineLimit,
+    lines: LogLineLimit,
     actions: Vec<LoadAction>,
 }
 
@@ -149,7 +149,7 @@
             stepped_at: Timestamp::ZERO,
             last_view: None,
             reaching: Vec::new(),
-            lines: LineLimit::default(),
+            lines: LogLineLimit::default(),
             actions: Vec::new(),
         }
     }
@@ -172,7 +172,7 @@
     }
 
     /// Takes in this daemon's own loads, each item once, with the times of the tokens since the call before,
-    /// and does all that is due. Called every [`LoadSharingSettings::tell_interval`].
+    /// and does all that is due. Called every [`LoadSharingSettings::report_interval`].
     pub fn own_loads(&mut self, loads: &[ItemLoad], now: Timestamp) {
         self.note_own_pause(now);
         self.budget.refill(now);
@@ -231,7 +231,7 @@
             return;
         }
         match message {
-            LoadMessage::Told { part, state, reply_to } => {
+            LoadMessage::Report { part, state, reply_to } => {
                 self.aggregation.told(from, &part, state, reply_to, &self.settings, now);
             }
             LoadMessage::Sum { part, reply_to } => {
@@ -292,7 +292,7 @@
     fn take_view(&mut self, part: LoadPart, now: Timestamp) {
         let LoadPart { first, last, age, loads, .. } = part;
         self.last_view = Some(LastView { at: now, age });
-        self.actions.push(LoadAction::Heard(HeardLoads { first, last, age, loads }));
+        self.actions.push(LoadAction::PeerLoads(PeerLoads { first, last, age, loads }));
     }
 
     fn choose_aggregator(&mut self, now: Timestamp) {
--- a/crates/node/src/load_sharing/aggregation.rs
+++ b/crates/node/src/load_sharing/aggregation.rs
@@ -6,7 +6,7 @@
 use dahlia_types::{DaemonId, Duration, ReplicaId, Timestamp};
 
 use super::LoadSharingSettings;
-use super::message::{ItemLoad, LoadMessage, LoadPart, TellerState};
+use super::message::{ItemLoad, LoadMessage, LoadPart, ReporterState};
 use super::token_times::{Origin, TimesLog};
 use super::told::{Taken, ToldLoads};
 use crate::zone_choice::Candidate;
@@ -70,7 +70,7 @@
 struct Follower {
     address: SocketAddr,
     until: Timestamp,
-    state: TellerState,
+    state: ReporterState,
     told: ToldLoads,
     progress: Progress,
 }
@@ -157,7 +157,7 @@
         &mut self,
         from: ReplicaId,
         part: &LoadPart,
-        state: TellerState,
+        state: ReporterState,
         address: SocketAddr,
         settings: &LoadSharingSettings,
         now: Timestamp,
--- a/crates/node/src/load_sharing/message.rs
+++ b/crates/node/src/load_sharing/message.rs
@@ -88,7 +88,7 @@
 
 /// What a daemon says of itself with its loads.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TellerState {
+pub struct ReporterState {
     /// Whether it reaches owners of replica groups.
     pub reaches_groups: bool,
     /// It tells another daemon from now on, and is to be forgotten here.
@@ -99,11 +99,11 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LoadMessage {
     /// The sender's own loads, to the daemon that adds up for it.
-    Told {
+    Report {
         /// The loads.
         part: LoadPart,
         /// What else it says.
-        state: TellerState,
+        state: ReporterState,
         /// Where the sums go.
         reply_to: SocketAddr,
     },
@@ -126,12 +126,12 @@
 impl LoadMessage {
     /// The loads that it brings.
     pub(super) fn part(&self) -> &LoadPart {
-        let (Self::Told { part, .. } | Self::View { part, .. } | Self::Sum { part, .. }) = self;
+        let (Self::Report { part, .. } | Self::View { part, .. } | Self::Sum { part, .. }) = self;
         part
     }
 
     pub(super) fn part_mut(&mut self) -> &mut LoadPart {
-        let (Self::Told { part, .. } | Self::View { part, .. } | Self::Sum { part, .. }) = self;
+        let (Self::Report { part, .. } | Self::View { part, .. } | Self::Sum { part, .. }) = self;
         part
     }
 
--- a/crates/node/src/load_sharing/reporting.rs
+++ b/crates/node/src/load_sharing/reporting.rs
@@ -6,14 +6,14 @@
 use dahlia_types::{Duration, Timestamp};
 
 use super::LoadSharingSettings;
-use super::message::{ItemLoad, LoadMessage, LoadPart, TellerState};
+use super::message::{ItemLoad, LoadMessage, LoadPart, ReporterState};
 
 /// A daemon's own loads, and what was told of them.
 #[derive(Debug)]
 pub(super) struct Reporting {
     own_address: SocketAddr,
     loads: BTreeMap<u64, ItemLoad>,
-    state: TellerState,
+    state: ReporterState,
     /// Times of tokens that are still to be told.
     times: BTreeMap<u64, ItemLoad>,
     loaded_since: Option<Timestamp>,
@@ -27,7 +27,7 @@
         Self {
             own_address,
             loads: BTreeMap::new(),
-            state: TellerState::default(),
+            state: ReporterState::default(),
             times: BTreeMap::new(),
             loaded_since: None,
             told_at: None,
@@ -40,7 +40,7 @@
         let loaded = own.iter().filter(|load| load.is_loaded());
         let loads: BTreeMap<u64, ItemLoad> =
             loaded.map(|load| (load.item, load.untimed())).collect();
-        let state = TellerState { reaches_groups, is_leaving: false };
+        let state = ReporterState { reaches_groups, is_leaving: false };
         self.has_changed |= loads != self.loads || state != self.state;
         for load in own.iter().filter(|load| load.timed_tokens > 0) {
             let time = ItemLoad { in_flight: 0, tokens: 0, ..*load };
@@ -99,7 +99,7 @@
     /// Says that another daemon is told from now on.
     pub(super) fn leave_message(&self) -> LoadMessage {
         let part = LoadPart::from(0, std::iter::empty(), Duration::ZERO);
-        self.message(part, TellerState { is_leaving: true, ..self.state })
+        self.message(part, ReporterState { is_leaving: true, ..self.state })
     }
 
     /// Another daemon is to be told all.
@@ -107,7 +107,7 @@
         self.told_at = None;
     }
 
-    fn message(&self, part: LoadPart, state: TellerState) -> LoadMessage {
-        LoadMessage::Told { part, state, reply_to: self.own_address }
+    fn message(&self, part: LoadPart, state: ReporterState) -> LoadMessage {
+        LoadMessage::Report { part, state, reply_to: self.own_address }
     }
 }
--- a/crates/node/src/load_sharing/settings.rs
+++ b/crates/node/src/load_sharing/settings.rs
@@ -73,7 +73,7 @@
     }
 
     /// Between a daemon's own loads while they change.
-    pub fn tell_interval(&self) -> Duration {
+    pub fn report_interval(&self) -> Duration {
         Duration::from_millis(self.tell_ms)
     }
 
--- a/crates/node/src/loads.rs
+++ b/crates/node/src/loads.rs
@@ -56,7 +56,7 @@
         change(loads);
         for action in loads.take_actions() {
             self.actions.push(match action {
-                LoadAction::Heard(heard) => Action::LoadsHeard(heard),
+                LoadAction::PeerLoads(heard) => Action::LoadsHeard(heard),
                 LoadAction::Send { to, message } => {
                     Action::Send { to, message: PeerMessage::Loads(message) }
                 }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -23,7 +23,7 @@
 use crate::group::Group;
 use crate::history::History;
 use crate::limits::LimitKeepers;
-use crate::line_limit::LineLimit;
+use crate::line_limit::LogLineLimit;
 use crate::load_sharing::{LoadSharing, LoadSharingStatus};
 use crate::members::MOST_MEMBER_LINES;
 use crate::orders::Orders;
@@ -74,7 +74,7 @@
     pub(crate) zone_lists: ZoneLists,
     /// Reports of failed back ends that this life has made.
     pub(crate) failure_reports: u64,
-    pub(crate) member_lines: LineLimit,
+    pub(crate) member_lines: LogLineLimit,
 }
 
 /// What a node says of itself.
@@ -189,7 +189,7 @@
             unsynced: Coalescer::new(),
             draining: false,
             failure_reports: 0,
-            member_lines: LineLimit::new(MOST_MEMBER_LINES),
+            member_lines: LogLineLimit::new(MOST_MEMBER_LINES),
         };
         if node.settings.has_store {
             node.publish_store();
--- a/crates/node/src/reach.rs
+++ b/crates/node/src/reach.rs
@@ -8,7 +8,7 @@
 
 use crate::Action;
 use crate::node::Node;
-use crate::zone_liveness::{GroupCount, Reach, ZoneLiveness};
+use crate::zone_liveness::{GroupCount, Reachability, ZoneLiveness};
 
 /// How long the list of each zone's daemons is used: thousands may join within a second.
 const LIST_LIFETIME: Duration = Duration::from_millis(500);
@@ -79,7 +79,7 @@
     /// A whole zone that falls silent is lost for now: its owners' followers need not wait as long as
     /// for a daemon that may just stand still. Each voter judges by what it hears itself, and one that
     /// hears its leader votes for nobody else.
-    fn give_up_owners(&mut self, reach: &Reach, now: Timestamp) {
+    fn give_up_owners(&mut self, reach: &Reachability, now: Timestamp) {
         for group in self.groups.values_mut() {
             let Some(leader) = group.replica.leader() else { continue };
             let member = self.membership.member(leader.daemon);
--- a/crates/node/src/zone_liveness.rs
+++ b/crates/node/src/zone_liveness.rs
@@ -66,7 +66,7 @@
 
 /// Whom this daemon reaches, as its other parts are told at each change.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Reach {
+pub struct Reachability {
     /// Other zones of which nobody answers.
     pub silent_zones: BTreeSet<Zone>,
     /// Set while this daemon is cut off: see the module.
@@ -143,7 +143,7 @@
     cut_off: Option<CutOff>,
     /// Since when groups are within reach again.
     back_since: Option<Timestamp>,
-    told: Reach,
+    told: Reachability,
 }
 
 impl ZoneLiveness {
@@ -157,7 +157,7 @@
             turn: seed as u16 as usize,
             cut_off: None,
             back_since: None,
-            told: Reach::default(),
+            told: Reachability::default(),
         }
     }
 
@@ -238,7 +238,7 @@
     }
 
     /// Judges whether this daemon is cut off. Gives whom it reaches when that has changed.
-    pub fn judge(&mut self, groups: GroupCount, now: Timestamp) -> Option<Reach> {
+    pub fn judge(&mut self, groups: GroupCount, now: Timestamp) -> Option<Reachability> {
         let is_out = groups.out_of_reach * 2 > groups.all && self.hears_few_zones();
         match (self.cut_off, is_out) {
             (None, true) => {
@@ -261,7 +261,7 @@
         // The others of the own zone may be down while what else is in it is there.
         let is_other = |zone: &&Zone| **zone != self.own_zone;
         let silent = self.zones.keys().filter(is_other).filter(|zone| self.is_silent(zone));
-        let reach = Reach { silent_zones: silent.cloned().collect(), cut_off: self.cut_off };
+        let reach = Reachability { silent_zones: silent.cloned().collect(), cut_off: self.cut_off };
         if reach == self.told {
             return None;
         }
--- a/crates/node/tests/cluster/mod.rs
+++ b/crates/node/tests/cluster/mod.rs
@@ -10,7 +10,9 @@
 use dahlia_ledger::{LedgerCommand, LedgerReply};
 use dahlia_node::request::{Request, RequestId, Response};
 use dahlia_node::wire::PeerMessage;
-use dahlia_node::{Action, Event, LayoutStep, Node, NodeSettings, Reach, ZoneLivenessSettings};
+use dahlia_node::{
+    Action, Event, LayoutStep, Node, NodeSettings, Reachability, ZoneLivenessSettings,
+};
 use dahlia_replication::directory::GroupDescription;
 use dahlia_replication::group::GroupSettings;
 use dahlia_types::{
@@ -47,7 +49,7 @@
     cut: BTreeSet<(u32, u32)>,
     /// By how much longer messages of these daemons take.
     slow: BTreeMap<u32, Duration>,
-    reach: BTreeMap<u32, Reach>,
+    reach: BTreeMap<u32, Reachability>,
     has_zones: bool,
     lost_responses: u32,
     answers_to_stranger: u32,
@@ -128,7 +130,7 @@
     }
 
     /// Whom a daemon reaches, as it said last.
-    pub fn reach(&self, daemon: u32) -> Reach {
+    pub fn reach(&self, daemon: u32) -> Reachability {
         self.reach.get(&daemon).cloned().unwrap_or_default()
     }
 
--- a/crates/node/tests/feed.rs
+++ b/crates/node/tests/feed.rs
@@ -226,7 +226,7 @@
                     // A long watch is given up for others.
                     daemon.call.take_if(|_| reading == SourceReading::ForOthers);
                 }
-                FeedAction::Order(FeedOrder::Take(report)) => {
+                FeedAction::Order(FeedOrder::Apply(report)) => {
                     assert!(report.after <= daemon.known, "daemon {number} would miss changes");
                     daemon.known = daemon.known.max(report.at);
                 }
@@ -408,7 +408,7 @@
     reader.subscribed(DaemonId(2), 100, address(2), now);
     reader.take_actions();
     reader.reported(report(100, 150), now);
-    let takes = |action: &FeedAction| matches!(action, FeedAction::Order(FeedOrder::Take(_)));
+    let takes = |action: &FeedAction| matches!(action, FeedAction::Order(FeedOrder::Apply(_)));
     assert!(!reader.take_actions().iter().any(takes), "its own next read begins at 100");
     reader.read(report(100, 160), now);
     let sent = reader.take_actions();
--- a/crates/node/tests/load_sharing.rs
+++ b/crates/node/tests/load_sharing.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeSet;
 
 use dahlia_node::load_sharing::{
-    ItemLoad, LoadMessage, LoadPart, LoadSharingSettings, LoadSharingStatus, TellerState,
+    ItemLoad, LoadMessage, LoadPart, LoadSharingSettings, LoadSharingStatus, ReporterState,
 };
 use dahlia_types::Duration;
 use regions::{Fault, Region, SHARED_ITEM};
@@ -354,7 +354,7 @@
     let aggregator = region.aggregator_of_zone(0);
     region.switch_off(aggregator, false);
     region.pass(FORGOTTEN);
-    let heard = LoadMessage::Told {
+    let heard = LoadMessage::Report {
         part: LoadPart {
             number: u64::MAX,
             first: 0,
@@ -362,7 +362,7 @@
             age: ms(0),
             loads: Vec::new(),
         },
-        state: TellerState::default(),
+        state: ReporterState::default(),
         reply_to: regions::address(99),
     };
     region.pass(Duration::from_secs(5));
@@ -511,8 +511,8 @@
         let mut region = Region::settled(1, 13);
         let aggregator = region.aggregator_of_zone(0);
         let follower = region.others(aggregator)[0];
-        let (state, reply_to) = (TellerState::default(), regions::address(follower));
-        let told = LoadMessage::Told { part: part.clone(), state, reply_to };
+        let (state, reply_to) = (ReporterState::default(), regions::address(follower));
+        let told = LoadMessage::Report { part: part.clone(), state, reply_to };
         region.receive(aggregator, follower, told);
         region.receive(aggregator, follower, LoadMessage::Sum { part: part.clone(), reply_to });
         region.receive(follower, aggregator, LoadMessage::View { part, reaching: Vec::new() });
--- a/crates/node/tests/regions/mod.rs
+++ b/crates/node/tests/regions/mod.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddr;
 
 use dahlia_node::load_sharing::{
-    HeardLoads, ItemLoad, LoadAction, LoadMessage, LoadSharing, LoadSharingSettings,
-    LoadSharingStatus, SharingMembers,
+    ItemLoad, LoadAction, LoadMessage, LoadSharing, LoadSharingSettings, LoadSharingStatus,
+    PeerLoads, SharingMembers,
 };
 use dahlia_types::{DaemonId, Duration, Incarnation, ReplicaId, Timestamp};
 use rand::{Rng, SeedableRng};
@@ -465,7 +465,7 @@
         let now = self.now;
         for action in self.daemon(number).sharing.take_actions() {
             match action {
-                LoadAction::Heard(heard) => self.take_view(number, heard),
+                LoadAction::PeerLoads(heard) => self.take_view(number, heard),
                 LoadAction::Send { to, message } => {
                     let bytes = bytes(&message);
                     self.longest_message = self.longest_message.max(bytes);
@@ -530,8 +530,8 @@
         self.carry_out(number);
     }
 
-    fn take_view(&mut self, number: u32, heard: HeardLoads) {
-        let HeardLoads { first, last, loads, .. } = heard;
+    fn take_view(&mut self, number: u32, heard: PeerLoads) {
+        let PeerLoads { first, last, loads, .. } = heard;
         let now = self.now;
         let from = self.servers.partition_point(|server| *server < first);
         let to = self.servers.partition_point(|server| *server <= last);
--- a/crates/node/tests/wire_forms.rs
+++ b/crates/node/tests/wire_forms.rs
@@ -22,7 +22,7 @@
     VersionedLimit,
 };
 use dahlia_node::feed::{FeedMessage, SourceReport};
-use dahlia_node::load_sharing::{ItemLoad, LoadMessage, LoadPart, TellerState};
+use dahlia_node::load_sharing::{ItemLoad, LoadMessage, LoadPart, ReporterState};
 use dahlia_node::request::{Request, RequestId, Response};
 use dahlia_node::wire::{Carriage, Hello, PROTOCOL_VERSION, PeerMessage, Purpose};
 use dahlia_program::Command;
@@ -361,8 +361,8 @@
         age: Duration::from_millis(150),
         loads: vec![load(7), load(u64::MAX - 1)],
     };
-    let state = TellerState { reaches_groups: true, is_leaving: false };
-    let told = LoadMessage::Told { part: part(), state, reply_to: address() };
+    let state = ReporterState { reaches_groups: true, is_leaving: false };
+    let told = LoadMessage::Report { part: part(), state, reply_to: address() };
     let view = LoadMessage::View { part: part(), reaching: vec![DaemonId(7), DaemonId(70_000)] };
     let sum = LoadMessage::Sum { part: part(), reply_to: address() };
     [("loads-told", told), ("loads-view", view), ("loads-sum", sum)]
--- a/crates/node/tests/zone_cuts.rs
+++ b/crates/node/tests/zone_cuts.rs
@@ -6,7 +6,7 @@
 
 use cluster::{Cluster, GATEWAY, STORES, gateway_beside};
 use dahlia_ledger::{LedgerCommand, LedgerReply, OpenTurn, ProgramName, TurnId};
-use dahlia_node::Reach;
+use dahlia_node::Reachability;
 use dahlia_node::request::Response;
 use dahlia_replication::group::GroupSettings;
 use dahlia_types::{Duration, Timestamp, Tokens, Zone};
@@ -81,7 +81,7 @@
         assert_eq!(reach.cut_off, None);
     }
     cluster.mend();
-    let is_back = |cluster: &Cluster| cluster.reach(GATEWAY) == Reach::default();
+    let is_back = |cluster: &Cluster| cluster.reach(GATEWAY) == Reachability::default();
     cluster.run_until(Duration::from_secs(1), is_back);
 }
 
@@ -114,7 +114,7 @@
         cluster.ask(open(&format!("turn-{round}")));
         cluster.pass(Duration::from_secs(1));
         for store in STORES {
-            assert_eq!(cluster.reach(gateway_beside(store)), Reach::default());
+            assert_eq!(cluster.reach(gateway_beside(store)), Reachability::default());
         }
     }
 }
--- a/crates/node/tests/zone_liveness.rs
+++ b/crates/node/tests/zone_liveness.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use dahlia_node::zone_liveness::{GroupCount, ZoneLiveness};
-use dahlia_node::{Reach, ZoneLivenessSettings};
+use dahlia_node::{Reachability, ZoneLivenessSettings};
 use dahlia_replication::directory::GroupDescription;
 use dahlia_types::{
     DaemonId, Duration, GroupHomes, GroupId, Incarnation, LogIndex, Region, ReplicaId, Term,
@@ -35,7 +35,7 @@
     /// The zones of each group's voters.
     voters: Vec<Zone>,
     now: Timestamp,
-    reach: Reach,
+    reach: Reachability,
     asked: usize,
 }
 
@@ -51,7 +51,14 @@
         // Five: two in the first zone, one in each other; all in one where there is one.
         let voters = zones.iter().cycle().take(4).chain(zones.first());
         let voters = voters.map(|zone| Zone::new(*zone)).collect();
-        Self { zone_liveness, members, voters, now: START, reach: Reach::default(), asked: 0 }
+        Self {
+            zone_liveness,
+            members,
+            voters,
+            now: START,
+            reach: Reachability::default(),
+            asked: 0,
+        }
     }
 
     /// Lets time pass while the daemons of some zones answer, and nobody sends of its own accord.
@@ -90,7 +97,7 @@
         &mut self,
         limit: Duration,
         answering: &[&str],
-        is_done: impl Fn(&Reach) -> bool,
+        is_done: impl Fn(&Reachability) -> bool,
     ) -> Duration {
         let began = self.now;
         while !is_done(&self.reach) {
@@ -175,13 +182,13 @@
     for case in cases {
         let mut bed = Bed::new(case.zones);
         bed.pass(Duration::from_secs(3), case.zones);
-        assert_eq!(bed.reach, Reach::default(), "{}: before", case.name);
+        assert_eq!(bed.reach, Reachability::default(), "{}: before", case.name);
         bed.pass(Duration::from_secs(2), case.answering);
         assert_eq!(bed.reach.silent_zones, zones(case.silent), "{}", case.name);
         let alone = bed.reach.cut_off.map(|cut| cut.is_alone);
         assert_eq!(alone, case.cut_off, "{}", case.name);
         bed.pass(Duration::from_secs(1), case.zones);
-        assert_eq!(bed.reach, Reach::default(), "{}: after the cut", case.name);
+        assert_eq!(bed.reach, Reachability::default(), "{}: after the cut", case.name);
     }
 }
 
@@ -206,7 +213,7 @@
         bed.zone_liveness.doubt(None, bed.now);
         bed.pass(Duration::from_millis(200), &ZONES);
     }
-    assert_eq!(bed.reach, Reach::default());
+    assert_eq!(bed.reach, Reachability::default());
 }
 
 /// All gateways see these stores down: none of them would gain by turning callers away.
@@ -254,7 +261,7 @@
     bed.now = bed.now + Duration::from_secs(5);
     bed.step(&ZONES);
     bed.pass(Duration::from_millis(60), &ZONES);
-    assert_eq!(bed.reach, Reach::default());
+    assert_eq!(bed.reach, Reachability::default());
 }
 
 /// An isolated region loses the groups of other regions, and its own work.
