--- a/crates/daemon/src/group_services.rs
+++ b/crates/daemon/src/group_services.rs
@@ -18,20 +18,20 @@
 }
 
 impl TurnLedger for GroupServices {
-    async fn ask(
+    async fn submit(
         &self,
         command: LedgerCommand,
         patience: Duration,
     ) -> Result<LedgerReply, LedgerUnavailable> {
-        self.ledger.ask(command, patience).await
+        self.ledger.submit(command, patience).await
     }
 
-    async fn ask_for_kept(
+    async fn submit_for_retained_turn(
         &self,
         command: LedgerCommand,
         patience: Duration,
     ) -> Result<LedgerReply, LedgerUnavailable> {
-        self.ledger.ask_for_kept(command, patience).await
+        self.ledger.submit_for_retained_turn(command, patience).await
     }
 }
 
@@ -46,7 +46,7 @@
         self.limits.admit(tenant, limit, program, most_wait).await
     }
 
-    fn give_back(&self, tenant: &TenantId, program: Option<ProgramKey>) {
-        self.limits.give_back(tenant, program);
+    fn refund(&self, tenant: &TenantId, program: Option<ProgramKey>) {
+        self.limits.refund(tenant, program);
     }
 }
--- a/crates/daemon/src/ledger_client.rs
+++ b/crates/daemon/src/ledger_client.rs
@@ -102,7 +102,7 @@
             Err(error) => log::warn!(
                 target: "ledger",
                 request = request, group:% = group, cause:% = error,
-                was_asked = !error.was_not_asked, took_ms = took_ms;
+                was_asked = !error.was_not_submitted, took_ms = took_ms;
                 "No answer of the ledger."
             ),
         }
@@ -117,7 +117,7 @@
     ) -> Result<LedgerReply, LedgerUnavailable> {
         let mut reach = self.core.reach();
         if let Some(cut) = reach.borrow_and_update().cut_off {
-            return Err(LedgerUnavailable { was_not_asked: true, ..self.turned_away(cut) });
+            return Err(LedgerUnavailable { was_not_submitted: true, ..self.turned_away(cut) });
         }
         let now = self.clock.now();
         let admission = self.breaker().admit(group, standing(&command), left(until), now);
@@ -130,7 +130,7 @@
                 return Err(LedgerUnavailable {
                     reason: format!("{group} is silent"),
                     retry_after: Some(retry_after),
-                    was_not_asked: true,
+                    was_not_submitted: true,
                 });
             }
         };
@@ -160,7 +160,7 @@
         LedgerUnavailable {
             reason: "this daemon is cut off".to_owned(),
             retry_after: Some(retry_after),
-            was_not_asked: false,
+            was_not_submitted: false,
         }
     }
 
@@ -200,7 +200,7 @@
 
     fn unavailable<T>(&self, group: GroupId, reason: String) -> Result<T, LedgerUnavailable> {
         let retry_after = Some(self.breaker().retry_after(group, self.clock.now()));
-        Err(LedgerUnavailable { reason, retry_after, was_not_asked: false })
+        Err(LedgerUnavailable { reason, retry_after, was_not_submitted: false })
     }
 
     /// A new program may go on from a turn of an earlier program, which another group holds.
@@ -289,7 +289,7 @@
             ) => {
                 let opened = self.open_from_elsewhere(open, previous, group, until).await;
                 // The first opening was put to the ledger, whatever came of the later steps.
-                opened.map_err(|error| LedgerUnavailable { was_not_asked: false, ..error })
+                opened.map_err(|error| LedgerUnavailable { was_not_submitted: false, ..error })
             }
             (_, reply) => Ok(reply),
         }
@@ -301,7 +301,7 @@
 }
 
 impl TurnLedger for LedgerClient {
-    async fn ask(
+    async fn submit(
         &self,
         command: LedgerCommand,
         patience: Duration,
@@ -311,7 +311,7 @@
         self.ask_owner(group, command, patience).await
     }
 
-    async fn ask_for_kept(
+    async fn submit_for_retained_turn(
         &self,
         command: LedgerCommand,
         patience: Duration,
--- a/crates/daemon/src/limit_client.rs
+++ b/crates/daemon/src/limit_client.rs
@@ -176,7 +176,7 @@
 impl Drop for Waiting<'_> {
     fn drop(&mut self) {
         if !self.has_passed {
-            self.client.give_back(self.tenant, self.program);
+            self.client.refund(self.tenant, self.program);
         }
     }
 }
@@ -222,7 +222,7 @@
         Ok(())
     }
 
-    fn give_back(&self, tenant: &TenantId, program: Option<ProgramKey>) {
+    fn refund(&self, tenant: &TenantId, program: Option<ProgramKey>) {
         let keeper = group_of_tenant(tenant, self.groups);
         if self.gateway().refund(keeper, tenant, program, self.clock.now()) {
             self.report_now(keeper);
--- a/crates/daemon/tests/ledger_client.rs
+++ b/crates/daemon/tests/ledger_client.rs
@@ -72,7 +72,7 @@
     let end = TurnEnd::Completed { generated: Tokens(1), output, served_by: "server".into() };
     let (program, turn) = (program.clone(), TurnId::new(None, turn));
     let close = CloseTurn { program, turn, end, at: Timestamp::ZERO };
-    let reply = client.ask(LedgerCommand::Close(close), PATIENCE).await;
+    let reply = client.submit(LedgerCommand::Close(close), PATIENCE).await;
     assert_eq!(reply, Ok(LedgerReply::Closed));
 }
 
@@ -80,19 +80,19 @@
 async fn a_program_goes_on_from_a_turn_in_another_group() {
     let client = client(None);
     let (earlier, later) = (program_in(0), program_in(3));
-    client.ask(open(&earlier, "one", None), PATIENCE).await.expect("opened");
-    let early = client.ask(open(&later, "two", Some("one")), PATIENCE).await;
+    client.submit(open(&earlier, "one", None), PATIENCE).await.expect("opened");
+    let early = client.submit(open(&later, "two", Some("one")), PATIENCE).await;
     let previous = TurnId::new(None, "one");
     assert_eq!(early, Ok(LedgerReply::Refused(TurnRefusal::NotEnded { previous })));
     end_whole(&client, &earlier, "one").await;
     for _ in 0..2 {
-        match client.ask(open(&later, "two", Some("one")), PATIENCE).await {
+        match client.submit(open(&later, "two", Some("one")), PATIENCE).await {
             Ok(LedgerReply::Opened(opened)) => assert_eq!(opened.history, b"inout"),
             other => panic!("not opened: {other:?}"),
         }
     }
     end_whole(&client, &later, "two").await;
-    match client.ask(open(&later, "three", Some("two")), PATIENCE).await {
+    match client.submit(open(&later, "three", Some("two")), PATIENCE).await {
         Ok(LedgerReply::Opened(opened)) => assert_eq!(opened.history, b"inoutinout"),
         other => panic!("not opened: {other:?}"),
     }
@@ -103,8 +103,8 @@
     let previous = TurnId::new(None, "unknown");
     let nobody = LedgerReply::Refused(TurnRefusal::NoSuchTurn { previous });
     let command = open(&program_in(0), "one", Some("unknown"));
-    assert_eq!(client(None).ask(command.clone(), PATIENCE).await, Ok(nobody));
-    let unsure = client(Some(GroupId(2))).ask(command, PATIENCE).await;
+    assert_eq!(client(None).submit(command.clone(), PATIENCE).await, Ok(nobody));
+    let unsure = client(Some(GroupId(2))).submit(command, PATIENCE).await;
     assert!(unsure.expect_err("one group is silent").reason.contains("no owner"));
 }
 
@@ -147,24 +147,24 @@
 async fn callers_are_not_held_for_a_silent_group_and_come_back_when_it_answers() {
     let (client, owner) = client_with_owner();
     let program = program_in(0);
-    let first = client.ask(open(&program, "one", None), PATIENCE).await.expect_err("silent");
+    let first = client.submit(open(&program, "one", None), PATIENCE).await.expect_err("silent");
     assert_eq!(first.retry_after, Some(Duration::from_millis(400)));
-    assert!(!first.was_not_asked, "it may be recorded");
+    assert!(!first.was_not_submitted, "it may be recorded");
     let both = || {
         let (two, three) = (open(&program, "two", None), open(&program, "three", None));
-        futures::future::join(client.ask(two, PATIENCE), client.ask(three, PATIENCE))
+        futures::future::join(client.submit(two, PATIENCE), client.submit(three, PATIENCE))
     };
     for _ in 0..2 {
         let (probe, refused) = both().await;
-        assert!(!probe.expect_err("silent").was_not_asked);
-        assert!(refused.expect_err("silent").was_not_asked, "one probe at a time");
+        assert!(!probe.expect_err("silent").was_not_submitted);
+        assert!(refused.expect_err("silent").was_not_submitted, "one probe at a time");
     }
     assert!(both().now_or_never().is_none(), "the probe's caller leaves");
     let (probe, _) = both().await;
-    assert!(!probe.expect_err("silent").was_not_asked, "its place is free");
+    assert!(!probe.expect_err("silent").was_not_submitted, "its place is free");
     assert_eq!(owner.asked.load(Ordering::SeqCst), 5);
     owner.answers.send_replace(true);
-    assert!(client.ask(open(&program, "two", None), PATIENCE).await.is_ok());
+    assert!(client.submit(open(&program, "two", None), PATIENCE).await.is_ok());
     let (first, second) = both().await;
     assert!(first.is_ok() && second.is_ok());
 }
@@ -173,14 +173,14 @@
 async fn an_end_is_put_to_a_silent_group_and_waits_longer() {
     let (client, owner) = client_with_owner();
     let program = program_in(0);
-    client.ask(open(&program, "one", None), PATIENCE).await.expect_err("silent");
+    client.submit(open(&program, "one", None), PATIENCE).await.expect_err("silent");
     let end = TurnEnd::NotRun;
     let turn = TurnId::new(None, "one");
     let close = CloseTurn { program: program.clone(), turn, end, at: Timestamp::ZERO };
-    let closing = client.ask(LedgerCommand::Close(close), PATIENCE);
+    let closing = client.submit(LedgerCommand::Close(close), PATIENCE);
     let answering = async {
         // An opening is given up in the meantime.
-        client.ask(open(&program, "two", None), PATIENCE).await.expect_err("silent");
+        client.submit(open(&program, "two", None), PATIENCE).await.expect_err("silent");
         owner.answers.send_replace(true);
     };
     let (closed, ()) = tokio::join!(closing, answering);
@@ -193,7 +193,7 @@
 async fn callers_of_a_daemon_that_is_cut_off_are_let_go_at_once() {
     let (client, owner) = client_with_owner_and(LedgerBreakerSettings::default());
     let program = program_in(0);
-    let waiting = client.ask(open(&program, "one", None), PATIENCE);
+    let waiting = client.submit(open(&program, "one", None), PATIENCE);
     let cutting = async {
         while owner.asked.load(Ordering::SeqCst) == 0 {
             tokio::task::yield_now().await;
@@ -203,12 +203,12 @@
     };
     let (let_go, ()) = tokio::join!(waiting, cutting);
     let let_go = let_go.expect_err("cut off");
-    assert!(!let_go.was_not_asked, "it may be recorded");
+    assert!(!let_go.was_not_submitted, "it may be recorded");
     assert_eq!(let_go.retry_after, Some(Duration::from_millis(50)), "another one may reach it");
-    let refused = client.ask(open(&program, "two", None), PATIENCE).now_or_never();
-    assert!(refused.expect("at once").expect_err("cut off").was_not_asked);
+    let refused = client.submit(open(&program, "two", None), PATIENCE).now_or_never();
+    assert!(refused.expect("at once").expect_err("cut off").was_not_submitted);
     assert_eq!(owner.asked.load(Ordering::SeqCst), 1);
     owner.reach.send_replace(Reach::default());
     owner.answers.send_replace(true);
-    assert!(client.ask(open(&program, "three", None), PATIENCE).await.is_ok());
+    assert!(client.submit(open(&program, "three", None), PATIENCE).await.is_ok());
 }
--- a/crates/daemon/tests/ledger_regions.rs
+++ b/crates/daemon/tests/ledger_regions.rs
@@ -124,7 +124,7 @@
 type Answer = Result<LedgerReply, LedgerUnavailable>;
 
 async fn ask(client: &LedgerClient, command: LedgerCommand) -> Answer {
-    client.ask_for_kept(command, PATIENCE).await
+    client.submit_for_retained_turn(command, PATIENCE).await
 }
 
 async fn run(client: &LedgerClient, turn: &str, previous: Option<&str>, tokens: u64) -> OpenedTurn {
@@ -150,7 +150,7 @@
 async fn other_turns_and_systems_of_one_region_use_all_groups() {
     let system = System::new();
     let anywhere = group_of(&program(), GROUPS);
-    let _ = system.in_region("east").ask(open("one", None, 10), PATIENCE).await;
+    let _ = system.in_region("east").submit(open("one", None, 10), PATIENCE).await;
     assert_eq!(system.asked("open"), [anywhere], "a turn that is not kept");
     let _ = ask(&system.client, open("two", None, 10)).await;
     assert_eq!(system.asked("open"), [anywhere], "no regions");
--- a/crates/relay/src/answer.rs
+++ b/crates/relay/src/answer.rs
@@ -16,10 +16,10 @@
 use crate::decisions::LeavingGuard;
 use crate::events::EventReader;
 use crate::exchange::{Answer, Exchange};
-use crate::held::{Held, NotHeld};
 use crate::hop;
 use crate::live::{BrokenAnswer, LiveAnswer};
-use crate::token_pauses::TokenPauses;
+use crate::memory::{Held, NotHeld};
+use crate::token_intervals::TokenIntervals;
 use crate::turn::Turn;
 
 /// Makes the caller's answer from a server's.
@@ -88,7 +88,7 @@
     events: Option<EventReader>,
     is_resumed: bool,
     /// For model servers: how soon tokens come.
-    pauses: Option<TokenPauses>,
+    pauses: Option<TokenIntervals>,
     /// The server whose answer ended whole.
     served_by: String,
     /// Why the stream is broken off; what the caller's leaving leaves behind otherwise.
@@ -107,7 +107,7 @@
     fn new(exchange: Exchange<L>, live: Box<LiveAnswer>, first: Option<Bytes>) -> Self {
         let needs_events = exchange.route().is_resumable || exchange.turn.is_some();
         let engine = exchange.matched.service().and_then(|service| service.engine.as_ref());
-        let pauses = engine.map(|engine| TokenPauses::new(engine.tokens_per_event));
+        let pauses = engine.map(|engine| TokenIntervals::new(engine.tokens_per_event));
         let mut leaving = LeavingGuard::default();
         leaving.began(exchange.log.clone());
         Self {
@@ -185,7 +185,7 @@
             match self.read().await {
                 Some(Ok(piece)) => {
                     if let Some(pauses) = &mut self.pauses {
-                        pauses.piece_came(waited_since, Instant::now());
+                        pauses.record_piece(waited_since, Instant::now());
                     }
                     if let Err(error) = self.hold(piece.len()).await {
                         return self.break_off(&error.to_string());
@@ -198,7 +198,7 @@
                     }
                 }
                 None => {
-                    if let Some(rest) = self.take_rest() {
+                    if let Some(rest) = self.take_remainder() {
                         return Next::Piece(rest);
                     }
                     if self.live.is_none() {
@@ -238,7 +238,7 @@
         }
         while let Some(event) = events.next_event() {
             let times = self.pauses.as_mut().filter(|_| event.data.is_some());
-            let times = times.and_then(TokenPauses::event_came);
+            let times = times.and_then(TokenIntervals::record_event);
             let held = self.unread.split(event.raw.len());
             let last = self.exchange.last_event.as_deref();
             let kept = self.exchange.turn.as_ref().filter(|turn| turn.retains());
@@ -262,18 +262,18 @@
     }
 
     /// The server's answer has ended whole: bytes behind its last event belong to it, too.
-    fn take_rest(&mut self) -> Option<Bytes> {
+    fn take_remainder(&mut self) -> Option<Bytes> {
         if let Some(live) = self.live.take() {
             self.served_by = live.server().to_string();
         }
-        let rest = self.events.as_mut()?.take_rest();
+        let rest = self.events.as_mut()?.take_remainder();
         let held = self.unread.split(rest.len());
         Some(held.tie_to(rest)).filter(|rest| !rest.is_empty())
     }
 
     fn has_overlong_event(&self) -> bool {
         let most = self.exchange.shared.settings.most_answer_bytes;
-        self.events.as_ref().is_some_and(|events| events.pending() > most)
+        self.events.as_ref().is_some_and(|events| events.pending_bytes() > most)
     }
 
     async fn end(&mut self) -> Next {
@@ -288,7 +288,7 @@
     async fn resume(&mut self) -> bool {
         self.live = None;
         if let Some(events) = &mut self.events {
-            events.take_rest();
+            events.take_remainder();
         }
         self.unread = self.exchange.caller.nothing();
         while self.exchange.answer_lost().await.is_ok() {
--- a/crates/relay/src/events.rs
+++ b/crates/relay/src/events.rs
@@ -70,12 +70,12 @@
     }
 
     /// Bytes of an event that is not whole yet.
-    pub fn pending(&self) -> usize {
+    pub fn pending_bytes(&self) -> usize {
         self.buffer.len()
     }
 
     /// Takes out the bytes of an event that is not whole.
-    pub fn take_rest(&mut self) -> Bytes {
+    pub fn take_remainder(&mut self) -> Bytes {
         self.scanned = 0;
         std::mem::take(&mut self.buffer)
     }
--- a/crates/relay/src/exchange.rs
+++ b/crates/relay/src/exchange.rs
@@ -14,8 +14,8 @@
 use crate::attempt::{Sending, Sent, connect};
 use crate::counters::count;
 use crate::decisions::RequestLog;
-use crate::held::{CallerBytes, HeldBody};
 use crate::live::{AttemptGuard, BrokenAnswer, Chosen, LiveAnswer, NoWholeAnswer};
+use crate::memory::{CallerBytes, HeldBody};
 use crate::outgoing::Outgoing;
 use crate::prompt_parts::SharedParts;
 use crate::refusal::Refusal;
@@ -25,7 +25,7 @@
 use crate::silence::{Reachability, reachability};
 use crate::turn::Turn;
 use crate::waiting::SlotGuard;
-use crate::{Repeatability, Route, TurnLedger, level};
+use crate::{Repeatability, Route, TurnLedger, priority_level};
 
 /// A request on its way, whichever servers it meets.
 pub(crate) struct Exchange<L: TurnLedger> {
@@ -222,7 +222,7 @@
             head: &self.head,
             body: &self.body.bytes,
             expected_instance: &server.id,
-            priority: level(self.matched.rank(), self.head.program_time_left),
+            priority: priority_level(self.matched.rank(), self.head.program_time_left),
             tenant: self.matched.tenant().map(|tenant| &tenant.name),
             last_event: self.last_event.as_ref(),
             deadline: self.deadline,
--- a/crates/relay/src/headers.rs
+++ b/crates/relay/src/headers.rs
@@ -42,7 +42,7 @@
     /// Names the object that a request concerns, among a caller's cookies.
     pub object_cookie: &'static str,
     /// Further headers that only the relay or those behind it may set: a caller's are dropped.
-    pub not_for_callers: Vec<HeaderName>,
+    pub internal: Vec<HeaderName>,
 }
 
 impl HeaderNames {
@@ -50,6 +50,6 @@
     /// before anything reads it.
     pub(crate) fn reserved(&self) -> impl Iterator<Item = &HeaderName> {
         let own = [&self.deadline, &self.expected_instance, &self.priority, &self.tenant];
-        own.into_iter().chain(&self.not_for_callers)
+        own.into_iter().chain(&self.internal)
     }
 }
--- a/crates/relay/src/ledger.rs
+++ b/crates/relay/src/ledger.rs
@@ -15,7 +15,7 @@
     /// When it is worth coming back, if that is known.
     pub retry_after: Option<Duration>,
     /// The command was not put to the ledger at all: there is nothing to undo.
-    pub was_not_asked: bool,
+    pub was_not_submitted: bool,
 }
 
 /// The ledger of turns and budgets, wherever it is.
@@ -26,7 +26,7 @@
     ///
     /// # Errors
     /// [`LedgerUnavailable`]; the command may have been recorded, and may be repeated.
-    fn ask(
+    fn submit(
         &self,
         command: LedgerCommand,
         patience: Duration,
@@ -36,12 +36,12 @@
     /// commands on one turn have to come the same way.
     ///
     /// # Errors
-    /// As [`Self::ask`].
-    fn ask_for_kept(
+    /// As [`Self::submit`].
+    fn submit_for_retained_turn(
         &self,
         command: LedgerCommand,
         patience: Duration,
     ) -> impl Future<Output = Result<LedgerReply, LedgerUnavailable>> + Send {
-        self.ask(command, patience)
+        self.submit(command, patience)
     }
 }
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -23,7 +23,7 @@
 //! | `relay` | what all requests share |
 //! | `server`, `caller`, `body` | callers' connections, their time limits, bodies of answers |
 //! | `request`, `router`, `tenant`, `turn`, `exchange`, `attempt`, `answer`, `refusal` | the steps above |
-//! | `held` | bytes held for callers and servers, and their bounds |
+//! | `memory` | bytes held for callers and servers, and their bounds |
 //! | `place` | a place at a server, or a wait for it |
 //! | `waiting` | the queues of those that wait |
 //! | `stage` | whether a request belongs to a program under way |
@@ -34,7 +34,7 @@
 //! | `silence` | servers that fall silent |
 //! | `rest_limit` | how long a connection may have rested for a request that runs once |
 //! | `events` | server-sent events cut out of a stream |
-//! | `token_pauses` | how soon a stream's tokens come |
+//! | `token_intervals` | how soon a stream's tokens come |
 //! | `settings`, `counters`, `metrics` | settings, and what is counted and timed |
 //! | `decisions` | log lines on a request's decisions |
 
@@ -48,11 +48,11 @@
 mod events;
 mod exchange;
 mod headers;
-mod held;
 mod hop;
 mod ledger;
 mod limits;
 mod live;
+mod memory;
 mod metrics;
 mod outgoing;
 mod place;
@@ -69,7 +69,7 @@
 mod silence;
 mod stage;
 mod tenant;
-mod token_pauses;
+mod token_intervals;
 mod turn;
 mod urgency;
 mod waiting;
@@ -77,14 +77,14 @@
 pub use counters::CounterReadings;
 pub use events::{Event, EventReader};
 pub use headers::HeaderNames;
-pub use held::HeldBounds;
 pub use ledger::{LedgerUnavailable, TurnLedger};
 pub use limits::{LimitReached, TenantLimits};
+pub use memory::MemoryLimits;
 pub use relay::{Clock, Relay};
 pub use routes::{
     CallerLimits, EngineSpecification, Repeatability, Route, RouteTable, Service, Tenant,
     WeightedService,
 };
 pub use settings::RelaySettings;
-pub use token_pauses::TokenPauses;
-pub use urgency::{RankPlace, level};
+pub use token_intervals::TokenIntervals;
+pub use urgency::{RankPosition, priority_level};
--- a/crates/relay/src/limits.rs
+++ b/crates/relay/src/limits.rs
@@ -27,9 +27,9 @@
         tenant: &TenantId,
         limit: VersionedLimit,
         program: Option<ProgramKey>,
-        most_wait: Duration,
+        max_wait: Duration,
     ) -> impl Future<Output = Result<(), LimitReached>> + Send;
 
     /// A request that was counted has not run and never will.
-    fn give_back(&self, tenant: &TenantId, program: Option<ProgramKey>);
+    fn refund(&self, tenant: &TenantId, program: Option<ProgramKey>);
 }
--- a/crates/relay/src/live.rs
+++ b/crates/relay/src/live.rs
@@ -14,7 +14,7 @@
 
 use crate::connection::ServerConnection;
 use crate::decisions::RequestLog;
-use crate::held::{Assembly, CallerBytes, HeldBody, NotHeld};
+use crate::memory::{Assembly, CallerBytes, HeldBody, NotHeld};
 use crate::pool::{Keeping, Pool};
 use crate::relay::{Clock, Shared};
 use crate::silence::SilenceWatch;
--- a/crates/relay/src/held.rs
+++ b/crates/relay/src/memory.rs
@@ -24,7 +24,7 @@
 
 /// Bounds on bytes held.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct HeldBounds {
+pub struct MemoryLimits {
     /// For all callers and servers together.
     pub total: usize,
     /// In all, from which on no first turn of a program is taken.
@@ -35,7 +35,7 @@
     pub server: usize,
 }
 
-impl HeldBounds {
+impl MemoryLimits {
     const NONE: Self =
         Self { total: usize::MAX, first_turns: usize::MAX, caller: usize::MAX, server: usize::MAX };
 
@@ -67,7 +67,7 @@
 /// The bytes held by one gateway.
 #[derive(Debug)]
 pub(crate) struct HeldBytes {
-    bounds: HeldBounds,
+    bounds: MemoryLimits,
     total: AtomicUsize,
     /// Buffers of callers' connections. They are bounded by the number of these, and kept apart: idle
     /// connections are no reason to refuse a request.
@@ -82,7 +82,7 @@
 impl HeldBytes {
     pub(crate) fn new(settings: &RelaySettings) -> Arc<Self> {
         Arc::new(Self {
-            bounds: HeldBounds::new(settings),
+            bounds: MemoryLimits::new(settings),
             total: AtomicUsize::new(0),
             connection_buffers: AtomicUsize::new(0),
             to_servers: Mutex::default(),
--- a/crates/relay/src/place.rs
+++ b/crates/relay/src/place.rs
@@ -117,7 +117,7 @@
         let tenant = self.matched.tenant();
         let tenant = tenant.map(|tenant| TenantKey(key_of(tenant.name.as_str().as_bytes())));
         QueuedRequest {
-            rank: self.matched.rank().before,
+            rank: self.matched.rank().earlier,
             stage: self.stage(),
             tenant: tenant.unwrap_or_default(),
             cost: self.cost(),
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -10,7 +10,7 @@
 use tokio::sync::watch;
 
 use crate::counters::{CounterReadings, Counters};
-use crate::held::HeldBytes;
+use crate::memory::HeldBytes;
 use crate::metrics::RelayMetrics;
 use crate::pool::Pool;
 use crate::router::Routing;
@@ -126,7 +126,7 @@
     }
 
     /// Sends as little as possible to servers of these zones, of which nobody answers here.
-    pub fn pass_over(&self, silent: BTreeSet<Zone>) {
+    pub fn set_silent_zones(&self, silent: BTreeSet<Zone>) {
         self.lock_backends().set_silent_zones(silent);
     }
 
@@ -154,14 +154,14 @@
     /// While set, answers close their callers' connections: this gateway is cut off, and those that come
     /// back on new connections may reach one that is not. Resting connections stay: a caller cannot
     /// tell their end from a lost request.
-    pub fn turn_away(&self, is_cut_off: bool) {
+    pub fn set_cut_off(&self, is_cut_off: bool) {
         self.shared.turning_away.store(is_cut_off, Ordering::Relaxed);
     }
 
     /// Refuses every request that is read whole from now on: it has not run, and its caller is
     /// told when to come back. For the end of a planned stop, when a request that began now might
     /// be cut; callers may still come, because whoever sends them here learns of the stop late.
-    pub fn refuse_new(&self) {
+    pub fn refuse_new_requests(&self) {
         self.shared.refusing.store(true, Ordering::Relaxed);
     }
 
--- a/crates/relay/src/request.rs
+++ b/crates/relay/src/request.rs
@@ -12,7 +12,7 @@
 use snafu::Snafu;
 use tokio::time::{Duration, Instant, timeout_at};
 
-use crate::held::{Assembly, CallerBytes, HeldBody, NotHeld};
+use crate::memory::{Assembly, CallerBytes, HeldBody, NotHeld};
 use crate::refusal::Refusal;
 use crate::{CallerLimits, HeaderNames, hop};
 
--- a/crates/relay/src/router.rs
+++ b/crates/relay/src/router.rs
@@ -7,7 +7,7 @@
 use dahlia_backends::ServiceName;
 use dahlia_types::KeyDigest;
 
-use crate::{RankPlace, Route, RouteTable, Service, Tenant, WeightedService};
+use crate::{RankPosition, Route, RouteTable, Service, Tenant, WeightedService};
 
 /// Routes in force, arranged for look-up.
 #[derive(Debug)]
@@ -19,7 +19,7 @@
     /// Positions of tenants by the digests of their keys.
     tenants_by_key: HashMap<KeyDigest, usize>,
     /// The places of all ranks that a request may have.
-    ranks: BTreeMap<Rank, RankPlace>,
+    ranks: BTreeMap<Rank, RankPosition>,
     /// Whether requests wait at the gateway while no server takes them.
     may_wait: bool,
 }
@@ -64,7 +64,7 @@
             .flat_map(|(position, tenant)| tenant.keys.iter().map(move |key| (*key, position)));
         let tenants_by_key = keys.collect();
         let ranks = ranks(&table);
-        let place = |rank: &Rank| (*rank, RankPlace::new(*rank, ranks.iter().copied()));
+        let place = |rank: &Rank| (*rank, RankPosition::new(*rank, ranks.iter().copied()));
         let ranks = ranks.iter().map(place).collect();
         // Where neither programs nor tenants are told apart, there is nothing to order them by.
         let may_wait =
@@ -127,12 +127,12 @@
         self.routing.may_wait
     }
 
-    pub(crate) fn rank(&self) -> RankPlace {
+    pub(crate) fn rank(&self) -> RankPosition {
         let rank = rank(self.route(), self.tenant());
         let place = self.routing.ranks.get(&rank);
         // A route that needs no key may have a rank that no tenant has.
         place.copied().unwrap_or_else(|| {
-            RankPlace::new(rank, self.routing.ranks.keys().copied().chain([rank]))
+            RankPosition::new(rank, self.routing.ranks.keys().copied().chain([rank]))
         })
     }
 
--- a/crates/relay/src/routes.rs
+++ b/crates/relay/src/routes.rs
@@ -132,7 +132,7 @@
 
 impl RouteTable {
     /// What the model servers of services have.
-    pub fn engines(&self) -> BTreeMap<ServiceName, EngineCapacity> {
+    pub fn engine_capacities(&self) -> BTreeMap<ServiceName, EngineCapacity> {
         let engine = |service: &Service| {
             let memory = service.engine.as_ref()?.memory;
             Some((service.name.clone(), EngineCapacity { memory }))
--- a/crates/relay/src/server.rs
+++ b/crates/relay/src/server.rs
@@ -23,7 +23,7 @@
 use crate::counters::{Gauge, GaugeGuard, count};
 use crate::decisions::{LeavingGuard, RequestLog};
 use crate::exchange::{Answer, Exchange};
-use crate::held::CallerBytes;
+use crate::memory::CallerBytes;
 use crate::refusal::Refusal;
 use crate::relay::Shared;
 use crate::request::{BodyError, BodyReading, RequestHead};
--- a/crates/relay/src/tenant.rs
+++ b/crates/relay/src/tenant.rs
@@ -71,7 +71,7 @@
 
     /// The request has not run and never will.
     pub(crate) fn give_back<L: TenantLimits>(self, shared: &Shared<L>) {
-        shared.ledger.give_back(&self.tenant, self.program);
+        shared.ledger.refund(&self.tenant, self.program);
     }
 }
 
--- a/crates/relay/src/token_pauses.rs
+++ b/crates/relay/src/token_intervals.rs
@@ -15,7 +15,7 @@
 
 /// The pauses of one server's stream.
 #[derive(Debug)]
-pub struct TokenPauses {
+pub struct TokenIntervals {
     tokens_per_event: Tokens,
     /// When the last piece was read.
     read_at: Option<Instant>,
@@ -27,7 +27,7 @@
     is_first: bool,
 }
 
-impl TokenPauses {
+impl TokenIntervals {
     /// A stream that has not begun, with so many tokens in each event.
     pub fn new(tokens_per_event: Tokens) -> Self {
         Self { tokens_per_event, read_at: None, came_at: None, last_event: None, is_first: true }
@@ -39,7 +39,7 @@
     }
 
     /// A piece of the stream was read, that was waited for since a moment.
-    pub fn piece_came(&mut self, waited_since: Instant, now: Instant) {
+    pub fn record_piece(&mut self, waited_since: Instant, now: Instant) {
         let read_before = self.read_at.replace(now);
         let was_read_at_once =
             read_before.is_none_or(|before| waited_since.duration_since(before) <= MOMENT);
@@ -49,7 +49,7 @@
     }
 
     /// An event was in the last piece. Returns how soon its tokens came, where that is known.
-    pub fn event_came(&mut self) -> Option<TokenTimes> {
+    pub fn record_event(&mut self) -> Option<TokenTimes> {
         let before = mem::replace(&mut self.last_event, self.came_at);
         let pause = self.came_at?.duration_since(before.filter(|_| !self.is_first)?);
         Some(TokenTimes {
--- a/crates/relay/src/turn.rs
+++ b/crates/relay/src/turn.rs
@@ -16,7 +16,7 @@
 
 use crate::counters::{Gauge, GaugeGuard};
 use crate::events::Event;
-use crate::held::{CallerBytes, Held};
+use crate::memory::{CallerBytes, Held};
 use crate::refusal::Refusal;
 use crate::relay::Shared;
 use crate::request::RequestHead;
@@ -84,7 +84,7 @@
             // It may have been recorded: the drop settles it.
             Ok(_) => return Err(Refusal::LedgerUnavailable { retry_after }),
             Err(error) => {
-                if error.was_not_asked {
+                if error.was_not_submitted {
                     self.settled();
                 }
                 let retry_after = error.retry_after.unwrap_or(retry_after);
@@ -118,7 +118,7 @@
         self.retains
     }
 
-    /// An event is handed on to the caller. `held` counts what is kept of it.
+    /// An event is handed on to the caller. `memory` counts what is kept of it.
     pub(crate) fn hand_on(&mut self, event: &Event, held: Held) {
         self.held.join(held);
         let Some(data) = &event.data else { return };
@@ -202,7 +202,7 @@
             Ok(reply) => LedgerUnavailable {
                 reason: format!("it replied {reply:?}"),
                 retry_after: None,
-                was_not_asked: false,
+                was_not_submitted: false,
             },
             Err(error) => error,
         };
@@ -221,8 +221,8 @@
     patience: Duration,
 ) -> Result<LedgerReply, LedgerUnavailable> {
     match retains {
-        true => shared.ledger.ask_for_kept(command, patience).await,
-        false => shared.ledger.ask(command, patience).await,
+        true => shared.ledger.submit_for_retained_turn(command, patience).await,
+        false => shared.ledger.submit(command, patience).await,
     }
 }
 
--- a/crates/relay/src/urgency.rs
+++ b/crates/relay/src/urgency.rs
@@ -10,21 +10,21 @@
 
 /// The place of a route's rank among the ranks of all routes in force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct RankPlace {
+pub struct RankPosition {
     /// Ranks before it.
-    pub before: u32,
+    pub earlier: u32,
     /// All different ranks; one at least.
-    pub of: u32,
+    pub total: u32,
 }
 
-impl RankPlace {
+impl RankPosition {
     /// The place of a rank among others, itself included.
     pub fn new<R: Ord>(rank: R, ranks: impl Iterator<Item = R>) -> Self {
         let mut ranks: Vec<R> = ranks.collect();
         ranks.sort_unstable();
         ranks.dedup();
-        let before = ranks.partition_point(|other| *other < rank) as u32;
-        Self { before, of: ranks.len().max(1) as u32 }
+        let earlier = ranks.partition_point(|other| *other < rank) as u32;
+        Self { earlier, total: ranks.len().max(1) as u32 }
     }
 }
 
@@ -32,8 +32,8 @@
 /// rank. Inside the band, programs with less time left go first. Requests without a program stand
 /// in the middle, and so do programs whose time is over: most of their worth is lost, and putting
 /// them first would make others late as well.
-pub fn level(place: RankPlace, time_left: Option<Duration>) -> u32 {
-    let (first, end) = (edge(place.before, place.of), edge(place.before + 1, place.of));
+pub fn priority_level(place: RankPosition, time_left: Option<Duration>) -> u32 {
+    let (first, end) = (edge(place.earlier, place.total), edge(place.earlier + 1, place.total));
     let width = end.saturating_sub(first).max(1);
     let time_left = time_left.filter(|left| *left > Duration::ZERO).unwrap_or(MIDDLE);
     let left = time_left.as_secs_f64();
--- a/crates/relay/tests/common/ledger.rs
+++ b/crates/relay/tests/common/ledger.rs
@@ -97,11 +97,11 @@
 }
 
 pub fn unavailable() -> Reply {
-    Err(LedgerUnavailable { reason: "told so".into(), retry_after: None, was_not_asked: false })
+    Err(LedgerUnavailable { reason: "told so".into(), retry_after: None, was_not_submitted: false })
 }
 
 impl TurnLedger for TestLedger {
-    async fn ask(&self, command: LedgerCommand, _patience: Duration) -> Reply {
+    async fn submit(&self, command: LedgerCommand, _patience: Duration) -> Reply {
         let is_open = matches!(command, LedgerCommand::Open(_));
         self.commands.lock().expect("whole").push(command);
         if is_open {
@@ -132,7 +132,7 @@
         Ok(())
     }
 
-    fn give_back(&self, tenant: &TenantId, _program: Option<ProgramKey>) {
+    fn refund(&self, tenant: &TenantId, _program: Option<ProgramKey>) {
         self.given_back.lock().expect("whole").push(tenant.clone());
     }
 }
--- a/crates/relay/tests/common/mod.rs
+++ b/crates/relay/tests/common/mod.rs
@@ -49,7 +49,7 @@
         tenant: name("x-tenant"),
         key_scheme: "Key",
         object_cookie: "object",
-        not_for_callers: vec![name("x-hold"), name("x-memory")],
+        internal: vec![name("x-hold"), name("x-memory")],
     }
 }
 
--- a/crates/relay/tests/draining.rs
+++ b/crates/relay/tests/draining.rs
@@ -70,7 +70,7 @@
     under_way.send(&post("t", "", "")).await;
     until("it is at the server", || server.got().len() == 1).await;
     bed.relay.begin_drain();
-    bed.relay.refuse_new();
+    bed.relay.refuse_new_requests();
     let new = call(bed.address, &post("u", "", "")).await;
     assert_eq!((new.status, new.header("connection")), (503, Some("close")));
     assert!(new.header("retry-after").is_some(), "its caller must know when to come back");
@@ -86,11 +86,11 @@
     let bed = Bed::new(Some(table(vec![route()])), &[&server]).await;
     let mut resting = Caller::new(bed.address).await;
     assert_eq!(resting.call(&post("t", "", "")).await.header("connection"), None);
-    bed.relay.turn_away(true);
+    bed.relay.set_cut_off(true);
     let reply = resting.call(&post("u", "", "")).await;
     assert_eq!((reply.status, reply.header("connection")), (200, Some("close")));
     assert!(resting.ends().await);
-    bed.relay.turn_away(false);
+    bed.relay.set_cut_off(false);
     let back = call(bed.address, &post("v", "", "")).await;
     assert_eq!((back.status, back.header("connection")), (200, None));
 }
--- a/crates/relay/tests/events.rs
+++ b/crates/relay/tests/events.rs
@@ -11,7 +11,7 @@
         reader.push(Bytes::copy_from_slice(piece));
         events.extend(std::iter::from_fn(|| reader.next_event()));
     }
-    (events, reader.take_rest())
+    (events, reader.take_remainder())
 }
 
 fn parts(event: &Event) -> (Option<&[u8]>, Option<&[u8]>) {
--- a/crates/relay/tests/held_bytes.rs
+++ b/crates/relay/tests/held_bytes.rs
@@ -6,7 +6,7 @@
 use common::stand_in::{Got, StandIn, Step, answer, chunk, event, last_chunk, ok, stream_head};
 use common::{Bed, once, resumable, route, service_name, table, turns, until};
 use dahlia_ledger::{LedgerReply, OpenedTurn, TurnEnd};
-use dahlia_relay::{HeldBounds, RelaySettings, Route};
+use dahlia_relay::{MemoryLimits, RelaySettings, Route};
 use dahlia_types::Duration;
 use tokio::net::TcpListener;
 
@@ -85,7 +85,7 @@
 async fn nothing_is_taken_beyond_the_bound_in_all() {
     let server = StandIn::new("s-1", ok).await;
     let bed = Bed::with_settings(with_memory(1), Some(table(vec![route()])), &[&server]).await;
-    let bounds = HeldBounds::new(&with_memory(1));
+    let bounds = MemoryLimits::new(&with_memory(1));
     let _slow = callers_that_upload(&bed, 8, 90 * KB).await;
     until("some are refused", || bed.relay.counters().refused > 0).await;
     assert!(bed.relay.counters().held_bytes <= bounds.total as u64);
@@ -339,8 +339,8 @@
 
 #[test]
 fn bounds_follow_from_the_memory_of_the_process() {
-    let bounds = HeldBounds::new(&with_memory(100));
-    let expected = HeldBounds {
+    let bounds = MemoryLimits::new(&with_memory(100));
+    let expected = MemoryLimits {
         total: 50 * 1024 * KB,
         first_turns: 30 * 1024 * KB,
         caller: 20 * 1024 * KB,
@@ -351,9 +351,9 @@
 
 #[test]
 fn without_a_stated_memory_there_are_no_bounds() {
-    let bounds = HeldBounds::new(&RelaySettings::default());
+    let bounds = MemoryLimits::new(&RelaySettings::default());
     let none = usize::MAX;
-    let expected = HeldBounds { total: none, first_turns: none, caller: none, server: none };
+    let expected = MemoryLimits { total: none, first_turns: none, caller: none, server: none };
     assert_eq!(bounds, expected);
 }
 
--- a/crates/relay/tests/token_pauses.rs
+++ b/crates/relay/tests/token_intervals.rs
@@ -1,7 +1,7 @@
 //! How soon tokens come, from pieces of streams read at given moments.
 
 use dahlia_backends::TokenTimes;
-use dahlia_relay::TokenPauses;
+use dahlia_relay::TokenIntervals;
 use dahlia_types::Tokens;
 use tokio::time::{Duration, Instant};
 
@@ -28,11 +28,11 @@
     const EVENT: Tokens = Tokens(13);
     let start = Instant::now();
     let at = |millis| start + Duration::from_millis(millis);
-    let mut pauses = TokenPauses::new(EVENT);
+    let mut pauses = TokenIntervals::new(EVENT);
     let mut told = Vec::new();
     for piece in pieces {
-        pauses.piece_came(at(piece.waited_since), at(piece.read_at));
-        told.extend((0..piece.events).map(|_| pauses.event_came()));
+        pauses.record_piece(at(piece.waited_since), at(piece.read_at));
+        told.extend((0..piece.events).map(|_| pauses.record_event()));
     }
     let millis = |times: TokenTimes| {
         assert_eq!(times.tokens, 13);
@@ -84,13 +84,13 @@
 fn another_servers_stream_begins_anew() {
     let start = Instant::now();
     let at = |millis| start + Duration::from_millis(millis);
-    let mut pauses = TokenPauses::new(Tokens(13));
-    pauses.piece_came(at(0), at(50));
-    assert_eq!(pauses.event_came(), None);
+    let mut pauses = TokenIntervals::new(Tokens(13));
+    pauses.record_piece(at(0), at(50));
+    assert_eq!(pauses.record_event(), None);
     pauses.restart();
-    pauses.piece_came(at(50), at(900));
-    assert_eq!(pauses.event_came(), None);
-    pauses.piece_came(at(900), at(930));
+    pauses.record_piece(at(50), at(900));
+    assert_eq!(pauses.record_event(), None);
+    pauses.record_piece(at(900), at(930));
     let times = TokenTimes { tokens: 13, micros: 30_000 };
-    assert_eq!(pauses.event_came(), Some(times));
+    assert_eq!(pauses.record_event(), Some(times));
 }
--- a/crates/relay/tests/turns.rs
+++ b/crates/relay/tests/turns.rs
@@ -155,7 +155,7 @@
     bed.ledger.next_open(Err(LedgerUnavailable {
         reason: "silent".into(),
         retry_after: Some(Duration::from_millis(400)),
-        was_not_asked: true,
+        was_not_submitted: true,
     }));
     let reply = call(bed.address, &post("t", TURN, "")).await;
     assert_eq!((reply.status, reply.header("retry-after")), (503, Some("0.400")));
--- a/crates/relay/tests/urgency.rs
+++ b/crates/relay/tests/urgency.rs
@@ -1,20 +1,21 @@
 //! The order of requests at servers.
 
-use dahlia_relay::{RankPlace, level};
+use dahlia_relay::{RankPosition, priority_level};
 use dahlia_types::Duration;
 
 #[test]
 fn no_request_passes_one_of_an_earlier_rank_and_less_time_left_goes_first() {
-    for of in 1..=12 {
+    for total in 1..=12 {
         let mut earlier_last = None;
-        for before in 0..of {
-            let place = RankPlace { before, of };
+        for earlier in 0..total {
+            let place = RankPosition { earlier, total };
             let millis = [1, 500, 4_000, 8_000, 20_000, 60_000, 3_600_000];
-            let levels = millis.map(|millis| level(place, Some(Duration::from_millis(millis))));
+            let levels =
+                millis.map(|millis| priority_level(place, Some(Duration::from_millis(millis))));
             assert!(levels.is_sorted() && levels[6] <= 9, "{place:?}: {levels:?}");
-            assert!(of > 5 || levels[0] < levels[6], "{place:?}: {levels:?}");
+            assert!(total > 5 || levels[0] < levels[6], "{place:?}: {levels:?}");
             let is_behind = earlier_last.is_none_or(|last| last < levels[0]);
-            assert!(is_behind || of > 10, "{place:?}: {levels:?}");
+            assert!(is_behind || total > 10, "{place:?}: {levels:?}");
             earlier_last = Some(levels[6]);
         }
     }
@@ -22,16 +23,16 @@
 
 #[test]
 fn without_a_program_or_with_its_time_over_a_request_stands_in_the_middle() {
-    let place = |before| RankPlace { before, of: 2 };
-    assert_eq!([level(place(0), None), level(place(1), None)], [2, 7]);
-    assert_eq!(level(place(1), Some(Duration::ZERO)), 7);
-    assert_eq!(level(RankPlace { before: 0, of: 1 }, None), 5);
+    let place = |earlier| RankPosition { earlier, total: 2 };
+    assert_eq!([priority_level(place(0), None), priority_level(place(1), None)], [2, 7]);
+    assert_eq!(priority_level(place(1), Some(Duration::ZERO)), 7);
+    assert_eq!(priority_level(RankPosition { earlier: 0, total: 1 }, None), 5);
 }
 
 #[test]
 fn ranks_are_placed_among_those_in_force() {
     let ranks = [7, 1, 7, 4];
-    let places = ranks.map(|rank| RankPlace::new(rank, ranks.into_iter()).before);
+    let places = ranks.map(|rank| RankPosition::new(rank, ranks.into_iter()).earlier);
     assert_eq!(places, [2, 0, 2, 1]);
-    assert_eq!(RankPlace::new(7, ranks.into_iter()).of, 3);
+    assert_eq!(RankPosition::new(7, ranks.into_iter()).total, 3);
 }
