--- a/crates/limits/src/bucket.rs
+++ b/crates/limits/src/bucket.rs
@@ -41,7 +41,7 @@
         self.permits -= permits;
     }
 
-    /// Returns permits that were not used.
+    /// Refunds permits that were not used.
     pub(crate) fn refund(&mut self, permits: f64, now: Timestamp) {
         self.refill(now);
         self.permits = (self.permits + permits).min(self.limit.burst());
--- a/crates/limits/src/gateway.rs
+++ b/crates/limits/src/gateway.rs
@@ -19,7 +19,7 @@
 const MIN_UNREPORTED_REQUESTS: f64 = 1.0;
 /// Time constant in seconds of the average of a gateway's own request rate.
 const RATE_AVERAGING_S: f64 = 4.0;
-/// The time after which a tenant that sent nothing here is forgotten.
+/// The time after which the state of a tenant that sent nothing here is removed.
 const TENANT_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 /// The burst of a gateway that decides without the keeper, in seconds of its own usual rate.
 const FALLBACK_BURST_S: f64 = 0.2;
@@ -28,7 +28,7 @@
 /// to current requests.
 const MAX_REPORTED_AGE: Duration = Duration::from_secs(5);
 /// How long a keeper's answer that permits are not scarce holds for a small tenant. One request admitted
-/// unasked at each gateway would be more than is tolerated above its limit. It would also cost as many
+/// without asking at each gateway would be more than is tolerated above its limit. It would also cost as many
 /// messages as asking, since each such request is reported at once.
 const NOT_SCARCE_VALIDITY: Duration = Duration::from_millis(500);
 /// The time after which a keeper that has not answered is sent an empty report, as long as this gateway
@@ -97,7 +97,7 @@
 struct KeeperState {
     tenants: BTreeMap<TenantId, TenantState>,
     /// The report that has no answer yet, and when it was made.
-    unanswered: Option<(UsageReport, Timestamp)>,
+    pending_report: Option<(UsageReport, Timestamp)>,
     /// When a report was sent that may still be answered.
     sent_at: Option<Timestamp>,
     /// When the first report since the last answer was sent.
@@ -148,6 +148,7 @@
     scarce_until: Timestamp,
     /// Until when permits are known not to be scarce.
     not_scarce_until: Timestamp,
+    /// The rate of requests here, if the deployment sets no window.
     usual_rate: AverageRate,
     history: RequestHistory,
     /// Used if the deployment sets a window.
@@ -225,8 +226,8 @@
         !self.admitted.is_empty() || !self.delayed.is_empty() || !self.refunded.is_empty()
     }
 
-    /// Takes the unasked requests to report: first the recent ones, then those that passed longer ago
-    /// while there was no keeper to report them to.
+    /// Takes the requests to report that were admitted without asking: first the recent ones, then those
+    /// that passed longer ago while there was no keeper to report them to.
     fn take_admitted(
         &mut self,
         max_age: Duration,
@@ -257,7 +258,7 @@
         }
     }
 
-    /// Takes a permit from the fallback bucket, which holds a little more than the usual rate here.
+    /// Takes a permit from the fallback bucket, which refills at a little more than the usual rate here.
     /// Returns the time until there is a permit, or zero if one was taken.
     fn take_fallback_permit(
         &mut self,
@@ -282,7 +283,7 @@
         wait
     }
 
-    /// Renews what may pass without the keeper, after an answer of the keeper: what it left free then.
+    /// Renews what may pass without the keeper after an answer of the keeper, by what it left free.
     fn renew_quota(&mut self, free: &FreeCapacity, now: Timestamp) {
         self.fallback = None;
         if let Some(tolerance) = &free.tolerance {
@@ -335,8 +336,8 @@
     }
 
     /// Sets how many gateways share the limits, for the time when the keeper is unresponsive. A lower
-    /// number takes effect only after some time: gateways that are not seen may still be
-    /// running, cut off from the keeper like this one.
+    /// number takes effect only after some time: gateways that are not seen may still be running, cut off
+    /// from the keeper like this one.
     pub fn set_gateway_count(&mut self, gateways: u32, now: Timestamp) {
         let gateways = gateways.max(1);
         if gateways >= self.gateways {
@@ -499,8 +500,8 @@
         if state.is_report_in_flight(now) {
             return None;
         }
-        state.unanswered.take_if(|(_, made_at)| now.since(*made_at) >= max_age);
-        if state.unanswered.is_none() {
+        state.pending_report.take_if(|(_, made_at)| now.since(*made_at) >= max_age);
+        if state.pending_report.is_none() {
             let may_be_new = state.term.is_none() || state.is_uninformed();
             let unknown = UnknownToKeeper {
                 keeper: state.term.filter(|_| may_be_new),
@@ -513,11 +514,11 @@
             state.informed_term = state.term;
             state.last_sequence += 1;
             let report = UsageReport { gateway, incarnation, sequence: state.last_sequence, usage };
-            state.unanswered = Some((report, now));
+            state.pending_report = Some((report, now));
         }
         state.sent_at = Some(now);
         state.unanswered_since.get_or_insert(now);
-        state.unanswered.as_ref().map(|(report, _)| report.clone())
+        state.pending_report.as_ref().map(|(report, _)| report.clone())
     }
 
     /// Whether a report is due at once, on requests that were admitted while the last one was in flight.
@@ -551,7 +552,7 @@
         let Some(state) = self.keepers.get_mut(&keeper) else { return };
         state.unanswered_since = None;
         state.sent_at = None;
-        let counted = state.unanswered.take_if(|(report, _)| report.sequence <= sequence);
+        let counted = state.pending_report.take_if(|(report, _)| report.sequence <= sequence);
         let LimitReply::Counted { scarce, keeper } = reply else { return };
         // The first report tells everything, before the keeper's term is known.
         state.informed_term = state.informed_term.or(Some(*keeper));
@@ -575,7 +576,7 @@
     }
 
     /// Whether the keeper should have answered a report by now. Until it counts as unresponsive, the
-    /// gateway admits requests within its own quota unasked.
+    /// gateway admits requests within its own quota without asking.
     fn is_answer_overdue(&self, keeper: GroupId, now: Timestamp) -> bool {
         let since = self.keepers.get(&keeper).and_then(|keeper| keeper.unanswered_since);
         let answer_timeout = Duration::from_millis(self.settings.answer_timeout_ms);
@@ -620,7 +621,7 @@
     }
 }
 
-/// What a new keeper cannot know.
+/// What a new keeper cannot know and must be told.
 struct UnknownToKeeper {
     /// The keeper that is to be told what others counted.
     keeper: Option<KeeperTerm>,
@@ -636,8 +637,8 @@
     }
 }
 
-/// Takes what is not reported yet, and adds what a new keeper cannot know. Tenants that have been idle
-/// for long are forgotten.
+/// Takes what is not reported yet, and adds what a new keeper cannot know. Tenants that have been
+/// idle for long are removed.
 fn take_usage(
     tenants: &mut BTreeMap<TenantId, TenantState>,
     unknown: &UnknownToKeeper,
--- a/crates/limits/src/keeper.rs
+++ b/crates/limits/src/keeper.rs
@@ -16,7 +16,7 @@
     Verdict, VersionedLimit,
 };
 
-/// The time after which an idle tenant is forgotten. By then its bucket is full, unless its limit is
+/// The time after which the state of an idle tenant is removed. By then its bucket is full, unless its limit is
 /// below one request in this time.
 const TENANT_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
@@ -68,7 +68,7 @@
 
     /// Answers a command.
     pub fn serve(&mut self, command: LimitCommand, now: Timestamp) -> LimitReply {
-        self.forget_idle(now);
+        self.remove_idle_tenants(now);
         match command {
             LimitCommand::Report(report) => self.count(report, now),
             LimitCommand::Ask { tenant, limit, program, max_wait } => {
@@ -178,7 +178,7 @@
         self.tenants.get_mut(tenant).is_some_and(|limit| limit.is_scarce(settings, stats, now))
     }
 
-    fn forget_idle(&mut self, now: Timestamp) {
+    fn remove_idle_tenants(&mut self, now: Timestamp) {
         if now < self.next_sweep {
             return;
         }
@@ -187,7 +187,7 @@
     }
 }
 
-/// Returns a function from a moment to the share of gateways that have not reported since.
+/// Returns a function that gives the share of gateways that have not reported since a given time.
 fn unreported_share_since(
     reports: &HashMap<DaemonId, LastReport>,
     gateways: usize,
--- a/crates/limits/src/local_quota.rs
+++ b/crates/limits/src/local_quota.rs
@@ -21,9 +21,9 @@
 
 /// A gateway's share of the permits that were free when its keeper last answered.
 pub(crate) struct FreePermits {
-    /// Permits on top of those in use at the gateway.
+    /// Permits on top of those in use at the gateway, for [`UNREACHABLE_RESERVATION_TIME`].
     pub(crate) during_reservation: f64,
-    /// All permits after [`UNREACHABLE_RESERVATION_TIME`].
+    /// All permits after that time.
     pub(crate) after_reservation: f64,
     /// Whether permits were scarce.
     pub(crate) is_scarce: bool,
--- a/crates/limits/src/lost_history.rs
+++ b/crates/limits/src/lost_history.rs
@@ -1,4 +1,4 @@
-//! How much of what passed before a keeper started is unknown to all.
+//! How much of what passed before a keeper started is unknown to the keeper and all gateways.
 //!
 //! A new keeper learns from the gateways what passed before it. Gateways that restarted recently cannot
 //! report it. One restarted gateway of many matters little; after a stop of all processes, the whole
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Returns what is unknown at a moment. Until a gateway has reported, everything may be.
+    /// Returns what is unknown now. Until a gateway has reported, everything may be.
     pub(crate) fn lost_history(&self, now: Timestamp) -> Option<LostHistory> {
         let lost = if self.gateways.is_empty() {
             LostHistory { share: 1.0, until: self.keeper_started_at + self.window }
--- a/crates/limits/src/message.rs
+++ b/crates/limits/src/message.rs
@@ -69,8 +69,8 @@
     /// Requests that were asked for or reported before and that no server has run or will run. One entry
     /// for each, as in `requests`.
     pub refunded: Vec<Option<ProgramKey>>,
-    /// Requests that this keeper has not counted: those that passed unasked some time ago, and, in its
-    /// first report, those that earlier keepers counted and a marker if the gateway has restarted.
+    /// Requests that this keeper has not counted: those admitted some time ago without asking, and, in
+    /// its first report, those that earlier keepers counted and a marker if the gateway has restarted.
     pub past: Vec<PastRequests>,
 }
 
--- a/crates/limits/src/permits.rs
+++ b/crates/limits/src/permits.rs
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Returns permits that were not used.
+    /// Refunds permits that were not used.
     pub(crate) fn refund(&mut self, permits: f64, now: Timestamp) {
         match self {
             Self::Bucket(bucket) => bucket.refund(permits, now),
--- a/crates/limits/src/reservation.rs
+++ b/crates/limits/src/reservation.rs
@@ -68,7 +68,7 @@
     }
 
     /// Returns the permits to reserve, of `allowance` in a window. `counted_until` returns how many
-    /// requests of the window passed until a moment: these are in the keeper's count already.
+    /// requests of the window passed until a given time: these are in the keeper's count already.
     pub(crate) fn permits(
         &self,
         allowance: f64,
--- a/crates/limits/src/tenant_limit.rs
+++ b/crates/limits/src/tenant_limit.rs
@@ -29,6 +29,7 @@
 /// The shortest program duration in seconds that is used as a divisor.
 const MIN_PROGRAM_DURATION_S: f64 = 0.1;
 
+/// A keeper's state of one tenant's limit.
 #[derive(Debug)]
 pub(crate) struct TenantLimit {
     generation: u64,
--- a/crates/limits/src/tolerance.rs
+++ b/crates/limits/src/tolerance.rs
@@ -14,7 +14,7 @@
 const CATCH_UP_SHARE: f64 = 0.5;
 
 /// The share of the margin that a keeper gives out while history is lost and no gateway admits requests
-/// unasked. The rest is for requests that are sent again.
+/// without asking. The rest is for requests that are sent again.
 const LOST_HISTORY_SHARE: f64 = 0.75;
 
 /// The window of a deployment's limits and the excess that is tolerated in it.
--- a/crates/limits/src/window.rs
+++ b/crates/limits/src/window.rs
@@ -106,7 +106,7 @@
         self.allowance() - self.count < expected
     }
 
-    /// Returns the permits reserved for gateways at this moment.
+    /// Returns the permits that are reserved for gateways now.
     fn reserved_permits(&self, now: Timestamp) -> f64 {
         let counted_until =
             |at| self.slots.range(..=self.slot_of(at)).map(|(_, permits)| permits).sum();
@@ -129,7 +129,7 @@
         by_count.min((by_count - lost + margin).max(margin - self.passed_since_start()))
     }
 
-    /// Returns the same by what gateways have reported so far, without any margin.
+    /// Returns the permits by what gateways have reported so far, without any margin.
     pub(crate) fn available_by_reports(&mut self, now: Timestamp) -> f64 {
         self.drop_expired(now);
         let withheld = self.lost_permits(now) + self.reserved_permits(now);
@@ -172,13 +172,13 @@
         now.since(self.keeper_started_at) < CATCH_UP_TIME
     }
 
-    /// Takes permits for requests that pass at a moment, even if they are not available.
+    /// Takes permits for requests that pass at a given time, even if they are not available.
     pub(crate) fn take(&mut self, permits: f64, at: Timestamp) {
         *self.slots.entry(self.slot_of(at)).or_default() += permits;
         self.count += permits;
     }
 
-    /// Returns permits that were not used. They are taken off the newest requests.
+    /// Refunds permits that were not used. They are taken off the newest requests.
     pub(crate) fn refund(&mut self, permits: f64, now: Timestamp) {
         self.drop_expired(now);
         self.remove_newest(permits);
@@ -235,7 +235,7 @@
         }
     }
 
-    /// Drops requests that have left every window which contains this moment.
+    /// Drops requests that are in no window which contains `now`.
     fn drop_expired(&mut self, now: Timestamp) {
         while let Some(oldest) = self.slots.first_entry() {
             let end = (oldest.key() + 1) * self.tolerance.window.as_micros() / SLOTS_PER_WINDOW;
--- a/crates/limits/tests/gateway.rs
+++ b/crates/limits/tests/gateway.rs
@@ -36,13 +36,13 @@
     KeeperAnswer { verdict, is_scarce, keeper: KeeperTerm(term) }
 }
 
-/// Returns the number of requests in a report that were admitted unasked.
+/// Returns the number of requests in a report that were admitted without asking.
 fn request_count(report: &UsageReport) -> usize {
     report.usage.iter().map(|usage| usage.requests.len()).sum()
 }
 
 #[test]
-fn requests_pass_unasked_unless_permits_are_scarce() {
+fn requests_pass_without_asking_unless_permits_are_scarce() {
     let mut gateway = gateway();
     assert_eq!(admit(&mut gateway, START), Admission::Pass { report_now: false });
     let report = gateway.due_report(KEEPER, START).expect("one was admitted");
