--- a/crates/durable/src/disk.rs
+++ b/crates/durable/src/disk.rs
@@ -1,68 +1,68 @@
-//! The few file operations that the log uses.
+//! The file operations that the log uses.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-/// A step on the disk that takes longer is logged.
-const SLOW_STEP: Duration = Duration::from_secs(1);
+/// A disk operation that takes longer than this is logged.
+const SLOW_OPERATION_TIME: Duration = Duration::from_secs(1);
 
-/// Files of one flat folder. Each operation is one durable step: a test may lose power after any.
+/// The files of one flat folder. Tests simulate a power loss after any single operation.
 pub trait Disk: Send {
-    /// Names of all files, in any order.
+    /// Lists the names of all files, in any order.
     ///
     /// # Errors
     /// An I/O error.
     fn list(&self) -> io::Result<Vec<String>>;
 
-    /// The whole file.
+    /// Reads a whole file.
     ///
     /// # Errors
     /// An I/O error, e.g. when there is no such file.
     fn read(&self, name: &str) -> io::Result<Vec<u8>>;
 
-    /// Makes an empty file, or empties one that an earlier life left.
+    /// Creates an empty file, or empties one that an earlier process left.
     ///
     /// # Errors
     /// An I/O error.
     fn create(&mut self, name: &str) -> io::Result<()>;
 
-    /// Appends to a file. Not durable before [`Self::sync`].
+    /// Appends to a file. The bytes are durable after [`Self::sync`].
     ///
     /// # Errors
-    /// An I/O error; any part of the bytes may then be in the file.
+    /// An I/O error, after which any part of the bytes may be in the file.
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
 
     /// Makes all bytes of a file durable.
     ///
     /// # Errors
-    /// An I/O error; what is durable is then unknown.
+    /// An I/O error, after which it is unknown which bytes are durable.
     fn sync(&mut self, name: &str) -> io::Result<()>;
 
-    /// Cuts a file off, durably.
+    /// Truncates a file durably.
     ///
     /// # Errors
     /// An I/O error.
     fn truncate(&mut self, name: &str, length: u64) -> io::Result<()>;
 
-    /// Removes a file. Not durable before [`Self::sync_folder`].
+    /// Removes a file. The removal is durable after [`Self::sync_folder`].
     ///
     /// # Errors
     /// An I/O error.
     fn remove(&mut self, name: &str) -> io::Result<()>;
 
-    /// Makes new and removed names durable.
+    /// Makes the creation and removal of files durable.
     ///
     /// # Errors
     /// An I/O error.
     fn sync_folder(&mut self) -> io::Result<()>;
 }
 
-/// A real folder.
+/// A folder of the file system.
 pub struct FolderDisk {
     folder: PathBuf,
-    open: Option<(String, File)>,
+    open_file: Option<(String, File)>,
 }
 
 impl FolderDisk {
@@ -72,31 +72,31 @@
     /// An I/O error when it cannot be created.
     pub fn open(folder: &Path) -> io::Result<Self> {
         fs::create_dir_all(folder)?;
-        // The folder's own name must outlast a loss of power as well.
+        // The folder's own name must survive a power loss too.
         if let Some(parent) = folder.parent().filter(|parent| !parent.as_os_str().is_empty()) {
             File::open(parent)?.sync_all()?;
         }
-        Ok(Self { folder: folder.to_owned(), open: None })
+        Ok(Self { folder: folder.to_owned(), open_file: None })
     }
 
-    /// The same folder with no file open.
+    /// Opens the same folder again, without an open file.
     #[must_use]
     pub fn reopen(&self) -> Self {
-        Self { folder: self.folder.clone(), open: None }
+        Self { folder: self.folder.clone(), open_file: None }
     }
 
     fn path(&self, name: &str) -> PathBuf {
         self.folder.join(name)
     }
 
-    /// The file that is written to, opened once.
-    fn written(&mut self, name: &str) -> io::Result<&mut File> {
-        let is_open = self.open.as_ref().is_some_and(|(held, _)| held == name);
+    /// Returns the file to write to, which stays open until another one is written.
+    fn file_for_writing(&mut self, name: &str) -> io::Result<&mut File> {
+        let is_open = self.open_file.as_ref().is_some_and(|(open_name, _)| open_name == name);
         if !is_open {
             let file = OpenOptions::new().append(true).open(self.path(name))?;
-            self.open = Some((name.to_owned(), file));
+            self.open_file = Some((name.to_owned(), file));
         }
-        match &mut self.open {
+        match &mut self.open_file {
             Some((_, file)) => Ok(file),
             None => Err(io::Error::other("the file was just opened")),
         }
@@ -117,20 +117,20 @@
     }
 
     fn create(&mut self, name: &str) -> io::Result<()> {
-        self.open = None;
+        self.open_file = None;
         File::create(self.path(name)).map(drop)
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        let file = self.written(name)?;
-        timed("write", name, || file.write_all(bytes))
+        let file = self.file_for_writing(name)?;
+        run_timed("write", name, || file.write_all(bytes))
     }
 
     fn sync(&mut self, name: &str) -> io::Result<()> {
         #[cfg(feature = "fault-points")]
         let folder = self.folder.clone();
-        let file = self.written(name)?;
-        timed("sync", name, || {
+        let file = self.file_for_writing(name)?;
+        run_timed("sync", name, || {
             #[cfg(feature = "fault-points")]
             crate::fault_points::wait_while_stalled(&folder);
             file.sync_data()
@@ -138,32 +138,32 @@
     }
 
     fn truncate(&mut self, name: &str, length: u64) -> io::Result<()> {
-        let file = self.written(name)?;
+        let file = self.file_for_writing(name)?;
         file.set_len(length)?;
         file.sync_all()
     }
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
-        if self.open.as_ref().is_some_and(|(held, _)| held == name) {
-            self.open = None;
+        if self.open_file.as_ref().is_some_and(|(open_name, _)| open_name == name) {
+            self.open_file = None;
         }
         fs::remove_file(self.path(name))
     }
 
     fn sync_folder(&mut self) -> io::Result<()> {
-        timed("sync of names", "", || File::open(&self.folder)?.sync_all())
+        run_timed("sync of names", "", || File::open(&self.folder)?.sync_all())
     }
 }
 
-/// Carries out one step, and logs it if it was slow: a daemon says nothing meanwhile.
-fn timed<T>(step: &str, file: &str, run: impl FnOnce() -> io::Result<T>) -> io::Result<T> {
-    let began = Instant::now();
+/// Runs one disk operation and logs it if it was slow, because the daemon sends nothing meanwhile.
+fn run_timed<T>(operation: &str, file: &str, run: impl FnOnce() -> io::Result<T>) -> io::Result<T> {
+    let started_at = Instant::now();
     let result = run();
-    let took = began.elapsed();
-    if took >= SLOW_STEP {
+    let elapsed = started_at.elapsed();
+    if elapsed >= SLOW_OPERATION_TIME {
         ::log::warn!(
             target: "store",
-            step = step, file = file, took_ms = took.as_millis() as u64;
+            step = operation, file = file, took_ms = elapsed.as_millis() as u64;
             "A step on the disk was slow."
         );
     }
--- a/crates/durable/src/documents.rs
+++ b/crates/durable/src/documents.rs
@@ -1,7 +1,8 @@
-//! Copies of documents that lie elsewhere as a rule, for a start while nobody else has them.
+//! Local copies of documents whose source is elsewhere, for a start at which no other daemon has
+//! them.
 //!
-//! Each document has two files that are written in turn, so that a loss of power while one is
-//! written leaves the other. A file is one frame:
+//! Each document has two files that are written alternately, so that a power loss during a write
+//! leaves the other copy intact. A file has this format:
 //!
 //! | bytes | field, numbers little-endian |
 //! |---|---|
@@ -19,51 +20,52 @@
 use crate::Disk;
 use crate::error::{DiskOperation, LogError};
 
-/// The format that this build writes and reads.
+/// The format version that this build writes and reads.
 const FORMAT: u32 = 1;
 const CHECKSUM_BYTES: usize = 4;
 const HEADER_BYTES: usize = 20;
 const PREFIX: &str = "document-";
 
-/// A document of which a copy is kept.
+/// A copy of a document.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DocumentCopy {
-    /// Which document.
+    /// The number that identifies the document.
     pub number: u32,
-    /// Rises with every change.
+    /// The version of the document, which increases with every change.
     pub version: u64,
-    /// The document.
+    /// The contents of the document.
     pub bytes: Vec<u8>,
 }
 
-/// Why a file is no copy of a document. It is left alone and written over in its turn.
+/// Why a file is not a valid copy of a document. The file is left alone until a new copy overwrites
+/// it.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum CopyError {
-    /// The last write was cut off by a loss of power, or bytes were changed since.
-    #[snafu(display("{name}: the checksum does not fit"))]
+    /// The last write was torn by a power loss, or bytes were changed afterwards.
+    #[snafu(display("{name}: the checksum does not match"))]
     Torn {
         /// The file.
         name: String,
     },
-    /// Another build wrote it.
+    /// A build with another format wrote the file.
     #[snafu(display("{name} has format {format}, this build reads {FORMAT}"))]
     UnsupportedFormat {
         /// The file.
         name: String,
-        /// Its format.
+        /// The version of its format.
         format: u32,
     },
-    /// It holds another document than its name says.
+    /// The file holds another document than its name says.
     #[snafu(display("{name} holds document {number}"))]
     WrongDocument {
         /// The file.
         name: String,
-        /// What it holds.
+        /// The number of the document that it holds.
         number: u32,
     },
 }
 
-/// Which of a document's two files.
+/// One of the two files of a document.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Side {
     A,
@@ -79,9 +81,9 @@
     }
 }
 
-/// The newest intact copy of a document.
+/// The file and version of the newest intact copy of a document.
 #[derive(Debug, Clone, Copy)]
-struct Place {
+struct CopyLocation {
     side: Side,
     version: u64,
 }
@@ -89,16 +91,16 @@
 /// Copies of documents in one folder. All calls block on the disk.
 pub struct DocumentCopies {
     disk: Box<dyn Disk>,
-    places: BTreeMap<u32, Place>,
+    locations: BTreeMap<u32, CopyLocation>,
 }
 
-/// Copies as they were found.
+/// The copies that were read when the folder was opened.
 pub struct OpenedCopies {
-    /// Where further ones are kept.
+    /// The folder of copies, which further ones can be saved in.
     pub copies: DocumentCopies,
     /// The newest intact copy of each document.
     pub newest: Vec<DocumentCopy>,
-    /// Files that are no copies.
+    /// Why other files are not valid copies.
     pub invalid: Vec<CopyError>,
 }
 
@@ -106,49 +108,50 @@
     /// Reads all copies in a folder.
     ///
     /// # Errors
-    /// The folder or a file in it cannot be read.
+    /// [`LogError`] if the folder or a file in it cannot be read.
     pub fn open(disk: Box<dyn Disk>) -> Result<OpenedCopies, LogError> {
         let names =
             disk.list().map_err(|source| LogError::io(DiskOperation::List, "documents", source))?;
         let mut newest: BTreeMap<u32, (Side, DocumentCopy)> = BTreeMap::new();
         let mut invalid = Vec::new();
         for name in names {
-            let Some((number, side)) = parse(&name) else { continue };
+            let Some((number, side)) = parse_file_name(&name) else { continue };
             let bytes = disk
                 .read(&name)
                 .map_err(|source| LogError::io(DiskOperation::Read, &name, source))?;
             match decode(&name, number, &bytes) {
                 Ok(copy) => {
-                    let held = newest.get(&number).map(|(_, held)| held.version);
-                    if held.is_none_or(|held| held < copy.version) {
+                    let current = newest.get(&number).map(|(_, current)| current.version);
+                    if current.is_none_or(|current| current < copy.version) {
                         newest.insert(number, (side, copy));
                     }
                 }
                 Err(error) => invalid.push(error),
             }
         }
-        let place = |side: Side, copy: &DocumentCopy| Place { side, version: copy.version };
-        let places =
-            newest.iter().map(|(number, (side, copy))| (*number, place(*side, copy))).collect();
+        let location =
+            |side: Side, copy: &DocumentCopy| CopyLocation { side, version: copy.version };
+        let locations =
+            newest.iter().map(|(number, (side, copy))| (*number, location(*side, copy))).collect();
         let found = newest.into_values().map(|(_, copy)| copy).collect();
-        Ok(OpenedCopies { copies: Self { disk, places }, newest: found, invalid })
+        Ok(OpenedCopies { copies: Self { disk, locations }, newest: found, invalid })
     }
 
-    /// Keeps a copy, unless the one that is kept is as new. The copy before it stays until this
-    /// one is durable.
+    /// Saves a copy, unless the current copy is at least as new. The current copy stays until the
+    /// new one is durable.
     ///
     /// # Errors
-    /// The disk failed or is full; the copy before is still there.
+    /// [`LogError`] if the disk failed or is full; the current copy is then still there.
     pub fn save(&mut self, document: &DocumentCopy) -> Result<(), LogError> {
-        let held = self.places.get(&document.number).copied();
-        if held.is_some_and(|held| held.version >= document.version) {
+        let current = self.locations.get(&document.number).copied();
+        if current.is_some_and(|current| current.version >= document.version) {
             return Ok(());
         }
-        let side = held.map_or(Side::A, |held| held.side.other());
+        let side = current.map_or(Side::A, |current| current.side.other());
         let name = file_name(document.number, side);
         let written = self.write(&name, &encode(document));
         written.map_err(|source| LogError::io(DiskOperation::Write, &name, source))?;
-        self.places.insert(document.number, Place { side, version: document.version });
+        self.locations.insert(document.number, CopyLocation { side, version: document.version });
         Ok(())
     }
 
@@ -165,7 +168,7 @@
     format!("{PREFIX}{number}.{side}")
 }
 
-fn parse(name: &str) -> Option<(u32, Side)> {
+fn parse_file_name(name: &str) -> Option<(u32, Side)> {
     let (number, side) = name.strip_prefix(PREFIX)?.split_once('.')?;
     let side = match side {
         "a" => Side::A,
@@ -191,19 +194,19 @@
     let Some(header) = bytes.first_chunk::<HEADER_BYTES>() else {
         return Err(CopyError::Torn { name: name() });
     };
-    let word = |at: usize| {
+    let read_u32 = |at: usize| {
         u32::from_le_bytes([header[at], header[at + 1], header[at + 2], header[at + 3]])
     };
-    if word(0) != crc32c::crc32c(&bytes[CHECKSUM_BYTES..]) {
+    if read_u32(0) != crc32c::crc32c(&bytes[CHECKSUM_BYTES..]) {
         return Err(CopyError::Torn { name: name() });
     }
-    let format = word(4);
+    let format = read_u32(4);
     if format != FORMAT {
         return Err(CopyError::UnsupportedFormat { name: name(), format });
     }
-    if word(8) != number {
-        return Err(CopyError::WrongDocument { name: name(), number: word(8) });
+    if read_u32(8) != number {
+        return Err(CopyError::WrongDocument { name: name(), number: read_u32(8) });
     }
-    let version = u64::from(word(12)) | u64::from(word(16)) << u32::BITS;
+    let version = u64::from(read_u32(12)) | u64::from(read_u32(16)) << u32::BITS;
     Ok(DocumentCopy { number, version, bytes: bytes[HEADER_BYTES..].to_vec() })
 }
--- a/crates/durable/src/error.rs
+++ b/crates/durable/src/error.rs
@@ -1,4 +1,4 @@
-//! Why the log could not be opened or written.
+//! Errors of the log.
 
 use std::io;
 
@@ -8,20 +8,20 @@
 use crate::frame::FrameError;
 use crate::replay::ReplayError;
 
-/// What was being done to a file.
+/// The disk operation that failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DiskOperation {
-    /// Looking for segments.
+    /// Listing the files of the folder.
     List,
-    /// Reading a segment back.
+    /// Reading a file.
     Read,
-    /// Beginning a segment.
+    /// Creating a segment.
     Create,
-    /// Writing a frame.
+    /// Writing a frame or a document.
     Write,
-    /// Syncing a frame.
+    /// Syncing a segment.
     Sync,
-    /// Cutting off what a failed write or a loss of power left.
+    /// Truncating a segment after a failed write or a power loss.
     Cut,
 }
 
@@ -29,78 +29,78 @@
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum LogError {
-    /// The disk is full. Nothing of the frame counts; it may be tried again.
+    /// The disk is full. The frame does not count as written, and the write can be retried.
     #[snafu(display("the disk is full ({operation:?} of {name})"))]
     Full {
-        /// What was being done.
+        /// The operation that failed.
         operation: DiskOperation,
         /// The file.
         name: String,
     },
-    /// Any other failure of the disk.
+    /// A disk operation failed for another reason.
     #[snafu(display("{operation:?} of {name}: {source}"))]
     Io {
-        /// What was being done.
+        /// The operation that failed.
         operation: DiskOperation,
         /// The file.
         name: String,
-        /// Cause.
+        /// The cause.
         source: io::Error,
     },
-    /// Changes that no frame can hold.
+    /// The changes cannot be encoded as a frame.
     #[snafu(display("encoding a frame: {source}"))]
     Encode {
-        /// Cause.
+        /// The cause.
         source: EncodeError,
     },
-    /// Synced bytes were changed since.
+    /// Synced bytes of a segment are damaged.
     #[snafu(display("{name}: {source}"))]
     Damaged {
         /// The file.
         name: String,
-        /// Cause.
+        /// The cause.
         source: FrameError,
     },
-    /// A segment's beginning was changed, or it is not the segment that its name says.
-    #[snafu(display("{name} does not begin as this segment should"))]
+    /// A segment's header is damaged, or the file is not the segment that its name says.
+    #[snafu(display("{name} has an invalid segment header"))]
     InvalidHeader {
         /// The file.
         name: String,
     },
-    /// A segment ends in a damaged frame though a later segment was begun.
+    /// A segment ends with a damaged frame although a later segment exists.
     #[snafu(display("{name} is damaged from byte {offset} on and a later segment exists"))]
     DamagedEnd {
         /// The file.
         name: String,
-        /// Where.
+        /// Where the damage begins, in bytes.
         offset: usize,
     },
-    /// A segment between two others is not there.
+    /// A segment between two others is missing.
     #[snafu(display("{name} is missing"))]
     MissingSegment {
         /// The file.
         name: String,
     },
-    /// Written by a build with another format.
+    /// A segment was written by a build with another format.
     #[snafu(display("{name} has format {version}, this build reads {}", crate::FORMAT_VERSION))]
     UnsupportedVersion {
         /// The file.
         name: String,
-        /// Its version.
+        /// The version of its format.
         version: u32,
     },
-    /// The changes do not follow from each other.
+    /// The changes in the log cannot be replayed.
     #[snafu(display("{name}: {source}"))]
     Replay {
         /// The file.
         name: String,
-        /// Cause.
+        /// The cause.
         source: ReplayError,
     },
 }
 
 impl LogError {
-    /// From an I/O error, with a full disk told from other failures.
+    /// Converts an I/O error; a full disk becomes [`Self::Full`].
     pub(crate) fn io(operation: DiskOperation, name: &str, source: io::Error) -> Self {
         let is_full =
             matches!(source.kind(), io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded);
@@ -108,7 +108,7 @@
         if is_full { Self::Full { operation, name } } else { Self::Io { operation, name, source } }
     }
 
-    /// Whether the same changes may be written again later.
+    /// Whether the disk is full, so that the same write can be retried later.
     pub fn is_full(&self) -> bool {
         matches!(self, Self::Full { .. })
     }
--- a/crates/durable/src/fault_points.rs
+++ b/crates/durable/src/fault_points.rs
@@ -1,14 +1,14 @@
-//! Faults that tests bring about from outside a process. Built only with the feature `fault-points`.
+//! Faults that tests inject from outside the process. Built only with the feature `fault-points`.
 
 use std::ffi::OsString;
 use std::path::{Path, PathBuf};
 use std::thread;
 use std::time::Duration;
 
-/// How often a stalled sync looks whether it may go on.
-const STEP: Duration = Duration::from_millis(5);
+/// Interval at which a stalled sync checks whether the stall has ended.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The file that stalls every sync in a folder for as long as it exists.
+/// The file that stalls every sync in `folder` while it exists.
 pub fn stall_file(folder: &Path) -> PathBuf {
     let mut path = OsString::from(folder);
     path.push(".stalled");
@@ -18,6 +18,6 @@
 pub(crate) fn wait_while_stalled(folder: &Path) {
     let file = stall_file(folder);
     while file.exists() {
-        thread::sleep(STEP);
+        thread::sleep(POLL_INTERVAL);
     }
 }
--- a/crates/durable/src/lib.rs
+++ b/crates/durable/src/lib.rs
@@ -1,24 +1,25 @@
-//! What a daemon's replica groups must find again after a loss of power: one write-ahead log for
-//! all groups of the daemon, and the identity of its replicas.
+//! Durable storage of a daemon's replica groups: one write-ahead log for all groups of the daemon,
+//! which also holds the identity of its replicas, and copies of documents.
 //!
 //! | module | job |
 //! |---|---|
-//! | `disk` | the few file operations used; tests put one in place that loses power |
-//! | `documents` | copies of documents that lie elsewhere as a rule |
-//! | `error` | why the log could not be used |
-//! | `frame` | the checksummed unit that is written and synced at once |
-//! | `segment` | names and headers of the log's files, reading one back |
-//! | `open` | reading all segments back |
-//! | `replay` | from segments to replicas |
-//! | `fault_points` | faults that tests bring about from outside |
-//! | `log` | opening, appending, dropping what newer images cover |
+//! | `disk` | the file operations that are used; tests substitute a disk that loses power |
+//! | `documents` | copies of documents whose source is elsewhere |
+//! | `error` | errors of the log |
+//! | `frame` | the checksummed unit of one write and one sync |
+//! | `segment` | names and headers of the log's files |
+//! | `open` | reads all segments back |
+//! | `replay` | rebuilds replicas from the changes in the segments |
+//! | `fault_points` | faults that tests inject from outside the process |
+//! | `log` | opens the log, appends to it and removes obsolete segments |
 //!
-//! # What is relied on
+//! # Assumptions about the disk
 //!
-//! A loss of power leaves each file with what its last sync covered; of what was written later,
-//! any part may be there. A new file and a removed name last once the folder is synced. So there
-//! is one write and one sync for each frame, only the last frame of the last segment can be torn,
-//! and a segment is removed only after the removal of the one before it was synced.
+//! After a power loss, each file holds what its last sync covered; any part of what was written
+//! later may be there too. A new file or a removed name is durable once the folder is synced. The
+//! log therefore makes one write and one sync for each frame, so that only the last frame of the
+//! last segment can be torn. It removes a segment only after the removal of the one before it was
+//! synced.
 
 mod disk;
 mod documents;
--- a/crates/durable/src/open.rs
+++ b/crates/durable/src/open.rs
@@ -1,4 +1,4 @@
-//! Reading the log back at the start.
+//! Reads the log back when it is opened.
 
 use std::collections::BTreeMap;
 
@@ -12,40 +12,43 @@
 };
 use crate::frame::read_frames;
 use crate::replay::Replay;
-use crate::segment::{HEADER_BYTES, Header, InvalidHeader, LogIdentity, file_name, number_of};
+use crate::segment::{
+    HEADER_BYTES, Header, InvalidHeader, LogIdentity, file_name, parse_file_name,
+};
 
-/// What the segments hold.
+/// The contents of all segments.
 #[derive(Debug, Default)]
-pub(crate) struct Found {
+pub(crate) struct LogContents {
     pub(crate) replay: Replay,
-    /// Bytes of each segment.
+    /// The size of each segment in bytes.
     pub(crate) segments: BTreeMap<u64, u64>,
     pub(crate) next_sequence: u64,
     pub(crate) identity: Option<LogIdentity>,
 }
 
-/// Reads all segments, and cuts off what a loss of power tore.
+/// Reads all segments and truncates a torn end that a power loss left.
 ///
 /// # Errors
 /// [`LogError`] when anything but the end of the last segment is damaged.
-pub(crate) fn read_all(disk: &mut dyn Disk) -> Result<Found, LogError> {
+pub(crate) fn read_segments(disk: &mut dyn Disk) -> Result<LogContents, LogError> {
     let names =
         disk.list().map_err(|source| LogError::io(DiskOperation::List, "the folder", source))?;
-    let mut numbers: Vec<u64> = names.iter().filter_map(|name| number_of(name)).collect();
+    let mut numbers: Vec<u64> = names.iter().filter_map(|name| parse_file_name(name)).collect();
     numbers.sort_unstable();
-    let mut found = Found::default();
-    let Some(last) = numbers.last().copied() else { return Ok(found) };
+    let mut contents = LogContents::default();
+    let Some(last) = numbers.last().copied() else { return Ok(contents) };
     for (number, expected) in numbers.iter().copied().zip(numbers[0]..) {
         ensure!(number == expected, MissingSegmentSnafu { name: file_name(expected) });
-        read_segment(disk, number, number == last, &mut found)?;
+        read_segment(disk, number, number == last, &mut contents)?;
     }
-    sync_read(disk, last)?;
-    Ok(found)
+    sync_last_segment(disk, last)?;
+    Ok(contents)
 }
 
-/// A process that died between a write and its sync leaves frames that a loss of power may still
-/// take. What follows builds on them, so they must be as durable as all others.
-fn sync_read(disk: &mut dyn Disk, last: u64) -> Result<(), LogError> {
+/// Makes the frames of the last segment durable. A process that died between a write and its sync
+/// leaves frames that a power loss can still erase. Later frames depend on them, so they must be
+/// durable before anything is appended.
+fn sync_last_segment(disk: &mut dyn Disk, last: u64) -> Result<(), LogError> {
     let name = file_name(last);
     disk.sync(&name).map_err(|source| LogError::io(DiskOperation::Sync, &name, source))
 }
@@ -54,7 +57,7 @@
     disk: &mut dyn Disk,
     number: u64,
     is_last: bool,
-    found: &mut Found,
+    contents: &mut LogContents,
 ) -> Result<(), LogError> {
     let name = file_name(number);
     let bytes =
@@ -65,49 +68,62 @@
             return UnsupportedVersionSnafu { name, version }.fail();
         }
         Err(InvalidHeader::Damaged) => {
-            ensure!(is_last && never_began(&bytes, number, found), InvalidHeaderSnafu { name });
-            // Its name may stay, so that the next segment takes it over.
+            ensure!(
+                is_last && is_unsynced_segment(&bytes, number, contents),
+                InvalidHeaderSnafu { name }
+            );
+            // The file may stay: the next segment gets the same number and overwrites it.
             return Ok(());
         }
     };
-    let follows = found.identity.is_none() || header.first_sequence == found.next_sequence;
-    // It rises only in a log without groups; see `DurableLog::advance_incarnation`.
-    let rises = found.identity.is_none_or(|known| known.incarnation <= header.identity.incarnation);
-    ensure!(header.number == number && follows && rises, InvalidHeaderSnafu { name });
+    let is_contiguous =
+        contents.identity.is_none() || header.first_sequence == contents.next_sequence;
+    // The incarnation increases only in a log without groups; see
+    // `DurableLog::advance_incarnation`.
+    let is_ordered =
+        contents.identity.is_none_or(|known| known.incarnation <= header.identity.incarnation);
+    ensure!(header.number == number && is_contiguous && is_ordered, InvalidHeaderSnafu { name });
     let read = read_frames(&bytes[HEADER_BYTES..], header.first_sequence);
-    let (frames, taken) = read.context(DamagedSnafu { name: &name })?;
-    let length = HEADER_BYTES + taken;
+    let (frames, frame_bytes) = read.context(DamagedSnafu { name: &name })?;
+    let length = HEADER_BYTES + frame_bytes;
     if length < bytes.len() {
         ensure!(is_last, DamagedEndSnafu { name, offset: length });
-        cut(disk, &name, length as u64)?;
+        truncate_segment(disk, &name, length as u64)?;
     }
-    found.identity = Some(header.identity);
-    found.next_sequence = header.first_sequence + frames.len() as u64;
-    found.segments.insert(number, length as u64);
+    contents.identity = Some(header.identity);
+    contents.next_sequence = header.first_sequence + frames.len() as u64;
+    contents.segments.insert(number, length as u64);
     for change in frames.into_iter().flat_map(|frame| frame.records) {
-        found.replay.take(change, number).context(ReplaySnafu { name: &name })?;
+        contents.replay.apply(change, number).context(ReplaySnafu { name: &name })?;
     }
     Ok(())
 }
 
-/// Whether a segment with a damaged header lost power before its header was synced: then no frame
-/// was ever in it. The first of a log with removed segments was synced for certain.
-fn never_began(bytes: &[u8], number: u64, found: &Found) -> bool {
-    let is_first = found.identity.is_none();
-    let frames = read_frames(bytes.get(HEADER_BYTES..).unwrap_or_default(), found.next_sequence);
+/// Whether a power loss damaged a segment's header before the header was synced. Such a segment
+/// never held a frame. The first segment of a log with removed segments was certainly synced.
+fn is_unsynced_segment(bytes: &[u8], number: u64, contents: &LogContents) -> bool {
+    let is_first = contents.identity.is_none();
+    let frames = read_frames(bytes.get(HEADER_BYTES..).unwrap_or_default(), contents.next_sequence);
     let is_empty = frames.is_ok_and(|(frames, _)| frames.is_empty());
     is_empty && (!is_first || number == 0)
 }
 
-/// Cuts off the torn end of a segment.
-pub(crate) fn cut(disk: &mut dyn Disk, name: &str, length: u64) -> Result<(), LogError> {
+/// Truncates a segment to `length` bytes, which removes its torn end.
+pub(crate) fn truncate_segment(
+    disk: &mut dyn Disk,
+    name: &str,
+    length: u64,
+) -> Result<(), LogError> {
     disk.truncate(name, length).map_err(|source| LogError::io(DiskOperation::Cut, name, source))
 }
 
-/// Who goes on with the log.
-pub(crate) fn next_identity(found: Option<LogIdentity>, fresh: Incarnation) -> LogIdentity {
-    found.map_or(LogIdentity { incarnation: fresh, start_count: 1 }, |known| LogIdentity {
-        start_count: known.start_count.saturating_add(1),
-        ..known
+/// The identity of the process that opens the log: one more start of the same incarnation, or the
+/// first start of `new_incarnation` if the log is empty.
+pub(crate) fn next_identity(
+    previous: Option<LogIdentity>,
+    new_incarnation: Incarnation,
+) -> LogIdentity {
+    previous.map_or(LogIdentity { incarnation: new_incarnation, start_count: 1 }, |previous| {
+        LogIdentity { start_count: previous.start_count.saturating_add(1), ..previous }
     })
 }
--- a/crates/durable/src/replay.rs
+++ b/crates/durable/src/replay.rs
@@ -1,4 +1,4 @@
-//! From the changes in the segments to replicas.
+//! Rebuilds replicas from the changes in the segments.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,72 +6,75 @@
 use dahlia_types::GroupId;
 use snafu::{ResultExt, Snafu};
 
-/// Where the newest image of a group stands.
+/// The location and size of the newest image of a group.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct ImagePlace {
+pub(crate) struct ImageLocation {
     pub(crate) segment: u64,
-    /// About how many bytes it takes.
+    /// Its approximate size in bytes.
     pub(crate) bytes: u64,
 }
 
-impl ImagePlace {
+impl ImageLocation {
     pub(crate) fn of(image: &DurableReplica, segment: u64) -> Self {
         let entries: usize = image.entries.iter().map(|entry| entry.payload_bytes()).sum();
         Self { segment, bytes: (image.base.data.len() + entries) as u64 }
     }
 }
 
-/// Why changes do not make replicas.
+/// Why replicas cannot be rebuilt from the changes.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum ReplayError {
-    /// A change does not follow from the one before it.
+    /// An update does not follow from the change before it.
     #[snafu(display("{source}"))]
     Gap {
         /// Cause.
         source: GapError,
     },
-    /// A group has changes and no image that they follow from.
-    #[snafu(display("{group} has changes without a beginning"))]
+    /// A group has updates without an image before them.
+    #[snafu(display("{group} has updates without an image before them"))]
     MissingImage {
         /// The group.
         group: GroupId,
     },
 }
 
-/// Replicas as far as the changes were read.
+/// The replicas rebuilt from the changes read so far.
 #[derive(Debug, Default)]
 pub(crate) struct Replay {
     replicas: BTreeMap<GroupId, DurableReplica>,
-    images: BTreeMap<GroupId, ImagePlace>,
-    /// Groups whose beginning was not read yet: it stood in a segment that was removed because
-    /// a later image makes it superfluous.
-    headless: BTreeSet<GroupId>,
+    images: BTreeMap<GroupId, ImageLocation>,
+    /// Groups with updates whose image is in a removed segment. A segment is removed only if a
+    /// later image replaces its updates, so that image must still follow.
+    awaiting_image: BTreeSet<GroupId>,
 }
 
 impl Replay {
-    /// Takes the next change in.
-    pub(crate) fn take(&mut self, change: DurableChange, segment: u64) -> Result<(), ReplayError> {
+    /// Applies the next change, which was read from `segment`.
+    pub(crate) fn apply(&mut self, change: DurableChange, segment: u64) -> Result<(), ReplayError> {
         match change {
             DurableChange::Image(image) => {
-                self.headless.remove(&image.group);
-                self.images.insert(image.group, ImagePlace::of(&image, segment));
+                self.awaiting_image.remove(&image.group);
+                self.images.insert(image.group, ImageLocation::of(&image, segment));
                 self.replicas.insert(image.group, *image);
             }
             DurableChange::Update { group, update } => match self.replicas.get_mut(&group) {
                 Some(replica) => replica.apply(update).context(GapSnafu)?,
                 None => {
-                    self.headless.insert(group);
+                    self.awaiting_image.insert(group);
                 }
             },
         }
         Ok(())
     }
 
-    /// All replicas, and where their images stand.
+    /// Returns all replicas and the locations of their images.
+    ///
+    /// # Errors
+    /// [`ReplayError::MissingImage`] if no image followed the updates of a group.
     pub(crate) fn finish(
         self,
-    ) -> Result<(Vec<DurableReplica>, BTreeMap<GroupId, ImagePlace>), ReplayError> {
-        if let Some(group) = self.headless.first() {
+    ) -> Result<(Vec<DurableReplica>, BTreeMap<GroupId, ImageLocation>), ReplayError> {
+        if let Some(group) = self.awaiting_image.first() {
             return MissingImageSnafu { group: *group }.fail();
         }
         Ok((self.replicas.into_values().collect(), self.images))
--- a/crates/durable/src/segment.rs
+++ b/crates/durable/src/segment.rs
@@ -1,15 +1,15 @@
-//! The files of the log: their names and what each begins with.
+//! The files of the log: their names and headers.
 //!
-//! A segment begins with 44 bytes; frames follow.
+//! A segment begins with a header of 44 bytes; frames follow.
 //!
 //! | bytes | field |
 //! |---|---|
 //! | 8 | magic `DAHLGRPS` |
 //! | 4 | format version |
 //! | 8 | number of the segment |
-//! | 8 | sequence of its first frame |
+//! | 8 | sequence number of its first frame |
 //! | 8 | incarnation of the replicas |
-//! | 4 | life of the process that began it |
+//! | 4 | start count of the process that created it |
 //! | 4 | CRC-32C over everything before it |
 
 use dahlia_types::Incarnation;
@@ -17,22 +17,23 @@
 use crate::frame::FORMAT_VERSION;
 
 const MAGIC: &[u8; 8] = b"DAHLGRPS";
-/// Bytes in front of a segment's frames.
+/// Size of a segment's header.
 pub(crate) const HEADER_BYTES: usize = 44;
-const CHECKSUM_AT: usize = 40;
+const CHECKSUM_OFFSET: usize = 40;
 const PREFIX: &str = "segment-";
 const SUFFIX: &str = ".groups";
 
-/// Whose log it is.
+/// The identity of the daemon process that owns a log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LogIdentity {
-    /// The incarnation of the daemon's replicas. Drawn when the folder was empty, kept since.
+    /// The incarnation of the daemon's replicas. It is chosen when the folder is empty and kept
+    /// afterwards.
     pub incarnation: Incarnation,
-    /// How often the log was opened, from 1: tells the processes of one incarnation apart.
+    /// How often the log was opened, from 1. It distinguishes the processes of one incarnation.
     pub start_count: u32,
 }
 
-/// What a segment begins with.
+/// The header of a segment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Header {
     pub(crate) number: u64,
@@ -40,22 +41,22 @@
     pub(crate) identity: LogIdentity,
 }
 
-/// A header that cannot be used.
+/// Why a segment's header is invalid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum InvalidHeader {
-    /// Torn or damaged.
+    /// The header is torn or damaged.
     Damaged,
-    /// Written by another version of the format.
+    /// The segment was written in another version of the format.
     UnsupportedVersion(u32),
 }
 
-/// The file of a segment.
+/// The file name of a segment.
 pub(crate) fn file_name(number: u64) -> String {
     format!("{PREFIX}{number:012}{SUFFIX}")
 }
 
-/// The number of a segment's file. None for other files.
-pub(crate) fn number_of(name: &str) -> Option<u64> {
+/// The number of the segment in a file of this name. None for other files.
+pub(crate) fn parse_file_name(name: &str) -> Option<u64> {
     name.strip_prefix(PREFIX)?.strip_suffix(SUFFIX)?.parse().ok()
 }
 
@@ -73,23 +74,25 @@
 
     pub(crate) fn decode(segment: &[u8]) -> Result<Self, InvalidHeader> {
         let bytes = segment.get(..HEADER_BYTES).ok_or(InvalidHeader::Damaged)?;
-        let checksum = crc32c::crc32c(&bytes[..CHECKSUM_AT]);
-        if !bytes.starts_with(MAGIC) || number_at::<4>(bytes, CHECKSUM_AT) != u64::from(checksum) {
+        let checksum = crc32c::crc32c(&bytes[..CHECKSUM_OFFSET]);
+        if !bytes.starts_with(MAGIC)
+            || read_uint::<4>(bytes, CHECKSUM_OFFSET) != u64::from(checksum)
+        {
             return Err(InvalidHeader::Damaged);
         }
-        let version = number_at::<4>(bytes, 8) as u32;
+        let version = read_uint::<4>(bytes, 8) as u32;
         if version != FORMAT_VERSION {
             return Err(InvalidHeader::UnsupportedVersion(version));
         }
-        let incarnation = Incarnation(number_at::<8>(bytes, 28));
-        let identity = LogIdentity { incarnation, start_count: number_at::<4>(bytes, 36) as u32 };
-        let first_sequence = number_at::<8>(bytes, 20);
-        Ok(Self { number: number_at::<8>(bytes, 12), first_sequence, identity })
+        let incarnation = Incarnation(read_uint::<8>(bytes, 28));
+        let identity = LogIdentity { incarnation, start_count: read_uint::<4>(bytes, 36) as u32 };
+        let first_sequence = read_uint::<8>(bytes, 20);
+        Ok(Self { number: read_uint::<8>(bytes, 12), first_sequence, identity })
     }
 }
 
-/// The little-endian number of `N` bytes at `at`. The caller has checked the length.
-fn number_at<const N: usize>(bytes: &[u8], at: usize) -> u64 {
-    let digits = bytes[at..at + N].iter().rev();
+/// Reads the little-endian number of `N` bytes at `offset`. The caller has checked the length.
+fn read_uint<const N: usize>(bytes: &[u8], offset: usize) -> u64 {
+    let digits = bytes[offset..offset + N].iter().rev();
     digits.fold(0, |number, digit| (number << 8) | u64::from(*digit))
 }
--- a/crates/durable/src/settings.rs
+++ b/crates/durable/src/settings.rs
@@ -9,11 +9,11 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct DurableSettings {
-    /// Bytes after which a new segment is begun.
+    /// Size in bytes at which a new segment is started.
     pub segment_bytes: u64,
-    /// Bytes of changes kept before groups are recorded anew as a whole. The log has at most
-    /// about this and three times the groups' state. Reading it back at the start takes memory
-    /// and time in proportion.
+    /// Bytes of changes that are kept before new images of groups are written. The log takes at
+    /// most about this size plus three times the groups' state. Reading it at the start takes
+    /// time and memory proportional to its size.
     pub compact_above_bytes: u64,
 }
 
@@ -27,7 +27,7 @@
     /// Checks every field.
     ///
     /// # Errors
-    /// The first field with a value that is not allowed.
+    /// The first field whose value is not allowed.
     pub fn check(&self) -> Result<(), InvalidSetting> {
         check_range("durable.segment_bytes", self.segment_bytes, 4 * 1024, 1024 * MIB)?;
         let smallest = self.segment_bytes;
