--- a/crates/durable/examples/appends.rs
+++ b/crates/durable/examples/appends.rs
@@ -1,4 +1,4 @@
-//! Measures appends: time and processor time of a batch, on a real folder.
+//! Measures the time of an append by batch size, and of reading the log back, on a real folder.
 //!
 //! `cargo run --release -p dahlia-durable --example appends -- FOLDER`
 
@@ -13,7 +13,7 @@
 use dahlia_types::{GroupId, Incarnation, LogIndex, Term};
 
 const BATCHES: u64 = 2_000;
-const PAYLOAD: usize = 2_000;
+const PAYLOAD_BYTES: usize = 2_000;
 
 fn main() {
     let folder = std::env::args().nth(1).map_or_else(std::env::temp_dir, PathBuf::from);
@@ -23,28 +23,28 @@
 }
 
 fn measure(folder: &std::path::Path, batch: u64) {
-    let disk = FolderDisk::open(folder).expect("a folder");
+    let disk = FolderDisk::open(folder).expect("the folder can be opened");
     let opened = DurableLog::open(Box::new(disk), DurableSettings::default(), Incarnation(1));
-    let mut log = opened.expect("an empty log").log;
-    log.append(&[image(0)]).expect("room");
-    let (started, mut next) = (Instant::now(), 1);
+    let mut log = opened.expect("the log opens").log;
+    log.append(&[image(0)]).expect("the disk has space");
+    let (started, mut next_index) = (Instant::now(), 1);
     for _ in 0..BATCHES {
-        let changes: Vec<DurableChange> = (next..next + batch).map(update).collect();
-        next += batch;
-        log.append(&changes).expect("room");
+        let changes: Vec<DurableChange> = (next_index..next_index + batch).map(update).collect();
+        next_index += batch;
+        log.append(&changes).expect("the disk has space");
         if !log.groups_needing_image().is_empty() {
-            log.append(&[image(next - 1)]).expect("room");
+            log.append(&[image(next_index - 1)]).expect("the disk has space");
         }
     }
     let per_batch = started.elapsed() / BATCHES as u32;
     drop(log);
-    let reading = Instant::now();
-    let disk = FolderDisk::open(folder).expect("a folder");
+    let reopened_at = Instant::now();
+    let disk = FolderDisk::open(folder).expect("the folder can be opened");
     let opened = DurableLog::open(Box::new(disk), DurableSettings::default(), Incarnation(1));
-    let bytes = opened.expect("it opens").log.bytes();
+    let bytes = opened.expect("the log opens again").log.bytes();
     println!(
-        "{batch} entries of {PAYLOAD} bytes a batch: {per_batch:?} each; {bytes} bytes read back in {:?}",
-        reading.elapsed()
+        "{batch} entries of {PAYLOAD_BYTES} bytes a batch: {per_batch:?} each; {bytes} bytes read back in {:?}",
+        reopened_at.elapsed()
     );
 }
 
@@ -62,7 +62,7 @@
 }
 
 fn update(index: u64) -> DurableChange {
-    let data = EntryData::Command(Bytes::from(vec![index as u8; PAYLOAD]));
+    let data = EntryData::Command(Bytes::from(vec![index as u8; PAYLOAD_BYTES]));
     let entries = vec![LogEntry { index: LogIndex(index), term: Term(1), data }];
     let entries_from = Some(LogIndex(index));
     let update = DurableUpdate { entries_from, entries, ..DurableUpdate::default() };
--- a/crates/durable/tests/documents.rs
+++ b/crates/durable/tests/documents.rs
@@ -1,4 +1,4 @@
-//! Copies of documents on a disk that loses power, runs full and holds foreign files.
+//! Copies of documents on a disk that loses power and contains invalid files.
 
 mod support;
 
@@ -27,9 +27,10 @@
     assert_eq!(opened.invalid, Vec::new());
 }
 
-/// Power may go at any step: the copy before stays until the new one is durable.
+/// Guards against a power loss during a write that destroys the current copy: it must stay until
+/// the new one is durable.
 #[test]
-fn a_loss_of_power_leaves_a_copy_that_is_as_new_as_the_last_kept() {
+fn a_power_loss_keeps_the_last_saved_copy() {
     for seed in 0..200 {
         let disk = MemoryDisk::new(seed);
         let mut copies = open(&disk).copies;
@@ -47,61 +48,61 @@
         let version = found.map_or(0, |found| found.version);
         assert!(version == durable || version == durable + 1, "seed {seed}: {version}, {durable}");
         assert!(found.is_none_or(|found| *found == document(1, version)), "seed {seed}");
-        // The next copy must not be written over the one that was found.
+        // The next copy must not overwrite the one that was found.
         let mut copies = opened.copies;
         copies.save(&document(1, version + 5)).unwrap();
         assert_eq!(open(&disk).newest, vec![document(1, version + 5)], "seed {seed}");
     }
 }
 
-struct BadCase {
+struct InvalidFileCase {
     name: &'static str,
     file: &'static str,
-    change: fn(&mut Vec<u8>),
+    damage: fn(&mut Vec<u8>),
     expected: Option<CopyError>,
 }
 
 #[test]
-fn files_that_are_no_copies_are_named_and_passed_over() {
-    let torn = || CopyError::Torn { name: "document-1.b".to_owned() };
+fn invalid_files_are_reported_and_skipped() {
+    let torn_error = || CopyError::Torn { name: "document-1.b".to_owned() };
     let cases = [
-        BadCase {
-            name: "cut off in its header",
+        InvalidFileCase {
+            name: "truncated in the header",
             file: "document-1.b",
-            change: |bytes| bytes.truncate(11),
-            expected: Some(torn()),
+            damage: |bytes| bytes.truncate(11),
+            expected: Some(torn_error()),
         },
-        BadCase {
-            name: "cut off in its body",
+        InvalidFileCase {
+            name: "truncated in the body",
             file: "document-1.b",
-            change: |bytes| bytes.truncate(60),
-            expected: Some(torn()),
+            damage: |bytes| bytes.truncate(60),
+            expected: Some(torn_error()),
         },
-        BadCase {
+        InvalidFileCase {
             name: "of another build",
             file: "document-1.b",
-            change: |bytes| {
+            damage: |bytes| {
                 bytes[4] = 9;
-                reseal(bytes);
+                update_checksum(bytes);
             },
             expected: Some(CopyError::UnsupportedFormat {
                 name: "document-1.b".to_owned(),
                 format: 9,
             }),
         },
-        BadCase {
+        InvalidFileCase {
             name: "of another document",
             file: "document-1.b",
-            change: |bytes| {
+            damage: |bytes| {
                 bytes[8] = 3;
-                reseal(bytes);
+                update_checksum(bytes);
             },
             expected: Some(CopyError::WrongDocument { name: "document-1.b".to_owned(), number: 3 }),
         },
-        BadCase {
+        InvalidFileCase {
             name: "of another part of the daemon",
             file: "segment-1",
-            change: |bytes| bytes.truncate(3),
+            damage: |bytes| bytes.truncate(3),
             expected: None,
         },
     ];
@@ -111,7 +112,7 @@
         copies.save(&document(1, 5)).unwrap();
         copies.save(&document(1, 6)).unwrap();
         let mut bytes = source.handle().read("document-1.b").unwrap();
-        (case.change)(&mut bytes);
+        (case.damage)(&mut bytes);
 
         let disk = MemoryDisk::new(2);
         open(&disk).copies.save(&document(1, 5)).unwrap();
@@ -124,7 +125,7 @@
     }
 }
 
-fn reseal(bytes: &mut [u8]) {
+fn update_checksum(bytes: &mut [u8]) {
     let checksum = crc32c::crc32c(&bytes[4..]).to_le_bytes();
     bytes[..4].copy_from_slice(&checksum);
 }
--- a/crates/durable/tests/log.rs
+++ b/crates/durable/tests/log.rs
@@ -1,4 +1,4 @@
-//! The log on a disk that loses power, runs full and is emptied.
+//! The log on a disk that loses power, becomes full or is replaced by an empty one.
 
 mod support;
 
@@ -12,11 +12,11 @@
 
 const GROUPS: u32 = 3;
 
-/// What the log should hold, and the log.
-struct Written {
+/// A log with the replicas that it should contain.
+struct TrackedLog {
     log: DurableLog,
     expected: BTreeMap<GroupId, DurableReplica>,
-    /// The change that is being appended: it may or may not be there after a loss of power.
+    /// The change that is being appended, which may or may not survive a power loss.
     in_flight: Option<DurableChange>,
 }
 
@@ -24,12 +24,12 @@
     DurableLog::open(disk, settings(), Incarnation(7)).expect("the log opens")
 }
 
-impl Written {
+impl TrackedLog {
     fn new(disk: Box<dyn Disk>) -> Self {
-        Self::go_on(open(disk).log, BTreeMap::new())
+        Self::with_replicas(open(disk).log, BTreeMap::new())
     }
 
-    fn go_on(log: DurableLog, expected: BTreeMap<GroupId, DurableReplica>) -> Self {
+    fn with_replicas(log: DurableLog, expected: BTreeMap<GroupId, DurableReplica>) -> Self {
         Self { log, expected, in_flight: None }
     }
 
@@ -50,8 +50,8 @@
         Ok(())
     }
 
-    /// Entry after entry, and images where the log wants them.
-    fn step(&mut self, number: u64) -> Result<(), LogError> {
+    /// Appends the images that the log needs, then the next entry of a group.
+    fn append_next(&mut self, number: u64) -> Result<(), LogError> {
         for group in self.log.groups_needing_image() {
             let last = self.expected[&group].last_index().0;
             self.append(image(group.0, last, 200))?;
@@ -70,124 +70,133 @@
 }
 
 #[test]
-fn what_was_appended_comes_back_and_the_disk_stays_bounded() {
+fn appended_changes_are_read_back_and_the_log_size_is_bounded() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("groups");
-    let mut written = Written::new(Box::new(FolderDisk::open(&path).unwrap()));
-    let identity = written.log.identity();
-    let mut most = 0;
+    let mut tracked = TrackedLog::new(Box::new(FolderDisk::open(&path).unwrap()));
+    let identity = tracked.log.identity();
+    let mut max_bytes = 0;
     for number in 0..600 {
-        written.step(number).unwrap();
-        most = most.max(written.log.bytes());
+        tracked.append_next(number).unwrap();
+        max_bytes = max_bytes.max(tracked.log.bytes());
     }
     let files = std::fs::read_dir(&path).unwrap();
     let on_disk: u64 = files.map(|file| file.unwrap().metadata().unwrap().len()).sum();
-    assert_eq!(on_disk, written.log.bytes());
-    assert!(most < 16 * 1024, "{most} bytes of a limit of 8 KiB and one segment");
-    drop(written.log);
+    assert_eq!(on_disk, tracked.log.bytes());
+    assert!(max_bytes < 16 * 1024, "{max_bytes} bytes of a limit of 8 KiB and one segment");
+    drop(tracked.log);
     let opened = open(Box::new(FolderDisk::open(&path).unwrap()));
-    assert_eq!(by_group(opened.replicas), written.expected);
+    assert_eq!(by_group(opened.replicas), tracked.expected);
     assert_eq!(opened.log.identity().incarnation, identity.incarnation);
     assert_eq!(opened.log.identity().start_count, identity.start_count + 1);
 }
 
 #[test]
-fn a_loss_of_power_at_any_step_keeps_all_that_was_acknowledged() {
+fn a_power_loss_at_any_operation_keeps_acknowledged_changes() {
     for seed in 0..8 {
-        for left in 0..400 {
-            lose_power_once(seed, left);
+        for operations in 0..400 {
+            lose_power_once(seed, operations);
         }
     }
 }
 
-fn lose_power_once(seed: u64, left: u64) {
-    let disk = MemoryDisk::new(seed * 1_000 + left);
-    let mut written = Written::new(disk.handle());
-    disk.lose_power_after(left);
+fn lose_power_once(seed: u64, operations: u64) {
+    let disk = MemoryDisk::new(seed * 1_000 + operations);
+    let mut tracked = TrackedLog::new(disk.handle());
+    disk.lose_power_after(operations);
     let mut number = 0;
-    while written.step(number).is_ok() {
+    while tracked.append_next(number).is_ok() {
         number += 1;
-        if disk.is_dead() {
+        if disk.has_no_power() {
             break;
         }
     }
     disk.lose_power();
     let opened = open(disk.handle());
     let found = by_group(opened.replicas);
-    if found != written.expected {
-        let in_flight = written.in_flight.take();
-        written.apply(in_flight.expect("without a change in flight all is known"));
-        assert_eq!(found, written.expected, "seed {seed}, step {left}");
+    if found != tracked.expected {
+        let in_flight = tracked.in_flight.take();
+        tracked.apply(in_flight.expect("only a change in flight explains a difference"));
+        assert_eq!(found, tracked.expected, "seed {seed}, {operations} operations");
     }
-    // It goes on from there, over a second loss while it is opened.
-    let mut again = Written::go_on(opened.log, found);
+    // Appends continue from there, also over a second power loss while the log is opened.
+    let mut resumed = TrackedLog::with_replicas(opened.log, found);
     for number in 0..GROUPS {
-        again.step(u64::from(number)).unwrap();
+        resumed.append_next(u64::from(number)).unwrap();
     }
-    disk.lose_power_after(left % 5);
+    disk.lose_power_after(operations % 5);
     let _ = DurableLog::open(disk.handle(), settings(), Incarnation(9));
     disk.lose_power();
-    assert_eq!(by_group(open(disk.handle()).replicas), again.expected, "seed {seed}, {left}");
+    assert_eq!(
+        by_group(open(disk.handle()).replicas),
+        resumed.expected,
+        "seed {seed}, {operations} operations"
+    );
 }
 
 #[test]
-fn a_death_of_the_process_and_then_a_loss_of_power_keep_all_that_was_read_back() {
+fn a_restart_and_then_a_power_loss_keep_all_changes_read_back() {
     for seed in 0..8 {
-        for left in 0..100 {
-            die_then_lose_power(seed, left);
+        for operations in 0..100 {
+            restart_then_lose_power(seed, operations);
         }
     }
 }
 
-/// What a process wrote without a sync is there for its next life, which goes on from it.
-fn die_then_lose_power(seed: u64, left: u64) {
-    let disk = MemoryDisk::new(seed * 1_000 + left);
-    let mut written = Written::new(disk.handle());
-    disk.lose_power_after(left);
+/// Writes without a sync survive a restart of the process, so the new process builds on them. A
+/// power loss after that must not erase them.
+fn restart_then_lose_power(seed: u64, operations: u64) {
+    let disk = MemoryDisk::new(seed * 1_000 + operations);
+    let mut tracked = TrackedLog::new(disk.handle());
+    disk.lose_power_after(operations);
     let mut number = 0;
-    while written.step(number).is_ok() {
+    while tracked.append_next(number).is_ok() {
         number += 1;
     }
-    disk.kill();
+    disk.restart_process();
     let opened = open(disk.handle());
     let found = by_group(opened.replicas);
-    let mut again = Written::go_on(opened.log, found);
+    let mut resumed = TrackedLog::with_replicas(opened.log, found);
     for number in 0..GROUPS {
-        again.step(u64::from(number)).unwrap();
+        resumed.append_next(u64::from(number)).unwrap();
     }
     disk.lose_power();
-    assert_eq!(by_group(open(disk.handle()).replicas), again.expected, "seed {seed}, {left}");
+    assert_eq!(
+        by_group(open(disk.handle()).replicas),
+        resumed.expected,
+        "seed {seed}, {operations} operations"
+    );
 }
 
 #[test]
-fn a_full_disk_loses_nothing_that_was_acknowledged_and_goes_on_when_there_is_room() {
+fn a_full_disk_keeps_acknowledged_changes_and_accepts_more_once_it_has_space() {
     let disk = MemoryDisk::new(3);
-    let mut written = Written::new(disk.handle());
+    let mut tracked = TrackedLog::new(disk.handle());
     for number in 0..10 {
-        written.step(number).unwrap();
+        tracked.append_next(number).unwrap();
     }
     disk.set_capacity(disk.bytes() + 100);
-    let refused = written.step(10);
+    let refused = tracked.append_next(10);
     assert!(matches!(refused, Err(LogError::Full { .. })), "{refused:?}");
-    assert!(written.step(10).unwrap_err().is_full());
-    let reopened = disk.clone();
-    reopened.set_capacity(usize::MAX);
-    written.step(10).unwrap();
-    drop(written.log);
+    assert!(tracked.append_next(10).unwrap_err().is_full());
+    let disk_handle = disk.clone();
+    disk_handle.set_capacity(usize::MAX);
+    tracked.append_next(10).unwrap();
+    drop(tracked.log);
     disk.lose_power();
-    assert_eq!(by_group(open(disk.handle()).replicas), written.expected);
+    assert_eq!(by_group(open(disk.handle()).replicas), tracked.expected);
 }
 
 #[test]
-fn a_start_on_a_full_disk_waits_for_room_and_finds_everything() {
+fn a_start_on_a_full_disk_waits_for_space_and_reads_everything() {
     let disk = MemoryDisk::new(3);
-    let mut written = Written::new(disk.handle());
+    let mut tracked = TrackedLog::new(disk.handle());
     for number in 0..10 {
-        written.step(number).unwrap();
+        tracked.append_next(number).unwrap();
     }
-    let life = written.log.identity().start_count;
-    drop(written.log);
-    // Room for a part of a segment's beginning only.
+    let start_count = tracked.log.identity().start_count;
+    drop(tracked.log);
+    // There is space for a part of a segment's header only.
     disk.set_capacity(disk.bytes() + 5);
     let refused = DurableLog::open(disk.handle(), settings(), Incarnation(9)).err();
     assert!(refused.is_some_and(|error| error.is_full()));
@@ -203,12 +212,12 @@
     let opened =
         DurableLog::open_waiting_for_space(handle, &settings(), Incarnation(9), wait).unwrap();
     assert_eq!(waits, 3);
-    assert_eq!(opened.log.identity().start_count, life + 1);
-    assert_eq!(by_group(opened.replicas), written.expected);
+    assert_eq!(opened.log.identity().start_count, start_count + 1);
+    assert_eq!(by_group(opened.replicas), tracked.expected);
 }
 
 #[test]
-fn a_disk_that_was_emptied_begins_another_incarnation() {
+fn an_emptied_disk_starts_a_new_incarnation() {
     let disk = MemoryDisk::new(1);
     let first = open(disk.handle()).log.identity();
     disk.wipe();
@@ -219,7 +228,7 @@
 }
 
 #[test]
-fn a_missing_segment_and_changes_without_a_beginning_are_errors() {
+fn a_missing_segment_and_updates_without_an_image_are_errors() {
     let disk = MemoryDisk::new(1);
     drop(open(disk.handle()).log.append(&[update(1, 1, 10)]));
     assert!(matches!(
@@ -231,7 +240,7 @@
     log.append(&[image(1, 0, 10)]).unwrap();
     drop(open(disk.handle()));
     drop(open(disk.handle()));
-    disk.clone().remove(&disk.names()[1]).unwrap();
+    disk.clone().remove(&disk.file_names()[1]).unwrap();
     assert!(matches!(
         DurableLog::open(disk.handle(), settings(), Incarnation(7)),
         Err(LogError::MissingSegment { .. })
@@ -239,13 +248,13 @@
 }
 
 #[test]
-fn a_log_without_groups_takes_a_later_incarnation_and_one_with_groups_does_not() {
+fn only_a_log_without_groups_advances_its_incarnation() {
     let disk = MemoryDisk::new(1);
     let mut log = open(disk.handle()).log;
     assert!(log.advance_incarnation(Incarnation(20)).unwrap());
     let mut log = open(disk.handle()).log;
     assert_eq!((log.identity().incarnation, log.identity().start_count), (Incarnation(21), 1));
-    assert!(!log.advance_incarnation(Incarnation(20)).unwrap(), "it is later already");
+    assert!(!log.advance_incarnation(Incarnation(20)).unwrap(), "the incarnation is already later");
     log.append(&[image(1, 0, 10)]).unwrap();
     assert!(!log.advance_incarnation(Incarnation(30)).unwrap());
     let opened = open(disk.handle());
--- a/crates/durable/tests/power_loss.rs
+++ b/crates/durable/tests/power_loss.rs
@@ -1,4 +1,4 @@
-//! A group on durable logs, whose machines lose power and disks at any durable step.
+//! A group on durable logs whose machines lose power and disks at any disk operation.
 
 mod support;
 
@@ -6,33 +6,33 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use support::cluster::Cluster;
-use support::machine::Switches;
+use support::machine::InjectedFaults;
 
 const MACHINES: u32 = 4;
 const VOTERS: u32 = 3;
 const SEEDS: u64 = 60;
-/// Days after which a missing mechanism counts as unnoticed.
-const MOST_SEEDS: u64 = 1_000;
-const LOSSES: u32 = 5;
-/// Disk operations within which the power goes: some frames, a new segment, a removal.
-const STEPS: u64 = 12;
+/// Seeds after which an injected fault counts as undetected.
+const MAX_SEEDS: u64 = 1_000;
+const POWER_LOSSES: u32 = 5;
+/// Disk operations within which the power is lost: some frames, a new segment, a removal.
+const MAX_OPERATIONS_BEFORE_LOSS: u64 = 12;
 
-/// One day: all machines lose power again and again, one of them its disk; now and then a single
-/// machine does.
-fn day(seed: u64, switches: Switches) -> Cluster {
+/// Runs a cluster whose machines lose power [`POWER_LOSSES`] times, in most cases all at once and
+/// otherwise one alone. In most cases one of them also loses its disk.
+fn run_with_power_losses(seed: u64, faults: InjectedFaults) -> Cluster {
     let mut random = ChaCha8Rng::seed_from_u64(!seed);
-    let mut cluster = Cluster::new(MACHINES, VOTERS, seed, switches);
+    let mut cluster = Cluster::new(MACHINES, VOTERS, seed, faults);
     cluster.run(Duration::from_secs(2));
-    for _ in 0..LOSSES {
+    for _ in 0..POWER_LOSSES {
         let all: Vec<usize> = (0..MACHINES as usize).collect();
         let one = random.random_range(0..all.len());
-        let places = if random.random_bool(0.7) { all } else { vec![one] };
+        let machines = if random.random_bool(0.7) { all } else { vec![one] };
         let wiped = random.random_bool(0.6).then_some(one);
-        cluster.lose_power(&places, wiped, STEPS);
+        cluster.lose_power(&machines, wiped, MAX_OPERATIONS_BEFORE_LOSS);
         if cluster.violation.is_some() {
             return cluster;
         }
-        cluster.restore(&places);
+        cluster.restore(&machines);
         cluster.run(Duration::from_millis(random.random_range(100..1_500)));
     }
     cluster.check_nothing_lost();
@@ -40,40 +40,43 @@
 }
 
 #[test]
-fn nothing_acknowledged_is_lost_by_losses_of_power_and_one_disk() {
-    let (mut repair, mut lead, mut entries) = (Duration::ZERO, Duration::ZERO, 0);
+fn acknowledged_entries_survive_power_losses_and_a_lost_disk() {
+    let (mut repair, mut commit_delay, mut entries) = (Duration::ZERO, Duration::ZERO, 0);
     for seed in 0..SEEDS {
-        let cluster = day(seed, Switches::default());
+        let cluster = run_with_power_losses(seed, InjectedFaults::default());
         assert_eq!(cluster.violation, None);
-        repair = repair.max(cluster.slowest_repair);
-        lead = lead.max(cluster.slowest_lead);
+        repair = repair.max(cluster.max_repair_time);
+        commit_delay = commit_delay.max(cluster.max_commit_delay);
         entries += cluster.committed.len();
     }
-    println!("{entries} entries; led again after {lead:?}, whole again after {repair:?}");
-    assert!(lead < Duration::from_secs(3), "led again only after {lead:?}");
-    assert!(repair < Duration::from_secs(4), "whole again only after {repair:?}");
+    println!(
+        "{entries} entries; commits again after {commit_delay:?}, all voters again after {repair:?}"
+    );
+    assert!(commit_delay < Duration::from_secs(3), "commits again only after {commit_delay:?}");
+    assert!(repair < Duration::from_secs(4), "all voters again only after {repair:?}");
 }
 
-fn assert_noticed(what: &str, switches: Switches) {
-    let noticed = (0..MOST_SEEDS).filter_map(|seed| day(seed, switches).violation).next();
-    println!("{what}: {noticed:?}");
-    assert!(noticed.is_some(), "{what} is not noticed");
+fn assert_detected(what: &str, faults: InjectedFaults) {
+    let detected =
+        (0..MAX_SEEDS).filter_map(|seed| run_with_power_losses(seed, faults).violation).next();
+    println!("{what}: {detected:?}");
+    assert!(detected.is_some(), "{what} is not detected");
 }
 
 #[test]
-fn an_acknowledgement_before_the_sync_is_noticed() {
-    let switches = Switches { acknowledge_before_sync: true, ..Switches::default() };
-    assert_noticed("an acknowledgement before the sync", switches);
+fn an_acknowledgement_before_the_sync_is_detected() {
+    let faults = InjectedFaults { acknowledge_before_sync: true, ..InjectedFaults::default() };
+    assert_detected("an acknowledgement before the sync", faults);
 }
 
 #[test]
-fn events_handled_during_the_sync_are_noticed() {
-    let switches = Switches { overlap_batches: true, ..Switches::default() };
-    assert_noticed("events handled during the sync", switches);
+fn events_handled_during_the_sync_are_detected() {
+    let faults = InjectedFaults { overlap_batches: true, ..InjectedFaults::default() };
+    assert_detected("events handled during the sync", faults);
 }
 
 #[test]
-fn a_kept_identity_without_its_disk_is_noticed() {
-    let switches = Switches { keep_identity_after_wipe: true, ..Switches::default() };
-    assert_noticed("a kept identity without its disk", switches);
+fn an_identity_kept_after_a_lost_disk_is_detected() {
+    let faults = InjectedFaults { keep_identity_after_wipe: true, ..InjectedFaults::default() };
+    assert_detected("an identity kept after a lost disk", faults);
 }
--- a/crates/durable/tests/support/machine.rs
+++ b/crates/durable/tests/support/machine.rs
@@ -1,4 +1,4 @@
-//! One machine: a disk, a log and a replica, driven as the daemon's core does.
+//! A machine with a disk, a log and a replica, driven like the daemon's core.
 
 use std::collections::BTreeMap;
 
@@ -14,32 +14,32 @@
 pub const GROUP: GroupId = GroupId(7);
 const CONFIG: bincode::config::Configuration = bincode::config::standard();
 
-/// Mechanisms that a test takes away to show that the checker notices.
+/// Faults that a test injects to show that the checker detects them.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Switches {
-    /// Messages and acknowledgements leave before the sync that they depend on.
+pub struct InjectedFaults {
+    /// Messages and acknowledgements are sent before the sync that they depend on.
     pub acknowledge_before_sync: bool,
-    /// Events are handled while the sync of the batch before them is under way.
+    /// Events are handled while the sync of the previous batch is in progress.
     pub overlap_batches: bool,
-    /// A machine that lost its disk speaks as the replica that it was.
+    /// A machine that lost its disk keeps its earlier replica identity.
     pub keep_identity_after_wipe: bool,
 }
 
-/// Entries by place: the whole state machine.
+/// The state machine: all committed entries by log index.
 pub type State = BTreeMap<LogIndex, Vec<u8>>;
 
-/// What left a machine.
+/// The output of a machine.
 #[derive(Debug, Default)]
-pub struct Left {
+pub struct MachineOutput {
     pub messages: Vec<GroupMessage>,
-    /// Entries that it answers its callers for, or has applied for good.
+    /// Entries that it acknowledges to callers or has applied as committed.
     pub committed: Vec<(LogIndex, Vec<u8>)>,
 }
 
 struct Batch {
     synced_at: Timestamp,
     changes: Vec<DurableChange>,
-    left: Left,
+    output: MachineOutput,
 }
 
 struct Process {
@@ -56,24 +56,25 @@
     pub disk: MemoryDisk,
     pub is_wiped: bool,
     pub identity: ReplicaId,
-    switches: Switches,
+    faults: InjectedFaults,
     process: Option<Process>,
 }
 
 impl Machine {
-    pub fn new(number: u32, seed: u64, switches: Switches) -> Self {
+    pub fn new(number: u32, seed: u64, faults: InjectedFaults) -> Self {
         let daemon = DaemonId(number);
         let identity = ReplicaId { daemon, incarnation: Incarnation(0) };
         let disk = MemoryDisk::new(seed ^ u64::from(number) << 32);
-        Self { daemon, disk, is_wiped: false, identity, switches, process: None }
+        Self { daemon, disk, is_wiped: false, identity, faults, process: None }
     }
 
-    /// Starts the process with what is on the disk.
-    pub fn start(&mut self, first: &[DaemonId], seed: u64, now: Timestamp) {
-        let fresh = Incarnation(now.0);
-        let opened = DurableLog::open(self.disk.handle(), settings(), fresh).expect("it opens");
+    /// Starts the process with the log on the disk.
+    pub fn start(&mut self, initial_voters: &[DaemonId], seed: u64, now: Timestamp) {
+        let new_incarnation = Incarnation(now.0);
+        let opened =
+            DurableLog::open(self.disk.handle(), settings(), new_incarnation).expect("it opens");
         let mut incarnation = opened.log.identity().incarnation;
-        if self.is_wiped && self.switches.keep_identity_after_wipe {
+        if self.is_wiped && self.faults.keep_identity_after_wipe {
             incarnation = self.identity.incarnation;
         }
         self.identity = ReplicaId { daemon: self.daemon, incarnation };
@@ -82,14 +83,14 @@
         let replica = match opened.replicas.into_iter().next() {
             Some(durable) => {
                 if !durable.base.data.is_empty() {
-                    state = decode(&durable.base.data);
+                    state = decode_state(&durable.base.data);
                 }
                 Replica::recover(self.identity, durable, group_settings, seed, now)
             }
-            None if first.contains(&self.daemon) && !self.is_wiped => {
-                // The layout names first incarnations, which all began at the same time.
+            None if initial_voters.contains(&self.daemon) && !self.is_wiped => {
+                // The layout names the first incarnations, which all start at the same time.
                 let voter = |daemon: &DaemonId| ReplicaId { daemon: *daemon, incarnation };
-                let voters = first.iter().map(voter).collect();
+                let voters = initial_voters.iter().map(voter).collect();
                 Replica::bootstrap(self.identity, GROUP, voters, group_settings, seed, now)
             }
             None => Replica::join(self.identity, GROUP, group_settings, seed, now),
@@ -121,29 +122,34 @@
         }
     }
 
-    /// Ends a due sync, then handles what waits as one batch. The process ends with its power.
-    pub fn run(&mut self, sync_time: Duration, now: Timestamp) -> Left {
-        let switches = self.switches;
-        let Some(process) = &mut self.process else { return Left::default() };
-        let mut left = Left::default();
+    /// Completes due syncs, then handles all waiting events as one batch. The process ends when the
+    /// disk loses its power.
+    pub fn run(&mut self, sync_time: Duration, now: Timestamp) -> MachineOutput {
+        let faults = self.faults;
+        let Some(process) = &mut self.process else { return MachineOutput::default() };
+        let mut output = MachineOutput::default();
         let result = process
-            .end_syncs(now, &mut left)
-            .map(|()| process.begin_batch(switches, sync_time, now, &mut left));
+            .complete_syncs(now, &mut output)
+            .map(|()| process.begin_batch(faults, sync_time, now, &mut output));
         if result.is_err() {
-            assert!(self.disk.is_dead(), "{result:?}");
+            assert!(self.disk.has_no_power(), "{result:?}");
             self.process = None;
         }
-        left
+        output
     }
 }
 
 impl Process {
-    fn end_syncs(&mut self, now: Timestamp, left: &mut Left) -> Result<(), LogError> {
+    fn complete_syncs(
+        &mut self,
+        now: Timestamp,
+        output: &mut MachineOutput,
+    ) -> Result<(), LogError> {
         while self.syncing.first().is_some_and(|batch| batch.synced_at <= now) {
             let batch = self.syncing.remove(0);
             self.log.append(&batch.changes)?;
-            left.messages.extend(batch.left.messages);
-            left.committed.extend(batch.left.committed);
+            output.messages.extend(batch.output.messages);
+            output.committed.extend(batch.output.committed);
             self.wants_image = !self.log.groups_needing_image().is_empty();
         }
         Ok(())
@@ -151,12 +157,12 @@
 
     fn begin_batch(
         &mut self,
-        switches: Switches,
+        faults: InjectedFaults,
         sync_time: Duration,
         now: Timestamp,
-        left: &mut Left,
+        output: &mut MachineOutput,
     ) {
-        if !self.syncing.is_empty() && !switches.overlap_batches {
+        if !self.syncing.is_empty() && !faults.overlap_batches {
             return;
         }
         for message in std::mem::take(&mut self.inbox) {
@@ -165,58 +171,61 @@
         if self.replica.next_deadline() <= now {
             self.replica.tick(now);
         }
-        let mut batch =
-            Batch { synced_at: now + sync_time, changes: Vec::new(), left: Left::default() };
-        self.take(&mut batch, left);
+        let mut batch = Batch {
+            synced_at: now + sync_time,
+            changes: Vec::new(),
+            output: MachineOutput::default(),
+        };
+        self.collect_outputs(&mut batch, output);
         if std::mem::take(&mut self.wants_image) {
             let snapshot = bincode::serde::encode_to_vec(&self.state, CONFIG).unwrap();
             batch.changes.extend(self.replica.durable_image(snapshot));
         }
-        if batch.changes.is_empty() || switches.acknowledge_before_sync {
-            left.messages.append(&mut batch.left.messages);
-            left.committed.append(&mut batch.left.committed);
+        if batch.changes.is_empty() || faults.acknowledge_before_sync {
+            output.messages.append(&mut batch.output.messages);
+            output.committed.append(&mut batch.output.committed);
         }
         if !batch.changes.is_empty() {
             self.syncing.push(batch);
         }
     }
 
-    fn take(&mut self, batch: &mut Batch, left: &mut Left) {
+    fn collect_outputs(&mut self, batch: &mut Batch, output: &mut MachineOutput) {
         batch.changes.extend(self.replica.take_durable_change());
         let outputs = self.replica.take_outputs();
-        let mut is_changed = false;
-        for output in outputs {
-            match output {
+        let mut has_more_outputs = false;
+        for replica_output in outputs {
+            match replica_output {
                 Output::Send(message) if self.replica.may_send_unsynced(&message) => {
-                    left.messages.push(message);
+                    output.messages.push(message);
                 }
-                Output::Send(message) => batch.left.messages.push(message),
+                Output::Send(message) => batch.output.messages.push(message),
                 Output::Committed(entry) => {
                     let payload = entry.payload.to_vec();
                     self.state.insert(entry.index, payload.clone());
-                    batch.left.committed.push((entry.index, payload));
+                    batch.output.committed.push((entry.index, payload));
                 }
-                Output::Restore(Snapshot { data, .. }) => self.state = decode(&data),
+                Output::Restore(Snapshot { data, .. }) => self.state = decode_state(&data),
                 Output::SnapshotWanted => {
                     let applied = self.replica.applied();
                     let snapshot = bincode::serde::encode_to_vec(&self.state, CONFIG).unwrap();
                     self.replica.provide_snapshot(applied, snapshot);
-                    is_changed = true;
+                    has_more_outputs = true;
                 }
                 Output::Removed { .. } => {
                     self.replica.retire(Timestamp::ZERO.max(batch.synced_at));
                     self.state.clear();
-                    is_changed = true;
+                    has_more_outputs = true;
                 }
                 Output::RoleChanged { .. } | Output::MembersChanged { .. } => {}
             }
         }
-        if is_changed {
-            self.take(batch, left);
+        if has_more_outputs {
+            self.collect_outputs(batch, output);
         }
     }
 }
 
-fn decode(data: &[u8]) -> State {
+fn decode_state(data: &[u8]) -> State {
     bincode::serde::decode_from_slice(data, CONFIG).expect("a state").0
 }
--- a/crates/durable/tests/support/mod.rs
+++ b/crates/durable/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! What the tests of the log share.
+//! Test helpers of this crate: changes of groups, a simulated disk and a simulated cluster.
 
-#![allow(dead_code, reason = "each test file uses its part")]
+#![allow(dead_code, reason = "each test file uses a part of it")]
 
 pub mod cluster;
 pub mod disk;
@@ -13,7 +13,7 @@
 };
 use dahlia_types::{GroupId, LogIndex, Term};
 
-/// Small segments, so that a test has many.
+/// Settings with small segments, so that a test has many of them.
 pub fn settings() -> DurableSettings {
     DurableSettings { segment_bytes: 4 * 1024, compact_above_bytes: 8 * 1024 }
 }
@@ -23,7 +23,7 @@
     LogEntry { index: LogIndex(index), term: Term(1), data }
 }
 
-/// A group as a whole, with a state of `bytes` bytes after entry `index`.
+/// An image of a group, with a state of `bytes` bytes after entry `index`.
 pub fn image(group: u32, index: u64, bytes: usize) -> DurableChange {
     let data = Bytes::from(vec![group as u8; bytes]);
     let term = Term(u64::from(index > 0));
@@ -33,7 +33,7 @@
     DurableChange::Image(Box::new(image))
 }
 
-/// One more entry of a group.
+/// An update that appends entry `index` to a group.
 pub fn update(group: u32, index: u64, bytes: usize) -> DurableChange {
     let update = DurableUpdate {
         entries_from: Some(LogIndex(index)),
@@ -43,9 +43,9 @@
     DurableChange::Update { group: GroupId(group), update }
 }
 
-/// Changes that follow from a number, of different sizes.
+/// Changes of different sizes, derived from `seed`.
 pub fn changes(seed: u64) -> Vec<DurableChange> {
     let bytes = (seed * 37 % 90) as usize;
-    let one = update(seed as u32, seed + 1, bytes);
-    if seed.is_multiple_of(3) { vec![image(1, seed, bytes), one] } else { vec![one] }
+    let appended = update(seed as u32, seed + 1, bytes);
+    if seed.is_multiple_of(3) { vec![image(1, seed, bytes), appended] } else { vec![appended] }
 }
