--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -1,18 +1,18 @@
-//! The few file operations that a store uses.
+//! The file operations that a store uses.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Read, Seek, SeekFrom, Write};
 use std::path::{Path, PathBuf};
 
-/// Files of one flat folder. Tests put one in place that tears writes and runs full.
+/// The files of one flat folder. Tests substitute a disk that tears writes and becomes full.
 pub trait Disk: Send {
-    /// Names of all files, in any order.
+    /// Lists the names of all files, in any order.
     ///
     /// # Errors
     /// An I/O error.
     fn list(&self) -> io::Result<Vec<String>>;
 
-    /// Length of a file in bytes.
+    /// Returns the length of a file in bytes.
     ///
     /// # Errors
     /// An I/O error, e.g. when there is no such file.
@@ -21,16 +21,16 @@
     /// Reads exactly `length` bytes from `offset`.
     ///
     /// # Errors
-    /// An I/O error; `UnexpectedEof` when the file is shorter.
+    /// An I/O error, which is `UnexpectedEof` if the file is too short.
     fn read(&self, name: &str, offset: u64, length: usize) -> io::Result<Vec<u8>>;
 
     /// Appends to a file and makes it durable, creating the file if it is missing.
     ///
     /// # Errors
-    /// An I/O error; any part of the bytes may then be in the file.
+    /// An I/O error, after which any part of the bytes may be in the file.
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
 
-    /// Cuts a file off.
+    /// Truncates a file.
     ///
     /// # Errors
     /// An I/O error.
@@ -43,10 +43,10 @@
     fn remove(&mut self, name: &str) -> io::Result<()>;
 }
 
-/// A real folder.
+/// A folder of the file system.
 pub struct FolderDisk {
     folder: PathBuf,
-    open: Option<(String, File)>,
+    open_file: Option<(String, File)>,
 }
 
 impl FolderDisk {
@@ -56,27 +56,27 @@
     /// An I/O error when it cannot be created.
     pub fn open(folder: &Path) -> io::Result<Self> {
         fs::create_dir_all(folder)?;
-        Ok(Self { folder: folder.to_owned(), open: None })
+        Ok(Self { folder: folder.to_owned(), open_file: None })
     }
 
     fn path(&self, name: &str) -> PathBuf {
         self.folder.join(name)
     }
 
-    /// The file that is appended to, opened once.
-    fn appended(&mut self, name: &str) -> io::Result<&mut File> {
-        let is_open = self.open.as_ref().is_some_and(|(held, _)| held == name);
+    /// Returns the file to append to, which stays open until another one is file_for_appending to.
+    fn file_for_appending(&mut self, name: &str) -> io::Result<&mut File> {
+        let is_open = self.open_file.as_ref().is_some_and(|(open_name, _)| open_name == name);
         if !is_open {
             let path = self.path(name);
             let is_new = !path.exists();
             let file = OpenOptions::new().create(true).append(true).open(path)?;
             if is_new {
-                // Without this a crash may lose the file's name together with synced contents.
+                // Without this a crash can lose the file's name, and with it the synced contents.
                 File::open(&self.folder)?.sync_all()?;
             }
-            self.open = Some((name.to_owned(), file));
+            self.open_file = Some((name.to_owned(), file));
         }
-        match &mut self.open {
+        match &mut self.open_file {
             Some((_, file)) => Ok(file),
             None => Err(io::Error::other("the file was just opened")),
         }
@@ -105,21 +105,21 @@
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        let file = self.appended(name)?;
+        let file = self.file_for_appending(name)?;
         file.write_all(bytes)?;
         file.sync_data()
     }
 
     fn truncate(&mut self, name: &str, length: u64) -> io::Result<()> {
-        self.open = None;
+        self.open_file = None;
         let file = OpenOptions::new().write(true).open(self.path(name))?;
         file.set_len(length)?;
         file.sync_all()
     }
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
-        if self.open.as_ref().is_some_and(|(held, _)| held == name) {
-            self.open = None;
+        if self.open_file.as_ref().is_some_and(|(open_name, _)| open_name == name) {
+            self.open_file = None;
         }
         fs::remove_file(self.path(name))
     }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,18 +1,19 @@
-//! Bulk history on a small disk: checksummed chunks in append-only segments under one folder.
+//! Stores the history of programs on a small disk, as checksummed chunks in append-only segments
+//! under one folder.
 //!
-//! A store daemon keeps one [`ChunkStore`]. A chunk is written once, named by its program and
-//! its digest, synced before it is acknowledged, and removed when its program is forgotten.
-//! Torn writes are cut off at the next start, damaged records are refused by their checksum, a
-//! full disk refuses new chunks and goes on serving old ones. Other copies are on other store
-//! daemons; what is lost here is copied anew from them.
+//! A store daemon has one [`ChunkStore`]. A chunk is identified by its program and its digest. It
+//! is written once, synced before it is acknowledged, and removed when its program is forgotten.
+//! Torn writes are truncated at the next start, and damaged records are detected by their checksum.
+//! When the disk is full, new chunks are refused and stored ones are still served. Other store
+//! daemons have further copies, from which lost chunks are copied again.
 //!
 //! | module | job |
 //! |---|---|
-//! | `disk` | the few file operations that are used, so that tests can make them fail |
+//! | `disk` | the file operations that are used; tests substitute a disk that fails |
 //! | `record` | the format of segments and records |
-//! | `segment` | reading a segment back |
+//! | `segment` | names of the segments' files, and the scan that reads one back |
 //! | `store` | the chunks of one folder |
-//! | `settings` | limits |
+//! | `settings` | limits of a store |
 
 mod disk;
 mod record;
--- a/crates/store/src/segment.rs
+++ b/crates/store/src/segment.rs
@@ -1,4 +1,4 @@
-//! Reading a segment back at the start.
+//! Reads a segment back at the start.
 
 use std::io;
 
@@ -6,64 +6,64 @@
 
 use crate::disk::Disk;
 use crate::record::{
-    RECORD_HEADER, RecordHeader, RecordKind, SEGMENT_HEADER, decode_header, is_intact,
-    segment_version,
+    RECORD_HEADER_BYTES, RecordHeader, RecordKind, SEGMENT_HEADER_BYTES, decode_header,
+    decode_segment_version, is_intact,
 };
 
-/// Number of a segment; later ones are larger.
+/// The number of a segment; later segments have larger numbers.
 pub(crate) type SegmentNumber = u64;
 
 const PREFIX: &str = "segment-";
 const SUFFIX: &str = ".chunks";
 
-/// The file of a segment.
+/// The file name of a segment.
 pub(crate) fn file_name(number: SegmentNumber) -> String {
     format!("{PREFIX}{number:012}{SUFFIX}")
 }
 
-/// The number of a segment's file. None for other files.
-pub(crate) fn number_of(name: &str) -> Option<SegmentNumber> {
+/// The number of the segment in a file of this name. None for other files.
+pub(crate) fn parse_file_name(name: &str) -> Option<SegmentNumber> {
     name.strip_prefix(PREFIX)?.strip_suffix(SUFFIX)?.parse().ok()
 }
 
 /// A record found in a segment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct FoundRecord {
+pub(crate) struct RecordLocation {
     pub(crate) kind: RecordKind,
     pub(crate) key: ChunkKey,
     pub(crate) offset: u64,
     pub(crate) length: u32,
 }
 
-/// What reading a segment gave.
+/// The result of reading a segment.
 #[derive(Debug, Default)]
-pub(crate) struct Scan {
-    /// Intact records up to the first that is not.
-    pub(crate) records: Vec<FoundRecord>,
+pub(crate) struct SegmentScan {
+    /// The intact records before the first torn or damaged one.
+    pub(crate) records: Vec<RecordLocation>,
     /// Where the last intact record ends.
     pub(crate) intact_bytes: u64,
-    /// Bytes behind it.
+    /// Bytes after the last intact record.
     pub(crate) damaged_bytes: u64,
-    /// A version that this build does not read.
-    pub(crate) other_version: Option<u32>,
+    /// The format version of the segment, if this build does not read it.
+    pub(crate) unsupported_version: Option<u32>,
 }
 
-/// Reads all records of a segment, up to the first that is torn or damaged: what follows it has
-/// no known place.
+/// Reads the records of a segment before the first one that is torn or damaged. The records after
+/// that one cannot be located.
 ///
 /// # Errors
 /// An I/O error when the file cannot be read.
-pub(crate) fn scan(disk: &dyn Disk, name: &str) -> io::Result<Scan> {
+pub(crate) fn scan_segment(disk: &dyn Disk, name: &str) -> io::Result<SegmentScan> {
     let length = disk.length(name)?;
-    let mut scan = Scan::default();
-    if length < SEGMENT_HEADER as u64 {
+    let mut scan = SegmentScan::default();
+    if length < SEGMENT_HEADER_BYTES as u64 {
         scan.damaged_bytes = length;
         return Ok(scan);
     }
-    match segment_version(&disk.read(name, 0, SEGMENT_HEADER)?) {
+    match decode_segment_version(&disk.read(name, 0, SEGMENT_HEADER_BYTES)?) {
         Some(crate::FORMAT_VERSION) => {}
         Some(version) => {
-            scan.other_version = Some(version);
+            scan.unsupported_version = Some(version);
             return Ok(scan);
         }
         None => {
@@ -71,10 +71,10 @@
             return Ok(scan);
         }
     }
-    scan.intact_bytes = SEGMENT_HEADER as u64;
-    while let Some(found) = next_record(disk, name, scan.intact_bytes, length)? {
-        scan.intact_bytes += RECORD_HEADER as u64 + u64::from(found.length);
-        scan.records.push(found);
+    scan.intact_bytes = SEGMENT_HEADER_BYTES as u64;
+    while let Some(record) = next_record(disk, name, scan.intact_bytes, length)? {
+        scan.intact_bytes += RECORD_HEADER_BYTES as u64 + u64::from(record.length);
+        scan.records.push(record);
     }
     scan.damaged_bytes = length - scan.intact_bytes;
     Ok(scan)
@@ -85,23 +85,23 @@
     name: &str,
     offset: u64,
     length: u64,
-) -> io::Result<Option<FoundRecord>> {
-    let left = length - offset;
-    if left < RECORD_HEADER as u64 {
+) -> io::Result<Option<RecordLocation>> {
+    let remaining = length - offset;
+    if remaining < RECORD_HEADER_BYTES as u64 {
         return Ok(None);
     }
-    let Some(header) = decode_header(&disk.read(name, offset, RECORD_HEADER)?) else {
+    let Some(header) = decode_header(&disk.read(name, offset, RECORD_HEADER_BYTES)?) else {
         return Ok(None);
     };
-    let whole = RECORD_HEADER as u64 + u64::from(header.length);
-    // A damaged length must not make us allocate more than the file holds.
-    if whole > left {
+    let record_bytes = RECORD_HEADER_BYTES as u64 + u64::from(header.length);
+    // A damaged length must not cause an allocation larger than the file.
+    if record_bytes > remaining {
         return Ok(None);
     }
-    let record = disk.read(name, offset, whole as usize)?;
+    let record = disk.read(name, offset, record_bytes as usize)?;
     if !is_intact(&header, &record) {
         return Ok(None);
     }
     let RecordHeader { kind, key, length, .. } = header;
-    Ok(Some(FoundRecord { kind, key, offset, length }))
+    Ok(Some(RecordLocation { kind, key, offset, length }))
 }
--- a/crates/store/src/settings.rs
+++ b/crates/store/src/settings.rs
@@ -7,13 +7,13 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct StoreSettings {
-    /// Bytes that all segments together may have; above it new chunks are refused.
+    /// Largest total size of all segments in bytes; above it new chunks are refused.
     pub max_bytes: u64,
-    /// Bytes of a segment before the next one is begun.
+    /// Size of a segment in bytes at which the next one is started.
     pub segment_bytes: u64,
-    /// Bytes of the largest chunk.
+    /// Size of the largest chunk in bytes.
     pub max_chunk_bytes: u64,
-    /// Percent of a segment that must be of no use before the rest is copied out of it.
+    /// Percent of a segment's bytes that must be obsolete before it is compacted.
     pub compact_percent: u64,
 }
 
@@ -32,7 +32,7 @@
     /// Checks every field.
     ///
     /// # Errors
-    /// The first field with a value that is not allowed.
+    /// The first field whose value is not allowed.
     pub fn check(&self) -> Result<(), InvalidSetting> {
         check_range("store.max_chunk_bytes", self.max_chunk_bytes, 1_024, 1 << 30)?;
         check_range("store.segment_bytes", self.segment_bytes, 4_096, 4 << 30)?;
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -9,37 +9,38 @@
 use crate::StoreSettings;
 use crate::disk::Disk;
 use crate::record::{
-    RECORD_HEADER, RecordKind, SEGMENT_HEADER, decode_header, encode, is_intact, segment_header,
+    RECORD_HEADER_BYTES, RecordKind, SEGMENT_HEADER_BYTES, decode_header, encode_record,
+    encode_segment_header, is_intact,
 };
-use crate::segment::{FoundRecord, SegmentNumber, file_name, number_of, scan};
+use crate::segment::{RecordLocation, SegmentNumber, file_name, parse_file_name, scan_segment};
 
-/// Why the store did not do as asked.
+/// Errors of the store.
 #[derive(Debug, Snafu)]
 pub enum StoreError {
     /// A file operation failed.
     #[snafu(display("{operation} {file}: {source}"))]
     File {
-        /// What was being done.
+        /// The operation that failed.
         operation: &'static str,
         /// The file.
         file: String,
-        /// Cause.
+        /// The cause.
         source: io::Error,
     },
-    /// There is no room. Chunks that are held are served on.
+    /// The store or the disk is full. Stored chunks are still served.
     #[snafu(display("the store is full: {used} bytes used, store.max_bytes is {limit}"))]
     Full {
-        /// Bytes of all segments.
+        /// The size of all segments in bytes.
         used: u64,
-        /// The limit; a full disk may come earlier.
+        /// The limit in bytes; the disk may be full before it is reached.
         limit: u64,
     },
     /// The chunk is larger than allowed.
     #[snafu(display("the chunk has {length} bytes; store.max_chunk_bytes is {limit}"))]
     TooLarge {
-        /// Its length.
+        /// The length of the chunk in bytes.
         length: u64,
-        /// The limit.
+        /// The limit in bytes.
         limit: u64,
     },
     /// A segment was written by a build with another format.
@@ -47,50 +48,50 @@
     UnsupportedFormat {
         /// The segment's file.
         file: String,
-        /// Its version.
+        /// The version of its format.
         version: u32,
     },
-    /// A record is damaged: the chunk is lost here, and other copies have to serve.
+    /// A record is damaged. The chunk is lost here and must be read from another copy.
     #[snafu(display("a chunk in {file} at byte {offset} is damaged"))]
     Damaged {
         /// The segment's file.
         file: String,
-        /// Where the record begins.
+        /// Where the record begins, in bytes.
         offset: u64,
     },
 }
 
-/// What a start found and mended.
+/// What the store found and repaired when it was opened.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct RecoveryReport {
-    /// Chunks that are held.
+    /// Number of stored chunks.
     pub chunks: u64,
-    /// Bytes of a torn last write that were cut off.
+    /// Bytes of a torn last write that were truncated.
     pub torn_bytes: u64,
-    /// Bytes behind a damaged record of an older segment; their chunks are lost here.
+    /// Bytes from a damaged record to the end of an older segment; their chunks are lost here.
     pub damaged_bytes: u64,
 }
 
-/// How much is stored.
+/// The space that the store uses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct StoreUsage {
-    /// Chunks held.
+    /// Number of stored chunks.
     pub chunks: u64,
-    /// Bytes of all segments.
+    /// The size of all segments in bytes.
     pub bytes: u64,
-    /// Bytes of them that hold chunks.
+    /// Bytes of the records of stored chunks.
     pub live_bytes: u64,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Location {
+struct ChunkLocation {
     segment: SegmentNumber,
     offset: u64,
     length: u32,
 }
 
 #[derive(Debug, Clone, Copy, Default)]
-struct Segment {
+struct SegmentUsage {
     bytes: u64,
     live_bytes: u64,
 }
@@ -99,34 +100,39 @@
 pub struct ChunkStore {
     disk: Box<dyn Disk>,
     settings: StoreSettings,
-    index: HashMap<ChunkKey, Location>,
-    segments: BTreeMap<SegmentNumber, Segment>,
-    active: SegmentNumber,
+    index: HashMap<ChunkKey, ChunkLocation>,
+    segments: BTreeMap<SegmentNumber, SegmentUsage>,
+    active_segment: SegmentNumber,
 }
 
 impl ChunkStore {
-    /// Reads the folder back. A torn last write is cut off.
+    /// Reads all segments of the folder and truncates a torn last write.
     ///
     /// # Errors
-    /// [`StoreError::UnsupportedFormat`] for a segment of another version, which is left alone;
-    /// [`StoreError::File`] when the folder cannot be read or mended.
+    /// [`StoreError::UnsupportedFormat`] for a segment of another version, which is left unchanged;
+    /// [`StoreError::File`] if the folder cannot be read or repaired.
     pub fn open(
         disk: Box<dyn Disk>,
         settings: StoreSettings,
     ) -> Result<(Self, RecoveryReport), StoreError> {
-        let mut store =
-            Self { disk, settings, index: HashMap::new(), segments: BTreeMap::new(), active: 0 };
+        let mut store = Self {
+            disk,
+            settings,
+            index: HashMap::new(),
+            segments: BTreeMap::new(),
+            active_segment: 0,
+        };
         let names =
             store.disk.list().context(FileSnafu { operation: "listing", file: "the folder" })?;
         let mut numbers: Vec<SegmentNumber> =
-            names.iter().filter_map(|name| number_of(name)).collect();
+            names.iter().filter_map(|name| parse_file_name(name)).collect();
         numbers.sort_unstable();
         let mut recovery = RecoveryReport::default();
         for number in &numbers {
             store.read_segment(*number, numbers.last() == Some(number), &mut recovery)?;
         }
-        // A fresh segment: nothing is ever appended behind bytes that another life wrote.
-        store.active = numbers.last().map_or(1, |last| last + 1);
+        // A new segment is used, so nothing is ever appended after bytes of an earlier process.
+        store.active_segment = numbers.last().map_or(1, |last| last + 1);
         recovery.chunks = store.index.len() as u64;
         Ok((store, recovery))
     }
@@ -138,53 +144,54 @@
         recovery: &mut RecoveryReport,
     ) -> Result<(), StoreError> {
         let file = file_name(number);
-        let found =
-            scan(&*self.disk, &file).context(FileSnafu { operation: "reading", file: &file })?;
-        if let Some(version) = found.other_version {
+        let scan = scan_segment(&*self.disk, &file)
+            .context(FileSnafu { operation: "reading", file: &file })?;
+        if let Some(version) = scan.unsupported_version {
             return UnsupportedFormatSnafu { file, version }.fail();
         }
-        if is_last && found.damaged_bytes > 0 {
-            recovery.torn_bytes = found.damaged_bytes;
-            let cut = self.disk.truncate(&file, found.intact_bytes);
-            cut.context(FileSnafu { operation: "cutting off the torn end of", file: &file })?;
+        if is_last && scan.damaged_bytes > 0 {
+            recovery.torn_bytes = scan.damaged_bytes;
+            let truncated = self.disk.truncate(&file, scan.intact_bytes);
+            truncated
+                .context(FileSnafu { operation: "cutting off the torn end of", file: &file })?;
         } else {
-            recovery.damaged_bytes += found.damaged_bytes;
+            recovery.damaged_bytes += scan.damaged_bytes;
         }
-        let bytes = found.intact_bytes;
-        self.segments.insert(number, Segment { bytes, live_bytes: 0 });
-        for record in found.records {
+        let bytes = scan.intact_bytes;
+        self.segments.insert(number, SegmentUsage { bytes, live_bytes: 0 });
+        for record in scan.records {
             self.index_record(number, &record);
         }
         Ok(())
     }
 
-    fn index_record(&mut self, segment: SegmentNumber, record: &FoundRecord) {
+    fn index_record(&mut self, segment: SegmentNumber, record: &RecordLocation) {
         self.forget(&record.key);
         if record.kind == RecordKind::Chunk {
-            let location = Location { segment, offset: record.offset, length: record.length };
+            let location = ChunkLocation { segment, offset: record.offset, length: record.length };
             self.index.insert(record.key, location);
-            if let Some(held) = self.segments.get_mut(&segment) {
-                held.live_bytes += whole(record.length);
+            if let Some(usage) = self.segments.get_mut(&segment) {
+                usage.live_bytes += record_bytes(record.length);
             }
         }
     }
 
-    /// Takes a chunk off the index. Returns whether it was there.
+    /// Removes a chunk from the index. Returns whether it was there.
     fn forget(&mut self, key: &ChunkKey) -> bool {
         let Some(location) = self.index.remove(key) else {
             return false;
         };
         if let Some(segment) = self.segments.get_mut(&location.segment) {
-            segment.live_bytes = segment.live_bytes.saturating_sub(whole(location.length));
+            segment.live_bytes = segment.live_bytes.saturating_sub(record_bytes(location.length));
         }
         true
     }
 
-    /// Stores a chunk durably. A chunk that is held already is not written again.
+    /// Stores a chunk durably. A chunk that is already stored is not written again.
     ///
     /// # Errors
     /// [`StoreError::TooLarge`], [`StoreError::Full`] or [`StoreError::File`]; the chunk is then
-    /// not held.
+    /// not stored.
     pub fn put(&mut self, key: ChunkKey, data: &[u8]) -> Result<(), StoreError> {
         let (length, limit) = (data.len() as u64, self.settings.max_chunk_bytes);
         if length > limit {
@@ -197,24 +204,24 @@
         if used + length > self.settings.max_bytes {
             return FullSnafu { used, limit: self.settings.max_bytes }.fail();
         }
-        let offset = self.append(&encode(RecordKind::Chunk, &key, data))?;
+        let offset = self.append(&encode_record(RecordKind::Chunk, &key, data))?;
         let record =
-            FoundRecord { kind: RecordKind::Chunk, key, offset, length: data.len() as u32 };
-        self.index_record(self.active, &record);
+            RecordLocation { kind: RecordKind::Chunk, key, offset, length: data.len() as u32 };
+        self.index_record(self.active_segment, &record);
         Ok(())
     }
 
-    /// Reads a chunk; none when it is not held.
+    /// Reads a chunk. None if it is not stored.
     ///
     /// # Errors
-    /// [`StoreError::Damaged`] when its checksum is wrong, which also takes it off the index, or
+    /// [`StoreError::Damaged`] if its checksum is invalid, which also removes it from the index, or
     /// [`StoreError::File`].
     pub fn get(&mut self, key: &ChunkKey) -> Result<Option<Vec<u8>>, StoreError> {
         let Some(location) = self.index.get(key).copied() else {
             return Ok(None);
         };
         let file = file_name(location.segment);
-        let length = RECORD_HEADER + location.length as usize;
+        let length = RECORD_HEADER_BYTES + location.length as usize;
         let record = self.disk.read(&file, location.offset, length);
         let mut record = record.context(FileSnafu { operation: "reading", file: &file })?;
         let header = decode_header(&record).filter(|header| is_intact(header, &record));
@@ -222,33 +229,34 @@
             self.forget(key);
             return DamagedSnafu { file, offset: location.offset }.fail();
         }
-        Ok(Some(record.split_off(RECORD_HEADER)))
+        Ok(Some(record.split_off(RECORD_HEADER_BYTES)))
     }
 
-    /// Whether a chunk is held.
+    /// Whether a chunk is stored.
     pub fn contains(&self, key: &ChunkKey) -> bool {
         self.index.contains_key(key)
     }
 
-    /// Removes a chunk durably. Returns whether it was held.
+    /// Removes a chunk durably. Returns whether it was stored.
     ///
     /// # Errors
-    /// [`StoreError::File`] when the removal cannot be written; the chunk is then held on.
+    /// [`StoreError::Full`] or [`StoreError::File`] if the removal cannot be written; the chunk
+    /// then stays stored.
     pub fn remove(&mut self, key: &ChunkKey) -> Result<bool, StoreError> {
         if !self.index.contains_key(key) {
             return Ok(false);
         }
-        // The limit does not apply: a full store must be able to get rid of chunks.
-        self.append(&encode(RecordKind::Removal, key, &[]))?;
+        // `max_bytes` does not apply here, because a full store must be able to remove chunks.
+        self.append(&encode_record(RecordKind::Removal, key, &[]))?;
         Ok(self.forget(key))
     }
 
-    /// Keys of all chunks of which `wanted` is true.
-    pub fn keys(&self, wanted: impl Fn(&ChunkKey) -> bool) -> Vec<ChunkKey> {
-        self.index.keys().filter(|key| wanted(key)).copied().collect()
+    /// The keys of all stored chunks for which `is_selected` returns true.
+    pub fn keys(&self, is_selected: impl Fn(&ChunkKey) -> bool) -> Vec<ChunkKey> {
+        self.index.keys().filter(|key| is_selected(key)).copied().collect()
     }
 
-    /// How much is stored.
+    /// The space that the store uses.
     pub fn usage(&self) -> StoreUsage {
         StoreUsage {
             chunks: self.index.len() as u64,
@@ -257,75 +265,77 @@
         }
     }
 
-    /// Copies what is still of use out of one segment that is mostly not, and removes it.
-    /// Returns whether there was one. Called when there is nothing else to do.
+    /// Compacts one segment of mostly obsolete records: copies the live ones to the active segment
+    /// and removes the old one. Returns whether there was such a segment. Called when the store is
+    /// idle.
     ///
     /// # Errors
-    /// [`StoreError::File`]; nothing is lost, and the segment stays.
+    /// [`StoreError::Full`] or [`StoreError::File`]; nothing is lost, and the segment stays.
     pub fn compact(&mut self) -> Result<bool, StoreError> {
-        let Some(number) = self.wasteful_segment() else {
+        let Some(number) = self.compactable_segment() else {
             return Ok(false);
         };
-        let kept = |location: &Location| location.segment == number;
+        let is_in_segment = |location: &ChunkLocation| location.segment == number;
         let keys: Vec<ChunkKey> =
-            self.index.iter().filter(|(_, at)| kept(at)).map(|(key, _)| *key).collect();
+            self.index.iter().filter(|(_, at)| is_in_segment(at)).map(|(key, _)| *key).collect();
         for key in keys {
             let Ok(Some(data)) = self.get(&key) else {
                 continue;
             };
-            let offset = self.append(&encode(RecordKind::Chunk, &key, &data))?;
+            let offset = self.append(&encode_record(RecordKind::Chunk, &key, &data))?;
             let record =
-                FoundRecord { kind: RecordKind::Chunk, key, offset, length: data.len() as u32 };
-            self.index_record(self.active, &record);
+                RecordLocation { kind: RecordKind::Chunk, key, offset, length: data.len() as u32 };
+            self.index_record(self.active_segment, &record);
         }
-        // The copies are durable before the originals go.
+        // The copies are already durable when the originals are removed.
         let file = file_name(number);
         self.disk.remove(&file).context(FileSnafu { operation: "removing", file })?;
         self.segments.remove(&number);
         Ok(true)
     }
 
-    /// The oldest segment, if it is mostly of no use. Only the oldest: a younger one may hold
-    /// removals of chunks in an older one, and losing them would bring those chunks back.
-    fn wasteful_segment(&self) -> Option<SegmentNumber> {
+    /// The oldest segment, if it is mostly obsolete. Only the oldest one can be compacted. A newer
+    /// one may contain removals of chunks in an older one, and without them those chunks would
+    /// reappear.
+    fn compactable_segment(&self) -> Option<SegmentNumber> {
         let (number, segment) = self.segments.first_key_value()?;
-        let wasted = segment.bytes.saturating_sub(segment.live_bytes);
-        let is_wasteful = wasted * 100 >= segment.bytes * self.settings.compact_percent;
-        (*number != self.active && is_wasteful).then_some(*number)
+        let obsolete = segment.bytes.saturating_sub(segment.live_bytes);
+        let is_mostly_obsolete = obsolete * 100 >= segment.bytes * self.settings.compact_percent;
+        (*number != self.active_segment && is_mostly_obsolete).then_some(*number)
     }
 
     /// Appends to the active segment and returns where the record begins.
     fn append(&mut self, record: &[u8]) -> Result<u64, StoreError> {
-        let is_over = self.segments.get(&self.active).is_some_and(|segment| {
+        let is_full = self.segments.get(&self.active_segment).is_some_and(|segment| {
             segment.bytes + record.len() as u64 > self.settings.segment_bytes
         });
-        if is_over {
-            self.active += 1;
+        if is_full {
+            self.active_segment += 1;
         }
-        let file = file_name(self.active);
-        let offset = match self.segments.get(&self.active) {
+        let file = file_name(self.active_segment);
+        let offset = match self.segments.get(&self.active_segment) {
             Some(segment) => segment.bytes,
             None => {
-                self.write(&file, 0, &segment_header())?;
-                SEGMENT_HEADER as u64
+                self.write(&file, 0, &encode_segment_header())?;
+                SEGMENT_HEADER_BYTES as u64
             }
         };
         self.write(&file, offset, record)?;
-        let segment = self.segments.entry(self.active).or_default();
+        let segment = self.segments.entry(self.active_segment).or_default();
         segment.bytes = offset + record.len() as u64;
         Ok(offset)
     }
 
-    /// Writes at the end of a file, which is `length` long. When that fails, the file is cut back:
-    /// nothing may follow half a record.
+    /// Writes at the end of a file of `length` bytes. If that fails, the file is truncated to this
+    /// length again, because nothing may follow a partial record.
     fn write(&mut self, file: &str, length: u64, bytes: &[u8]) -> Result<(), StoreError> {
         let Err(source) = self.disk.append(file, bytes) else {
             return Ok(());
         };
         if self.disk.truncate(file, length).is_err() {
-            // The end is in an unknown state; the next record goes to a fresh segment, and the
-            // next start cuts this one off or stops reading it there.
-            self.active += 1;
+            // The end of the file is in an unknown state. The next record goes to a new segment,
+            // and the next start truncates this one or stops reading it there.
+            self.active_segment += 1;
         }
         if source.kind() == io::ErrorKind::StorageFull {
             let limit = self.settings.max_bytes;
@@ -335,6 +345,6 @@
     }
 }
 
-fn whole(length: u32) -> u64 {
-    RECORD_HEADER as u64 + u64::from(length)
+fn record_bytes(length: u32) -> u64 {
+    RECORD_HEADER_BYTES as u64 + u64::from(length)
 }
