--- a/crates/logging/src/buffer.rs
+++ b/crates/logging/src/buffer.rs
@@ -1,39 +1,40 @@
-//! The bounded buffer between the process's work and the thread that writes.
+//! The bounded buffer between the threads that log and the thread that writes.
 
 use std::sync::{Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
 use crate::RequestSampling;
 
-/// Which lines go first when there is no room.
+/// The priority of a line. Lines of lower priority are dropped first when the buffer is full.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum LinePriority {
-    /// A decision on a request that goes well.
+    /// A decision on a successful request.
     Routine,
-    /// A change of what the process believes, a start or a stop.
+    /// A change in the state that the process sees, a start or a stop.
     StateChange,
     /// A failure or a refusal.
     Failure,
 }
 
-/// Share of the buffer, in quarters, that lines of each rank may fill.
-const QUARTERS: [usize; 3] = [2, 3, 4];
-/// Below this share of the buffer there is plenty of room again.
-const PLENTY_QUARTERS: usize = 1;
+/// The share of the buffer, in quarters, that lines of each priority can fill.
+const PRIORITY_QUARTERS: [usize; 3] = [2, 3, 4];
+/// If the buffered lines take less than this share of the buffer, in quarters, more requests are
+/// sampled again.
+const LOW_FILL_QUARTERS: usize = 1;
 
-/// Lines taken out of the buffer.
+/// Lines drained from the buffer.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct DrainedLines {
-    /// The lines, one after the other.
+    /// The lines, concatenated.
     pub lines: String,
-    /// Lines dropped since the last time, by rank.
+    /// Number of lines dropped since the previous drain, by priority.
     pub dropped: [u64; 3],
-    /// One of so many requests has its plain lines kept from now on.
+    /// From now on, routine lines are kept for one in this many requests.
     pub one_in: u32,
 }
 
 #[derive(Debug, Default)]
-struct State {
+struct BufferState {
     lines: String,
     dropped: [u64; 3],
     total_dropped: u64,
@@ -41,41 +42,42 @@
     is_writing: bool,
 }
 
-/// Lines that wait to be written. Shared by all threads; none ever waits for the writer.
+/// Lines that wait to be written. All threads share the buffer, and none waits for the writer
+/// except in [`Self::flush`].
 #[derive(Debug)]
 pub struct LineBuffer {
-    most_bytes: usize,
-    state: Mutex<State>,
+    max_bytes: usize,
+    state: Mutex<BufferState>,
     has_lines: Condvar,
-    is_written: Condvar,
+    write_finished: Condvar,
 }
 
 impl LineBuffer {
-    /// A buffer for so many bytes.
-    pub fn new(most_bytes: usize) -> Self {
+    /// Creates a buffer for `max_bytes` bytes of lines.
+    pub fn new(max_bytes: usize) -> Self {
         Self {
-            most_bytes,
+            max_bytes,
             state: Mutex::default(),
             has_lines: Condvar::new(),
-            is_written: Condvar::new(),
+            write_finished: Condvar::new(),
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, State> {
+    fn lock(&self) -> MutexGuard<'_, BufferState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether a plain line on this request is worth making.
+    /// Whether routine lines of this request are kept.
     pub fn keeps_request(&self, request: &str) -> bool {
         self.lock().sampling.keeps(request)
     }
 
-    /// Puts a line in, or counts it as dropped.
-    pub fn push(&self, rank: LinePriority, line: &str) {
+    /// Adds a line, or counts it as dropped if lines of its priority have no space left.
+    pub fn push(&self, priority: LinePriority, line: &str) {
         let mut state = self.lock();
-        let room = self.most_bytes / 4 * QUARTERS[rank as usize];
-        if state.lines.len() + line.len() > room {
-            state.dropped[rank as usize] += 1;
+        let limit = self.max_bytes / 4 * PRIORITY_QUARTERS[priority as usize];
+        if state.lines.len() + line.len() > limit {
+            state.dropped[priority as usize] += 1;
             state.total_dropped += 1;
             return;
         }
@@ -87,25 +89,25 @@
         }
     }
 
-    /// Lines dropped since the start.
+    /// Number of lines dropped since the start.
     pub fn total_dropped(&self) -> u64 {
         self.lock().total_dropped
     }
 
     /// Waits until there are lines.
     pub fn wait_for_lines(&self) {
-        let is_empty = |state: &mut State| state.lines.is_empty();
-        let waited = self.has_lines.wait_while(self.lock(), is_empty);
-        drop(waited.unwrap_or_else(PoisonError::into_inner));
+        let is_empty = |state: &mut BufferState| state.lines.is_empty();
+        let result = self.has_lines.wait_while(self.lock(), is_empty);
+        drop(result.unwrap_or_else(PoisonError::into_inner));
     }
 
-    /// Takes all lines out, for the writer. [`Self::finish_write`] must follow.
+    /// Removes all lines for the writer, which must call [`Self::finish_write`] afterwards.
     pub fn drain(&self) -> DrainedLines {
         let mut state = self.lock();
         let dropped = std::mem::take(&mut state.dropped);
         if dropped[LinePriority::Routine as usize] > 0 {
             state.sampling.halve();
-        } else if state.lines.len() < self.most_bytes / 4 * PLENTY_QUARTERS {
+        } else if state.lines.len() < self.max_bytes / 4 * LOW_FILL_QUARTERS {
             state.sampling.double();
         }
         state.is_writing = true;
@@ -113,23 +115,23 @@
         DrainedLines { lines, dropped, one_in: state.sampling.one_in() }
     }
 
-    /// What was taken is written, or lost.
+    /// Records that the drained lines are written or lost.
     pub fn finish_write(&self) {
         self.lock().is_writing = false;
-        self.is_written.notify_all();
+        self.write_finished.notify_all();
     }
 
-    /// Waits until everything is written, but not longer than `limit`.
-    pub fn flush(&self, limit: Duration) {
-        let end = Instant::now() + limit;
+    /// Waits until all lines are written, at most for `timeout`.
+    pub fn flush(&self, timeout: Duration) {
+        let deadline = Instant::now() + timeout;
         let mut state = self.lock();
         while state.is_writing || !state.lines.is_empty() {
-            let left = end.saturating_duration_since(Instant::now());
-            if left.is_zero() {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
                 return;
             }
-            let waited = self.is_written.wait_timeout(state, left);
-            state = waited.unwrap_or_else(PoisonError::into_inner).0;
+            let result = self.write_finished.wait_timeout(state, remaining);
+            state = result.unwrap_or_else(PoisonError::into_inner).0;
         }
     }
 }
--- a/crates/logging/src/lib.rs
+++ b/crates/logging/src/lib.rs
@@ -1,26 +1,28 @@
-//! Logs of a process: one line an event, structured, bounded, and never in the way of the work.
+//! Structured logs of a process: one line per event, in bounded memory, without blocking the
+//! threads that log.
 //!
 //! ```text
 //! 1774620332.027 INFO  relay: Sent to a server. request=9c41d07b server=i-7f3a basis=affinity
 //! ```
 //!
-//! A line has the time of day in seconds, the level, the part that speaks (a fixed prefix), a short
-//! sentence, and fields `name=value`. A value with blanks, quotes or `=` stands in double quotes
-//! with the escapes of Rust. The field `request` names the caller's request; all decisions on it
-//! carry it, in every process.
+//! A line has the Unix time in seconds, the level, the part of the process that logs (the target of
+//! the record), a short sentence, and fields `name=value`. A value with blanks, quotes or `=` is
+//! written in double quotes with the escapes of Rust. The field `request` identifies the caller's
+//! request and is in all lines on decisions about it, in every process.
 //!
-//! Lines go through a bounded buffer to a thread that writes them. What does not fit is dropped and
-//! counted: lines of requests that go well first, failures last ([`LinePriority`]). A reader that stops
-//! reading, a closed pipe or a full disk therefore changes nothing for the rest of the process.
+//! Lines go through a bounded buffer to a thread that writes them. Lines that do not fit are
+//! dropped and counted: lines of successful requests first, failures last ([`LinePriority`]). A
+//! reader that stops reading, a closed pipe or a full disk therefore does not affect the rest of
+//! the process.
 //!
 //! | module | job |
 //! |---|---|
-//! | `settings` | where logs go and how much is said |
-//! | `line` | how a record becomes a line |
-//! | `sampling` | of which requests the plain lines are kept when there are too many |
+//! | `settings` | destination, levels and limits of the logs |
+//! | `line` | formats a record as a line |
+//! | `sampling` | selects the requests whose routine lines are logged when there are too many |
 //! | `buffer` | the bounded buffer |
 //! | `writer` | the thread that writes |
-//! | `install` | puts them together as the process's logger |
+//! | `install` | installs the process's logger |
 
 mod buffer;
 mod install;
--- a/crates/logging/src/line.rs
+++ b/crates/logging/src/line.rs
@@ -1,4 +1,4 @@
-//! How a record becomes a line.
+//! Formats a record as a line.
 
 use std::fmt::Write;
 use std::time::{Duration, SystemTime};
@@ -6,36 +6,36 @@
 use log::Record;
 use log::kv::{Error, Key, Value, VisitSource};
 
-/// The field that names a caller's request.
+/// The field that identifies a caller's request.
 pub const REQUEST_FIELD: &str = "request";
 
-/// The line of a record, with its end. `now` is the time of day.
+/// Formats a record as a line with its line end. `now` is the current time.
 pub fn format_line(record: &Record<'_>, now: SystemTime) -> String {
-    let since = now.duration_since(SystemTime::UNIX_EPOCH).unwrap_or(Duration::ZERO);
+    let unix_time = now.duration_since(SystemTime::UNIX_EPOCH).unwrap_or(Duration::ZERO);
     let mut line = format!(
         "{}.{:03} {:5} {}: ",
-        since.as_secs(),
-        since.subsec_millis(),
+        unix_time.as_secs(),
+        unix_time.subsec_millis(),
         record.level(),
         record.target(),
     );
-    push_in_one_line(&mut line, &record.args().to_string());
-    let mut fields = Fields { line: &mut line };
-    // The visitor writes to a string, which does not fail.
+    push_escaped(&mut line, &record.args().to_string());
+    let mut fields = FieldWriter { line: &mut line };
+    // Writing to a string does not fail.
     let _ = record.key_values().visit(&mut fields);
     line.push('\n');
     line
 }
 
-struct Fields<'a> {
+struct FieldWriter<'a> {
     line: &'a mut String,
 }
 
-impl<'kvs> VisitSource<'kvs> for Fields<'_> {
+impl<'kvs> VisitSource<'kvs> for FieldWriter<'_> {
     fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), Error> {
         let value = value.to_string();
-        let is_plain = |c: char| !c.is_whitespace() && !c.is_control() && !"\"=".contains(c);
-        let written = match !value.is_empty() && value.chars().all(is_plain) {
+        let needs_no_quotes = |c: char| !c.is_whitespace() && !c.is_control() && !"\"=".contains(c);
+        let written = match !value.is_empty() && value.chars().all(needs_no_quotes) {
             true => write!(self.line, " {key}={value}"),
             false => write!(self.line, " {key}={value:?}"),
         };
@@ -43,8 +43,9 @@
     }
 }
 
-/// A sentence may quote what others sent: it must not begin a line of its own.
-fn push_in_one_line(line: &mut String, sentence: &str) {
+/// Appends a sentence with its line ends escaped. The sentence may quote received text, which must
+/// not be able to start a new line.
+fn push_escaped(line: &mut String, sentence: &str) {
     for c in sentence.chars() {
         match c {
             '\n' => line.push_str("\\n"),
--- a/crates/logging/src/settings.rs
+++ b/crates/logging/src/settings.rs
@@ -1,4 +1,4 @@
-//! Where logs go and how much is said.
+//! Destination, levels and limits of the logs.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -16,14 +16,14 @@
 pub struct LogSettings {
     /// `off`, `error`, `warn`, `info`, `debug` or `trace`.
     pub level: String,
-    /// Another level for single parts, e.g. `peers = "debug"`.
+    /// Levels of single parts that differ from `level`, e.g. `peers = "debug"`.
     pub parts: BTreeMap<String, String>,
-    /// A file to append to; absent means standard output.
+    /// The file to append to. None for standard output.
     pub file: Option<PathBuf>,
-    /// Kilobytes of lines that wait to be written; beyond it lines are dropped and counted.
+    /// Size of the buffer of lines in kilobytes. Lines that do not fit are dropped and counted.
     pub buffer_kb: usize,
-    /// Milliseconds in which lines gather before they are written together. With `buffer_kb` it
-    /// bounds what a process writes in a second.
+    /// Milliseconds for which lines are gathered before they are written together. Together with
+    /// `buffer_kb` this limits how much a process writes per second.
     pub gather_ms: u64,
 }
 
@@ -43,7 +43,7 @@
     /// Checks every field.
     ///
     /// # Errors
-    /// The first field with a value that is not allowed.
+    /// The first field whose value is not allowed.
     pub fn check(&self) -> Result<(), InvalidSetting> {
         parse_level("log.level", &self.level)?;
         for (part, level) in &self.parts {
@@ -58,10 +58,10 @@
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum LoggingError {
-    /// A level's name is unknown.
+    /// The name of a level is unknown.
     #[snafu(display("{source}"))]
     Level {
-        /// The field.
+        /// The invalid setting.
         source: InvalidSetting,
     },
     /// The log file could not be opened.
@@ -69,19 +69,19 @@
     File {
         /// The file.
         path: PathBuf,
-        /// Cause.
+        /// The cause.
         source: io::Error,
     },
     /// The writing thread could not be started.
     #[snafu(display("starting the thread that writes logs: {source}"))]
     Thread {
-        /// Cause.
+        /// The cause.
         source: io::Error,
     },
-    /// A logger is installed already.
+    /// A logger is already installed.
     #[snafu(display("installing the logger: {source}"))]
     Install {
-        /// Cause.
+        /// The cause.
         source: log::SetLoggerError,
     },
 }
--- a/crates/logging/src/writer.rs
+++ b/crates/logging/src/writer.rs
@@ -1,4 +1,4 @@
-//! The thread that writes lines. Only it ever waits for whoever reads them.
+//! The thread that writes lines. No other thread waits for the reader of the logs.
 
 use std::io::{self, Write};
 use std::sync::Arc;
@@ -9,43 +9,45 @@
 
 use crate::{DrainedLines, LineBuffer, LinePriority, format_line};
 
-/// The part that speaks of the logs themselves.
-const PART: &str = "logs";
+/// The target of log lines about the logs themselves.
+const TARGET: &str = "logs";
 
-/// Writes what is in a buffer, for as long as the process runs.
+/// Writes the lines of a buffer for as long as the process runs.
 pub struct LineWriter<W> {
     buffer: Arc<LineBuffer>,
     sink: W,
-    gather: Duration,
+    gather_time: Duration,
 }
 
 impl<W: Write + Send + 'static> LineWriter<W> {
-    /// Writes to `sink` what gathers in `buffer`.
-    pub fn new(buffer: Arc<LineBuffer>, sink: W, gather: Duration) -> Self {
-        Self { buffer, sink, gather }
+    /// Creates a writer from `buffer` to `sink`, which waits `gather_time` for more lines before
+    /// each write.
+    pub fn new(buffer: Arc<LineBuffer>, sink: W, gather_time: Duration) -> Self {
+        Self { buffer, sink, gather_time }
     }
 
     /// Starts the thread.
     ///
     /// # Errors
-    /// The system gives no thread.
+    /// An I/O error if the thread cannot be created.
     pub fn start(mut self) -> io::Result<()> {
         let run = move || {
             loop {
                 self.buffer.wait_for_lines();
-                thread::sleep(self.gather);
+                thread::sleep(self.gather_time);
                 self.write_pending();
             }
         };
-        thread::Builder::new().name(PART.to_owned()).spawn(run).map(drop)
+        thread::Builder::new().name(TARGET.to_owned()).spawn(run).map(drop)
     }
 
-    /// Writes all that is there. What cannot be written is lost: nobody reads it.
+    /// Writes all buffered lines. Lines that cannot be written are lost, because nobody can read
+    /// them.
     pub fn write_pending(&mut self) {
-        let taken = self.buffer.drain();
-        let told = dropped_line(&taken);
-        let _ = self.sink.write_all(taken.lines.as_bytes());
-        if let Some(line) = told {
+        let drained = self.buffer.drain();
+        let dropped_line = format_dropped_line(&drained);
+        let _ = self.sink.write_all(drained.lines.as_bytes());
+        if let Some(line) = dropped_line {
             let _ = self.sink.write_all(line.as_bytes());
         }
         let _ = self.sink.flush();
@@ -53,21 +55,21 @@
     }
 }
 
-fn dropped_line(taken: &DrainedLines) -> Option<String> {
-    let [routine, beliefs, failures] = taken.dropped;
-    if routine + beliefs + failures == 0 {
+fn format_dropped_line(drained: &DrainedLines) -> Option<String> {
+    let [routine, state_changes, failures] = drained.dropped;
+    if routine + state_changes + failures == 0 {
         return None;
     }
-    let one_in = taken.one_in;
+    let one_in = drained.one_in;
     let fields = [
         ("routine", routine),
-        ("beliefs", beliefs),
+        ("beliefs", state_changes),
         ("failures", failures),
         ("requests_logged_one_of", u64::from(one_in)),
     ];
     let record = Record::builder()
         .level(Level::Warn)
-        .target(PART)
+        .target(TARGET)
         .args(format_args!("Lines were dropped for want of room."))
         .key_values(&fields)
         .build();
@@ -75,7 +77,7 @@
 }
 
 impl LinePriority {
-    /// The rank of a record.
+    /// Classifies a record.
     pub fn of(record: &Record<'_>, is_of_request: bool) -> Self {
         match record.level() {
             Level::Error | Level::Warn => Self::Failure,
--- a/crates/logging/tests/lines.rs
+++ b/crates/logging/tests/lines.rs
@@ -1,4 +1,4 @@
-//! What becomes of lines: their form, what is dropped first, and that nobody waits for a reader.
+//! The format of lines, the order in which they are dropped, and a reader that blocks no thread.
 
 use std::io::{self, Write};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -12,8 +12,8 @@
 use log::{Level, Record};
 
 const NO_WAIT: Duration = Duration::ZERO;
-/// A bound on a hang, never a measure.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// Bounds a hang; no test measures against it.
+const HANG_TIMEOUT: Duration = Duration::from_secs(10);
 
 #[test]
 fn a_line_has_time_level_part_sentence_and_fields() {
@@ -37,7 +37,7 @@
             line: "12.034 WARN  relay: Refused. request=\"a \\\"b\\\"=c\"\n",
         },
         Case {
-            name: "line ends of others",
+            name: "line ends in received text",
             sentence: "They said\nERROR",
             value: "x\ny",
             line: "12.034 WARN  relay: They said\\nERROR request=\"x\\ny\"\n",
@@ -64,23 +64,23 @@
 }
 
 #[test]
-fn plain_lines_are_dropped_first_and_failures_last() {
+fn routine_lines_are_dropped_first_and_failures_last() {
     let buffer = LineBuffer::new(40);
-    let ten = "123456789\n";
-    for rank in [LinePriority::Routine, LinePriority::StateChange, LinePriority::Failure] {
+    let ten_bytes = "123456789\n";
+    for priority in [LinePriority::Routine, LinePriority::StateChange, LinePriority::Failure] {
         for _ in 0..4 {
-            buffer.push(rank, ten);
+            buffer.push(priority, ten_bytes);
         }
     }
-    let taken = buffer.drain();
-    assert_eq!(taken.lines.len(), 40);
-    assert_eq!(taken.dropped, [2, 3, 3]);
+    let drained = buffer.drain();
+    assert_eq!(drained.lines.len(), 40);
+    assert_eq!(drained.dropped, [2, 3, 3]);
     assert_eq!(buffer.total_dropped(), 8);
-    assert_eq!(buffer.drain().dropped, [0, 0, 0], "told once");
+    assert_eq!(buffer.drain().dropped, [0, 0, 0], "drops are reported once");
 }
 
 #[test]
-fn a_request_keeps_all_its_plain_lines_or_none() {
+fn routine_lines_of_a_request_are_kept_or_dropped_together() {
     let mut sampling = RequestSampling::new();
     assert!((0..100).all(|number| sampling.keeps(&format!("r{number}"))));
     sampling.halve();
@@ -93,31 +93,31 @@
     sampling.double();
     let kept_now: Vec<bool> = (0..1_000).map(|n| sampling.keeps(&format!("r{n}"))).collect();
     let lost = kept.iter().zip(&kept_now).filter(|(before, now)| **before && !**now).count();
-    assert_eq!(lost, 0, "a wider share holds the narrower one");
+    assert_eq!(lost, 0, "a larger share includes the smaller one");
 }
 
 #[test]
-fn fewer_requests_are_kept_while_there_is_no_room() {
+fn fewer_requests_are_sampled_while_the_buffer_is_full() {
     let buffer = LineBuffer::new(40);
     for _ in 0..10 {
         buffer.push(LinePriority::Routine, "123456789\n");
     }
     assert_eq!(buffer.drain().one_in, 2);
-    assert_eq!(buffer.drain().one_in, 1, "there is plenty of room again");
+    assert_eq!(buffer.drain().one_in, 1, "the buffer has enough space again");
 }
 
-/// A reader that takes nothing until it is told to.
-struct Stuck {
-    began: Sender<()>,
+/// A sink whose writes block until `release` receives a message or its sender is dropped.
+struct BlockedSink {
+    write_started: Sender<()>,
     release: Receiver<()>,
     written: Arc<Mutex<Vec<u8>>>,
 }
 
-impl Write for Stuck {
+impl Write for BlockedSink {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        let _ = self.began.send(());
+        let _ = self.write_started.send(());
         let _ = self.release.recv();
-        self.written.lock().expect("no panic").extend_from_slice(bytes);
+        self.written.lock().expect("no thread panics").extend_from_slice(bytes);
         Ok(bytes.len())
     }
 
@@ -127,32 +127,33 @@
 }
 
 #[test]
-fn a_reader_that_stops_reading_holds_nobody_up() {
+fn a_blocked_reader_does_not_block_threads_that_log() {
     const LINES: u64 = 100_000;
-    let (began, begins) = channel();
+    let (write_started, write_starts) = channel();
     let (release, released) = channel();
     let written = Arc::new(Mutex::new(Vec::new()));
-    let stuck = Stuck { began, release: released, written: Arc::clone(&written) };
+    let sink = BlockedSink { write_started, release: released, written: Arc::clone(&written) };
     let buffer = Arc::new(LineBuffer::new(1_000));
-    LineWriter::new(Arc::clone(&buffer), stuck, NO_WAIT).start().expect("a thread");
+    LineWriter::new(Arc::clone(&buffer), sink, NO_WAIT).start().expect("the thread starts");
     buffer.push(LinePriority::Failure, "first\n");
-    begins.recv_timeout(PATIENCE).expect("the writer begins");
-    // The writer hangs from here on. All these calls come back.
+    write_starts.recv_timeout(HANG_TIMEOUT).expect("the writer starts");
+    // The writer is blocked from here on. All these calls must return.
     for _ in 0..LINES {
         buffer.push(LinePriority::Failure, "later\n");
     }
     assert_eq!(buffer.total_dropped(), LINES - 1_000 / 6);
     drop(release);
-    buffer.flush(PATIENCE);
-    let text = String::from_utf8(written.lock().expect("no panic").clone()).expect("text");
+    buffer.flush(HANG_TIMEOUT);
+    let text = String::from_utf8(written.lock().expect("no thread panics").clone())
+        .expect("the lines are UTF-8");
     assert!(text.starts_with("first\n"), "{text}");
     assert!(text.contains("WARN  logs: Lines were dropped for want of room. routine=0"), "{text}");
 }
 
-/// A closed pipe, or a full disk.
-struct Broken(Arc<AtomicBool>);
+/// A sink that fails like a closed pipe and, when it is flushed, like a full disk.
+struct FailingSink(Arc<AtomicBool>);
 
-impl Write for Broken {
+impl Write for FailingSink {
     fn write(&mut self, _: &[u8]) -> io::Result<usize> {
         self.0.store(true, Ordering::SeqCst);
         Err(io::ErrorKind::BrokenPipe.into())
@@ -164,35 +165,36 @@
 }
 
 #[test]
-fn a_closed_pipe_or_a_full_disk_changes_nothing() {
-    let was_asked = Arc::new(AtomicBool::new(false));
+fn a_closed_pipe_or_a_full_disk_only_loses_lines() {
+    let was_written_to = Arc::new(AtomicBool::new(false));
     let buffer = Arc::new(LineBuffer::new(1_000));
-    let mut writer = LineWriter::new(Arc::clone(&buffer), Broken(was_asked.clone()), NO_WAIT);
+    let mut writer =
+        LineWriter::new(Arc::clone(&buffer), FailingSink(was_written_to.clone()), NO_WAIT);
     buffer.push(LinePriority::StateChange, "lost\n");
     writer.write_pending();
-    assert!(was_asked.load(Ordering::SeqCst));
+    assert!(was_written_to.load(Ordering::SeqCst));
     buffer.push(LinePriority::StateChange, "lost too\n");
     writer.write_pending();
     buffer.flush(NO_WAIT);
-    assert_eq!(buffer.drain().lines, "", "nothing piles up");
+    assert_eq!(buffer.drain().lines, "", "no lines accumulate");
 }
 
 #[test]
 fn settings_are_checked() {
     struct Case {
         text: &'static str,
-        named: &'static str,
+        field: &'static str,
     }
     let cases = [
-        Case { text: "level = \"loud\"", named: "log.level" },
-        Case { text: "[parts]\npeers = \"x\"", named: "log.parts.peers" },
-        Case { text: "buffer_kb = 1", named: "log.buffer_kb" },
-        Case { text: "gather_ms = 60000", named: "log.gather_ms" },
+        Case { text: "level = \"loud\"", field: "log.level" },
+        Case { text: "[parts]\npeers = \"x\"", field: "log.parts.peers" },
+        Case { text: "buffer_kb = 1", field: "log.buffer_kb" },
+        Case { text: "gather_ms = 60000", field: "log.gather_ms" },
     ];
-    for Case { text, named } in cases {
-        let settings: LogSettings = toml::from_str(text).expect("well formed");
+    for Case { text, field } in cases {
+        let settings: LogSettings = toml::from_str(text).expect("the settings are well formed");
         let error = settings.check().expect_err(text).to_string();
-        assert!(error.contains(named), "{error}");
+        assert!(error.contains(field), "{error}");
     }
-    LogSettings::default().check().expect("the defaults hold");
+    LogSettings::default().check().expect("the defaults are valid");
 }
