--- a/crates/durable/src/frame.rs
+++ b/crates/durable/src/frame.rs
@@ -104,21 +104,21 @@
         return None;
     }
     let end = HEADER_BYTES.checked_add(usize::try_from(length).ok()?)?;
-    let whole = bytes.get(..end)?;
-    (crc32c::crc32c(&whole[CHECKSUM_END..]) == checksum).then(|| &whole[HEADER_BYTES..])
+    let frame = bytes.get(..end)?;
+    (crc32c::crc32c(&frame[CHECKSUM_END..]) == checksum).then(|| &frame[HEADER_BYTES..])
 }
 
 /// Whether an intact frame begins anywhere after the damaged one at the start of `bytes`. Its
 /// sequence number is larger by at most the number of frames that fit in between.
-fn has_later_frame(bytes: &[u8], damaged: u64) -> bool {
+fn has_later_frame(bytes: &[u8], damaged_sequence: u64) -> bool {
     let starts = 1..bytes.len().saturating_sub(HEADER_BYTES - 1);
     starts.into_iter().any(|start| {
         let Ok(sequence) = bytes[start + LENGTH_END..start + HEADER_BYTES].try_into() else {
             return false;
         };
         let sequence = u64::from_le_bytes(sequence);
-        let max_sequence = damaged + 1 + (start / HEADER_BYTES) as u64;
-        let is_later = sequence > damaged && sequence <= max_sequence;
+        let max_sequence = damaged_sequence + 1 + (start / HEADER_BYTES) as u64;
+        let is_later = sequence > damaged_sequence && sequence <= max_sequence;
         is_later && intact_body(&bytes[start..], sequence).is_some()
     })
 }
--- a/crates/durable/src/replay.rs
+++ b/crates/durable/src/replay.rs
@@ -6,7 +6,8 @@
 use dahlia_types::GroupId;
 use snafu::{ResultExt, Snafu};
 
-/// The location and size of the newest image of a group.
+/// The location and size of the newest image of a group. An image is the whole durable state of a
+/// replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct ImageLocation {
     pub(crate) segment: u64,
@@ -27,7 +28,7 @@
     /// An update does not follow from the change before it.
     #[snafu(display("{source}"))]
     Gap {
-        /// Cause.
+        /// The cause.
         source: GapError,
     },
     /// A group has updates without an image before them.
--- a/crates/durable/tests/support/cluster.rs
+++ b/crates/durable/tests/support/cluster.rs
@@ -29,7 +29,9 @@
     pub violation: Option<String>,
     /// Entries that any machine acknowledged or applied as committed.
     pub committed: BTreeMap<LogIndex, Vec<u8>>,
+    /// Longest time from a restore until the group has all its voters.
     pub max_repair_time: Duration,
+    /// Longest time from a restore until the next commit.
     pub max_commit_delay: Duration,
     random: ChaCha8Rng,
     seed: u64,
--- a/crates/durable/tests/support/machine.rs
+++ b/crates/durable/tests/support/machine.rs
@@ -48,7 +48,7 @@
     state: State,
     inbox: Vec<GroupMessage>,
     syncing: Vec<Batch>,
-    wants_image: bool,
+    needs_image: bool,
 }
 
 pub struct Machine {
@@ -71,8 +71,8 @@
     /// Starts the process with the log on the disk.
     pub fn start(&mut self, initial_voters: &[DaemonId], seed: u64, now: Timestamp) {
         let new_incarnation = Incarnation(now.0);
-        let opened =
-            DurableLog::open(self.disk.handle(), settings(), new_incarnation).expect("it opens");
+        let opened = DurableLog::open(self.disk.handle(), settings(), new_incarnation)
+            .expect("the log opens");
         let mut incarnation = opened.log.identity().incarnation;
         if self.is_wiped && self.faults.keep_identity_after_wipe {
             incarnation = self.identity.incarnation;
@@ -97,7 +97,7 @@
         };
         let log = opened.log;
         let (inbox, syncing) = (Vec::new(), Vec::new());
-        self.process = Some(Process { replica, log, state, inbox, syncing, wants_image: false });
+        self.process = Some(Process { replica, log, state, inbox, syncing, needs_image: false });
     }
 
     pub fn stop(&mut self) {
@@ -150,7 +150,7 @@
             self.log.append(&batch.changes)?;
             output.messages.extend(batch.output.messages);
             output.committed.extend(batch.output.committed);
-            self.wants_image = !self.log.groups_needing_image().is_empty();
+            self.needs_image = !self.log.groups_needing_image().is_empty();
         }
         Ok(())
     }
@@ -177,7 +177,7 @@
             output: MachineOutput::default(),
         };
         self.collect_outputs(&mut batch, output);
-        if std::mem::take(&mut self.wants_image) {
+        if std::mem::take(&mut self.needs_image) {
             let snapshot = bincode::serde::encode_to_vec(&self.state, CONFIG).unwrap();
             batch.changes.extend(self.replica.durable_image(snapshot));
         }
@@ -227,5 +227,5 @@
 }
 
 fn decode_state(data: &[u8]) -> State {
-    bincode::serde::decode_from_slice(data, CONFIG).expect("a state").0
+    bincode::serde::decode_from_slice(data, CONFIG).expect("the state can be decoded").0
 }
--- a/crates/logging/src/settings.rs
+++ b/crates/logging/src/settings.rs
@@ -14,7 +14,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LogSettings {
-    /// `off`, `error`, `warn`, `info`, `debug` or `trace`.
+    /// The least severe level that is logged: `off`, `error`, `warn`, `info`, `debug` or `trace`.
     pub level: String,
     /// Levels of single parts that differ from `level`, e.g. `peers = "debug"`.
     pub parts: BTreeMap<String, String>,
