--- a/crates/relay/src/answer.rs
+++ b/crates/relay/src/answer.rs
@@ -1,4 +1,4 @@
-//! Step 6: a server's answer on its way to the caller.
+//! Step 6: forwards a server's answer to the caller.
 
 use std::mem;
 
@@ -22,7 +22,7 @@
 use crate::token_intervals::TokenIntervals;
 use crate::turn::Turn;
 
-/// Makes the caller's answer from a server's.
+/// Builds the caller's answer from a server's.
 pub(crate) fn hand_on<L: TurnLedger>(
     mut exchange: Exchange<L>,
     answer: Answer,
@@ -44,7 +44,7 @@
             *head.status_mut() = live.parts.status;
             *head.headers_mut() = mem::take(&mut live.parts.headers);
             hop::strip(head.headers_mut());
-            // A stream that goes on elsewhere may have another length.
+            // A stream that continues at another server may have another length.
             head.headers_mut().remove(CONTENT_LENGTH);
             let pieces = StreamedAnswer::new(exchange, live, first).into_pieces();
             head.map(|()| AnswerBody::stream(pieces))
@@ -53,7 +53,7 @@
 }
 
 fn whole(mut parts: response::Parts, body: Bytes, method: &Method) -> Response<AnswerBody> {
-    // The version is a matter of each connection.
+    // The version belongs to each connection.
     parts.version = Version::HTTP_11;
     hop::strip(&mut parts.headers);
     if !describes_absent_body(&parts, method) {
@@ -62,7 +62,7 @@
     Response::from_parts(parts, AnswerBody::whole(body))
 }
 
-/// Whether the length in a head is that of a body which another request would get.
+/// Whether the length in the head describes a body that is not sent, as in answers to `HEAD`.
 fn describes_absent_body(parts: &response::Parts, method: &Method) -> bool {
     method == Method::HEAD
         || parts.status == StatusCode::NOT_MODIFIED
@@ -73,25 +73,27 @@
     headers.insert(CONTENT_LENGTH, body.len().into());
 }
 
-/// A stream that is being handed on.
+/// A stream that is being forwarded to the caller.
 struct StreamedAnswer<L: TurnLedger> {
     exchange: Exchange<L>,
     /// None once the server's answer has ended or broken off.
     live: Option<Box<LiveAnswer>>,
     /// The piece that came with the head.
     first: Option<Bytes>,
-    /// A piece that is there and was not looked at.
+    /// A piece that was read and not yet parsed.
     ready: Option<Bytes>,
-    /// Counts what was read and not handed on, and once more what the turn will keep of it.
+    /// Memory of what was read and not yet forwarded, reserved twice where the turn will retain a
+    /// copy.
     unread: Held,
-    /// Cuts events out where they matter: to resume after a whole one, or to account for a turn.
+    /// Splits the stream into events where that is needed: to resume after a complete event, or to
+    /// account for a turn.
     events: Option<EventReader>,
     is_resumed: bool,
-    /// For model servers: how soon tokens come.
+    /// For model servers: the intervals between tokens.
     pauses: Option<TokenIntervals>,
-    /// The server whose answer ended whole.
+    /// The server whose answer was complete.
     served_by: String,
-    /// Why the stream is broken off; what the caller's leaving leaves behind otherwise.
+    /// Why the stream is broken off; none if no server can resume it.
     broken_by: Option<String>,
     leaving: LeavingGuard,
 }
@@ -136,8 +138,8 @@
                 }
                 Next::BreakOff => {
                     answer.broken_off();
-                    // hyper throws away what it has not flushed when a body fails. It flushes
-                    // when a body has to wait, so that the caller gets every piece before.
+                    // hyper discards unflushed bytes when a body fails. It flushes when a body has
+                    // to wait, so this wait lets the caller get every earlier piece.
                     yield_now().await;
                     count(&answer.exchange.shared.counters.broken_off);
                     Some((Err(BrokenOff), None))
@@ -147,10 +149,11 @@
         Box::pin(pieces)
     }
 
-    /// The next piece for the caller, until the deadline.
+    /// Returns the next piece for the caller, until the deadline.
     async fn next(&mut self) -> Next {
         let deadline = self.exchange.deadline;
-        // The stream is cut at the deadline, and its server stops with the connection.
+        // The stream is cut off at the deadline. The connection closes, and the server stops with
+        // it.
         match timeout_at(deadline, self.next_in_time()).await {
             Ok(next) => next,
             Err(_) => self.break_off("the deadline passed"),
@@ -209,7 +212,7 @@
         }
     }
 
-    /// The next piece of the server's answer.
+    /// Reads the next piece of the server's answer.
     async fn read(&mut self) -> Option<Result<Bytes, BrokenAnswer>> {
         if let Some(first) = self.first.take() {
             return Some(Ok(first));
@@ -217,7 +220,7 @@
         self.live.as_mut()?.next().await
     }
 
-    /// Counts bytes that were read. While there is no room for them, nothing more is read.
+    /// Reserves memory for bytes that were read. While none is available, nothing more is read.
     async fn hold(&mut self, bytes: usize) -> Result<(), NotHeld> {
         let copies = if self.keeps_text() { 2 } else { 1 };
         self.unread.grow_when_free(bytes * copies).await
@@ -227,7 +230,7 @@
         self.exchange.turn.as_ref().is_some_and(Turn::retains)
     }
 
-    /// What is there to be handed on: all of it, or the next whole event.
+    /// Returns what can be forwarded: all of the piece, or the next complete event.
     fn take_ready(&mut self) -> Option<Bytes> {
         let Some(events) = &mut self.events else {
             let piece = self.ready.take()?;
@@ -244,7 +247,7 @@
             let kept = self.exchange.turn.as_ref().filter(|turn| turn.retains());
             let kept = self.unread.split(kept.map_or(0, |_| event.raw.len()));
             if self.is_resumed && last.is_some_and(|last| !event.is_after(last)) {
-                // What is replayed was not generated now: its pace is not the server's.
+                // Replayed events were not generated now, so their pace is not the server's.
                 continue;
             }
             if let (Some(times), Some(live)) = (times, &self.live) {
@@ -261,7 +264,7 @@
         None
     }
 
-    /// The server's answer has ended whole: bytes behind its last event belong to it, too.
+    /// Returns the bytes after the last event of a complete answer, which belong to it too.
     fn take_remainder(&mut self) -> Option<Bytes> {
         if let Some(live) = self.live.take() {
             self.served_by = live.server().to_string();
@@ -284,7 +287,8 @@
         }
     }
 
-    /// Goes on at another server behind the last whole event. The caller keeps the first head.
+    /// Resumes the stream at another server after the last complete event. The caller keeps the
+    /// first head.
     async fn resume(&mut self) -> bool {
         self.live = None;
         if let Some(events) = &mut self.events {
--- a/crates/relay/src/attempt.rs
+++ b/crates/relay/src/attempt.rs
@@ -1,7 +1,8 @@
-//! Step 4: one send of a request to one server, and what can be said of it afterwards.
+//! Step 4: sends a request to one server, and classifies what came of it.
 //!
-//! Whether a request may be sent again rests on one question: can it have run? Only three things
-//! say no: no byte of it left, the server said so in a header, or it answered 421.
+//! A request that must not run twice may be sent again only if it cannot have run. There are three
+//! proofs of that: no byte of it was sent, the server said so in a header, or the server answered
+//! 421.
 
 use std::sync::Arc;
 
@@ -22,33 +23,34 @@
 use crate::rest_limit::Reset;
 use crate::{Service, TurnLedger};
 
-/// How long the rest of a refusal is waited for, so that its connection can be kept.
+/// How long to wait for the rest of a refusal's body, so that the connection can be reused.
 const REFUSAL_BODY_TIMEOUT: time::Duration = time::Duration::from_millis(50);
-/// Bytes of a refusal's body that are read for the same end.
+/// The most bytes of a refusal's body to read, so that the connection can be reused.
 const MOST_REFUSAL_BYTES: usize = 64 * 1024;
 
-/// What came of a send.
+/// The outcome of sending a request to a server.
 pub(crate) enum Sent {
-    /// The head of this request's answer.
+    /// The server began to answer this request.
     Answering(Box<LiveAnswer>),
-    /// It did not run and will not.
+    /// The request did not run and will not run.
     NotRun {
-        /// When the server says that it is worth coming back.
+        /// When the server asks the caller to retry.
         retry_after: Option<Duration>,
     },
-    /// It may have run.
+    /// The request may have run, and its answer is lost.
     Broken,
 }
 
-/// A request ready for one server.
+/// A request that is ready to be sent to one server.
 pub(crate) struct Sending<'a, L> {
     pub(crate) shared: &'a Arc<Shared<L>>,
     pub(crate) service: Option<&'a Service>,
     pub(crate) outgoing: Outgoing<'a>,
 }
 
-/// A connection kept from before, or a new one; none when there is none to be had. `may_lose` says
-/// whether the request may lose its answer on it.
+/// Returns an idle connection or a new one, or none if the server cannot be reached.
+/// `tolerates_loss` says whether the request may be sent on a connection that the server may
+/// already have dropped.
 pub(crate) async fn connect<L>(
     shared: &Shared<L>,
     server: &BackendAddress,
@@ -73,7 +75,7 @@
     /// Sends the request and waits for the head of its answer.
     ///
     /// # Errors
-    /// The connection had closed before a byte left; the guard comes back.
+    /// The connection closed before any byte was sent. Returns the guard for another try.
     pub(crate) async fn send(
         self,
         connected: Connected,
@@ -121,7 +123,7 @@
         let keeping = Keeping::new(&parts.headers, self.service, &self.shared.settings);
         let pool = Arc::clone(&self.shared.pool);
         let did_not_run = verdict == Verdict::NotRunAnswer;
-        // A refusal or a failure comes fast, also from a slow server.
+        // Refusals and failures come fast even from a slow server, so they are not response times.
         if verdict == Verdict::Answer && !parts.status.is_server_error() {
             guard.answering();
         }
@@ -142,8 +144,8 @@
         }
     }
 
-    /// A surplus answer may stand where ours is due; the attempt id shows which is which. An
-    /// answer that switches protocols was never asked for.
+    /// Whether the answer belongs to this attempt, by its attempt id. A server may send a surplus
+    /// answer on the connection. Answers that switch protocols were never requested.
     fn is_ours(&self, parts: &response::Parts) -> bool {
         let mut ids = parts.headers.get_all(&self.shared.headers.attempt).iter();
         ids.next() == Some(&self.outgoing.head.attempt)
@@ -152,17 +154,17 @@
     }
 }
 
-/// What the head of an answer says.
+/// What the head of an answer says about the request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Verdict {
-    /// It is the answer, and the request ran.
+    /// An answer for the caller; the request ran.
     Answer,
-    /// It is the answer, although the request did not run: no other server would answer better.
+    /// An answer for the caller although the request did not run: no other server would answer
+    /// better.
     NotRunAnswer,
-    /// It did not run, and another server may take it.
+    /// The request did not run, and another server may run it.
     NotRun(AttemptEnd),
-    /// Its status promises callers that the request never runs, and the server gives no ground
-    /// for such a promise.
+    /// The status tells callers that the request never runs, but the server does not confirm that.
     Unsafe,
 }
 
--- a/crates/relay/src/body.rs
+++ b/crates/relay/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers to callers: whole ones with a length, and streams.
+//! Bodies of answers to callers: complete ones with a length, and streams.
 
 use std::convert::Infallible;
 use std::pin::Pin;
@@ -12,8 +12,8 @@
 use crate::caller::BusyGuard;
 use crate::counters::GaugeGuard;
 
-/// A stream ends before its last piece; the caller's connection must end with it, since any other
-/// end would look complete.
+/// The stream ended before its last piece. The caller's connection must close with it, since any
+/// other end would look complete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 #[snafu(display("the answer broke off"))]
 pub(crate) struct BrokenOff;
@@ -24,13 +24,13 @@
     }
 }
 
-/// Pieces of a stream as they are handed on.
+/// The pieces of a stream in the order in which they are forwarded.
 pub(crate) type Pieces = Pin<Box<dyn Stream<Item = Result<Bytes, BrokenOff>> + Send>>;
 
 /// The body of an answer to a caller.
 pub(crate) struct AnswerBody {
     content: Content,
-    // Held until the connection has taken the last byte, or has ended.
+    // Kept until the connection has taken the last byte or has closed.
     held: Option<(GaugeGuard, BusyGuard)>,
 }
 
@@ -53,7 +53,7 @@
         matches!(self.content, Content::Stream(_))
     }
 
-    /// Keeps the request in progress and its connection busy until the body is gone.
+    /// Keeps the request counted as in progress and its connection busy until the body is dropped.
     pub(crate) fn hold(&mut self, gauge: GaugeGuard, busy: BusyGuard) {
         self.held = Some((gauge, busy));
     }
--- a/crates/relay/src/caller.rs
+++ b/crates/relay/src/caller.rs
@@ -1,7 +1,8 @@
-//! A caller's connection: what it waits for, and since when.
+//! The state of a caller's connection, and its timeouts.
 //!
-//! Two limits hold on a connection without a request: how long it may rest, and how long a head
-//! may take once its first byte is there. hyper has one timer for both, so they are kept here.
+//! A connection without a request has two timeouts: how long it may be idle, and how long a head
+//! may take after its first byte. hyper has only one timer for both, so this module implements
+//! them.
 
 use std::io;
 use std::pin::Pin;
@@ -12,23 +13,23 @@
 use tokio::net::TcpStream;
 use tokio::time::{Duration, Instant, Sleep, sleep_until};
 
-/// What a caller's connection waits for.
+/// The phase of a caller's connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Phase {
-    /// No byte of the next request is there.
+    /// No byte of the next request has arrived.
     Resting { since: Instant },
     /// The head of a request is arriving.
     Head { since: Instant },
-    /// A request is read whole or being read, or its answer is under way.
+    /// The body of a request is being read, or the request is being processed or answered.
     Busy,
 }
 
-/// What has become of a connection's rest.
+/// The result of checking a connection's idle timeout.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum RestCheck {
-    /// It cannot be over before this moment.
+    /// The timeout cannot pass before this moment.
     Until(Instant),
-    /// It is over.
+    /// The timeout has passed.
     TooLong,
 }
 
@@ -36,9 +37,9 @@
 struct State {
     phase: Phase,
     served: u64,
-    /// When the caller must have taken the answer under way.
+    /// When the caller must have taken the current answer.
     answer_due: Option<Instant>,
-    /// How long the caller may take no byte of the stream under way.
+    /// How long the caller may take no byte of the current stream.
     most_stall: Option<Duration>,
 }
 
@@ -56,23 +57,24 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The connection is busy until the guard is dropped.
+    /// Marks the connection as busy until the guard is dropped.
     pub(crate) fn busy(&self) -> BusyGuard {
         self.lock().phase = Phase::Busy;
         BusyGuard(self.clone())
     }
 
-    /// The answer under way must be taken by then.
+    /// Sets when the caller must have taken the current answer.
     pub(crate) fn answer_due(&self, deadline: Instant) {
         self.lock().answer_due = Some(deadline);
     }
 
-    /// The answer under way is a stream, which keeps a place at its server until it is taken.
+    /// Limits how long the caller may stall the current answer: it is a stream, which occupies a
+    /// server's slot until the caller takes it.
     pub(crate) fn answer_streams(&self, most_stall: Duration) {
         self.lock().most_stall = Some(most_stall);
     }
 
-    /// When a write that has to wait from now on has waited too long.
+    /// When a write that blocks now times out.
     fn write_due(&self) -> Option<Instant> {
         let state = self.lock();
         let stalled = state.most_stall.map(|most| Instant::now() + most);
@@ -86,8 +88,9 @@
         }
     }
 
-    /// Whether closing the connection for new requests loses none: one that never had a request
-    /// may have one on the way, and one whose head arrives is answered and then closed.
+    /// Whether the connection can be closed to new requests without losing one. A connection that
+    /// never had a request may have one on the way. A connection whose head is arriving is answered
+    /// and then closed.
     pub(crate) fn may_be_closed(&self) -> bool {
         let state = self.lock();
         match state.phase {
@@ -97,7 +100,7 @@
         }
     }
 
-    /// Whether the connection has rested too long.
+    /// Checks whether the connection has been idle for too long.
     pub(crate) fn check_rest(&self, now: Instant, most: Duration) -> RestCheck {
         match self.lock().phase {
             Phase::Resting { since } if now >= since + most => RestCheck::TooLong,
@@ -106,7 +109,7 @@
         }
     }
 
-    /// Since when the head of a request is arriving.
+    /// When the head of the current request began to arrive.
     fn head_since(&self) -> Option<Instant> {
         match self.lock().phase {
             Phase::Head { since } => Some(since),
@@ -114,13 +117,13 @@
         }
     }
 
-    /// Whether the head of a request is not there yet.
+    /// Whether the head of a request is still incomplete.
     pub(crate) fn awaits_head(&self) -> bool {
         self.head_since().is_some()
     }
 }
 
-/// Holds a connection busy; it rests from the guard's end.
+/// Marks a connection as busy. The connection is idle from the guard's drop on.
 #[derive(Debug)]
 pub(crate) struct BusyGuard(CallerState);
 
@@ -134,13 +137,13 @@
     }
 }
 
-/// A caller's stream that notes when bytes arrive, and fails when a head takes too long or an
+/// A caller's stream that records when bytes arrive. It fails if a head takes too long or if an
 /// answer is not taken in time.
 pub(crate) struct CallerStream {
     stream: TcpStream,
     state: CallerState,
     most_head_time: Duration,
-    /// Set only when a head does not come in one piece, which is rare.
+    /// Set only if a head does not arrive in one piece, which is rare.
     alarm: Option<Pin<Box<Sleep>>>,
     /// Set only while the caller takes no bytes.
     write_alarm: Option<Pin<Box<Sleep>>>,
@@ -161,9 +164,9 @@
         alarm.as_mut().poll(context).map(|()| Err(io::ErrorKind::TimedOut.into()))
     }
 
-    /// What becomes of a write: one that still waits when the answer is due fails, and so does one of
-    /// a stream of which the caller takes no byte for too long. The answer's body cannot tell, since
-    /// it is not asked for more until the caller has taken what is there.
+    /// Applies the deadline to a write: a write fails if it still blocks when the answer is due, or
+    /// if the caller has taken no byte of a stream for too long. The answer's body cannot notice
+    /// this, since it is not polled until the caller has taken the earlier bytes.
     fn or_due(
         &mut self,
         written: Poll<io::Result<usize>>,
@@ -180,7 +183,7 @@
         alarm.as_mut().poll(context).map(|()| Err(io::ErrorKind::TimedOut.into()))
     }
 
-    /// Offers bytes to the socket without waiting, as a last word before it is closed.
+    /// Writes bytes to the socket without waiting, just before it is closed.
     pub(crate) fn last_word(&self, bytes: &[u8]) {
         let _ = self.stream.try_write(bytes);
     }
--- a/crates/relay/src/connection.rs
+++ b/crates/relay/src/connection.rs
@@ -1,7 +1,7 @@
 //! One connection to a server.
 //!
-//! hyper's connection is driven by the task that waits for its answer, not by a task of its own:
-//! that spares two wake-ups a request, and a caller that leaves takes the connection with it.
+//! hyper's connection is driven by the task that waits for its answer, not by a task of its own.
+//! That saves two wake-ups per request, and the connection closes when the caller disconnects.
 
 use std::future::poll_fn;
 use std::io;
@@ -25,7 +25,7 @@
 
 use crate::RelaySettings;
 
-/// Bytes of an answer that are read before they are asked for, the head at least: what a slow caller
+/// Bytes of an answer, the head at least, that are read before they are needed. What a slow caller
 /// has not taken waits at the server.
 const MOST_READ_AHEAD: usize = 64 * 1024;
 
@@ -45,10 +45,10 @@
 /// A request got no head of an answer.
 #[derive(Debug, Snafu)]
 pub(crate) enum SendError {
-    /// No byte of it left: it cannot have run.
+    /// No byte of it was sent, so it cannot have run.
     #[snafu(display("the connection was closed before the request was sent"))]
     NotSent,
-    /// Some of it left: it may have run.
+    /// Some of it was sent, so it may have run.
     #[snafu(display("no answer to what was sent: {source}"))]
     NoAnswer { source: hyper::Error },
 }
@@ -71,7 +71,7 @@
         let stream = timeout(patience, TcpStream::connect(server)).await;
         let stream = stream.map_err(|_| OpenError::TooSlow { server })?;
         let stream = stream.context(ConnectSnafu { server })?;
-        // A system without these options still serves; it only notices dead peers later.
+        // Systems without these options still work, but notice dead peers later.
         let _ = stream.set_nodelay(true);
         let _ = notice_dead_peers(&stream, settings);
         let progress = Arc::new(WriteProgress::default());
@@ -101,7 +101,7 @@
         }
     }
 
-    /// The next data of an answer's body; none at its end.
+    /// Returns the next data of an answer's body; none at its end.
     pub(crate) async fn next_data(
         &mut self,
         body: &mut Incoming,
@@ -116,8 +116,9 @@
         .await
     }
 
-    /// Whether another request may go over it: the one before is fully sent and answered, nothing
-    /// is left over, and the server has not closed it. hyper wants no further request before.
+    /// Whether the connection can take another request: the last request is fully sent and
+    /// answered, no bytes are left over, and the server has not closed it. hyper takes no further
+    /// request before that.
     pub(crate) fn is_reusable(&mut self) -> bool {
         poll_driver(&mut self.driver, &mut Context::from_waker(Waker::noop()));
         self.driver.is_some() && self.sender.is_ready()
@@ -126,7 +127,7 @@
 
 fn poll_driver(driver: &mut Option<Box<Driver>>, context: &mut Context<'_>) {
     let Some(running) = driver else { return };
-    // How it ended shows in the answer.
+    // How the connection ended shows in the answer.
     if Pin::new(running).poll(context).is_ready() {
         *driver = None;
     }
@@ -149,7 +150,8 @@
     }
 }
 
-/// Ends connections whose peer is gone without a word: without power, or behind a cut.
+/// Makes the system close connections whose peer disappeared without closing them, because it lost
+/// power or is cut off.
 fn notice_dead_peers(stream: &TcpStream, settings: &RelaySettings) -> io::Result<()> {
     let socket = SockRef::from(stream);
     let interval = Duration::from_secs(settings.probe_interval_s);
@@ -161,7 +163,7 @@
     socket.set_tcp_user_timeout(Some(Duration::from_millis(settings.unacknowledged_timeout_ms)))
 }
 
-/// Bytes that the socket has taken.
+/// The number of bytes that the socket has accepted.
 #[derive(Debug, Default)]
 struct WriteProgress(AtomicU64);
 
@@ -177,7 +179,7 @@
     }
 }
 
-/// A stream to a server that notes how much the socket has taken.
+/// A stream to a server that counts the bytes that the socket has accepted.
 struct ServerStream {
     stream: TcpStream,
     progress: Arc<WriteProgress>,
--- a/crates/relay/src/counters.rs
+++ b/crates/relay/src/counters.rs
@@ -1,9 +1,9 @@
-//! What the relay counts for metrics, and which requests and turns are still open.
+//! Counters of the relay for metrics, and gauges of open requests and turns.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Counters of one relay. All only rise, except the gauges at the end.
+/// Counters of one relay. They only increase, except the three gauges at the end.
 #[derive(Debug, Default)]
 pub(crate) struct Counters {
     pub(crate) connections: AtomicU64,
@@ -25,27 +25,27 @@
 /// The counters at one moment.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct CounterReadings {
-    /// Callers' connections taken.
+    /// Callers' connections accepted.
     pub connections: u64,
     /// Requests whose head was read.
     pub requests: u64,
-    /// Answers of servers handed on, whatever their status.
+    /// Answers of servers forwarded, whatever their status.
     pub answered: u64,
-    /// Requests refused unrun with a time to come back (503, 429).
+    /// Requests refused without having run, with a retry time (503, 429).
     pub refused: u64,
-    /// Requests that were not proper or not allowed (other 4xx).
+    /// Requests that were invalid or not allowed (other 4xx).
     pub rejected: u64,
-    /// Requests whose fate at a server is unknown (502).
+    /// Requests whose outcome at a server is unknown (502).
     pub failed: u64,
     /// Requests that reached their deadline (504).
     pub timed_out: u64,
     /// Streams broken off after their head.
     pub broken_off: u64,
-    /// Sends to servers.
+    /// Attempts at servers.
     pub attempts: u64,
     /// Connections opened to servers.
     pub connections_to_servers: u64,
-    /// Streams that went on at another server.
+    /// Streams resumed at another server.
     pub resumed: u64,
     /// Callers' connections open now.
     pub open_connections: u64,
@@ -53,15 +53,15 @@
     pub in_progress: u64,
     /// Turns whose end is not yet confirmed by the ledger.
     pub unsettled_turns: u64,
-    /// Zones that are being emptied now.
+    /// Zones that are being evacuated now.
     pub evacuated_zones: u64,
-    /// Sends to servers there that have not ended.
+    /// Attempts at servers of these zones that have not ended.
     pub in_evacuated_zones: u64,
-    /// Requests that wait for a server.
+    /// Requests that wait for a server now.
     pub waiting: u64,
-    /// Bytes held for callers and servers.
+    /// Bytes of memory reserved for callers and servers.
     pub held_bytes: u64,
-    /// The most that buffers of callers' connections may take.
+    /// The most bytes that buffers of callers' connections may take.
     pub connection_buffer_bytes: u64,
 }
 
@@ -93,7 +93,7 @@
     counter.fetch_add(1, Ordering::Relaxed);
 }
 
-/// Which gauge a [`GaugeGuard`] holds up.
+/// The gauge that a [`GaugeGuard`] increases.
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum Gauge {
     OpenConnections,
@@ -101,7 +101,7 @@
     UnsettledTurns,
 }
 
-/// Holds a gauge one higher for as long as it lives.
+/// Increases a gauge by one until it is dropped.
 #[derive(Debug)]
 pub(crate) struct GaugeGuard {
     counters: Arc<Counters>,
--- a/crates/relay/src/decisions.rs
+++ b/crates/relay/src/decisions.rs
@@ -1,8 +1,8 @@
-//! Decisions on one request as they are logged and counted: a line each, with the request's
-//! identifier, what decided it, and the outcome.
+//! Logs and counts the decisions on one request: one line for each, with the request's identifier,
+//! what decided it, and the outcome.
 //!
-//! Decisions on requests that go well are of level info, refusals and failures warn. No body, no
-//! header but identifiers, and no address of a caller is ever logged.
+//! Decisions on successful requests have the level info, refusals and failures the level warn.
+//! Bodies, headers other than identifiers, and addresses of callers are never logged.
 
 use std::fmt;
 use std::sync::Arc;
@@ -18,10 +18,10 @@
 use crate::request::RequestHead;
 use crate::router::Matched;
 
-/// What stands for a value that is missing, or an identifier that is no text.
+/// Stands for a missing value, or an identifier that is not text.
 const NOT_NAMED: &str = "-";
 
-/// One request as its log lines name it. Cheap to clone.
+/// The log of one request. Cheap to clone.
 #[derive(Debug, Clone)]
 pub(crate) struct RequestLog {
     metrics: Arc<RelayMetrics>,
@@ -31,12 +31,12 @@
 }
 
 impl RequestLog {
-    /// A request whose head was not read yet.
+    /// Creates the log of a request whose head was not read yet.
     pub(crate) fn new(metrics: Arc<RelayMetrics>, arrived: Instant) -> Self {
         Self { metrics, service: None, attempt: None, arrived }
     }
 
-    /// The head is read: from now on lines name the request.
+    /// Sets the request's identifier for all further lines.
     pub(crate) fn name(&mut self, head: &RequestHead) {
         self.attempt = Some(head.attempt.clone());
     }
@@ -62,7 +62,7 @@
         self.arrived.elapsed().as_millis() as u64
     }
 
-    /// A route takes it.
+    /// The request matched a route.
     pub(crate) fn routed(&mut self, matched: &Matched, program: Option<&str>, deadline: Instant) {
         self.service = Some(matched.service_name().clone());
         log::info!(
@@ -78,7 +78,7 @@
         );
     }
 
-    /// Its tenant's limit lets it pass, after a wait where it was near.
+    /// Its tenant's rate limit admits it, after a delay if the limit was near.
     pub(crate) fn permitted(&self, has_limit: bool) {
         if has_limit {
             log::info!(
@@ -103,7 +103,7 @@
         );
     }
 
-    /// No server takes it now: it waits.
+    /// All servers are full, and the request starts to wait.
     pub(crate) fn waits(&self, waiter: &QueuedRequest) {
         log::info!(
             target: "relay",
@@ -116,7 +116,7 @@
         );
     }
 
-    /// It waits no longer, whether or not its turn came.
+    /// The wait ended, with or without a server.
     pub(crate) fn waited(&self, time: tokio::time::Duration) {
         self.metrics.waited(time);
         log::info!(
@@ -128,7 +128,7 @@
         );
     }
 
-    /// A server was chosen for a request with a body of so many bytes.
+    /// A server was chosen for a request with this many bytes of body.
     pub(crate) fn chosen(
         &self,
         server: &BackendId,
@@ -160,14 +160,14 @@
         );
     }
 
-    /// An answer ended whole after this time, where another time had been expected.
+    /// An answer was complete after this time, and the choice had estimated another.
     pub(crate) fn turn_took(&self, expected: TurnEstimate, time: Duration) {
         if let Some(service) = &self.service {
             self.metrics.turn_took(service, expected.duration, time);
         }
     }
 
-    /// A send did not bring the request's answer.
+    /// An attempt did not produce an answer.
     pub(crate) fn attempt_failed(&self, server: &BackendId, end: AttemptEnd, cause: &str) {
         self.metrics.attempt_failed(end);
         log::warn!(
@@ -181,7 +181,7 @@
         );
     }
 
-    /// A server's answer is handed on whole.
+    /// A complete answer of a server is forwarded.
     pub(crate) fn answered(&self, server: &BackendId, status: StatusCode, bytes: usize) {
         self.answer_began();
         self.answer_ended();
@@ -209,7 +209,7 @@
         );
     }
 
-    /// A broken stream goes on at another server.
+    /// A broken stream resumes at another server.
     pub(crate) fn stream_resumed(&self, server: &BackendId) {
         log::warn!(
             target: "relay",
@@ -220,7 +220,7 @@
         );
     }
 
-    /// The stream ended whole.
+    /// The stream was complete.
     pub(crate) fn stream_ended(&self, server: &str) {
         self.answer_ended();
         log::info!(
@@ -243,7 +243,7 @@
         );
     }
 
-    /// The relay ends the request itself.
+    /// The relay refuses the request.
     pub(crate) fn refused(&self, refusal: &Refusal) {
         self.metrics.refused(refusal.name());
         log::warn!(
@@ -257,7 +257,7 @@
         );
     }
 
-    /// The caller left before its answer, or before the end of its stream.
+    /// The caller disconnected before its answer, or before the end of its stream.
     fn caller_left(&self) {
         log::warn!(
             target: "relay",
@@ -280,19 +280,19 @@
     }
 }
 
-/// Tells that the caller left, unless the request was ended before.
+/// Logs on drop that the caller disconnected, unless the request ended before.
 #[derive(Default)]
 pub(crate) struct LeavingGuard {
     log: Option<RequestLog>,
 }
 
 impl LeavingGuard {
-    /// The request has begun.
+    /// Starts watching a request.
     pub(crate) fn began(&mut self, log: RequestLog) {
         self.log = Some(log);
     }
 
-    /// The request has its end.
+    /// Records that the request has ended.
     pub(crate) fn ended(&mut self) {
         self.log = None;
     }
--- a/crates/relay/src/events.rs
+++ b/crates/relay/src/events.rs
@@ -1,25 +1,25 @@
-//! Server-sent events, cut out of a stream that arrives in any pieces.
+//! Parses server-sent events from a stream that arrives in arbitrary pieces.
 //!
-//! Sans-I/O: bytes go in, whole events come out with the very bytes that came, so that a reader
-//! further on gets what the server sent. Lines end with a line feed, with or without a carriage
-//! return before it; a carriage return alone ends none.
+//! Without I/O: bytes go in, and complete events come out with their original bytes, so that the
+//! next reader gets exactly what the server sent. Lines end with a line feed, which a carriage
+//! return may precede; a carriage return alone does not end a line.
 
 use bytes::{Bytes, BytesMut};
 
 /// One event with the blank line that ends it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Event {
-    /// Every byte of it.
+    /// All bytes of the event.
     pub raw: Bytes,
-    /// Its identifier, when it has one.
+    /// Its identifier, if it has one.
     pub id: Option<Bytes>,
-    /// Its data lines with a line feed between; none for a comment.
+    /// Its data lines, joined by line feeds; none for a comment.
     pub data: Option<Bytes>,
 }
 
 impl Event {
-    /// Whether it comes after another one in the same stream. Identifiers ascend; ones that are
-    /// no numbers can only be told apart.
+    /// Whether the event comes after the event with identifier `last` in the same stream. Numeric
+    /// identifiers ascend; other identifiers can only be compared for equality.
     pub fn is_after(&self, last: &[u8]) -> bool {
         let Some(id) = &self.id else { return true };
         match (number(id), number(last)) {
@@ -33,16 +33,16 @@
     std::str::from_utf8(id).ok()?.parse().ok()
 }
 
-/// Cuts a stream into events.
+/// Splits a stream into events.
 #[derive(Debug, Default)]
 pub struct EventReader {
     buffer: Bytes,
-    /// Bytes at the front of the buffer that are known to hold no end of an event.
+    /// Bytes at the front of the buffer that contain no end of an event.
     scanned: usize,
 }
 
 impl EventReader {
-    /// Takes the next bytes of the stream. Without a rest from before, nothing is copied.
+    /// Adds the next bytes of the stream. Nothing is copied if no partial event is buffered.
     pub fn push(&mut self, piece: Bytes) {
         if self.buffer.is_empty() {
             self.buffer = piece;
@@ -54,7 +54,7 @@
         self.buffer = joined.freeze();
     }
 
-    /// The next whole event, if it is there.
+    /// Returns the next complete event, if there is one.
     pub fn next_event(&mut self) -> Option<Event> {
         match end_of_event(&self.buffer, self.scanned) {
             Some(end) => {
@@ -62,26 +62,27 @@
                 Some(parse(self.buffer.split_to(end)))
             }
             None => {
-                // An end may begin with the last line feed and a carriage return behind it.
+                // The end of an event may start at the last line feed, with a carriage return
+                // behind it.
                 self.scanned = self.buffer.len().saturating_sub(2);
                 None
             }
         }
     }
 
-    /// Bytes of an event that is not whole yet.
+    /// The number of bytes of an incomplete event.
     pub fn pending_bytes(&self) -> usize {
         self.buffer.len()
     }
 
-    /// Takes out the bytes of an event that is not whole.
+    /// Removes and returns the bytes of an incomplete event.
     pub fn take_remainder(&mut self) -> Bytes {
         self.scanned = 0;
         std::mem::take(&mut self.buffer)
     }
 }
 
-/// Where the first event of some bytes ends, looking from a position on.
+/// Finds where the first event ends, searching from a position on.
 fn end_of_event(bytes: &[u8], from: usize) -> Option<usize> {
     let mut position = from;
     while let Some(offset) = bytes[position..].iter().position(|&byte| byte == b'\n') {
@@ -109,7 +110,7 @@
     Event { id, data: data.finish(), raw }
 }
 
-/// Data lines met so far; one line is the common case and is not copied.
+/// The data lines so far. A single line is the common case and is not copied.
 enum Data {
     None,
     One(Bytes),
@@ -140,7 +141,7 @@
     lines
 }
 
-/// A line's name and value. One space behind the colon belongs to neither.
+/// Splits a line into field name and value. One space after the colon belongs to neither.
 fn field(line: &[u8]) -> (&[u8], &[u8]) {
     match line.iter().position(|&byte| byte == b':') {
         Some(colon) => {
--- a/crates/relay/src/exchange.rs
+++ b/crates/relay/src/exchange.rs
@@ -1,4 +1,4 @@
-//! Step 5: the loop over attempts, until a server answers or the request is given up.
+//! Step 5: sends a request to servers in turn, until one answers or the request is given up.
 
 use std::sync::{Arc, PoisonError};
 
@@ -27,43 +27,44 @@
 use crate::waiting::SlotGuard;
 use crate::{Repeatability, Route, TurnLedger, priority_level};
 
-/// A request on its way, whichever servers it meets.
+/// A request with the state of all its attempts.
 pub(crate) struct Exchange<L: TurnLedger> {
     pub(crate) shared: Arc<Shared<L>>,
     pub(crate) matched: Matched,
     /// When the caller must have its answer.
     pub(crate) deadline: Instant,
-    /// When it was read whole.
+    /// When its body was complete.
     pub(crate) arrived: Timestamp,
-    /// When it stops waiting for a server.
+    /// When it stops waiting in the queue for a server.
     pub(crate) leave_by: Timestamp,
     pub(crate) turn: Option<Turn<L>>,
-    /// Identifier of the last event that was handed on.
+    /// Identifier of the last event that was sent to the caller.
     pub(crate) last_event: Option<Bytes>,
     pub(crate) log: RequestLog,
     head: RequestHead,
-    /// Bytes held for its caller.
+    /// The memory quota of its caller's connection.
     pub(crate) caller: CallerBytes,
     body: HeldBody,
     preferred: Option<BackendId>,
     tried: Vec<BackendId>,
-    /// Servers that may have run it and whose answer is lost.
+    /// Number of servers that may have run it and whose answer is lost.
     lost_answers: u32,
-    /// Those of them that count against the route's most: not those that have ended since.
+    /// Servers among these that count against the route's attempt limit; those that have ended
+    /// since do not.
     counted: Vec<BackendAddress>,
-    /// The server that it was sent to last.
+    /// The server of the last attempt.
     current: Option<BackendAddress>,
-    /// Servers that did not run it.
+    /// Number of servers that did not run it.
     refusals: u32,
-    /// A server may be running it now.
+    /// Whether a server may be running it now.
     is_sent: bool,
 }
 
-/// A server's answer as far as it must be there before the caller gets any of it.
+/// The part of a server's answer that must be there before the caller gets any of it.
 pub(crate) enum Answer {
-    /// All of it.
+    /// The whole answer.
     Whole { live: Box<LiveAnswer>, body: HeldBody },
-    /// A stream with its first piece; none when it is empty.
+    /// A stream with its first piece; no piece if the stream is empty.
     Stream { live: Box<LiveAnswer>, first: Option<Bytes> },
 }
 
@@ -106,7 +107,7 @@
         self.matched.route()
     }
 
-    /// Opens the request's turn, if it is one, and puts its prompt together.
+    /// Opens the request's turn, if it is one, and puts the turn's history before the body.
     pub(crate) async fn open_turn(&mut self) -> Result<(), Refusal> {
         let opening = Turn::open(
             &self.shared,
@@ -123,7 +124,7 @@
         self.compose(opened.history)
     }
 
-    /// Puts what went before in front of the body.
+    /// Puts the history of earlier turns before the body.
     fn compose(&mut self, history: Vec<u8>) -> Result<(), Refusal> {
         if history.is_empty() {
             return Ok(());
@@ -137,7 +138,7 @@
         Ok(())
     }
 
-    /// Sends the request until a server has answered it.
+    /// Sends the request to servers until one has answered it.
     pub(crate) async fn answer(&mut self) -> Result<Answer, Refusal> {
         let most = self.shared.settings.most_answer_bytes;
         loop {
@@ -155,13 +156,13 @@
                     Err(NoWholeAnswer::Broken { .. }) => {}
                 }
             }
-            // The connection must be gone before another server gets the request.
+            // The connection must close before another server gets the request.
             drop(live);
             self.answer_lost().await?;
         }
     }
 
-    /// Sends the request until a server's answer begins.
+    /// Sends the request to servers until one begins to answer.
     pub(crate) async fn live_answer(&mut self) -> Result<Box<LiveAnswer>, Refusal> {
         loop {
             let chosen = self.take_place().await?;
@@ -182,8 +183,8 @@
         }
     }
 
-    /// Sends the request to one server unless too many bytes are on their way there: it does not read
-    /// what it got, and further ones would only take room here.
+    /// Sends the request to one server, unless too many bytes are already on their way there. A
+    /// server that does not read would only make this gateway hold more memory.
     async fn send_within_bounds(
         &mut self,
         server: &BackendAddress,
@@ -198,7 +199,7 @@
 
     /// Sends the request to one server, on the first of its connections that is still open.
     async fn send_to(&mut self, server: &BackendAddress, mut guard: AttemptGuard) -> Sent {
-        // One lost answer may be made good by another server; it must not lose a second one.
+        // Another server can replace one lost answer. A second loss must be avoided.
         let may_lose = self.may_run_again() && self.lost_answers == 0;
         while let Some(connected) = connect(&self.shared, server, may_lose).await {
             let is_new = connected.rested.is_none();
@@ -230,7 +231,7 @@
         Sending { shared: &self.shared, service: self.matched.service(), outgoing }
     }
 
-    /// Asks for a server. One that is given counts as used.
+    /// Chooses a server. The choice counts as an attempt in flight.
     pub(crate) fn choose(&self) -> Choice {
         let ask = ChoiceRequest {
             service: self.matched.service_name(),
@@ -248,34 +249,34 @@
         choice
     }
 
-    /// What is kept of a choice until its attempt ends.
+    /// Combines a chosen server with the request's size and the estimate that the choice used.
     pub(crate) fn chosen(&self, server: BackendAddress, basis: &ChoiceBasis) -> Chosen {
         Chosen { server, size: self.size(), expected: basis.estimate }
     }
 
-    /// How large the request is to a model server; none when it does not say.
+    /// The request's size for a model server; none if the caller does not state it.
     fn size(&self) -> Option<TurnSize> {
         self.head.size(&self.shared.headers).filter(|_| self.route().is_stream)
     }
 
-    /// Whether no server has got the request yet.
+    /// Whether no server has received the request yet.
     pub(crate) fn is_new(&self) -> bool {
         self.tried.is_empty()
     }
 
-    /// Whether the ledger knows of a turn before this one.
+    /// Whether the ledger has an earlier turn of this program.
     pub(crate) fn goes_on(&self) -> bool {
         self.preferred.is_some()
     }
 
-    /// The stage of its program as far as its head and this gateway's memory tell.
+    /// The stage of its program, as far as the request's head and this gateway's memory tell.
     pub(crate) fn stage_by_head(&self) -> Stage {
         let is_stream = self.route().is_stream;
         let tenant = self.matched.tenant();
         self.shared.programs.stage(&self.head, &self.shared.headers, tenant, is_stream)
     }
 
-    /// What it costs a server, in tokens; 1 where it does not say.
+    /// The cost of the request in tokens; 1 if the caller does not state it.
     pub(crate) fn cost(&self) -> Tokens {
         self.head.tokens(&self.shared.headers).unwrap_or(Tokens(1))
     }
@@ -293,7 +294,7 @@
         self.shared.programs.told_to_come_back(&self.head, &self.shared.headers, tenant);
     }
 
-    /// The answer has begun, and no other server will get the request: its text is not needed any more.
+    /// Notes that the answer has begun. If no other server may get the request, its body is freed.
     pub(crate) fn answer_began(&mut self) {
         let tenant = self.matched.tenant();
         self.shared.programs.answered(&self.head, &self.shared.headers, tenant);
@@ -302,10 +303,11 @@
         }
     }
 
-    /// On routes that are better served so, requests go where what they need is kept. Where the
-    /// parts of a prompt that others share outweigh the rest, programs with the same parts go
-    /// together, so that few servers read these; else each program stays together. What is no
-    /// stream goes by the object that it concerns, where its caller names one.
+    /// Chooses what the request's server should already hold, on sticky routes. If the parts of a
+    /// prompt that other requests share outweigh the rest, programs with the same parts go to the
+    /// same few servers, so that few servers have to read these parts. Otherwise each program stays
+    /// on one server. Requests that are no streams go by the object that they concern, if the
+    /// caller names one.
     fn affinity(&self) -> Option<Affinity> {
         if !self.route().is_sticky {
             return None;
@@ -337,7 +339,8 @@
         }
     }
 
-    /// The promise that the last server gave holds for the request if no other may have run it.
+    /// Notes that the last server did not run the request. The turn counts as not run unless
+    /// another server may have run it.
     pub(crate) fn did_not_run(&mut self) {
         self.is_sent = false;
         if self.may_have_run() {
@@ -362,7 +365,7 @@
         Err(self.give_up(retry_after.unwrap_or(otherwise)))
     }
 
-    /// The last server may have run the request, and its answer is lost.
+    /// Notes that the last server may have run the request and that its answer is lost.
     ///
     /// # Errors
     /// No other server may run it.
@@ -376,8 +379,8 @@
         Err(Refusal::AnswerLost)
     }
 
-    /// Whether another server may run it. A server that has ended, or is cut off, does not count; it
-    /// is looked for only when the answer depends on it.
+    /// Whether another server may run it. Servers that have ended or cannot be reached do not
+    /// count; they are probed only if the answer depends on it.
     async fn is_below_most(&mut self) -> bool {
         let most = self.route().max_attempts as usize;
         let mut checked = 0;
@@ -402,7 +405,8 @@
         reachability(server.address, &self.shared.settings).await != Reachability::Alive
     }
 
-    /// A stream that cannot be resumed runs once at most, whatever else its route says.
+    /// Whether the request may run on more than one server. A stream that cannot be resumed runs at
+    /// most once, whatever its route says.
     fn may_run_again(&self) -> bool {
         let route = self.route();
         match route.is_stream {
@@ -418,7 +422,7 @@
         Refusal::Busy { retry_after }
     }
 
-    /// What the caller gets when its time is over.
+    /// The refusal for a request whose deadline has passed.
     pub(crate) fn out_of_time(&self) -> Refusal {
         if self.may_have_run() {
             return Refusal::DeadlinePassed;
--- a/crates/relay/src/hop.rs
+++ b/crates/relay/src/hop.rs
@@ -1,4 +1,5 @@
-//! Headers that concern one connection only (RFC 9110, section 7.6.1). They are never passed on.
+//! Hop-by-hop headers, which concern one connection only and are never forwarded (RFC 9110, section
+//! 7.6.1).
 
 use http::header::{
     CONNECTION, HeaderName, PROXY_AUTHENTICATE, PROXY_AUTHORIZATION, TE, TRAILER,
@@ -6,7 +7,7 @@
 };
 use http::{HeaderMap, HeaderValue};
 
-/// Connection's old companion, which the `http` crate has no constant for.
+/// The header that accompanied `Connection` in HTTP/1.0. The `http` crate has no constant for it.
 pub(crate) const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
 
@@ -22,7 +23,7 @@
     PROXY_AUTHORIZATION,
 ];
 
-/// Takes out the headers of one connection, those that `Connection` names included.
+/// Removes the headers of one connection, including those that `Connection` names.
 pub(crate) fn strip(headers: &mut HeaderMap) {
     for name in named_by_connection(headers) {
         headers.remove(name);
@@ -42,7 +43,7 @@
         .collect()
 }
 
-/// Whole seconds that a server keeps an idle connection, when it says so.
+/// Whole seconds for which a server keeps an idle connection, if it says so.
 pub(crate) fn keep_alive_seconds(headers: &HeaderMap) -> Option<u64> {
     let value = headers.get(KEEP_ALIVE).map(HeaderValue::to_str)?.ok()?;
     value
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -1,42 +1,43 @@
 //! Relays callers' HTTP requests to servers of services, by routes that operators configure.
 //!
-//! A request is read whole, matched to a route, opened in the ledger when it is a turn of a
-//! program, sent to a server, and its answer is handed on as it arrives. The names of headers are
-//! a deployment's own and come in as [`HeaderNames`].
+//! The relay reads each request whole, matches it to a route, opens a turn in the ledger if the
+//! request is a turn of a program, sends it to a server and forwards the answer as it arrives. Each
+//! deployment chooses its own header names and passes them in as [`HeaderNames`].
 //!
-//! The way of a request, one file a step: `server` takes the connection, `request` checks the head
-//! and reads the body, `router` finds route and service, `tenant` finds whose it is and whether it is
-//! within its limit, `turn` opens the turn, `exchange` loops
-//! over servers, `place` takes one or waits for it, `attempt` sends to one of them, `answer` hands its answer on, and `refusal` says
-//! what the caller gets when there is none.
+//! A request passes through these steps, one file each: `server` accepts the connection, `request`
+//! checks the head and reads the body, `router` finds the route and the service, `tenant`
+//! identifies the tenant and applies its rate limit, `turn` opens the turn, `exchange` loops over
+//! servers, `server_slot` chooses a server or waits for one, `attempt` sends the request to that
+//! server, `answer` forwards the answer, and `refusal` defines what the caller receives when there
+//! is no answer.
 //!
-//! It is built on hyper, not on salvo and reqwest as the rest of the project: those rewrite paths
-//! and headers, and do not tell whether a request has left on a connection, on which every
-//! promise to callers rests. hyper is what both are built on.
+//! The relay uses hyper directly, unlike the rest of the project, which uses salvo and reqwest.
+//! Those libraries rewrite paths and headers, and they do not report whether a request has left on
+//! a connection. The relay's guarantees to callers depend on that report. Both libraries are built
+//! on hyper.
 //!
-//! | module | job |
+//! | module | contents |
 //! |---|---|
-//! | `routes` | routes, services and limits in force |
+//! | `routes` | configured routes, services and limits |
 //! | `headers` | names of the headers that a deployment uses |
-//! | `hop` | headers that concern one connection only |
-//! | `ledger`, `limits` | what the relay asks of the ledger, and of the keepers of limits |
-//! | `relay` | what all requests share |
-//! | `server`, `caller`, `body` | callers' connections, their time limits, bodies of answers |
-//! | `request`, `router`, `tenant`, `turn`, `exchange`, `attempt`, `answer`, `refusal` | the steps above |
-//! | `memory` | bytes held for callers and servers, and their bounds |
-//! | `place` | a place at a server, or a wait for it |
-//! | `waiting` | the queues of those that wait |
-//! | `stage` | whether a request belongs to a program under way |
-//! | `prompt_parts` | which part of a prompt is shared |
-//! | `urgency` | how urgent a request is to servers |
-//! | `outgoing`, `live` | a request as one server gets it, and its answer while it arrives |
-//! | `connection`, `pool` | connections to servers, and the idle ones |
-//! | `silence` | servers that fall silent |
-//! | `rest_limit` | how long a connection may have rested for a request that runs once |
-//! | `events` | server-sent events cut out of a stream |
-//! | `token_intervals` | how soon a stream's tokens come |
-//! | `settings`, `counters`, `metrics` | settings, and what is counted and timed |
-//! | `decisions` | log lines on a request's decisions |
+//! | `hop_by_hop` | headers that concern one connection only |
+//! | `ledger`, `limits` | interfaces to the ledger and to the keepers of rate limits |
+//! | `relay` | the state that all requests share |
+//! | `server`, `caller`, `body` | callers' connections, their timeouts, bodies of answers |
+//! | `request`, `router`, `tenant`, `turn`, `exchange`, `server_slot`, `attempt`, `answer`, `refusal` | the steps above |
+//! | `memory` | memory reserved for callers and servers, and its limits |
+//! | `wait_queues` | the queues of requests that wait for a server |
+//! | `active_programs` | whether a request belongs to an active program |
+//! | `prompt_parts` | the shared parts of a prompt |
+//! | `priority` | the priority of a request at servers |
+//! | `outgoing`, `server_response` | a request as one server receives it, and its answer while it arrives |
+//! | `connection`, `pool` | connections to servers, and the idle ones among them |
+//! | `liveness` | servers that stop responding |
+//! | `idle_limit` | how long a connection may be idle before a request that runs once uses it |
+//! | `events` | server-sent events parsed from a stream |
+//! | `token_intervals` | how fast a stream's tokens arrive |
+//! | `settings`, `counters`, `metrics` | settings, counters and Prometheus metrics |
+//! | `request_log` | log lines on a request's decisions |
 
 mod answer;
 mod attempt;
--- a/crates/relay/src/limits.rs
+++ b/crates/relay/src/limits.rs
@@ -1,5 +1,5 @@
-//! What the relay asks of the keepers of tenants' rate limits. The daemon answers by the owners of
-//! replica groups.
+//! The interface of the relay to the keepers of tenants' rate limits. The daemon implements it with
+//! the owners of replica groups.
 
 use std::future::Future;
 
@@ -7,21 +7,21 @@
 use dahlia_types::{Duration, TenantId};
 use snafu::Snafu;
 
-/// A tenant sends more than it may. The request has not run.
+/// A tenant exceeds its rate limit. The request has not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 #[snafu(display("the tenant's limit is reached"))]
 pub struct LimitReached {
-    /// When there will be room for it.
+    /// When the limit will admit the request.
     pub retry_after: Duration,
 }
 
-/// The limits of all tenants, over all gateways together.
+/// The rate limits of all tenants, across all gateways.
 pub trait TenantLimits: Clone + Send + Sync + 'static {
-    /// Counts one more request of a tenant. While the limit is near, it asks a keeper, and waits for
-    /// the request's turn if that comes soon enough.
+    /// Counts one more request of a tenant. While the tenant is near its limit, this asks a keeper,
+    /// and delays the request if it can be admitted within `max_wait`.
     ///
     /// # Errors
-    /// [`LimitReached`]; then it is not counted.
+    /// [`LimitReached`]; the request is not counted.
     fn admit(
         &self,
         tenant: &TenantId,
@@ -30,6 +30,6 @@
         max_wait: Duration,
     ) -> impl Future<Output = Result<(), LimitReached>> + Send;
 
-    /// A request that was counted has not run and never will.
+    /// Takes back a counted request that has not run and never will.
     fn refund(&self, tenant: &TenantId, program: Option<ProgramKey>);
 }
--- a/crates/relay/src/live.rs
+++ b/crates/relay/src/live.rs
@@ -1,4 +1,4 @@
-//! An answer of a server while it arrives.
+//! A server's answer while it arrives.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
@@ -20,17 +20,18 @@
 use crate::silence::SilenceWatch;
 use crate::waiting::SlotGuard;
 
-/// The answer was not whole, or was none, or was another request's.
+/// The answer was incomplete, missing, or belonged to another request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 #[snafu(display("the server's answer was not whole"))]
 pub(crate) struct BrokenAnswer;
 
-/// Why a whole answer is not there.
+/// Why an answer could not be read completely.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 pub(crate) enum NoWholeAnswer {
     #[snafu(transparent)]
     Broken { source: BrokenAnswer },
-    /// It is longer than this gateway holds for one caller: no other server's would be shorter.
+    /// The answer is longer than the memory for one caller. No other server's answer would be
+    /// shorter.
     #[snafu(transparent)]
     NotHeld { source: NotHeld },
 }
@@ -38,34 +39,36 @@
 /// A server that was chosen for a request.
 pub(crate) struct Chosen {
     pub(crate) server: BackendAddress,
-    /// How large the request is, as the choice was told.
+    /// The request's size that the choice used.
     pub(crate) size: Option<TurnSize>,
-    /// What was expected of the server, where that decided.
+    /// The estimate for the server, if it decided the choice.
     pub(crate) expected: Option<TurnEstimate>,
 }
 
-/// Tells [`Backends`] how an attempt ended; that the caller left, when nothing else was said.
+/// Reports to [`Backends`] how an attempt ended; as cancelled by the caller, if nothing else was
+/// recorded.
 pub(crate) struct AttemptGuard {
     backends: Arc<Mutex<Backends>>,
     clock: Clock,
     server: BackendId,
     end: AttemptEnd,
     log: RequestLog,
-    /// How large its request is, as the choice was told.
+    /// The request's size that the choice used.
     size: TurnSize,
-    /// What was expected of it, where that decided.
+    /// The estimate for the server, if it decided the choice.
     expected: Option<TurnEstimate>,
     began: Timestamp,
-    /// When the attempt was sent; none before, and once its answer has begun.
+    /// When the attempt was sent; none before that, and once its answer has begun.
     waits_since: Option<Timestamp>,
-    /// Notices that the server falls silent.
+    /// Detects that the server stops responding.
     pub(crate) watch: SilenceWatch,
-    /// Dropped after the end is told: only then is there room for the next request.
+    /// Dropped after the end is reported: only then can the next request use the slot.
     place: SlotGuard,
 }
 
 impl AttemptGuard {
-    /// An attempt at the chosen server. `may_run_again` says whether another server may run its request.
+    /// Starts an attempt at the chosen server. `may_run_again` says whether another server may run
+    /// its request.
     pub(crate) fn new<L>(
         shared: &Shared<L>,
         chosen: &Chosen,
@@ -95,31 +98,31 @@
         }
     }
 
-    /// The attempt did not bring its request's answer.
+    /// Records that the attempt did not produce an answer.
     pub(crate) fn fail(&mut self, end: AttemptEnd, cause: &str) {
         self.end = end;
         self.log.attempt_failed(&self.server, end, cause);
     }
 
-    /// Tokens of its stream came.
+    /// Reports the arrival times of tokens to [`Backends`].
     fn tokens_came(&self, times: TokenTimes) {
         let now = (self.clock)();
         let mut backends = self.backends.lock().unwrap_or_else(PoisonError::into_inner);
         backends.record_token_times(&self.server, times, now);
     }
 
-    /// Whether the server's zone is being emptied.
+    /// Whether the server's zone is being evacuated.
     fn is_evacuated(&self) -> bool {
         let backends = self.backends.lock().unwrap_or_else(PoisonError::into_inner);
         backends.is_evacuated(&self.server)
     }
 
-    /// The attempt is being sent.
+    /// Records that the attempt is being sent.
     pub(crate) fn sending(&mut self) {
         self.waits_since = Some((self.clock)());
     }
 
-    /// The head of the attempt's answer is there.
+    /// Records that the head of the answer has arrived.
     pub(crate) fn answering(&mut self) {
         let now = (self.clock)();
         if let Some(since) = self.waits_since.take() {
@@ -146,13 +149,13 @@
     }
 }
 
-/// An answer whose head is there. Dropping it before its end drops the connection.
+/// An answer whose head has arrived. Dropping it before its end closes the connection.
 pub(crate) struct LiveAnswer {
     pub(crate) parts: response::Parts,
     /// The server said that it did not run the request.
     pub(crate) did_not_run: bool,
     body: Incoming,
-    /// None once the body has ended, whole or not.
+    /// None once the body has ended, complete or not.
     connection: Option<ServerConnection>,
     keeping: Keeping,
     pool: Arc<Pool>,
@@ -177,25 +180,25 @@
         &self.guard.server
     }
 
-    /// Tokens of the stream came.
+    /// Reports the arrival times of tokens to [`Backends`].
     pub(crate) fn tokens_came(&self, times: TokenTimes) {
         self.guard.tokens_came(times);
     }
 
-    /// Tells that this is no answer for the caller.
+    /// Records that this is no answer for the caller.
     pub(crate) fn fail(&mut self, end: AttemptEnd, cause: &str) {
         self.guard.fail(end, cause);
     }
 
-    /// Overrides what is told of the attempt's end.
+    /// Overrides the end that is reported for the attempt.
     pub(crate) fn set_end(&mut self, end: AttemptEnd) {
         self.guard.end = end;
     }
 
-    /// The next piece of the body; none at its end.
+    /// Returns the next piece of the body; none at its end.
     ///
     /// # Errors
-    /// The body broke off. The connection is closed then.
+    /// The body broke off. The connection is then closed.
     pub(crate) async fn next(&mut self) -> Option<Result<Bytes, BrokenAnswer>> {
         let connection = self.connection.as_mut()?;
         let data = select! {
@@ -229,10 +232,11 @@
         }
     }
 
-    /// The whole body. While there is no room for more of it, it waits at the server.
+    /// Reads the whole body. While no memory is available for more of it, the rest waits at the
+    /// server.
     ///
     /// # Errors
-    /// It broke off, or is longer than the limit or than may be held for one caller.
+    /// The body broke off, or is longer than the limit or than the memory for one caller.
     pub(crate) async fn read_whole(
         &mut self,
         limit: usize,
@@ -257,7 +261,7 @@
         Ok(whole.finish())
     }
 
-    /// Reads the rest of a short body and drops it, so that the connection can be kept.
+    /// Reads and discards the rest of a short body, so that the connection can be reused.
     pub(crate) async fn skip_rest(&mut self, limit: usize) {
         let mut skipped = 0;
         while let Some(Ok(piece)) = self.next().await {
@@ -270,7 +274,7 @@
     }
 
     fn keep_connection(&mut self) {
-        // Nothing further goes to a zone that is being emptied.
+        // No further request is sent to a zone that is being evacuated.
         let connection = self.connection.take().filter(|_| !self.guard.is_evacuated());
         if let Some(connection) = connection {
             self.pool.put(&self.guard.server, connection, self.keeping);
--- a/crates/relay/src/memory.rs
+++ b/crates/relay/src/memory.rs
@@ -1,12 +1,13 @@
-//! Bytes that are held for callers and servers, each kind within a bound.
+//! Limits on the memory for bodies that are in transit between callers and servers.
 //!
-//! A process that holds more than its memory is killed, and everything under way with it. So each body,
-//! composed prompt, answer and turn output is counted from before it is kept until its last byte is
-//! gone: handed to the caller's socket, taken by the server's, or dropped. What one caller or one server
-//! makes this process hold is bounded by itself, so that none that is slow takes the room of all others.
+//! A process that exceeds its memory is killed, and all its requests fail. So memory is reserved
+//! for each body, composed prompt, answer and turn output before its bytes are stored, and it stays
+//! reserved until the last byte is gone: taken by the caller's socket, taken by the server's
+//! socket, or dropped. Each caller and each server also has a limit of its own, so that a slow one
+//! cannot use up the memory of the others.
 //!
-//! What is new waits or is refused, in this order as room runs out: answers wait unread at their
-//! servers, first turns of programs are refused, then all requests.
+//! As memory runs out, work is held back in this order: answers wait unread at their servers, first
+//! turns of programs are refused, then all requests are refused.
 
 use std::collections::HashMap;
 use std::pin::pin;
@@ -22,16 +23,16 @@
 
 const BYTES_PER_MB: f64 = 1_048_576.0;
 
-/// Bounds on bytes held.
+/// Limits on reserved memory, in bytes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MemoryLimits {
     /// For all callers and servers together.
     pub total: usize,
-    /// In all, from which on no first turn of a program is taken.
+    /// The total from which on first turns of programs are refused.
     pub first_turns: usize,
     /// For one caller.
     pub caller: usize,
-    /// On their way to one server.
+    /// For bytes on their way to one server.
     pub server: usize,
 }
 
@@ -39,7 +40,7 @@
     const NONE: Self =
         Self { total: usize::MAX, first_turns: usize::MAX, caller: usize::MAX, server: usize::MAX };
 
-    /// The bounds that follow from the memory of the process; none where it is not stated.
+    /// Derives the limits from the memory of the process; there are none if it is not configured.
     pub fn new(settings: &RelaySettings) -> Self {
         let Some(memory_mb) = settings.memory_mb else { return Self::NONE };
         let memory = memory_mb as f64 * BYTES_PER_MB;
@@ -53,29 +54,29 @@
     }
 }
 
-/// Why bytes may not be held.
+/// Why memory cannot be reserved.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 pub(crate) enum NotHeld {
-    /// The gateway holds as much as it may in all.
+    /// The limit of the gateway is reached.
     #[snafu(display("the gateway holds as many bytes as it may"))]
     Full,
-    /// The caller makes it hold as much as one caller may.
+    /// The limit of the caller is reached.
     #[snafu(display("it holds as many bytes for this caller as it may"))]
     CallerFull,
 }
 
-/// The bytes held by one gateway.
+/// The memory reserved by one gateway.
 #[derive(Debug)]
 pub(crate) struct HeldBytes {
     bounds: MemoryLimits,
     total: AtomicUsize,
-    /// Buffers of callers' connections. They are bounded by the number of these, and kept apart: idle
-    /// connections are no reason to refuse a request.
+    /// Bytes of the buffers of callers' connections. The number of connections bounds them. They
+    /// are counted separately, because idle connections are no reason to refuse a request.
     connection_buffers: AtomicUsize,
     to_servers: Mutex<HashMap<BackendId, usize>>,
-    /// Whether a caller has overdrawn the total.
+    /// Whether a caller has exceeded the total limit.
     is_overdrawn: AtomicBool,
-    /// Told whenever bytes are freed.
+    /// Notified whenever memory is released.
     freed: Notify,
 }
 
@@ -91,24 +92,24 @@
         })
     }
 
-    /// Bytes held now.
+    /// The bytes that are reserved now.
     pub(crate) fn total(&self) -> usize {
         self.total.load(Ordering::Relaxed)
     }
 
-    /// The most that buffers of callers' connections may take now.
+    /// The most bytes that the buffers of callers' connections may take now.
     pub(crate) fn connection_buffers(&self) -> usize {
         self.connection_buffers.load(Ordering::Relaxed)
     }
 
-    /// Whether a request may begin. Programs under way go on while first turns are refused: what was
-    /// spent on them would be lost.
+    /// Whether a request may start. Requests of active programs are accepted while first turns are
+    /// refused: the work already spent on these programs would be lost.
     pub(crate) fn may_begin(&self, is_under_way: bool) -> bool {
         let most = if is_under_way { self.bounds.total } else { self.bounds.first_turns };
         self.total() < most
     }
 
-    /// A caller, with the buffers of its connection.
+    /// Creates the quota of a new caller's connection with buffers of this size.
     pub(crate) fn caller(self: &Arc<Self>, buffers: usize) -> CallerBytes {
         self.connection_buffers.fetch_add(buffers, Ordering::Relaxed);
         let account = CallerAccount {
@@ -120,8 +121,8 @@
         CallerBytes(Arc::new(account))
     }
 
-    /// Counts bytes on their way to a server; none if there are too many already. A single request
-    /// may go whatever its size.
+    /// Reserves bytes on their way to a server; none if the server's limit is reached. A single
+    /// request may exceed that limit.
     pub(crate) fn send(self: &Arc<Self>, server: &BackendId, bytes: usize) -> Option<OnTheWay> {
         let mut to_servers = self.to_servers.lock().unwrap_or_else(PoisonError::into_inner);
         let before = to_servers.get(server).copied().unwrap_or(0);
@@ -153,7 +154,7 @@
 struct CallerAccount {
     held: Arc<HeldBytes>,
     bytes: AtomicUsize,
-    /// Whether it is the one that has overdrawn the total.
+    /// Whether this caller is the one that has exceeded the total limit.
     overdraws: AtomicBool,
     buffers: usize,
 }
@@ -164,17 +165,17 @@
     }
 }
 
-/// The bytes held for one caller's connection. Clones are the same caller's.
+/// The memory quota of one caller's connection. Clones share one quota.
 #[derive(Debug, Clone)]
 pub(crate) struct CallerBytes(Arc<CallerAccount>);
 
 impl CallerBytes {
-    /// Nothing yet, to be grown.
+    /// Returns a reservation of no bytes, which can grow.
     pub(crate) fn nothing(&self) -> Held {
         Held { caller: self.clone(), bytes: 0 }
     }
 
-    /// What it may still make this process hold.
+    /// The bytes that this caller may still reserve.
     fn room(&self) -> usize {
         self.0.held.bounds.caller.saturating_sub(self.0.bytes.load(Ordering::Relaxed))
     }
@@ -188,8 +189,8 @@
         Ok(())
     }
 
-    /// Takes more than the total allows, unless another caller does. Those that keep what they have while
-    /// they wait for more could otherwise all wait for each other.
+    /// Reserves beyond the total limit, unless another caller does so already. Otherwise callers
+    /// that keep their reservations while they wait for more memory could all wait for each other.
     fn overdraw(&self, bytes: usize) -> Result<(), NotHeld> {
         let CallerAccount { held, bytes: own, overdraws, .. } = &*self.0;
         if bytes > self.room() {
@@ -218,7 +219,7 @@
     }
 }
 
-/// Bytes that count as held until this is dropped.
+/// Memory that is reserved until this is dropped.
 #[derive(Debug)]
 pub(crate) struct Held {
     caller: CallerBytes,
@@ -226,13 +227,13 @@
 }
 
 impl Held {
-    /// Counts further bytes before they are kept.
+    /// Reserves further bytes, before they are stored.
     ///
     /// # Errors
-    /// There is no room for them; those before still count.
+    /// A limit is reached. The bytes reserved before stay reserved.
     pub(crate) fn grow(&mut self, bytes: usize) -> Result<(), NotHeld> {
         if bytes == 0 {
-            // What has its memory need not wait while another caller overdraws.
+            // A body whose memory is reserved need not wait while another caller exceeds the limit.
             return Ok(());
         }
         self.caller.take(bytes)?;
@@ -240,14 +241,15 @@
         Ok(())
     }
 
-    /// The same, but while the gateway is full it waits until bytes are freed or nobody else overdraws.
+    /// Reserves further bytes. While the gateway's limit is reached, this waits until memory is
+    /// released or no other caller exceeds the limit.
     ///
     /// # Errors
-    /// The caller's own bound is reached.
+    /// The caller's own limit is reached.
     pub(crate) async fn grow_when_free(&mut self, bytes: usize) -> Result<(), NotHeld> {
         let account = Arc::clone(&self.caller.0);
         loop {
-            // Listens before it looks, so that nothing freed in between is missed.
+            // Subscribe before the check, so that no release in between is missed.
             let mut freed = pin!(account.held.freed.notified());
             freed.as_mut().enable();
             match self.grow(bytes).or_else(|why| self.overdraw(bytes, why)) {
@@ -266,19 +268,19 @@
         Ok(())
     }
 
-    /// Hands some of the count over, as far as there is so much.
+    /// Moves at most this many bytes to a new reservation.
     pub(crate) fn split(&mut self, bytes: usize) -> Held {
         let bytes = bytes.min(self.bytes);
         self.bytes -= bytes;
         Held { caller: self.caller.clone(), bytes }
     }
 
-    /// Takes over what another one counts for the same caller.
+    /// Merges another reservation of the same caller into this one.
     pub(crate) fn join(&mut self, mut other: Held) {
         self.bytes += std::mem::take(&mut other.bytes);
     }
 
-    /// Ties the count to some bytes: it ends when the last reader has dropped them.
+    /// Attaches the reservation to some bytes: it ends when the last reader has dropped them.
     pub(crate) fn tie_to(self, bytes: Bytes) -> Bytes {
         if bytes.is_empty() {
             return bytes;
@@ -295,14 +297,15 @@
     }
 }
 
-/// A body that is put together piece by piece. What is set aside for it counts before it is: memory that
-/// waits for bytes to come is as little use to others as memory that has them.
+/// A body that is assembled piece by piece. Its whole buffer is reserved before it is allocated,
+/// since allocated memory is unavailable to others even before the bytes arrive.
 #[derive(Debug)]
 pub(crate) struct Assembly {
     bytes: Vec<u8>,
-    /// Bytes that its head promised; memory for them is set aside when the first of them come.
+    /// The length that the head announced. The buffer for it is allocated when the first bytes
+    /// arrive.
     expected: usize,
-    /// Bytes that it may have.
+    /// The most bytes that the body may have.
     limit: usize,
     held: Held,
 }
@@ -317,7 +320,7 @@
         self.bytes.len()
     }
 
-    /// The memory that has to be set aside for so many more bytes.
+    /// The capacity that the buffer needs for this many more bytes.
     fn wanted(&self, more: usize) -> usize {
         let end = self.bytes.len() + more;
         match self.bytes.capacity() {
@@ -327,23 +330,23 @@
         }
     }
 
-    /// The most memory that may be set aside for it.
+    /// The most capacity that the buffer may have.
     fn most(&self) -> usize {
         self.limit.min(self.held.bytes.saturating_add(self.held.caller.room()))
     }
 
     fn add(&mut self, piece: &[u8], wanted: usize) {
         if wanted > self.bytes.capacity() {
-            // Exactly as much as counts.
+            // Allocate exactly what is reserved.
             self.bytes.reserve_exact(wanted - self.bytes.len());
         }
         self.bytes.extend_from_slice(piece);
     }
 
-    /// Adds a piece.
+    /// Appends a piece.
     ///
     /// # Errors
-    /// There is no room for it.
+    /// No memory is available for it.
     pub(crate) fn push(&mut self, piece: &[u8]) -> Result<(), NotHeld> {
         let wanted = self.wanted(piece.len());
         self.held.grow(wanted.saturating_sub(self.held.bytes))?;
@@ -351,10 +354,10 @@
         Ok(())
     }
 
-    /// Adds a piece once there is room for it.
+    /// Appends a piece once memory is available for it.
     ///
     /// # Errors
-    /// The caller's own bound is reached.
+    /// The caller's own limit is reached.
     pub(crate) async fn push_when_free(&mut self, piece: &[u8]) -> Result<(), NotHeld> {
         let wanted = self.wanted(piece.len());
         self.held.grow_when_free(wanted.saturating_sub(self.held.bytes)).await?;
@@ -367,7 +370,7 @@
     }
 }
 
-/// A body that is there whole, and its count.
+/// A complete body and its reservation.
 #[derive(Debug)]
 pub(crate) struct HeldBody {
     pub(crate) bytes: Bytes,
@@ -385,7 +388,7 @@
     }
 }
 
-/// Bytes on their way to a server until this is dropped.
+/// A reservation for bytes on their way to a server. It is released on drop.
 #[derive(Debug)]
 pub(crate) struct OnTheWay {
     held: Arc<HeldBytes>,
--- a/crates/relay/src/metrics.rs
+++ b/crates/relay/src/metrics.rs
@@ -1,5 +1,5 @@
-//! What the relay counts and times, for Prometheus. Labels are names of services and of kinds of
-//! decisions, so that their number is bounded by what operators configure.
+//! Metrics of the relay for Prometheus. Labels are names of services and kinds of decisions, so the
+//! operators' configuration bounds their number.
 
 use std::collections::BTreeMap;
 
@@ -12,7 +12,8 @@
 
 use crate::CounterReadings;
 
-/// Upper bounds in seconds, from a lookup's few milliseconds to a long stream.
+/// Upper bounds of histogram buckets in seconds, from a lookup of a few milliseconds to a long
+/// stream.
 const SECONDS: [f64; 12] = [0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 12.8];
 
 /// Metrics of one relay.
@@ -35,7 +36,7 @@
 }
 
 impl RelayMetrics {
-    /// Fresh metrics.
+    /// Creates the metrics.
     ///
     /// # Panics
     /// Never: names and labels are constants that the tests register.
@@ -110,7 +111,7 @@
         }
     }
 
-    /// Adds them to a registry.
+    /// Registers the metrics.
     ///
     /// # Errors
     /// One of the names is registered already.
@@ -134,7 +135,7 @@
         collectors.into_iter().try_for_each(|collector| registry.register(collector))
     }
 
-    /// Takes over the relay's counters; asked before each reading.
+    /// Updates the metrics from the relay's counters, before each reading.
     pub(crate) fn refresh(&self, readings: &CounterReadings) {
         let events = [
             ("connection", readings.connections),
@@ -168,14 +169,14 @@
         }
     }
 
-    /// Takes over what is known of cold servers; asked before each reading.
+    /// Updates the metrics of cold servers, before each reading.
     pub(crate) fn refresh_cold(&self, readings: ColdStats) {
         self.now.with_label_values(&["cold_servers"]).set(readings.cold as i64);
         let turned = self.events.with_label_values(&["turned_from_cold_server"]);
         turned.inc_by(readings.turned_away.saturating_sub(turned.get()));
     }
 
-    /// Takes over how many wait, by rank; asked before each reading.
+    /// Updates the number of waiting requests by rank, before each reading.
     pub(crate) fn refresh_waiting(&self, by_rank: &BTreeMap<u32, usize>) {
         self.waiting.reset();
         for (rank, count) in by_rank {
--- a/crates/relay/src/outgoing.rs
+++ b/crates/relay/src/outgoing.rs
@@ -1,4 +1,4 @@
-//! A request as one server gets it.
+//! Builds a request as one server receives it.
 
 use bytes::Bytes;
 use dahlia_backends::BackendId;
@@ -10,7 +10,7 @@
 use crate::HeaderNames;
 use crate::request::RequestHead;
 
-/// What a request to one server is made of.
+/// The parts of a request to one server.
 #[derive(Clone, Copy)]
 pub(crate) struct Outgoing<'a> {
     pub(crate) names: &'a HeaderNames,
@@ -18,15 +18,15 @@
     pub(crate) body: &'a Bytes,
     pub(crate) expected_instance: &'a BackendId,
     pub(crate) priority: u32,
-    /// Whose request it is, where callers have a key.
+    /// The tenant of the request, if callers need a key.
     pub(crate) tenant: Option<&'a TenantId>,
-    /// Identifier of the last event that the caller has, when this goes on behind it.
+    /// Identifier of the last event that the caller has, if this request resumes a stream.
     pub(crate) last_event: Option<&'a Bytes>,
     pub(crate) deadline: Instant,
 }
 
 impl Outgoing<'_> {
-    /// The request at this moment: its deadline is what is left now.
+    /// Builds the request. Its deadline header is the time left now.
     pub(crate) fn request(&self) -> Request<Full<Bytes>> {
         let left = self.deadline.saturating_duration_since(Instant::now());
         let mut request = Request::new(Full::new(self.body.clone()));
--- a/crates/relay/src/place.rs
+++ b/crates/relay/src/place.rs
@@ -1,5 +1,6 @@
-//! A place at a server, before step 4. While there is none, the request waits for its turn, for no longer than
-//! its caller can do without; then it is refused, and its caller told when to come back.
+//! Before step 4: obtains a server for a request. While all servers are full, the request waits in
+//! the queue, but only as long as its caller can still retry elsewhere. Then it is refused with a
+//! retry time.
 
 use dahlia_admission::{QueueRejection, QueuedRequest, Stage, TenantKey};
 use dahlia_backends::Choice;
@@ -14,17 +15,18 @@
 use crate::router::key_of;
 use crate::waiting::{Place, Wakeup};
 
-/// How often who is next looks whether a server takes it: pauses end, and servers come, without an end
-/// of an attempt.
+/// How often the next request in the queue checks for a free server. Pauses of servers end and
+/// servers join without any attempt ending.
 const LOOK_AGAIN: time::Duration = time::Duration::from_millis(25);
 
 impl<L: TurnLedger> Exchange<L> {
-    /// A server for the request.
+    /// Chooses a server for the request, or waits for one.
     ///
     /// # Errors
-    /// There is none, or none in time.
+    /// No server is available, or none in time.
     pub(crate) async fn take_place(&mut self) -> Result<Chosen, Refusal> {
-        // What may have run is not told to come back, so waiting would only hide that from its caller.
+        // A request that may have run is not refused with a retry time, so its caller should learn
+        // of the loss at once instead of after a wait.
         if !self.may_wait() || self.may_have_run() {
             return match self.choose() {
                 Choice::Use { server, basis } => Ok(self.chosen(server, &basis)),
@@ -67,14 +69,14 @@
         self.shared.waiting.goes_first(service, waiter)
     }
 
-    /// It goes to a server. One that comes to a second server has taken up its turns before.
+    /// Records that the request goes to a server, once for all its attempts.
     fn goes(&self, waiter: &QueuedRequest) {
         if self.is_new() {
             self.shared.waiting.went(self.matched.service_name(), waiter);
         }
     }
 
-    /// Waits until its turn comes.
+    /// Waits in the queue until the request may try again.
     async fn wait(&self, waiter: &QueuedRequest, least: Duration) -> Result<Place, Refusal> {
         let refuse = |why| self.refuse_place(waiter, why, least);
         let mut place =
@@ -127,12 +129,12 @@
         }
     }
 
-    /// When the request, or its program, has to be over to be in time.
+    /// When the request or its program must end to be in time.
     fn due(&self) -> Timestamp {
         self.arrived + self.program_time_left().unwrap_or(self.route().objective)
     }
 
-    /// The last moment at which a caller with so much time can still be sent to come back.
+    /// The last moment at which a caller with this much time left can still be told to retry.
     pub(crate) fn leave_by(arrived: Timestamp, left: time::Duration, share: f64) -> Timestamp {
         arrived + Duration::from_secs_f64(left.as_secs_f64() * share)
     }
--- a/crates/relay/src/pool.rs
+++ b/crates/relay/src/pool.rs
@@ -1,7 +1,7 @@
 //! Idle connections to servers, kept for the next request.
 //!
-//! They are kept for one life of a server, since its address may pass to another. The connection
-//! used last is used first, so that those beyond need grow old and go.
+//! Connections are kept per server instance, since another instance may get the same address. The
+//! connection used last is taken first, so that surplus connections expire.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -14,22 +14,22 @@
 use crate::rest_limit::{Reset, RestLimit};
 use crate::{RelaySettings, Service, hop};
 
-/// How often connections that have grown old are looked for.
+/// How often expired connections are removed.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
-/// Idle connections of a server whose service is not described.
+/// The most idle connections of a server whose service is not described.
 const MOST_IDLE_BY_DEFAULT: usize = 4;
 
-/// How an idle connection is to be kept.
+/// How long an idle connection is kept, and among how many.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Keeping {
-    /// How long.
+    /// How long it is kept.
     pub(crate) rest: Duration,
-    /// Beside how many others of its server, itself included.
+    /// The most idle connections of its server, this one included.
     pub(crate) most: usize,
 }
 
 impl Keeping {
-    /// What the head of an answer and the service's description allow.
+    /// Derives this from the head of an answer and the service's description.
     pub(crate) fn new(
         answer: &HeaderMap,
         service: Option<&Service>,
@@ -39,7 +39,7 @@
             Some(seconds) => {
                 let end = Duration::from_secs(seconds);
                 let margin = Duration::from_millis(settings.idle_margin_ms);
-                // A server that keeps connections for a second only keeps them all the same.
+                // Servers that keep connections for only a second still get them reused.
                 end - margin.min(end / 2)
             }
             None => Duration::from_millis(settings.idle_connection_ms),
@@ -71,7 +71,7 @@
 /// A connection for one request.
 pub(crate) struct Connected {
     pub(crate) connection: ServerConnection,
-    /// How long it rested before; none for a new one.
+    /// How long the connection was idle before; none for a new one.
     pub(crate) rested: Option<Duration>,
 }
 
@@ -89,9 +89,9 @@
         self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The connection of a server that was used last. It may have been closed meanwhile; then a
-    /// request on it is not sent. A request that may not lose its answer gets none that the
-    /// server may have dropped.
+    /// Takes the connection of a server that was used last. If the server has closed it meanwhile,
+    /// a request on it is not sent. If the request does not tolerate the loss of its answer, it
+    /// gets no connection that the server may have dropped.
     pub(crate) fn take(&self, server: &BackendId, may_lose: bool) -> Option<Connected> {
         let now = Instant::now();
         let mut idle = self.lock();
@@ -106,8 +106,9 @@
         Some(Connected { connection, rested: Some(rested) })
     }
 
-    /// Takes in that a request to a server got a reset instead of an answer. A server that dropped one
-    /// resting connection without a word dropped the others too: it may have started again unseen.
+    /// Records that a request to a server got a reset instead of an answer. A server that silently
+    /// dropped one idle connection has dropped the others too: it may have restarted without
+    /// notice.
     pub(crate) fn note_reset(&self, server: &BackendId, reset: Reset) {
         let mut idle = self.lock();
         idle.rest_limit.note(reset, Instant::now());
@@ -116,12 +117,12 @@
         }
     }
 
-    /// Closes the idle connections to these servers.
+    /// Closes the idle connections to the servers that match.
     pub(crate) fn close(&self, servers: impl Fn(&BackendId) -> bool) {
         self.lock().by_server.retain(|server, _| !servers(server));
     }
 
-    /// Keeps a connection, if it can be used again.
+    /// Keeps a connection if it can be reused.
     pub(crate) fn put(
         &self,
         server: &BackendId,
--- a/crates/relay/src/prompt_parts.rs
+++ b/crates/relay/src/prompt_parts.rs
@@ -1,19 +1,20 @@
-//! The parts of a prompt, as callers list them: `id:tokens`, in order, separated by commas.
+//! The parts of a prompt, as callers list them: `id:tokens` in order, separated by commas.
 
 /// The parts of a prompt that other requests may share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct SharedParts<'a> {
-    /// The identifier of the last of them. The parts before it are the same wherever it stands.
+    /// The identifier of the last shared part. Equal identifiers imply that all parts before it are
+    /// equal too.
     pub(crate) last: &'a str,
-    /// Tokens of all of them.
+    /// Tokens of all shared parts.
     pub(crate) tokens: u64,
-    /// Whether they are the larger part of the prompt.
+    /// Whether the shared parts have more tokens than the last part of the prompt.
     pub(crate) outweigh: bool,
 }
 
 impl<'a> SharedParts<'a> {
-    /// All parts but the last, which belongs to the request or its session. A prompt of one part
-    /// has that one.
+    /// Parses the list. All parts but the last are shared; the last one belongs to the request or
+    /// its session. If the prompt has a single part, that one counts as shared.
     pub(crate) fn parse(parts: &'a str) -> Option<Self> {
         let named = parts.split(',').map(parse_part).filter(|(id, _)| !id.is_empty());
         let named: Vec<(&str, u64)> = named.collect();
@@ -25,7 +26,7 @@
     }
 }
 
-/// A part without a number of tokens weighs nothing.
+/// Parses one part. A part without a number of tokens has 0.
 fn parse_part(part: &str) -> (&str, u64) {
     let (id, tokens) = part.split_once(':').unwrap_or((part, ""));
     (id.trim(), tokens.trim().parse().unwrap_or(0))
--- a/crates/relay/src/refusal.rs
+++ b/crates/relay/src/refusal.rs
@@ -1,7 +1,7 @@
-//! The one map from why the relay ends a request itself to status and headers.
+//! Maps each reason why the relay itself ends a request to a status and headers.
 //!
-//! 503, 429, 408 and 402 promise that the request has not run and never will; 502 and 504 promise
-//! nothing. A refusal is answered at once, never held back.
+//! Statuses 503, 429, 408 and 402 guarantee that the request has not run and never will; 502 and
+//! 504 guarantee nothing. Refusals are sent at once, without a delay.
 
 use bytes::Bytes;
 use dahlia_admission::QueueRejection;
@@ -13,10 +13,10 @@
 use crate::body::AnswerBody;
 use crate::counters::{Counters, count};
 
-/// Why the relay ends a request without an answer of a server.
+/// Why the relay ends a request without a server's answer.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub(crate) enum Refusal {
-    /// Nothing was ever configured, so nothing can be said about routes.
+    /// No configuration was ever received, so the routes are unknown.
     #[snafu(display("no routes are known yet"))]
     NoConfiguration { retry_after: Duration },
     #[snafu(display("no route takes this host and path"))]
@@ -35,13 +35,13 @@
     TooSlow,
     #[snafu(display("no server takes the request now"))]
     Busy { retry_after: Duration },
-    /// It did not get its turn at a server in time.
+    /// The queue rejected the request: it got no server in time.
     #[snafu(display("{why}"))]
     NoPlace { why: QueueRejection, retry_after: Duration },
-    /// What is held for callers and servers leaves no room for it.
+    /// The memory limits leave no room for the request.
     #[snafu(display("this gateway has no memory for the request; ask again elsewhere"))]
     MemoryFull { retry_after: Duration },
-    /// The relay ends soon: what began now might be cut.
+    /// The relay stops soon, and a request that starts now might be cut off.
     #[snafu(display("this gateway is stopping; ask again elsewhere"))]
     Stopping { retry_after: Duration },
     #[snafu(display("the ledger did not answer"))]
@@ -50,7 +50,7 @@
     BudgetSpent,
     #[snafu(display("there is no such turn"))]
     NoSuchTurn,
-    /// A server may have run it, and what it answered is lost.
+    /// A server may have run the request, and its answer is lost.
     #[snafu(display("the answer was lost"))]
     AnswerLost,
     #[snafu(display("the deadline passed"))]
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Its name in metrics.
+    /// The refusal's name in metrics.
     pub(crate) fn name(&self) -> &'static str {
         match self {
             Self::NoConfiguration { .. } => "no-configuration",
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Whether bytes of the request may still be on the way, so that the connection is lost.
+    /// Whether bytes of the request may still arrive, so that the connection cannot be reused.
     fn leaves_request_unread(&self) -> bool {
         matches!(self, Self::BodyTooLarge | Self::TooSlow | Self::MemoryFull { .. })
     }
@@ -150,7 +150,7 @@
     }
 }
 
-/// Seconds with their fraction, as `Retry-After` has them here.
+/// Formats seconds with a fraction, as `Retry-After` has them here.
 fn seconds(wait: Duration) -> HeaderValue {
     let text = format!("{:.3}", wait.as_secs_f64());
     HeaderValue::from_str(&text).expect("digits and a point make a header value")
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -1,4 +1,4 @@
-//! The relay as a whole: what is put together once and shared by all requests.
+//! The relay: the state that all requests share, and the interface to the daemon.
 
 use std::collections::BTreeSet;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -21,10 +21,10 @@
     CallerLimits, HeaderNames, RelaySettings, RouteTable, TenantLimits, TurnLedger, server,
 };
 
-/// Tells the daemon's time, for [`Backends`] and the ledger.
+/// Returns the daemon's time, for [`Backends`] and the ledger.
 pub type Clock = Arc<dyn Fn() -> Timestamp + Send + Sync>;
 
-/// What all requests share.
+/// The state that all requests share.
 pub(crate) struct Shared<L> {
     pub(crate) settings: Arc<RelaySettings>,
     pub(crate) headers: HeaderNames,
@@ -45,12 +45,12 @@
 }
 
 impl<L> Shared<L> {
-    /// The routes in force; none before the first.
+    /// The routes in force; none before the first configuration.
     pub(crate) fn routing(&self) -> Option<Arc<Routing>> {
         self.routing.read().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// The limits in force; before the first routes, the usual ones.
+    /// The limits in force; the defaults before the first routes are set.
     pub(crate) fn limits(&self) -> CallerLimits {
         self.routing().map(|routing| routing.table().limits.clone()).unwrap_or_default()
     }
@@ -59,13 +59,14 @@
         self.refusing.load(Ordering::Relaxed)
     }
 
-    /// Whether callers' next requests should come to another gateway.
+    /// Whether answers close their connections, so that callers send their next requests to another
+    /// gateway.
     pub(crate) fn lets_callers_go(&self) -> bool {
         *self.drain.borrow() || self.turning_away.load(Ordering::Relaxed)
     }
 }
 
-/// Relays callers' requests to servers. Clones are the same relay.
+/// Relays callers' requests to servers. Clones share one relay.
 pub struct Relay<L> {
     shared: Arc<Shared<L>>,
 }
@@ -77,7 +78,7 @@
 }
 
 impl<L: TurnLedger + TenantLimits> Relay<L> {
-    /// A relay without routes: it refuses every request until [`Relay::set_routes`].
+    /// Creates a relay without routes. It refuses every request until [`Relay::set_routes`].
     pub fn new(
         settings: RelaySettings,
         headers: HeaderNames,
@@ -106,31 +107,34 @@
         Self { shared: Arc::new(shared) }
     }
 
-    /// Puts routes in force for all requests that are read whole from now on.
+    /// Replaces the routes for all requests whose body is complete from now on.
     pub fn set_routes(&self, table: Arc<RouteTable>) {
         let routing = Some(Arc::new(Routing::new(table)));
         *self.shared.routing.write().unwrap_or_else(PoisonError::into_inner) = routing;
     }
 
-    /// Sends nothing further to servers of these zones, and takes back all others. What runs there
-    /// ends as it is; idle connections there close.
+    /// Replaces the set of evacuated zones. No further request is sent to servers of these zones,
+    /// and all other zones are used again. Requests that are already there finish; idle connections
+    /// to these zones close.
     pub fn evacuate(&self, zones: BTreeSet<Zone>) {
         let now = (self.shared.clock)();
         let mut backends = self.lock_backends();
         let before: Vec<Zone> = backends.evacuations().into_iter().map(|it| it.zone).collect();
         let taken_back = before.into_iter().filter(|zone| !zones.contains(zone));
-        // What stood idle may have turned cold, and says so only with its next entry.
+        // Servers without traffic may have turned cold, and they report that only with their next
+        // entry.
         taken_back.for_each(|zone| backends.presume_cold(&zone, now));
         backends.evacuate(zones);
         self.shared.pool.close(|server| backends.is_evacuated(server));
     }
 
-    /// Sends as little as possible to servers of these zones, of which nobody answers here.
+    /// Marks zones from which nobody answers this gateway. Their servers receive as few requests as
+    /// possible.
     pub fn set_silent_zones(&self, silent: BTreeSet<Zone>) {
         self.lock_backends().set_silent_zones(silent);
     }
 
-    /// The zones that are being emptied, and what is left there.
+    /// The zones that are being evacuated, and the requests still running there.
     pub fn evacuations(&self) -> Vec<EvacuatedZone> {
         self.lock_backends().evacuations()
     }
@@ -139,33 +143,35 @@
         self.shared.backends.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes callers' connections until the future is dropped; open connections go on without it.
-    /// To stop, begin to drain, wait until [`Relay::counters`] shows no request in progress, no
-    /// open connection and no unsettled turn, and drop the future.
+    /// Accepts callers' connections until the future is dropped; open connections outlive it. To
+    /// stop, call [`Relay::begin_drain`], wait until [`Relay::counters`] shows no request in
+    /// progress, no open connection and no unsettled turn, and drop the future.
     pub async fn serve(&self, listener: TcpListener) {
         server::accept(&self.shared, listener).await;
     }
 
-    /// Serves on, but lets go of callers: answers close their connections, resting ones end.
+    /// Starts draining: requests are still served, but answers close their connections, and idle
+    /// connections close.
     pub fn begin_drain(&self) {
         self.shared.drain.send_replace(true);
     }
 
-    /// While set, answers close their callers' connections: this gateway is cut off, and those that come
-    /// back on new connections may reach one that is not. Resting connections stay: a caller cannot
-    /// tell their end from a lost request.
+    /// While this is set, answers close their callers' connections: this gateway is cut off, and a
+    /// caller that connects again may reach another gateway. Idle connections stay open, because a
+    /// caller cannot tell a closed idle connection from a lost request.
     pub fn set_cut_off(&self, is_cut_off: bool) {
         self.shared.turning_away.store(is_cut_off, Ordering::Relaxed);
     }
 
-    /// Refuses every request that is read whole from now on: it has not run, and its caller is
-    /// told when to come back. For the end of a planned stop, when a request that began now might
-    /// be cut; callers may still come, because whoever sends them here learns of the stop late.
+    /// Refuses every request whose body is complete from now on. Refused requests have not run, and
+    /// their callers get a retry time. This is for the end of a planned stop, when a request that
+    /// starts now might be cut off. Callers may still connect, because whoever routes them to this
+    /// gateway learns of the stop late.
     pub fn refuse_new_requests(&self) {
         self.shared.refusing.store(true, Ordering::Relaxed);
     }
 
-    /// Adds the relay's metrics to a registry.
+    /// Registers the relay's metrics.
     ///
     /// # Errors
     /// One of the names is registered already.
@@ -173,7 +179,7 @@
         self.shared.metrics.register(registry)
     }
 
-    /// Brings the registered metrics up to date; asked before each reading.
+    /// Updates the registered metrics. Call this before each reading.
     pub fn refresh_metrics(&self) {
         self.shared.metrics.refresh(&self.counters());
         let now = (self.shared.clock)();
@@ -183,12 +189,12 @@
         self.shared.metrics.refresh_waiting(&self.shared.waiting.by_rank());
     }
 
-    /// Requests whose answer is not yet handed to the caller's connection.
+    /// The number of requests whose answer the caller's connection has not yet taken completely.
     pub fn in_progress(&self) -> u64 {
         self.counters().in_progress
     }
 
-    /// All counters at this moment.
+    /// The current values of all counters.
     pub fn counters(&self) -> CounterReadings {
         let evacuations = self.evacuations();
         let in_flight = evacuations.iter().map(|zone| u64::from(zone.in_flight));
--- a/crates/relay/src/request.rs
+++ b/crates/relay/src/request.rs
@@ -1,4 +1,4 @@
-//! Step 1: a request as it arrived: its head checked, its body read whole within the limits.
+//! Step 1: checks the head of a request, and reads its body within the limits.
 
 use bytes::Bytes;
 use dahlia_backends::TurnSize;
@@ -18,11 +18,11 @@
 
 /// The longest identifier that callers may choose, in bytes.
 const LONGEST_IDENTIFIER: usize = 128;
-/// A head line's bytes besides name and value: colon, space, carriage return, line feed.
+/// Bytes of a header line besides name and value: colon, space, carriage return, line feed.
 const BYTES_AROUND_HEADER: usize = 4;
 
-/// The head of a request, without the headers of the caller's connection and those that the
-/// relay sets itself.
+/// The head of a request, without the headers of the caller's connection and those that the relay
+/// sets itself.
 #[derive(Debug)]
 pub(crate) struct RequestHead {
     pub(crate) method: Method,
@@ -31,16 +31,16 @@
     pub(crate) host: String,
     pub(crate) headers: HeaderMap,
     pub(crate) attempt: HeaderValue,
-    /// How long the caller waits, when it says so.
+    /// How long the caller waits, if it says so.
     pub(crate) patience: Option<Duration>,
-    /// Time until its program should be over, when it says so.
+    /// Time until its program should end, if the caller says so.
     pub(crate) program_time_left: Option<dahlia_types::Duration>,
-    /// What it sends to show whose it is.
+    /// The caller's `Authorization` header.
     authorization: Option<HeaderValue>,
 }
 
 impl RequestHead {
-    /// Checks a head and takes it apart.
+    /// Checks and parses a head.
     pub(crate) fn parse(
         mut parts: request::Parts,
         names: &HeaderNames,
@@ -58,11 +58,11 @@
         let program_time_left =
             program_time_left.map(|left| dahlia_types::Duration::from_secs_f64(left.as_secs_f64()));
         let headers = &mut parts.headers;
-        // Read before anything is taken out: a caller may name any header in `Connection`.
+        // Read before headers are removed: a caller may name any header in `Connection`.
         let authorization = authorization(headers);
         hop::strip(headers);
-        // The body is read whole here, which is all that the expectation asks for; its length is
-        // set anew when it is sent.
+        // The body is read whole here, which is all that `Expect` asks for. Its length is set again
+        // when it is sent.
         for name in [&EXPECT, &CONTENT_LENGTH] {
             headers.remove(name);
         }
@@ -91,7 +91,7 @@
         Some(object).filter(|object| !object.is_empty())
     }
 
-    /// The digest of the caller's key; none without one, or with more than one.
+    /// The digest of the caller's key; none without a key, or with more than one.
     pub(crate) fn key(&self, names: &HeaderNames) -> Option<KeyDigest> {
         let value = self.authorization.as_ref()?.as_bytes();
         let (scheme, key) = value.split_at_checked(names.key_scheme.len())?;
@@ -100,19 +100,19 @@
         (!key.is_empty()).then(|| KeyDigest::of(key))
     }
 
-    /// Takes the caller's key out: from now on nothing passes it on.
+    /// Removes the caller's key, so that it is not passed on.
     pub(crate) fn drop_key(&mut self) {
         self.authorization = None;
         self.headers.remove(AUTHORIZATION);
     }
 
-    /// The value of a header as text, when it has one that is not empty.
+    /// The value of a header as text, if it has one that is not empty.
     pub(crate) fn text(&self, name: &HeaderName) -> Option<&str> {
         let text = self.headers.get(name)?.to_str().ok()?.trim();
         Some(text).filter(|text| !text.is_empty())
     }
 
-    /// A caller's identifier in a header.
+    /// An identifier that the caller chose, from a header.
     pub(crate) fn identifier(&self, name: &HeaderName) -> Result<Option<&str>, Refusal> {
         match self.text(name) {
             Some(text) if text.len() > LONGEST_IDENTIFIER => {
@@ -146,7 +146,7 @@
         Ok(Some(Tokens(tokens)))
     }
 
-    /// How large the request is; none when it does not say.
+    /// The request's size; none if the caller does not state it.
     pub(crate) fn size(&self, names: &HeaderNames) -> Option<TurnSize> {
         let (prompt, most) = self.token_count(names)?;
         let hint = self.text(&names.length_hint).and_then(|hint| hint.parse().ok());
@@ -154,13 +154,13 @@
         Some(TurnSize { prompt, generated })
     }
 
-    /// The tokens of the prompt and the most of the answer, together.
+    /// The tokens of the prompt plus the most tokens of the answer.
     pub(crate) fn tokens(&self, names: &HeaderNames) -> Option<Tokens> {
         let (prompt, most) = self.token_count(names)?;
         Some(Tokens(prompt.0.saturating_add(most.0)))
     }
 
-    /// The tokens of the prompt, and the most of the answer.
+    /// The tokens of the prompt, and the most tokens of the answer.
     fn token_count(&self, names: &HeaderNames) -> Option<(Tokens, Tokens)> {
         let (prompt, most) = self.text(&names.token_count)?.split_once(',')?;
         let (prompt, most) = (prompt.trim().parse().ok()?, most.trim().parse().ok()?);
@@ -181,7 +181,7 @@
     target + lines.sum::<usize>()
 }
 
-/// The one value of `Authorization`, marked so that nothing prints it.
+/// The only value of `Authorization`, marked as sensitive so that nothing prints it.
 fn authorization(headers: &mut HeaderMap) -> Option<HeaderValue> {
     let is_key = |(name, _): &(&HeaderName, &mut HeaderValue)| **name == AUTHORIZATION;
     headers.iter_mut().filter(is_key).for_each(|(_, value)| value.set_sensitive(true));
@@ -224,7 +224,7 @@
     Duration::try_from_secs_f64(milliseconds / 1e3).ok()
 }
 
-/// How a body is read: within these limits, until a moment, on its caller's account.
+/// Reads a body within limits, until a deadline, with memory of its caller's quota.
 pub(crate) struct BodyReading<'a> {
     pub(crate) limits: &'a CallerLimits,
     pub(crate) until: Instant,
@@ -235,8 +235,8 @@
     /// Reads a body to its end.
     ///
     /// # Errors
-    /// It is longer than the limit, or rests longer than a head may take, or is not there in time, or
-    /// breaks off, or there is no room for it.
+    /// The body is longer than the limit, pauses for longer than a head may take, does not arrive
+    /// in time, breaks off, or finds no memory.
     pub(crate) async fn read(&self, mut body: Incoming) -> Result<HeldBody, BodyError> {
         if body.size_hint().lower() > self.limits.body_bytes as u64 {
             return Err(Refusal::BodyTooLarge.into());
@@ -272,13 +272,13 @@
     }
 }
 
-/// Why a body was not read whole.
+/// Why a body could not be read completely.
 #[derive(Debug, Snafu)]
 pub(crate) enum BodyError {
-    /// The request is refused for what it is.
+    /// The request is refused.
     #[snafu(context(false), display("{source}"))]
     Refused { source: Refusal },
-    /// There is no room for it.
+    /// No memory is available for the body.
     #[snafu(context(false), display("{source}"))]
     NotHeld { source: NotHeld },
 }
--- a/crates/relay/src/rest_limit.rs
+++ b/crates/relay/src/rest_limit.rs
@@ -1,32 +1,34 @@
-//! How long a kept connection may have rested for a request that must not run twice.
+//! Limits how long a connection may have been idle before a request that must not run twice is sent
+//! on it.
 //!
-//! A server may drop idle connections without a word; what is then sent on one is reset, and nobody
-//! can say whether it ran. One such reset makes the relay cautious for a while: requests that must
-//! not run twice then go over connections that rested only a moment, or over new ones. Others risk
-//! nothing, since another server may run them. Without I/O: times are passed in.
+//! A server may silently drop idle connections. A request that is then sent on one is reset, and
+//! whether it ran is unknown. After such a reset the relay is cautious for a while: requests that
+//! must not run twice use only connections that were idle for a moment, or new ones. Other requests
+//! risk nothing, since another server may run them. Without I/O: times are passed in.
 
 use tokio::time::{Duration, Instant};
 
-/// A connection that rested less was hardly dropped for its rest.
+/// Connections that were idle for less than this were probably not dropped for being idle.
 const LEAST_REST: Duration = Duration::from_millis(250);
-/// A reset that comes later after the send is the server's own end, not a dropped connection.
+/// A reset that comes later than this after the send means that the server itself ended, not that
+/// it had dropped the connection.
 const PROMPT_RESET: Duration = Duration::from_millis(100);
-/// The longest rest while cautious.
+/// The longest idle time that is allowed while cautious.
 const CAUTIOUS_REST: Duration = Duration::from_millis(150);
-/// How long one reset keeps the relay cautious.
+/// How long the relay is cautious after a reset.
 const CAUTION: Duration = Duration::from_secs(15);
 
-/// Whether a kept connection was reset, as far as a request's sender saw.
+/// A reset that the sender of a request saw instead of an answer.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Reset {
-    /// How long the connection had rested; none for a new one.
+    /// How long the connection had been idle; none for a new one.
     pub(crate) rested: Option<Duration>,
-    /// From the send to the reset.
+    /// Time from the send to the reset.
     pub(crate) after: Duration,
 }
 
 impl Reset {
-    /// Whether the server had probably dropped the connection while it rested.
+    /// Whether the server had probably dropped the connection while it was idle.
     pub(crate) fn is_of_dropped_connection(&self) -> bool {
         self.after <= PROMPT_RESET && self.rested.is_some_and(|rested| rested >= LEAST_REST)
     }
@@ -39,12 +41,12 @@
 }
 
 impl RestLimit {
-    /// Whether a request that must not run twice may go over a connection that rested so long.
+    /// Whether a request that must not run twice may use a connection that was idle this long.
     pub(crate) fn allows(&self, rested: Duration, now: Instant) -> bool {
         rested <= CAUTIOUS_REST || self.cautious_until.is_none_or(|until| until <= now)
     }
 
-    /// Takes in a reset.
+    /// Records a reset.
     pub(crate) fn note(&mut self, reset: Reset, now: Instant) {
         if reset.is_of_dropped_connection() {
             self.cautious_until = Some(now + CAUTION);
--- a/crates/relay/src/router.rs
+++ b/crates/relay/src/router.rs
@@ -1,4 +1,4 @@
-//! Step 2: the route of a request and, where a route is split, the service.
+//! Step 2: finds the route of a request and, on a split route, the service.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::hash::{DefaultHasher, Hasher};
@@ -9,22 +9,23 @@
 
 use crate::{RankPosition, Route, RouteTable, Service, Tenant, WeightedService};
 
-/// Routes in force, arranged for look-up.
+/// The routes in force, indexed for lookup.
 #[derive(Debug)]
 pub(crate) struct Routing {
     table: Arc<RouteTable>,
-    /// Positions of each host's routes, the longest prefix first.
+    /// Indices of each host's routes, the longest prefix first.
     by_host: HashMap<String, Vec<usize>>,
     services: HashMap<ServiceName, usize>,
-    /// Positions of tenants by the digests of their keys.
+    /// Indices of tenants by the digests of their keys.
     tenants_by_key: HashMap<KeyDigest, usize>,
-    /// The places of all ranks that a request may have.
+    /// The position of every rank that a request may have.
     ranks: BTreeMap<Rank, RankPosition>,
-    /// Whether requests wait at the gateway while no server takes them.
+    /// Whether requests may wait at the gateway while all servers are full.
     may_wait: bool,
 }
 
-/// A request's rank: its tenant's where it has one, then its route's.
+/// A request's rank: its tenant's priority if it has one, else its route's; then its route's
+/// priority.
 type Rank = (u32, u32);
 
 fn rank(route: &Route, tenant: Option<&Tenant>) -> Rank {
@@ -32,7 +33,7 @@
     (tenant.unwrap_or(route.priority), route.priority)
 }
 
-/// The ranks of all routes for all tenants.
+/// All ranks that the routes can have, for every tenant.
 fn ranks(table: &RouteTable) -> BTreeSet<Rank> {
     let priorities: BTreeSet<Option<u32>> = match &table.tenants {
         Some(tenants) => tenants.iter().map(|tenant| tenant.priority).collect(),
@@ -66,13 +67,13 @@
         let ranks = ranks(&table);
         let place = |rank: &Rank| (*rank, RankPosition::new(*rank, ranks.iter().copied()));
         let ranks = ranks.iter().map(place).collect();
-        // Where neither programs nor tenants are told apart, there is nothing to order them by.
+        // Without programs or tenants there is nothing to order waiting requests by.
         let may_wait =
             table.tenants.is_some() || table.routes.iter().any(|route| route.retains_turns);
         Self { table, by_host, services, tenants_by_key, ranks, may_wait }
     }
 
-    /// Whether callers need a key where their route does not say otherwise.
+    /// Whether callers need a key, unless their route is open.
     pub(crate) fn has_tenants(&self) -> bool {
         self.table.tenants.is_some()
     }
@@ -81,7 +82,7 @@
         &self.table
     }
 
-    /// The route with the longest prefix of the path, and the service that the key falls to.
+    /// Finds the route with the longest matching path prefix, and chooses the service for the key.
     pub(crate) fn find(self: &Arc<Self>, host: &str, path: &str, key: u64) -> Option<Matched> {
         let positions = self.by_host.get(host)?;
         let route = *positions
@@ -92,7 +93,7 @@
     }
 }
 
-/// A route that a request was matched to. It stays in force for the request when routes change.
+/// The route of a request. It stays valid for the request when the routes in force change.
 #[derive(Debug, Clone)]
 pub(crate) struct Matched {
     routing: Arc<Routing>,
@@ -106,23 +107,23 @@
         &self.routing.table.routes[self.route]
     }
 
-    /// Finds the tenant that a key belongs to. Gives whether there is one.
+    /// Looks up the tenant of a key. Returns whether there is one.
     pub(crate) fn find_tenant(&mut self, key: KeyDigest) -> bool {
         self.tenant = self.routing.tenants_by_key.get(&key).copied();
         self.tenant.is_some()
     }
 
-    /// Whose request it is, where callers have a key.
+    /// The tenant of the request, if callers need a key.
     pub(crate) fn tenant(&self) -> Option<&Tenant> {
         self.routing.table.tenants.as_ref()?.get(self.tenant?)
     }
 
-    /// Whether callers need a key where their route does not say otherwise.
+    /// Whether callers need a key, unless their route is open.
     pub(crate) fn has_tenants(&self) -> bool {
         self.routing.has_tenants()
     }
 
-    /// Whether the request may wait at the gateway while no server takes it.
+    /// Whether the request may wait at the gateway while all servers are full.
     pub(crate) fn may_wait(&self) -> bool {
         self.routing.may_wait
     }
@@ -130,7 +131,7 @@
     pub(crate) fn rank(&self) -> RankPosition {
         let rank = rank(self.route(), self.tenant());
         let place = self.routing.ranks.get(&rank);
-        // A route that needs no key may have a rank that no tenant has.
+        // A request on an open route may have a rank that no tenant has.
         place.copied().unwrap_or_else(|| {
             RankPosition::new(rank, self.routing.ranks.keys().copied().chain([rank]))
         })
@@ -140,20 +141,20 @@
         &self.route().targets[self.target].service
     }
 
-    /// The generation of the routes that it was matched by.
+    /// The generation of the routes that matched the request.
     pub(crate) fn generation(&self) -> u64 {
         self.routing.table.generation
     }
 
-    /// What is known of the service.
+    /// The service's description, if there is one.
     pub(crate) fn service(&self) -> Option<&Service> {
         let position = *self.routing.services.get(self.service_name())?;
         self.routing.table.services.get(position)
     }
 }
 
-/// The position of the share that a key falls into. Equal keys fall alike, and uniform keys fall
-/// by weight.
+/// Returns the index of the target that a key falls to. Equal keys choose the same target, and
+/// uniform keys are spread by weight.
 fn share_of(targets: &[WeightedService], key: u64) -> Option<usize> {
     let total: f64 = targets.iter().map(|target| target.weight.max(0.0)).sum();
     let mut rest = key as f64 / u64::MAX as f64 * total;
@@ -163,11 +164,11 @@
             return Some(position);
         }
     }
-    // Rounding, or no weight at all.
+    // The subtraction was rounded, or all weights are zero.
     targets.iter().rposition(|target| target.weight > 0.0).or(targets.len().checked_sub(1))
 }
 
-/// A uniform key of some bytes, the same in all daemons of one build.
+/// Hashes bytes to a uniform key, which is the same in all daemons of one build.
 pub(crate) fn key_of(bytes: &[u8]) -> u64 {
     let mut hasher = DefaultHasher::new();
     hasher.write(bytes);
--- a/crates/relay/src/routes.rs
+++ b/crates/relay/src/routes.rs
@@ -7,7 +7,7 @@
 use dahlia_types::{Duration, KeyDigest, TenantId, Tokens};
 use serde::{Deserialize, Serialize};
 
-/// One generation of the configuration, whole.
+/// One complete generation of the configuration.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct RouteTable {
     /// Rises with each change.
@@ -18,21 +18,21 @@
     pub services: Vec<Service>,
     /// Limits on callers.
     pub limits: CallerLimits,
-    /// Who may send requests; none where callers need no key.
+    /// The tenants that may send requests; none if callers need no key.
     pub tenants: Option<Vec<Tenant>>,
 }
 
-/// A customer of the operator, known by its keys.
+/// A customer of the operator, identified by its keys.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Tenant {
     /// Its name, unique, without control characters.
     pub name: TenantId,
     /// Digests of its keys. No other tenant has one of them.
     pub keys: Vec<KeyDigest>,
-    /// Rank of its requests, which goes before that of their routes, 0 first; none leaves the rank
-    /// to the route.
+    /// Rank of its requests, 0 first, which takes precedence over the rank of their routes; none
+    /// leaves the rank to the route.
     pub priority: Option<u32>,
-    /// How many requests it may send; none for any number.
+    /// Its rate limit; none if the rate is not limited.
     pub limit: Option<RateLimit>,
 }
 
@@ -41,16 +41,16 @@
 pub enum Repeatability {
     /// It may run again.
     Repeatable,
-    /// It runs once at most for each try of the caller.
+    /// It runs at most once for each attempt of the caller.
     AtMostOnce,
 }
 
-/// A part of a route's requests that one service gets.
+/// A service that gets a share of a route's requests.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WeightedService {
     /// The service.
     pub service: ServiceName,
-    /// Its share, against the sum of all weights of the route.
+    /// Its share, relative to the sum of all weights of the route.
     pub weight: f64,
 }
 
@@ -61,37 +61,37 @@
     pub name: String,
     /// Host that it serves, without a port.
     pub host: String,
-    /// Begins and ends with a slash. The longest one that begins the path wins.
+    /// Begins and ends with a slash. The longest prefix that matches the path wins.
     pub path_prefix: String,
     /// Whether its requests may run more than once.
     pub repeatability: Repeatability,
     /// Whether answers are streams of events.
     pub is_stream: bool,
-    /// Whether a broken stream may go on at another server from its last event.
+    /// Whether a broken stream may resume at another server after its last event.
     pub is_resumable: bool,
-    /// Services with their shares; one at least.
+    /// Services with their shares; at least one.
     pub targets: Vec<WeightedService>,
-    /// The longest that a request may be held.
+    /// The longest time that a request may take.
     pub timeout: Duration,
     /// Time within which an answer, or its first event, is in time.
     pub objective: Duration,
-    /// Longest pause between events for an answer that is in time.
+    /// Longest interval between events for an answer that is in time.
     pub gap_objective: Option<Duration>,
-    /// Most servers that one try of a caller may run on.
+    /// Most servers that one attempt of a caller may run on.
     pub max_attempts: u32,
     /// Rank among routes, 0 first.
     pub priority: u32,
     /// Whether requests need no key of a tenant.
     pub is_open: bool,
-    /// Whether requests of one program are better served where the last one was.
+    /// Whether requests of a program are served better by the server of its last request.
     pub is_sticky: bool,
-    /// Whether the system keeps the text of turns, so that callers bring only what is new.
+    /// Whether the system retains the text of turns, so that callers send only new input.
     pub retains_turns: bool,
-    /// How long a turn is kept after its end.
+    /// How long a turn is retained after its end.
     pub retention: Duration,
 }
 
-/// What is known of the model servers of a service.
+/// The specification of a service's model servers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EngineSpecification {
     /// Requests in one batch.
@@ -107,13 +107,14 @@
 pub struct Service {
     /// Its name, unique.
     pub name: ServiceName,
-    /// Path that tells whether a server is healthy.
+    /// Path of the health check.
     pub health_path: String,
-    /// Connections that one server takes from all callers together.
+    /// Connections that one server accepts from all callers together.
     pub max_connections: u32,
-    /// For model servers.
+    /// The specification of its model servers, if it has any.
     pub engine: Option<EngineSpecification>,
-    /// What a server bears that started of late; none where that is as much as later.
+    /// The rate limit of a recently started server; none if such a server can take as much as a
+    /// warm one.
     pub cold: Option<ColdLimit>,
 }
 
@@ -126,12 +127,12 @@
     pub body_bytes: usize,
     /// How long a head may take to arrive.
     pub header_timeout: Duration,
-    /// How long a connection may rest between requests.
+    /// How long a connection may be idle between requests.
     pub idle_timeout: Duration,
 }
 
 impl RouteTable {
-    /// What the model servers of services have.
+    /// The capacities of the model servers of each service that has any.
     pub fn engine_capacities(&self) -> BTreeMap<ServiceName, EngineCapacity> {
         let engine = |service: &Service| {
             let memory = service.engine.as_ref()?.memory;
@@ -140,7 +141,7 @@
         self.services.iter().filter_map(engine).collect()
     }
 
-    /// What cold servers bear, for the services where that matters.
+    /// The rate limits of cold servers, for the services that have one.
     pub fn cold_limits(&self) -> BTreeMap<ServiceName, ColdLimit> {
         let limit = |service: &Service| Some((service.name.clone(), service.cold?));
         self.services.iter().filter_map(limit).collect()
--- a/crates/relay/src/server.rs
+++ b/crates/relay/src/server.rs
@@ -1,4 +1,4 @@
-//! Callers' connections, and the steps that every request goes through.
+//! Serves callers' connections, and runs the steps that every request goes through.
 
 use std::convert::Infallible;
 use std::error::Error;
@@ -31,15 +31,17 @@
 use crate::tenant::{Permit, identify};
 use crate::{TenantLimits, TurnLedger};
 
-/// Pause after the system refused to hand out a connection, e.g. for want of descriptors.
+/// Delay before the next accept after the system failed to accept a connection, e.g. for lack of
+/// file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// hyper's least size of the buffer that a head must fit into, in bytes.
+/// The smallest buffer that hyper allows, in bytes. A head must fit into the buffer.
 const LEAST_BUFFER: usize = 8_192;
-/// The answer to a head that took too long; hyper itself would close without a word.
+/// The response to a head that timed out; hyper itself would close the connection without one.
 const HEAD_TOO_SLOW: &[u8] =
     b"HTTP/1.1 408 Request Timeout\r\ncontent-length: 0\r\nconnection: close\r\n\r\n";
 
-/// Takes connections until the future is dropped. Beyond the most, they wait in the listener.
+/// Accepts connections until the future is dropped. Connections beyond the limit wait in the
+/// listener's queue.
 pub(crate) async fn accept<L: TurnLedger + TenantLimits>(
     shared: &Arc<Shared<L>>,
     listener: TcpListener,
@@ -74,7 +76,7 @@
     let most_rest = Duration::from_micros(limits.idle_timeout.as_micros());
     let most_head_time = Duration::from_micros(limits.header_timeout.as_micros());
     let state = CallerState::new();
-    // A head has to fit into what is read, and as much of an answer waits to be written.
+    // A head must fit into the read buffer, and as much of an answer waits to be written.
     let buffer = limits.header_bytes.max(LEAST_BUFFER);
     let caller = shared.held.caller(2 * buffer);
     let io = TokioIo::new(CallerStream::new(stream, state.clone(), most_head_time));
@@ -113,13 +115,13 @@
     }
 }
 
-/// Whether a connection failed for want of bytes in time.
+/// Whether a connection failed because bytes did not arrive in time.
 fn is_timeout(error: &hyper::Error) -> bool {
     let cause = error.source().and_then(|cause| cause.downcast_ref::<io::Error>());
     cause.is_some_and(|cause| cause.kind() == io::ErrorKind::TimedOut)
 }
 
-/// Answers one request, whatever comes of it.
+/// Answers one request, with a refusal if there is no other answer.
 async fn handle<L: TurnLedger + TenantLimits>(
     shared: &Arc<Shared<L>>,
     state: &CallerState,
@@ -194,7 +196,7 @@
     Err(refusal)
 }
 
-/// Refuses a request before its body is read where there is no room for what it needs.
+/// Refuses a request before its body is read, if there is no memory for it.
 fn refuse_without_memory<L: TurnLedger>(
     shared: &Shared<L>,
     head: &RequestHead,
@@ -224,7 +226,7 @@
     exchange.answer().await
 }
 
-/// The route in force now that the request is read whole.
+/// Matches the request to the routes in force.
 fn matched<L: TurnLedger>(shared: &Shared<L>, head: &RequestHead) -> Result<Matched, Refusal> {
     let retry_after = dahlia_types::Duration::from_millis(shared.settings.retry_after_ms);
     let routing = shared.routing().ok_or(Refusal::NoConfiguration { retry_after })?;
--- a/crates/relay/src/settings.rs
+++ b/crates/relay/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the relay. Limits on callers are the operators' and come with the routes.
+//! Settings of the relay. Operators set the limits on callers together with the routes.
 
 use dahlia_admission::WaitingSettings;
 use dahlia_types::{InvalidSetting, check_range};
@@ -8,9 +8,9 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RelaySettings {
-    /// Callers' connections open at once; further ones wait in the listener's queue.
+    /// Most open connections of callers; further ones wait in the listener's queue.
     pub most_connections: usize,
-    /// Milliseconds until a connection to a server must be open.
+    /// Milliseconds within which a connection to a server must open.
     pub connect_timeout_ms: u64,
     /// Milliseconds that sent bytes may stay unacknowledged before a connection counts as dead.
     pub unacknowledged_timeout_ms: u64,
@@ -18,46 +18,50 @@
     pub probe_interval_s: u64,
     /// Unanswered probes until a connection counts as dead.
     pub most_probes: u32,
-    /// Milliseconds without a sign of a server after which a new connection to it is tried, while
-    /// a request waits that another server may run; 0 never. Longer than the pauses of streams
-    /// that callers accept, so that a server that works is seldom asked.
+    /// Milliseconds without any byte from a server after which a probe connection to it is opened,
+    /// while a request waits that another server may run; 0 disables probes. This should be longer
+    /// than the pauses in streams that callers accept, so that a working server is seldom probed.
     pub silence_ms: u64,
-    /// Daemons that share a server's connections: idle ones are kept up to this part of them.
+    /// Daemons that share a server's connections: each keeps at most this fraction (one over the
+    /// number) of them idle.
     pub connection_sharers: u32,
-    /// Milliseconds that an idle connection is kept when the server does not say how long.
+    /// Milliseconds that an idle connection is kept, if the server does not say how long.
     pub idle_connection_ms: u64,
-    /// Milliseconds before the end that a server names after which a connection is left alone.
+    /// Milliseconds before the keep-alive time of a server ends from which on a connection is not
+    /// used.
     pub idle_margin_ms: u64,
-    /// Servers that may refuse one request unrun before the caller is told to come back.
+    /// Servers that may refuse one request without running it, before the caller is told to retry.
     pub most_refusals: u32,
-    /// Milliseconds after which a caller may come back when nothing better is known.
+    /// Milliseconds after which a caller may retry, if nothing better is known.
     pub retry_after_ms: u64,
     /// Bytes of the longest answer that is not a stream, and of the longest event of a stream.
     pub most_answer_bytes: usize,
-    /// Megabytes of memory that the process may use; the shares below are parts of it. Where it is absent,
-    /// nothing is bounded by memory.
+    /// Megabytes of memory that the process may use; the shares below are fractions of it. If it is
+    /// absent, memory limits nothing.
     pub memory_mb: Option<u64>,
-    /// The share held at most for all callers and servers. The rest is for code, tables, messages
-    /// between daemons, and what the allocator leaves between pieces.
+    /// The largest share reserved for all callers and servers. The rest is for code, tables,
+    /// messages between daemons, and fragmentation in the allocator.
     pub held_share: f64,
-    /// The share held from which on no program may begin, so that those under way can go on.
+    /// The reserved share from which on no new program may start, so that active programs can
+    /// continue.
     pub first_turns_share: f64,
-    /// The share held at most for one caller. Leaves room for the longest answer.
+    /// The largest share reserved for one caller. It must leave room for the longest answer.
     pub caller_share: f64,
-    /// The share on its way to one server at most, when more than one request is.
+    /// The largest share on its way to one server, if there is more than one request.
     pub server_share: f64,
-    /// Milliseconds within which the body of a request must be there, when its caller does not say
-    /// that it waits less.
+    /// Milliseconds within which the body of a request must arrive, unless its caller waits for
+    /// less.
     pub body_timeout_ms: u64,
-    /// Milliseconds without any progress after which a caller that does not read a stream is cut
-    /// off. Shorter than servers bear an answer that nobody reads, since it keeps a place there.
+    /// Milliseconds without progress after which a caller that does not read a stream is
+    /// disconnected. This is shorter than servers tolerate an unread answer, since it occupies a
+    /// slot there.
     pub caller_stall_ms: u64,
-    /// Requests that wait for a server, where that is enabled and routes have programs or callers have
-    /// tenants.
+    /// Queues of requests that wait for a server. They are used if they are enabled and routes
+    /// retain turns or callers have tenants.
     pub waiting: WaitingSettings,
-    /// Milliseconds for which the end of a turn is offered to the ledger again.
+    /// Milliseconds for which the end of a turn is submitted to the ledger again and again.
     pub close_turn_ms: u64,
-    /// Milliseconds between such offers.
+    /// Milliseconds between these submissions.
     pub close_turn_pause_ms: u64,
 }
 
@@ -94,7 +98,7 @@
     /// Checks every field.
     ///
     /// # Errors
-    /// The first field with a value that is not allowed.
+    /// The first field whose value is not allowed.
     pub fn check(&self) -> Result<(), InvalidSetting> {
         check_range("relay.most_connections", self.most_connections, 1, 1_000_000)?;
         check_range("relay.connect_timeout_ms", self.connect_timeout_ms, 1, 60_000)?;
--- a/crates/relay/src/silence.rs
+++ b/crates/relay/src/silence.rs
@@ -1,12 +1,12 @@
-//! Servers that fall silent: without power, or behind a cut.
+//! Detects servers that stop responding, because they lost power or are cut off from the network.
 //!
-//! A server may be quiet for long while it works, so silence alone says nothing. When nothing came
-//! from a server on any connection for a while, a new connection to it is tried: a server that
-//! lives takes or refuses it at once, a silent one says nothing. Only then is the server given up
-//! for requests that another one may run.
+//! A server may send nothing for a long time while it works, so a pause alone proves nothing. If
+//! nothing came from a server on any connection for a while, the relay opens a probe connection to
+//! it. A running server accepts or refuses the connection at once; an unresponsive one does
+//! neither. Only then are the server's requests abandoned, if another server may run them.
 //!
-//! A server that started again takes the new connection too, but has lost what it was asked before. Its
-//! later life, once known, ends every wait for an earlier one.
+//! A server that has restarted accepts the probe connection too, but has lost its earlier requests.
+//! Once a later incarnation of a server is known, requests at earlier ones are abandoned.
 
 use std::collections::HashMap;
 use std::io;
@@ -20,28 +20,28 @@
 
 use crate::RelaySettings;
 
-/// How often a request looks for the result of the connection that another one tries.
+/// How often a request checks the result of a probe that another request makes.
 const PROBE_POLL: Duration = Duration::from_millis(25);
-/// How often a request that waits looks whether its server has started again: short beside what
-/// callers wait for, long beside most answers.
+/// How often a waiting request checks whether its server has restarted: short compared with the
+/// time that callers wait, long compared with most answers.
 const LIFE_POLL: Duration = Duration::from_millis(250);
-/// Servers noted beyond which those not heard of for long are forgotten.
+/// Number of tracked servers from which on servers without recent contact are forgotten.
 const MANY_SERVERS: usize = 1_024;
-/// How long a server must not have been heard of to be forgotten.
+/// Time without contact after which a server may be forgotten.
 const LONG_AGO: Duration = Duration::from_secs(60);
 
-/// What a new connection to a server tells of it.
+/// The result of a probe connection to a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Reachability {
-    /// It takes connections, or fails otherwise than by silence.
+    /// It accepts connections, or fails in another way than by a timeout.
     Alive,
-    /// Nobody listens any more: it has ended.
+    /// Nothing listens at its address: it has ended.
     Refused,
-    /// Nothing comes back: it is without power, or cut off.
+    /// The connection timed out: the server has no power or is cut off.
     Silent,
 }
 
-/// Tries a new connection to a server.
+/// Opens a probe connection to a server.
 pub(crate) async fn reachability(server: SocketAddr, settings: &RelaySettings) -> Reachability {
     let patience = Duration::from_millis(settings.connect_timeout_ms);
     let reached = match timeout(patience, TcpStream::connect(server)).await {
@@ -57,7 +57,7 @@
     reached
 }
 
-/// When servers were last heard of.
+/// When each server last sent something.
 #[derive(Debug, Default)]
 pub(crate) struct Heard {
     servers: Mutex<HashMap<BackendId, State>>,
@@ -65,11 +65,11 @@
 
 #[derive(Debug, Clone, Copy)]
 struct State {
-    /// The last sign of life.
+    /// When something last came from the server.
     heard: Instant,
-    /// A connection was tried after it, and nothing came back.
+    /// Whether a probe since then timed out.
     is_silent: bool,
-    /// A connection is being tried.
+    /// Whether a probe connection is being opened.
     is_probed: bool,
 }
 
@@ -84,7 +84,7 @@
         self.servers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Something came from a server.
+    /// Records that something came from a server.
     pub(crate) fn note(&self, server: &BackendId) {
         let now = Instant::now();
         let mut servers = self.lock();
@@ -99,7 +99,7 @@
         servers.insert(server.clone(), State::new(now));
     }
 
-    /// Whether a server was found silent, and nothing came since.
+    /// Whether a probe of the server timed out and nothing came from it since.
     pub(crate) fn is_silent(&self, server: &BackendId) -> bool {
         self.lock().get(server).is_some_and(|state| state.is_silent)
     }
@@ -109,7 +109,7 @@
         *servers.entry(server.clone()).or_insert(State::new(since))
     }
 
-    /// Takes the task to try a connection. None when another request has it.
+    /// Starts a probe; none if another request is already making one.
     fn begin_probe(self: &Arc<Self>, server: &BackendId) -> Option<Probe> {
         let mut servers = self.lock();
         let state = servers.get_mut(server).filter(|state| !state.is_probed)?;
@@ -118,7 +118,7 @@
     }
 }
 
-/// A connection that is being tried; ends also when its request does.
+/// A probe in progress. It also ends when its request is dropped.
 struct Probe {
     heard: Arc<Heard>,
     server: BackendId,
@@ -145,17 +145,17 @@
     }
 }
 
-/// Why an answer is not waited for any longer.
+/// Why a request stops waiting for its server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum GivenUp {
-    /// The server fell silent.
+    /// The server does not respond.
     Silent,
-    /// The server has started again.
+    /// The server has restarted.
     StartedAgain,
 }
 
 impl GivenUp {
-    /// The cause in logs.
+    /// The cause as logs have it.
     pub(crate) fn cause(self) -> &'static str {
         match self {
             Self::Silent => "the server fell silent",
@@ -164,14 +164,15 @@
     }
 }
 
-/// Watches over one server for a request that waits for it.
+/// Watches one server for a request that waits for it.
 #[derive(Debug, Clone)]
 pub(crate) struct SilenceWatch {
     heard: Arc<Heard>,
     backends: Arc<Mutex<Backends>>,
     server: BackendAddress,
     settings: Arc<RelaySettings>,
-    /// Whether another server may run the request; else its end is waited for.
+    /// Whether probes are made: only if another server may run the request. Otherwise the request
+    /// waits for the end of its connection.
     is_on: bool,
 }
 
@@ -192,14 +193,14 @@
         }
     }
 
-    /// Something came from the server.
+    /// Records that something came from the server.
     pub(crate) fn heard(&self) {
         if self.is_on {
             self.heard.note(&self.server.id);
         }
     }
 
-    /// Returns when the server's answer cannot come any more, or is not to be waited for.
+    /// Returns when the server's answer cannot come any more, or should not be waited for.
     pub(crate) async fn given_up(&self) -> GivenUp {
         select! {
             biased;
@@ -208,10 +209,10 @@
         }
     }
 
-    /// Returns when the server is known to have started again.
+    /// Returns when the server is known to have restarted.
     async fn later_life(&self) {
         if self.server.id.born == 0 {
-            // It does not tell of its lives.
+            // It does not report its incarnations.
             return std::future::pending().await;
         }
         loop {
@@ -223,7 +224,7 @@
         }
     }
 
-    /// Returns when the server is found silent.
+    /// Returns when the server is found unresponsive.
     async fn silence(&self) {
         if !self.is_on {
             return std::future::pending().await;
@@ -232,7 +233,8 @@
         let began = Instant::now();
         loop {
             let state = self.heard.state(&self.server.id, began);
-            // What was heard before this wait began says that it lived then.
+            // Contact before this wait began does not shorten the wait: the server was running
+            // then.
             let due = state.heard.max(began) + patience;
             if state.is_silent {
                 return;
--- a/crates/relay/src/stage.rs
+++ b/crates/relay/src/stage.rs
@@ -1,5 +1,5 @@
-//! Whether a request belongs to a program that is under way. What was spent on such a program is lost if
-//! it is refused, so it goes before what has not begun.
+//! Tracks whether a request belongs to an active program. The work already spent on such a program
+//! is lost if the request is refused, so it goes before requests of new programs.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::{Mutex, PoisonError};
@@ -10,11 +10,11 @@
 use crate::router::key_of;
 use crate::{HeaderNames, Tenant};
 
-/// Programs that are remembered; some hundred kilobytes. Those that began first are forgotten first,
-/// and then count as new.
+/// The most programs that are remembered; they take some hundred kilobytes. The programs that were
+/// added first are forgotten first, and then count as new.
 const MOST_REMEMBERED: usize = 4_096;
 
-/// Programs that this gateway has met, by hashes of their tenants and names.
+/// The stages of programs that this gateway has seen, by hashes of their tenants and names.
 #[derive(Debug, Default)]
 pub(crate) struct ProgramsUnderWay(Mutex<Programs>);
 
@@ -26,8 +26,8 @@
 }
 
 impl ProgramsUnderWay {
-    /// The stage of a request on a stream or on another route. What is no stream and names a program
-    /// was asked for by one of its turns.
+    /// The stage of a request, on a stream or another route. A request that is no stream and names
+    /// a program was sent on behalf of one of the program's turns.
     pub(crate) fn stage(
         &self,
         head: &RequestHead,
@@ -43,7 +43,7 @@
         programs.stages.get(&program).copied().unwrap_or(Stage::First)
     }
 
-    /// A turn of the program is being answered.
+    /// Records that a turn of the program is being answered.
     pub(crate) fn answered(
         &self,
         head: &RequestHead,
@@ -53,7 +53,7 @@
         self.note(key(head, names, tenant), Stage::UnderWay);
     }
 
-    /// A program that has not begun was told to come back.
+    /// Records that a program that has not started was told to retry.
     pub(crate) fn told_to_come_back(
         &self,
         head: &RequestHead,
@@ -83,10 +83,10 @@
     }
 }
 
-/// Programs of two tenants may have the same name.
+/// Hashes a program with its tenant, since programs of two tenants may have the same name.
 fn key(head: &RequestHead, names: &HeaderNames, tenant: Option<&Tenant>) -> Option<u64> {
     let program = head.text(&names.program)?;
     let tenant = tenant.map_or("", |tenant| tenant.name.as_str());
-    // No header has a line feed.
+    // Headers cannot contain a line feed, so it separates tenant and program.
     Some(key_of(format!("{tenant}\n{program}").as_bytes()))
 }
--- a/crates/relay/src/tenant.rs
+++ b/crates/relay/src/tenant.rs
@@ -1,7 +1,7 @@
-//! Step 3: whose request it is, and whether its tenant may send one more.
+//! Step 3: identifies the tenant of a request, and applies the tenant's rate limit.
 //!
-//! A caller shows its tenant by a key. The key goes no further than here: servers, ledgers and
-//! keepers of limits are told the tenant's name.
+//! A caller authenticates with a key of its tenant. The key is not passed on: servers, ledgers and
+//! keepers of limits get the tenant's name.
 
 use dahlia_ledger::ProgramName;
 use dahlia_limits::{ProgramKey, VersionedLimit};
@@ -14,14 +14,15 @@
 use crate::router::{Matched, key_of};
 use crate::{LimitReached, TenantLimits};
 
-/// The part of its time that a request waits for its turn at most: as long as its caller would wait
-/// to come back. It fares no worse so, and keeps its connection and its place.
+/// A request waits for its permit at most its remaining time divided by this. That is as long as
+/// its caller would wait before a retry, so the wait costs the caller nothing and saves the
+/// connection and the position in line.
 const WAITED_PART: u32 = 3;
 
-/// Finds the tenant of a request, and takes the key out of its head.
+/// Finds the tenant of a request by its key, and removes the key from the head.
 ///
 /// # Errors
-/// The route needs a key, and no tenant has the caller's.
+/// The route requires a key, and no tenant has the caller's key.
 pub(crate) fn identify<L>(
     shared: &Shared<L>,
     matched: &mut Matched,
@@ -39,17 +40,17 @@
     Err(Refusal::UnknownKey { scheme: shared.headers.key_scheme })
 }
 
-/// One request of a tenant with a limit, which counts until it is given back.
+/// A permit for one request of a tenant with a rate limit. It counts until it is refunded.
 pub(crate) struct Permit {
     tenant: TenantId,
     program: Option<ProgramKey>,
 }
 
 impl Permit {
-    /// Takes a permit, where the request's tenant has a limit.
+    /// Acquires a permit, if the request's tenant has a limit.
     ///
     /// # Errors
-    /// The tenant sends more than it may.
+    /// The tenant exceeds its limit.
     pub(crate) async fn take<L: TenantLimits>(
         shared: &Shared<L>,
         matched: &Matched,
@@ -69,7 +70,7 @@
         }
     }
 
-    /// The request has not run and never will.
+    /// Takes the permit back, because the request has not run and never will.
     pub(crate) fn give_back<L: TenantLimits>(self, shared: &Shared<L>) {
         shared.ledger.refund(&self.tenant, self.program);
     }
--- a/crates/relay/src/turn.rs
+++ b/crates/relay/src/turn.rs
@@ -1,7 +1,8 @@
-//! Step 3: a program's turn in the ledger: opened before anything is sent, settled at its end.
+//! Step 3: a program's turn in the ledger. It is opened before anything is sent, and closed at its
+//! end.
 //!
-//! What the ledger is told at the end is kept ready at every moment, and the turn's drop tells
-//! it: a caller that leaves, a deadline and a fault all end here without a path of their own.
+//! A turn always holds the end that the ledger must record if the turn stopped now, and its drop
+//! submits that end. So callers that disconnect, deadlines and faults need no code of their own.
 
 use std::sync::Arc;
 
@@ -23,7 +24,7 @@
 use crate::router::Matched;
 use crate::{LedgerUnavailable, TurnLedger};
 
-/// A turn whose end the ledger has not been told.
+/// A turn whose end the ledger has not yet confirmed.
 pub(crate) struct Turn<L: TurnLedger> {
     shared: Arc<Shared<L>>,
     program: ProgramName,
@@ -32,18 +33,18 @@
     tokens_per_event: Tokens,
     events: u64,
     output: Vec<u8>,
-    /// Counts the output until the ledger has it.
+    /// The memory of the output, reserved until the ledger has it.
     held: Held,
-    /// What the ledger is told if the turn ends now; none when it knows already.
+    /// The end to record if the turn stops now; none if the ledger knows it already.
     end: Option<TurnEnd>,
     open: Option<GaugeGuard>,
 }
 
 impl<L: TurnLedger> Turn<L> {
-    /// Opens the turn that a request is, if it is one.
+    /// Opens the turn of a request, if the request is a turn.
     ///
     /// # Errors
-    /// The ledger refuses it, or did not answer; nothing was sent and nothing will be.
+    /// The ledger refuses the turn or did not answer; nothing was sent and nothing will be.
     pub(crate) async fn open(
         shared: &Arc<Shared<L>>,
         matched: &Matched,
@@ -81,7 +82,7 @@
         let refusal = match reply {
             Ok(LedgerReply::Opened(opened)) => return Ok(opened),
             Ok(LedgerReply::Refused(refusal)) => refusal,
-            // It may have been recorded: the drop settles it.
+            // The turn may have been recorded, so the drop closes it.
             Ok(_) => return Err(Refusal::LedgerUnavailable { retry_after }),
             Err(error) => {
                 if error.was_not_submitted {
@@ -95,7 +96,7 @@
         Err(match refusal {
             TurnRefusal::BudgetSpent { .. } => Refusal::BudgetSpent,
             TurnRefusal::NoSuchTurn { .. } => Refusal::NoSuchTurn,
-            // A try of this name was here before, and what became of it cannot be told anew.
+            // An earlier attempt had this identifier, and its outcome cannot be reported again.
             TurnRefusal::AlreadyEnded => Refusal::AnswerLost,
             TurnRefusal::NotEnded { .. } | TurnRefusal::LimitReached { .. } => {
                 Refusal::Busy { retry_after }
@@ -103,22 +104,23 @@
         })
     }
 
-    /// From here on a server may run it.
+    /// Notes that a server may run the turn from now on.
     pub(crate) fn may_run(&mut self) {
         self.end = Some(TurnEnd::Incomplete);
     }
 
-    /// No server has run it, and none will unless it is sent again.
+    /// Notes that no server has run the turn, and that none will unless it is sent again.
     pub(crate) fn did_not_run(&mut self) {
         self.end = Some(TurnEnd::NotRun);
     }
 
-    /// Whether the turn's text is kept.
+    /// Whether the turn's text is retained.
     pub(crate) fn retains(&self) -> bool {
         self.retains
     }
 
-    /// An event is handed on to the caller. `memory` counts what is kept of it.
+    /// Records an event that is forwarded to the caller. `reservation` covers what is retained of
+    /// it.
     pub(crate) fn hand_on(&mut self, event: &Event, held: Held) {
         self.held.join(held);
         let Some(data) = &event.data else { return };
@@ -129,8 +131,9 @@
         }
     }
 
-    /// The answer is whole. When the turn's text is kept, this returns once that is durable:
-    /// only then may the caller learn the end, since it may go on from this turn at once.
+    /// Completes the turn with a whole answer. If the turn's text is retained, this returns once
+    /// the text is durable: only then may the caller learn of the end, since it may continue from
+    /// this turn at once.
     ///
     /// # Errors
     /// The ledger did not confirm it.
@@ -186,7 +189,7 @@
     }
 }
 
-/// Offers the end of a turn to the ledger until it is recorded or the time for it is over.
+/// Submits the end of a turn to the ledger until it is recorded or the time for that is over.
 async fn offer<L: TurnLedger>(
     shared: &Shared<L>,
     retains: bool,
@@ -213,7 +216,7 @@
     }
 }
 
-/// Asks the ledger that holds turns of this kind.
+/// Submits a command to the ledger that stores turns of this kind.
 async fn ask<L: TurnLedger>(
     shared: &Shared<L>,
     retains: bool,
@@ -226,13 +229,14 @@
     }
 }
 
-/// What is left until a moment.
+/// The time left until a moment.
 fn until(moment: Instant) -> Duration {
     let left = moment.saturating_duration_since(Instant::now());
     Duration::from_micros(left.as_micros() as u64)
 }
 
-/// The command that opens a request's turn: on streams of programs with a budget or kept turns.
+/// Builds the command that opens a request's turn. Only streams of programs with a budget or with
+/// retained turns are turns.
 fn open_command<L: TurnLedger>(
     shared: &Shared<L>,
     matched: &Matched,
--- a/crates/relay/src/urgency.rs
+++ b/crates/relay/src/urgency.rs
@@ -1,24 +1,24 @@
-//! How urgent a request is to servers: by its route's rank, then by its program's remaining time.
+//! The priority of a request at servers: by its route's rank, then by its program's remaining time.
 
 use dahlia_types::Duration;
 
-/// Levels that servers know, 0 first.
+/// Number of priority levels of servers, 0 first.
 const LEVELS: u32 = 10;
-/// Remaining time of a program at which it stands in the middle of its rank. An estimate, about
-/// the time of a few turns; only the order among programs rests on it.
+/// Remaining time of a program that puts its requests in the middle of their rank's levels. This is
+/// an estimate, about the duration of a few turns; it affects only the order among programs.
 const MIDDLE: Duration = Duration::from_secs(8);
 
-/// The place of a route's rank among the ranks of all routes in force.
+/// The position of a route's rank among the ranks of all routes in force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RankPosition {
-    /// Ranks before it.
+    /// Number of ranks before it.
     pub earlier: u32,
-    /// All different ranks; one at least.
+    /// Number of different ranks; at least one.
     pub total: u32,
 }
 
 impl RankPosition {
-    /// The place of a rank among others, itself included.
+    /// Finds the position of a rank among others, itself included.
     pub fn new<R: Ord>(rank: R, ranks: impl Iterator<Item = R>) -> Self {
         let mut ranks: Vec<R> = ranks.collect();
         ranks.sort_unstable();
@@ -28,10 +28,10 @@
     }
 }
 
-/// The level of a request. Each rank has a band of levels; no request passes one of an earlier
-/// rank. Inside the band, programs with less time left go first. Requests without a program stand
-/// in the middle, and so do programs whose time is over: most of their worth is lost, and putting
-/// them first would make others late as well.
+/// The priority level of a request. Each rank has a band of levels, so that no request overtakes
+/// one of an earlier rank. Within the band, programs with less time left go first. Requests without
+/// a program are in the middle, and so are programs whose time is over: most of their value is
+/// lost, and putting them first would delay others as well.
 pub fn priority_level(place: RankPosition, time_left: Option<Duration>) -> u32 {
     let (first, end) = (edge(place.earlier, place.total), edge(place.earlier + 1, place.total));
     let width = end.saturating_sub(first).max(1);
@@ -42,7 +42,7 @@
     (first + step.min(width - 1)).min(LEVELS - 1)
 }
 
-/// The first level of the band behind this many ranks.
+/// The first level of the band after this many ranks.
 fn edge(ranks: u32, of: u32) -> u32 {
     (ranks * LEVELS).div_ceil(of)
 }
--- a/crates/relay/src/waiting.rs
+++ b/crates/relay/src/waiting.rs
@@ -1,4 +1,5 @@
-//! Requests that wait at this gateway: a queue for each service, and how those that wait are told.
+//! Requests that wait at this gateway: one queue for each service, and the messages that end a
+//! wait.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -10,12 +11,12 @@
 
 use crate::relay::Clock;
 
-/// What one that waits is told.
+/// What ends the wait of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Wakeup {
-    /// Its turn has come.
+    /// The request may try to get a server.
     Dispatch,
-    /// It will not get one.
+    /// The request is rejected.
     Reject(QueueRejection),
 }
 
@@ -36,27 +37,27 @@
         Arc::new(Self { settings, clock, queues: Mutex::default() })
     }
 
-    /// A request arrived that has not been here before.
+    /// Records the arrival of a new request.
     pub(crate) fn came(&self, service: &ServiceName, request: &QueuedRequest) {
         self.with(service, |service, now| service.queue.record_arrival(request, now));
     }
 
-    /// Whether a request may try to go at once.
+    /// Whether a request may try to get a server at once.
     pub(crate) fn goes_first(&self, service: &ServiceName, request: &QueuedRequest) -> bool {
         self.with(service, |service, now| service.queue.may_skip_queue(request, now))
     }
 
-    /// A request goes to a server.
+    /// Records that a request goes to a server.
     pub(crate) fn went(&self, service: &ServiceName, request: &QueuedRequest) {
         self.with(service, |service, now| service.queue.record_dispatch(request, now));
     }
 
-    /// All servers were full for a request.
+    /// Records that all servers were full for a request.
     pub(crate) fn was_full(&self, service: &ServiceName) {
         self.with(service, |service, now| service.queue.record_servers_full(now));
     }
 
-    /// When a request that is refused now should come back.
+    /// When a request that is refused now should be retried.
     pub(crate) fn come_back(
         &self,
         service: &ServiceName,
@@ -66,10 +67,10 @@
         self.with(service, |service, now| service.queue.retry_after(request, least, now))
     }
 
-    /// A request waits from now on.
+    /// Adds a request to the queue.
     ///
     /// # Errors
-    /// It is better refused at once.
+    /// The queue rejects the request at once.
     pub(crate) fn join(
         self: &Arc<Self>,
         service: &ServiceName,
@@ -88,8 +89,9 @@
         Ok(Place { waiting, service: service.clone(), ticket, told, passes_on: true })
     }
 
-    /// An attempt at a server ended: the next one may try. One that the server did not serve to its end
-    /// says nothing of its pace, and makes no room for programs.
+    /// Records that an attempt at a server ended, and wakes the next request. An attempt that the
+    /// server did not serve to its end does not count: it is no sample of the server's pace, and
+    /// frees no capacity for programs.
     fn ended(&self, service: &ServiceName, served_in: Option<Duration>) {
         self.with(service, |service, now| {
             if let Some(took) = served_in {
@@ -99,7 +101,7 @@
         });
     }
 
-    /// How many wait, by rank, over all services.
+    /// The number of waiting requests by rank, over all services.
     pub(crate) fn by_rank(&self) -> BTreeMap<u32, usize> {
         let mut counts = BTreeMap::new();
         for service in self.lock().values() {
@@ -139,13 +141,14 @@
         }
     }
 
-    /// Tells one that waits. Gives whether it was still there.
+    /// Wakes a waiting request. Returns whether it was still waiting.
     fn tell(&mut self, ticket: Ticket, told: Wakeup) -> bool {
         self.told.remove(&ticket).is_some_and(|sender| sender.send(told).is_ok())
     }
 }
 
-/// A place in a queue. Dropping it leaves the queue; one that had its turn lets the next one try.
+/// A request in a queue. Dropping this removes the request from the queue; if the request was woken
+/// before, the next one is woken.
 pub(crate) struct Place {
     waiting: Arc<Waiting>,
     service: ServiceName,
@@ -155,12 +158,13 @@
 }
 
 impl Place {
-    /// Waits to be told.
+    /// Waits until the request is woken.
     pub(crate) async fn told(&mut self) -> Wakeup {
         (&mut self.told).await.unwrap_or(Wakeup::Reject(QueueRejection::WaitTimeout))
     }
 
-    /// Looks for a place at a server although nobody ended: a pause may be over. Only who is next does.
+    /// Wakes this request if it is the next one, although no attempt ended: a server's pause may be
+    /// over.
     pub(crate) fn look_again(&mut self) {
         let ticket = self.ticket;
         self.waiting.with(&self.service, |service, now| {
@@ -170,7 +174,8 @@
         });
     }
 
-    /// Its turn came, and all servers are full all the same: nobody else need try now.
+    /// Notes that all servers were still full after the request was woken, so that no other request
+    /// is woken now.
     pub(crate) fn was_in_vain(mut self) {
         self.passes_on = false;
     }
@@ -188,7 +193,7 @@
     }
 }
 
-/// A place that an attempt takes at a server. Its drop lets the next request try.
+/// A server's slot that an attempt occupies. Dropping this lets the next request try.
 pub(crate) struct SlotGuard {
     waiting: Arc<Waiting>,
     service: ServiceName,
@@ -202,7 +207,7 @@
         Self { waiting: Arc::clone(waiting), service: service.clone(), since, was_served: false }
     }
 
-    /// How the attempt ended, as far as is known by now.
+    /// Records how the attempt ended, as far as is known.
     pub(crate) fn ended(&mut self, end: AttemptEnd) {
         self.was_served =
             matches!(end, AttemptEnd::Answered | AttemptEnd::Broken | AttemptEnd::Failed);
