--- a/crates/relay/src/stage.rs
+++ b/crates/relay/src/active_programs.rs
@@ -7,16 +7,16 @@
 use dahlia_admission::Stage;
 
 use crate::request::RequestHead;
-use crate::router::key_of;
+use crate::router::hash_key;
 use crate::{HeaderNames, Tenant};
 
 /// The most programs that are remembered; they take some hundred kilobytes. The programs that were
 /// added first are forgotten first, and then count as new.
-const MOST_REMEMBERED: usize = 4_096;
+const MAX_REMEMBERED: usize = 4_096;
 
 /// The stages of programs that this gateway has seen, by hashes of their tenants and names.
 #[derive(Debug, Default)]
-pub(crate) struct ProgramsUnderWay(Mutex<Programs>);
+pub(crate) struct ActivePrograms(Mutex<Programs>);
 
 #[derive(Debug, Default)]
 struct Programs {
@@ -25,9 +25,9 @@
     order: VecDeque<u64>,
 }
 
-impl ProgramsUnderWay {
-    /// The stage of a request, on a stream or another route. A request that is no stream and names
-    /// a program was sent on behalf of one of the program's turns.
+impl ActivePrograms {
+    /// The stage of a request's program. A request outside a stream that names a program was sent
+    /// on behalf of one of the program's turns, so that program is active.
     pub(crate) fn stage(
         &self,
         head: &RequestHead,
@@ -35,7 +35,7 @@
         tenant: Option<&Tenant>,
         is_stream: bool,
     ) -> Stage {
-        let Some(program) = key(head, names, tenant) else { return Stage::First };
+        let Some(program) = program_hash(head, names, tenant) else { return Stage::First };
         if !is_stream || head.text(&names.previous_turn).is_some() {
             return Stage::UnderWay;
         }
@@ -44,38 +44,38 @@
     }
 
     /// Records that a turn of the program is being answered.
-    pub(crate) fn answered(
+    pub(crate) fn record_answer(
         &self,
         head: &RequestHead,
         names: &HeaderNames,
         tenant: Option<&Tenant>,
     ) {
-        self.note(key(head, names, tenant), Stage::UnderWay);
+        self.record(program_hash(head, names, tenant), Stage::UnderWay);
     }
 
     /// Records that a program that has not started was told to retry.
-    pub(crate) fn told_to_come_back(
+    pub(crate) fn record_retry_later(
         &self,
         head: &RequestHead,
         names: &HeaderNames,
         tenant: Option<&Tenant>,
     ) {
-        self.note(key(head, names, tenant), Stage::Returning);
+        self.record(program_hash(head, names, tenant), Stage::Returning);
     }
 
-    fn note(&self, program: Option<u64>, stage: Stage) {
+    fn record(&self, program: Option<u64>, stage: Stage) {
         let Some(program) = program else { return };
         let mut programs = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        let before = programs.stages.get(&program).copied();
-        if before.is_some_and(Stage::is_under_way) {
+        let previous = programs.stages.get(&program).copied();
+        if previous.is_some_and(Stage::is_under_way) {
             return;
         }
         programs.stages.insert(program, stage);
-        if before.is_some() {
+        if previous.is_some() {
             return;
         }
         programs.order.push_back(program);
-        if programs.order.len() > MOST_REMEMBERED
+        if programs.order.len() > MAX_REMEMBERED
             && let Some(oldest) = programs.order.pop_front()
         {
             programs.stages.remove(&oldest);
@@ -84,9 +84,9 @@
 }
 
 /// Hashes a program with its tenant, since programs of two tenants may have the same name.
-fn key(head: &RequestHead, names: &HeaderNames, tenant: Option<&Tenant>) -> Option<u64> {
+fn program_hash(head: &RequestHead, names: &HeaderNames, tenant: Option<&Tenant>) -> Option<u64> {
     let program = head.text(&names.program)?;
     let tenant = tenant.map_or("", |tenant| tenant.name.as_str());
     // Headers cannot contain a line feed, so it separates tenant and program.
-    Some(key_of(format!("{tenant}\n{program}").as_bytes()))
+    Some(hash_key(format!("{tenant}\n{program}").as_bytes()))
 }
--- a/crates/relay/src/attempt.rs
+++ b/crates/relay/src/attempt.rs
@@ -16,36 +16,36 @@
 
 use crate::connection::{SendError, ServerConnection};
 use crate::counters::count;
-use crate::live::{AttemptGuard, LiveAnswer};
-use crate::outgoing::Outgoing;
-use crate::pool::{Connected, Keeping};
+use crate::idle_limit::Reset;
+use crate::outgoing::OutgoingRequest;
+use crate::pool::{Connected, KeepAlive};
 use crate::relay::Shared;
-use crate::rest_limit::Reset;
+use crate::server_response::{AttemptGuard, ServerResponse};
 use crate::{Service, TurnLedger};
 
 /// How long to wait for the rest of a refusal's body, so that the connection can be reused.
 const REFUSAL_BODY_TIMEOUT: time::Duration = time::Duration::from_millis(50);
 /// The most bytes of a refusal's body to read, so that the connection can be reused.
-const MOST_REFUSAL_BYTES: usize = 64 * 1024;
+const MAX_REFUSAL_BODY_BYTES: usize = 64 * 1024;
 
 /// The outcome of sending a request to a server.
-pub(crate) enum Sent {
+pub(crate) enum SendOutcome {
     /// The server began to answer this request.
-    Answering(Box<LiveAnswer>),
+    Responding(Box<ServerResponse>),
     /// The request did not run and will not run.
     NotRun {
         /// When the server asks the caller to retry.
         retry_after: Option<Duration>,
     },
     /// The request may have run, and its answer is lost.
-    Broken,
+    AnswerLost,
 }
 
 /// A request that is ready to be sent to one server.
-pub(crate) struct Sending<'a, L> {
+pub(crate) struct PreparedRequest<'a, L> {
     pub(crate) shared: &'a Arc<Shared<L>>,
     pub(crate) service: Option<&'a Service>,
-    pub(crate) outgoing: Outgoing<'a>,
+    pub(crate) outgoing: OutgoingRequest<'a>,
 }
 
 /// Returns an idle connection or a new one, or none if the server cannot be reached.
@@ -54,15 +54,15 @@
 pub(crate) async fn connect<L>(
     shared: &Shared<L>,
     server: &BackendAddress,
-    may_lose: bool,
+    tolerates_loss: bool,
 ) -> Option<Connected> {
-    if let Some(kept) = shared.pool.take(&server.id, may_lose) {
-        return Some(kept);
+    if let Some(idle) = shared.pool.take(&server.id, tolerates_loss) {
+        return Some(idle);
     }
     match ServerConnection::open(server.address, &shared.settings).await {
         Ok(connection) => {
             count(&shared.counters.connections_to_servers);
-            Some(Connected { connection, rested: None })
+            Some(Connected { connection, idle_for: None })
         }
         Err(error) => {
             log::debug!(target: "relay", "{error}");
@@ -71,7 +71,7 @@
     }
 }
 
-impl<L: TurnLedger> Sending<'_, L> {
+impl<L: TurnLedger> PreparedRequest<'_, L> {
     /// Sends the request and waits for the head of its answer.
     ///
     /// # Errors
@@ -80,73 +80,77 @@
         self,
         connected: Connected,
         mut guard: AttemptGuard,
-    ) -> Result<Sent, AttemptGuard> {
-        let Connected { mut connection, rested } = connected;
-        let began = Instant::now();
-        guard.sending();
+    ) -> Result<SendOutcome, AttemptGuard> {
+        let Connected { mut connection, idle_for } = connected;
+        let sent_at = Instant::now();
+        guard.record_send();
         let answer = select! {
             biased;
-            answer = connection.send(self.outgoing.request()) => answer,
-            given_up = guard.watch.given_up() => {
-                let cause = format!("{} before its answer", given_up.cause());
+            answer = connection.send(self.outgoing.build()) => answer,
+            loss = guard.watch.wait_until_lost() => {
+                let cause = format!("{} before its answer", loss.cause());
                 guard.fail(AttemptEnd::Unreachable, &cause);
-                return Ok(Sent::Broken);
+                return Ok(SendOutcome::AnswerLost);
             }
         };
         match answer {
-            Ok(answer) => Ok(self.judge(connection, answer, guard).await),
+            Ok(answer) => Ok(self.classify_answer(connection, answer, guard).await),
             Err(SendError::NotSent) => Err(guard),
             Err(error @ SendError::NoAnswer { .. }) => {
-                let reset = Reset { rested, after: began.elapsed() };
-                self.shared.pool.note_reset(self.outgoing.expected_instance, reset);
-                let is_dropped = reset.is_of_dropped_connection();
-                let end = if is_dropped { AttemptEnd::Dropped } else { AttemptEnd::Broken };
+                let reset = Reset { idle_for, delay: sent_at.elapsed() };
+                self.shared.pool.record_reset(self.outgoing.expected_instance, reset);
+                let is_dropped_connection = reset.is_from_dropped_connection();
+                let end =
+                    if is_dropped_connection { AttemptEnd::Dropped } else { AttemptEnd::Broken };
                 guard.fail(end, &error.to_string());
-                Ok(Sent::Broken)
+                Ok(SendOutcome::AnswerLost)
             }
         }
     }
 
-    async fn judge(
+    async fn classify_answer(
         &self,
         connection: ServerConnection,
         answer: Response<Incoming>,
         mut guard: AttemptGuard,
-    ) -> Sent {
-        guard.watch.heard();
+    ) -> SendOutcome {
+        guard.watch.record_contact();
         let (parts, body) = answer.into_parts();
-        if !self.is_ours(&parts) {
+        if !self.belongs_to_attempt(&parts) {
             guard.fail(AttemptEnd::Broken, "the answer belongs to another attempt");
-            return Sent::Broken;
+            return SendOutcome::AnswerLost;
         }
-        let verdict = verdict(&parts, &self.shared.headers.not_run);
-        let keeping = Keeping::new(&parts.headers, self.service, &self.shared.settings);
+        let kind = classify(&parts, &self.shared.headers.not_run);
+        let keep_alive = KeepAlive::new(&parts.headers, self.service, &self.shared.settings);
         let pool = Arc::clone(&self.shared.pool);
-        let did_not_run = verdict == Verdict::NotRunAnswer;
+        let did_not_run = kind == AnswerKind::NotRunAnswer;
         // Refusals and failures come fast even from a slow server, so they are not response times.
-        if verdict == Verdict::Answer && !parts.status.is_server_error() {
-            guard.answering();
+        if kind == AnswerKind::Answer && !parts.status.is_server_error() {
+            guard.record_head();
         }
-        let mut live = LiveAnswer::new(parts, body, did_not_run, connection, keeping, pool, guard);
-        match verdict {
-            Verdict::Answer | Verdict::NotRunAnswer => Sent::Answering(Box::new(live)),
-            Verdict::NotRun(end) => {
-                let retry_after = retry_after(&live.parts.headers);
-                let rest = live.skip_rest(MOST_REFUSAL_BYTES);
-                let _ = timeout(REFUSAL_BODY_TIMEOUT, rest).await;
-                live.fail(end, &format!("not run: {}", live.parts.status));
-                Sent::NotRun { retry_after }
+        let mut response =
+            ServerResponse::new(parts, body, did_not_run, connection, keep_alive, pool, guard);
+        match kind {
+            AnswerKind::Answer | AnswerKind::NotRunAnswer => {
+                SendOutcome::Responding(Box::new(response))
             }
-            Verdict::Unsafe => {
-                live.fail(AttemptEnd::Broken, "a promise that the server does not keep");
-                Sent::Broken
+            AnswerKind::NotRun(end) => {
+                let retry_after = parse_retry_after(&response.parts.headers);
+                let remaining_body = response.discard_rest(MAX_REFUSAL_BODY_BYTES);
+                let _ = timeout(REFUSAL_BODY_TIMEOUT, remaining_body).await;
+                response.fail(end, &format!("not run: {}", response.parts.status));
+                SendOutcome::NotRun { retry_after }
+            }
+            AnswerKind::UnprovenRefusal => {
+                response.fail(AttemptEnd::Broken, "a promise that the server does not keep");
+                SendOutcome::AnswerLost
             }
         }
     }
 
     /// Whether the answer belongs to this attempt, by its attempt id. A server may send a surplus
     /// answer on the connection. Answers that switch protocols were never requested.
-    fn is_ours(&self, parts: &response::Parts) -> bool {
+    fn belongs_to_attempt(&self, parts: &response::Parts) -> bool {
         let mut ids = parts.headers.get_all(&self.shared.headers.attempt).iter();
         ids.next() == Some(&self.outgoing.head.attempt)
             && ids.next().is_none()
@@ -156,7 +160,7 @@
 
 /// What the head of an answer says about the request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Verdict {
+enum AnswerKind {
     /// An answer for the caller; the request ran.
     Answer,
     /// An answer for the caller although the request did not run: no other server would answer
@@ -165,28 +169,28 @@
     /// The request did not run, and another server may run it.
     NotRun(AttemptEnd),
     /// The status tells callers that the request never runs, but the server does not confirm that.
-    Unsafe,
+    UnprovenRefusal,
 }
 
-fn verdict(parts: &response::Parts, not_run: &HeaderName) -> Verdict {
+fn classify(parts: &response::Parts, not_run: &HeaderName) -> AnswerKind {
     let says_not_run = parts.headers.contains_key(not_run);
     match parts.status {
-        StatusCode::MISDIRECTED_REQUEST => Verdict::NotRun(AttemptEnd::Leaving),
+        StatusCode::MISDIRECTED_REQUEST => AnswerKind::NotRun(AttemptEnd::Leaving),
         StatusCode::SERVICE_UNAVAILABLE
         | StatusCode::TOO_MANY_REQUESTS
         | StatusCode::REQUEST_TIMEOUT => {
             if says_not_run {
-                Verdict::NotRun(AttemptEnd::Refused)
+                AnswerKind::NotRun(AttemptEnd::Refused)
             } else {
-                Verdict::Unsafe
+                AnswerKind::UnprovenRefusal
             }
         }
-        _ if says_not_run => Verdict::NotRunAnswer,
-        _ => Verdict::Answer,
+        _ if says_not_run => AnswerKind::NotRunAnswer,
+        _ => AnswerKind::Answer,
     }
 }
 
-fn retry_after(headers: &HeaderMap) -> Option<Duration> {
+fn parse_retry_after(headers: &HeaderMap) -> Option<Duration> {
     let seconds: f64 = headers.get(RETRY_AFTER)?.to_str().ok()?.trim().parse().ok()?;
     Some(seconds).filter(|seconds| *seconds >= 0.0).map(Duration::from_secs_f64)
 }
--- a/crates/relay/src/body.rs
+++ b/crates/relay/src/body.rs
@@ -16,22 +16,22 @@
 /// other end would look complete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 #[snafu(display("the answer broke off"))]
-pub(crate) struct BrokenOff;
+pub(crate) struct BrokenStream;
 
-impl From<Infallible> for BrokenOff {
+impl From<Infallible> for BrokenStream {
     fn from(never: Infallible) -> Self {
         match never {}
     }
 }
 
 /// The pieces of a stream in the order in which they are forwarded.
-pub(crate) type Pieces = Pin<Box<dyn Stream<Item = Result<Bytes, BrokenOff>> + Send>>;
+pub(crate) type Pieces = Pin<Box<dyn Stream<Item = Result<Bytes, BrokenStream>> + Send>>;
 
 /// The body of an answer to a caller.
 pub(crate) struct AnswerBody {
     content: Content,
     // Kept until the connection has taken the last byte or has closed.
-    held: Option<(GaugeGuard, BusyGuard)>,
+    guards: Option<(GaugeGuard, BusyGuard)>,
 }
 
 enum Content {
@@ -42,11 +42,11 @@
 impl AnswerBody {
     pub(crate) fn whole(bytes: Bytes) -> Self {
         let content = Content::Whole(Some(bytes).filter(|bytes| !bytes.is_empty()));
-        Self { content, held: None }
+        Self { content, guards: None }
     }
 
     pub(crate) fn stream(pieces: Pieces) -> Self {
-        Self { content: Content::Stream(pieces), held: None }
+        Self { content: Content::Stream(pieces), guards: None }
     }
 
     pub(crate) fn is_stream(&self) -> bool {
@@ -54,19 +54,19 @@
     }
 
     /// Keeps the request counted as in progress and its connection busy until the body is dropped.
-    pub(crate) fn hold(&mut self, gauge: GaugeGuard, busy: BusyGuard) {
-        self.held = Some((gauge, busy));
+    pub(crate) fn attach_guards(&mut self, gauge: GaugeGuard, busy: BusyGuard) {
+        self.guards = Some((gauge, busy));
     }
 }
 
 impl Body for AnswerBody {
     type Data = Bytes;
-    type Error = BrokenOff;
+    type Error = BrokenStream;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BrokenStream>>> {
         match &mut self.content {
             Content::Whole(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
             Content::Stream(pieces) => {
--- a/crates/relay/src/caller.rs
+++ b/crates/relay/src/caller.rs
@@ -17,43 +17,48 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Phase {
     /// No byte of the next request has arrived.
-    Resting { since: Instant },
+    Idle { since: Instant },
     /// The head of a request is arriving.
-    Head { since: Instant },
+    ReadingHead { since: Instant },
     /// The body of a request is being read, or the request is being processed or answered.
     Busy,
 }
 
 /// The result of checking a connection's idle timeout.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum RestCheck {
+pub(crate) enum IdleCheck {
     /// The timeout cannot pass before this moment.
-    Until(Instant),
+    NotBefore(Instant),
     /// The timeout has passed.
-    TooLong,
+    Expired,
 }
 
 #[derive(Debug)]
-struct State {
+struct ConnectionState {
     phase: Phase,
-    served: u64,
+    requests_served: u64,
     /// When the caller must have taken the current answer.
-    answer_due: Option<Instant>,
+    answer_deadline: Option<Instant>,
     /// How long the caller may take no byte of the current stream.
-    most_stall: Option<Duration>,
+    max_stall: Option<Duration>,
 }
 
 /// The state of a caller's connection, shared by its stream and its requests.
 #[derive(Debug, Clone)]
-pub(crate) struct CallerState(Arc<Mutex<State>>);
+pub(crate) struct CallerState(Arc<Mutex<ConnectionState>>);
 
 impl CallerState {
     pub(crate) fn new() -> Self {
-        let phase = Phase::Resting { since: Instant::now() };
-        Self(Arc::new(Mutex::new(State { phase, served: 0, answer_due: None, most_stall: None })))
+        let phase = Phase::Idle { since: Instant::now() };
+        Self(Arc::new(Mutex::new(ConnectionState {
+            phase,
+            requests_served: 0,
+            answer_deadline: None,
+            max_stall: None,
+        })))
     }
 
-    fn lock(&self) -> MutexGuard<'_, State> {
+    fn lock(&self) -> MutexGuard<'_, ConnectionState> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -64,61 +69,61 @@
     }
 
     /// Sets when the caller must have taken the current answer.
-    pub(crate) fn answer_due(&self, deadline: Instant) {
-        self.lock().answer_due = Some(deadline);
+    pub(crate) fn set_answer_deadline(&self, deadline: Instant) {
+        self.lock().answer_deadline = Some(deadline);
     }
 
     /// Limits how long the caller may stall the current answer: it is a stream, which occupies a
     /// server's slot until the caller takes it.
-    pub(crate) fn answer_streams(&self, most_stall: Duration) {
-        self.lock().most_stall = Some(most_stall);
+    pub(crate) fn limit_stalls(&self, max_stall: Duration) {
+        self.lock().max_stall = Some(max_stall);
     }
 
     /// When a write that blocks now times out.
-    fn write_due(&self) -> Option<Instant> {
+    fn write_deadline(&self) -> Option<Instant> {
         let state = self.lock();
-        let stalled = state.most_stall.map(|most| Instant::now() + most);
-        state.answer_due.into_iter().chain(stalled).min()
+        let stall_deadline = state.max_stall.map(|limit| Instant::now() + limit);
+        state.answer_deadline.into_iter().chain(stall_deadline).min()
     }
 
-    fn bytes_arrived(&self) {
+    fn record_bytes(&self) {
         let mut state = self.lock();
-        if matches!(state.phase, Phase::Resting { .. }) {
-            state.phase = Phase::Head { since: Instant::now() };
+        if matches!(state.phase, Phase::Idle { .. }) {
+            state.phase = Phase::ReadingHead { since: Instant::now() };
         }
     }
 
     /// Whether the connection can be closed to new requests without losing one. A connection that
     /// never had a request may have one on the way. A connection whose head is arriving is answered
     /// and then closed.
-    pub(crate) fn may_be_closed(&self) -> bool {
+    pub(crate) fn is_safe_to_close(&self) -> bool {
         let state = self.lock();
         match state.phase {
-            Phase::Resting { .. } => state.served > 0,
-            Phase::Head { .. } => false,
+            Phase::Idle { .. } => state.requests_served > 0,
+            Phase::ReadingHead { .. } => false,
             Phase::Busy => true,
         }
     }
 
     /// Checks whether the connection has been idle for too long.
-    pub(crate) fn check_rest(&self, now: Instant, most: Duration) -> RestCheck {
+    pub(crate) fn check_idle(&self, now: Instant, limit: Duration) -> IdleCheck {
         match self.lock().phase {
-            Phase::Resting { since } if now >= since + most => RestCheck::TooLong,
-            Phase::Resting { since } => RestCheck::Until(since + most),
-            Phase::Head { .. } | Phase::Busy => RestCheck::Until(now + most),
+            Phase::Idle { since } if now >= since + limit => IdleCheck::Expired,
+            Phase::Idle { since } => IdleCheck::NotBefore(since + limit),
+            Phase::ReadingHead { .. } | Phase::Busy => IdleCheck::NotBefore(now + limit),
         }
     }
 
     /// When the head of the current request began to arrive.
     fn head_since(&self) -> Option<Instant> {
         match self.lock().phase {
-            Phase::Head { since } => Some(since),
-            Phase::Resting { .. } | Phase::Busy => None,
+            Phase::ReadingHead { since } => Some(since),
+            Phase::Idle { .. } | Phase::Busy => None,
         }
     }
 
     /// Whether the head of a request is still incomplete.
-    pub(crate) fn awaits_head(&self) -> bool {
+    pub(crate) fn is_reading_head(&self) -> bool {
         self.head_since().is_some()
     }
 }
@@ -130,10 +135,10 @@
 impl Drop for BusyGuard {
     fn drop(&mut self) {
         let mut state = self.0.lock();
-        state.phase = Phase::Resting { since: Instant::now() };
-        state.served += 1;
-        state.answer_due = None;
-        state.most_stall = None;
+        state.phase = Phase::Idle { since: Instant::now() };
+        state.requests_served += 1;
+        state.answer_deadline = None;
+        state.max_stall = None;
     }
 }
 
@@ -142,49 +147,50 @@
 pub(crate) struct CallerStream {
     stream: TcpStream,
     state: CallerState,
-    most_head_time: Duration,
+    header_timeout: Duration,
     /// Set only if a head does not arrive in one piece, which is rare.
-    alarm: Option<Pin<Box<Sleep>>>,
+    header_timer: Option<Pin<Box<Sleep>>>,
     /// Set only while the caller takes no bytes.
-    write_alarm: Option<Pin<Box<Sleep>>>,
+    write_timer: Option<Pin<Box<Sleep>>>,
 }
 
 impl CallerStream {
-    pub(crate) fn new(stream: TcpStream, state: CallerState, most_head_time: Duration) -> Self {
-        Self { stream, state, most_head_time, alarm: None, write_alarm: None }
+    pub(crate) fn new(stream: TcpStream, state: CallerState, header_timeout: Duration) -> Self {
+        Self { stream, state, header_timeout, header_timer: None, write_timer: None }
     }
 
-    fn poll_head_time(&mut self, context: &mut Context<'_>) -> Poll<io::Result<()>> {
+    fn poll_header_timeout(&mut self, context: &mut Context<'_>) -> Poll<io::Result<()>> {
         let Some(since) = self.state.head_since() else {
-            self.alarm = None;
+            self.header_timer = None;
             return Poll::Pending;
         };
-        let end = since + self.most_head_time;
-        let alarm = self.alarm.get_or_insert_with(|| Box::pin(sleep_until(end)));
-        alarm.as_mut().poll(context).map(|()| Err(io::ErrorKind::TimedOut.into()))
+        let deadline = since + self.header_timeout;
+        let timer = self.header_timer.get_or_insert_with(|| Box::pin(sleep_until(deadline)));
+        timer.as_mut().poll(context).map(|()| Err(io::ErrorKind::TimedOut.into()))
     }
 
     /// Applies the deadline to a write: a write fails if it still blocks when the answer is due, or
     /// if the caller has taken no byte of a stream for too long. The answer's body cannot notice
     /// this, since it is not polled until the caller has taken the earlier bytes.
-    fn or_due(
+    fn with_write_deadline(
         &mut self,
         written: Poll<io::Result<usize>>,
         context: &mut Context<'_>,
     ) -> Poll<io::Result<usize>> {
         if written.is_ready() {
-            self.write_alarm = None;
+            self.write_timer = None;
             return written;
         }
-        if self.write_alarm.is_none() {
-            self.write_alarm = self.state.write_due().map(|due| Box::pin(sleep_until(due)));
+        if self.write_timer.is_none() {
+            self.write_timer =
+                self.state.write_deadline().map(|deadline| Box::pin(sleep_until(deadline)));
         }
-        let Some(alarm) = &mut self.write_alarm else { return Poll::Pending };
-        alarm.as_mut().poll(context).map(|()| Err(io::ErrorKind::TimedOut.into()))
+        let Some(timer) = &mut self.write_timer else { return Poll::Pending };
+        timer.as_mut().poll(context).map(|()| Err(io::ErrorKind::TimedOut.into()))
     }
 
     /// Writes bytes to the socket without waiting, just before it is closed.
-    pub(crate) fn last_word(&self, bytes: &[u8]) {
+    pub(crate) fn write_last(&self, bytes: &[u8]) {
         let _ = self.stream.try_write(bytes);
     }
 }
@@ -198,10 +204,10 @@
         let before = buffer.filled().len();
         let result = Pin::new(&mut self.stream).poll_read(context, buffer);
         if buffer.filled().len() > before {
-            self.state.bytes_arrived();
+            self.state.record_bytes();
         }
         if result.is_pending() {
-            return self.poll_head_time(context);
+            return self.poll_header_timeout(context);
         }
         result
     }
@@ -214,7 +220,7 @@
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write(context, bytes);
-        self.or_due(written, context)
+        self.with_write_deadline(written, context)
     }
 
     fn poll_write_vectored(
@@ -223,7 +229,7 @@
         slices: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write_vectored(context, slices);
-        self.or_due(written, context)
+        self.with_write_deadline(written, context)
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/crates/relay/src/connection.rs
+++ b/crates/relay/src/connection.rs
@@ -27,7 +27,7 @@
 
 /// Bytes of an answer, the head at least, that are read before they are needed. What a slow caller
 /// has not taken waits at the server.
-const MOST_READ_AHEAD: usize = 64 * 1024;
+const MAX_READ_AHEAD_BYTES: usize = 64 * 1024;
 
 type Driver = http1::Connection<TokioIo<ServerStream>, Full<Bytes>>;
 
@@ -35,7 +35,7 @@
 #[derive(Debug, Snafu)]
 pub(crate) enum OpenError {
     #[snafu(display("{server} took longer than the time to connect"))]
-    TooSlow { server: SocketAddr },
+    Timeout { server: SocketAddr },
     #[snafu(display("connecting to {server}: {source}"))]
     Connect { server: SocketAddr, source: io::Error },
     #[snafu(display("starting HTTP with {server}: {source}"))]
@@ -67,18 +67,19 @@
         server: SocketAddr,
         settings: &RelaySettings,
     ) -> Result<Self, OpenError> {
-        let patience = Duration::from_millis(settings.connect_timeout_ms);
-        let stream = timeout(patience, TcpStream::connect(server)).await;
-        let stream = stream.map_err(|_| OpenError::TooSlow { server })?;
+        let connect_timeout = Duration::from_millis(settings.connect_timeout_ms);
+        let stream = timeout(connect_timeout, TcpStream::connect(server)).await;
+        let stream = stream.map_err(|_| OpenError::Timeout { server })?;
         let stream = stream.context(ConnectSnafu { server })?;
         // Systems without these options still work, but notice dead peers later.
         let _ = stream.set_nodelay(true);
-        let _ = notice_dead_peers(&stream, settings);
+        let _ = set_dead_peer_detection(&stream, settings);
         let progress = Arc::new(WriteProgress::default());
         let stream = ServerStream { stream, progress: Arc::clone(&progress) };
-        let started =
-            http1::Builder::new().max_buf_size(MOST_READ_AHEAD).handshake(TokioIo::new(stream));
-        let (sender, driver) = started.await.context(StartSnafu { server })?;
+        let handshake = http1::Builder::new()
+            .max_buf_size(MAX_READ_AHEAD_BYTES)
+            .handshake(TokioIo::new(stream));
+        let (sender, driver) = handshake.await.context(StartSnafu { server })?;
         Ok(Self { sender, driver: Some(Box::new(driver)), progress })
     }
 
@@ -152,7 +153,7 @@
 
 /// Makes the system close connections whose peer disappeared without closing them, because it lost
 /// power or is cut off.
-fn notice_dead_peers(stream: &TcpStream, settings: &RelaySettings) -> io::Result<()> {
+fn set_dead_peer_detection(stream: &TcpStream, settings: &RelaySettings) -> io::Result<()> {
     let socket = SockRef::from(stream);
     let interval = Duration::from_secs(settings.probe_interval_s);
     let probes = TcpKeepalive::new()
@@ -172,9 +173,9 @@
         self.0.load(Ordering::Relaxed)
     }
 
-    fn note(&self, result: &Poll<io::Result<usize>>) {
-        if let Poll::Ready(Ok(taken)) = result {
-            self.0.fetch_add(*taken as u64, Ordering::Relaxed);
+    fn record(&self, result: &Poll<io::Result<usize>>) {
+        if let Poll::Ready(Ok(accepted)) = result {
+            self.0.fetch_add(*accepted as u64, Ordering::Relaxed);
         }
     }
 }
@@ -202,7 +203,7 @@
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
         let result = Pin::new(&mut self.stream).poll_write(context, bytes);
-        self.progress.note(&result);
+        self.progress.record(&result);
         result
     }
 
@@ -212,7 +213,7 @@
         slices: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let result = Pin::new(&mut self.stream).poll_write_vectored(context, slices);
-        self.progress.note(&result);
+        self.progress.record(&result);
         result
     }
 
--- a/crates/relay/src/events.rs
+++ b/crates/relay/src/events.rs
@@ -22,14 +22,14 @@
     /// identifiers ascend; other identifiers can only be compared for equality.
     pub fn is_after(&self, last: &[u8]) -> bool {
         let Some(id) = &self.id else { return true };
-        match (number(id), number(last)) {
+        match (parse_number(id), parse_number(last)) {
             (Some(id), Some(last)) => id > last,
             _ => id.as_ref() != last,
         }
     }
 }
 
-fn number(id: &[u8]) -> Option<u64> {
+fn parse_number(id: &[u8]) -> Option<u64> {
     std::str::from_utf8(id).ok()?.parse().ok()
 }
 
@@ -98,10 +98,10 @@
 
 fn parse(raw: Bytes) -> Event {
     let mut id = None;
-    let mut data = Data::None;
+    let mut data = DataLines::None;
     for line in raw.split(|&byte| byte == b'\n') {
         let line = line.strip_suffix(b"\r").unwrap_or(line);
-        match field(line) {
+        match split_field(line) {
             (b"id", value) if !value.is_empty() => id = Some(raw.slice_ref(value)),
             (b"data", value) => data.add(raw.slice_ref(value)),
             _ => {}
@@ -111,18 +111,18 @@
 }
 
 /// The data lines so far. A single line is the common case and is not copied.
-enum Data {
+enum DataLines {
     None,
     One(Bytes),
     Many(BytesMut),
 }
 
-impl Data {
+impl DataLines {
     fn add(&mut self, line: Bytes) {
         *self = match std::mem::replace(self, Self::None) {
             Self::None => Self::One(line),
-            Self::One(first) => Self::Many(joined(BytesMut::from(first), &line)),
-            Self::Many(lines) => Self::Many(joined(lines, &line)),
+            Self::One(first) => Self::Many(append_line(BytesMut::from(first), &line)),
+            Self::Many(lines) => Self::Many(append_line(lines, &line)),
         };
     }
 
@@ -135,14 +135,14 @@
     }
 }
 
-fn joined(mut lines: BytesMut, line: &[u8]) -> BytesMut {
+fn append_line(mut lines: BytesMut, line: &[u8]) -> BytesMut {
     lines.extend_from_slice(b"\n");
     lines.extend_from_slice(line);
     lines
 }
 
 /// Splits a line into field name and value. One space after the colon belongs to neither.
-fn field(line: &[u8]) -> (&[u8], &[u8]) {
+fn split_field(line: &[u8]) -> (&[u8], &[u8]) {
     match line.iter().position(|&byte| byte == b':') {
         Some(colon) => {
             let value = &line[colon + 1..];
--- a/crates/relay/src/exchange.rs
+++ b/crates/relay/src/exchange.rs
@@ -11,26 +11,28 @@
 use dahlia_types::{Duration, Timestamp, Tokens};
 use tokio::time::Instant;
 
-use crate::attempt::{Sending, Sent, connect};
+use crate::attempt::{PreparedRequest, SendOutcome, connect};
 use crate::counters::count;
-use crate::decisions::RequestLog;
-use crate::live::{AttemptGuard, BrokenAnswer, Chosen, LiveAnswer, NoWholeAnswer};
-use crate::memory::{CallerBytes, HeldBody};
-use crate::outgoing::Outgoing;
-use crate::prompt_parts::SharedParts;
+use crate::liveness::{Reachability, probe_reachability};
+use crate::memory::{CallerQuota, ReservedBody};
+use crate::outgoing::OutgoingRequest;
+use crate::prompt_parts::SharedPromptParts;
 use crate::refusal::Refusal;
 use crate::relay::Shared;
 use crate::request::RequestHead;
-use crate::router::{Matched, key_of};
-use crate::silence::{Reachability, reachability};
+use crate::request_log::RequestLog;
+use crate::router::{RouteMatch, hash_key};
+use crate::server_response::{
+    AttemptGuard, BrokenAnswer, ChosenServer, ReadWholeError, ServerResponse,
+};
 use crate::turn::Turn;
-use crate::waiting::SlotGuard;
+use crate::wait_queues::SlotGuard;
 use crate::{Repeatability, Route, TurnLedger, priority_level};
 
 /// A request with the state of all its attempts.
 pub(crate) struct Exchange<L: TurnLedger> {
     pub(crate) shared: Arc<Shared<L>>,
-    pub(crate) matched: Matched,
+    pub(crate) matched: RouteMatch,
     /// When the caller must have its answer.
     pub(crate) deadline: Instant,
     /// When its body was complete.
@@ -43,15 +45,15 @@
     pub(crate) log: RequestLog,
     head: RequestHead,
     /// The memory quota of its caller's connection.
-    pub(crate) caller: CallerBytes,
-    body: HeldBody,
+    pub(crate) caller: CallerQuota,
+    body: ReservedBody,
     preferred: Option<BackendId>,
     tried: Vec<BackendId>,
     /// Number of servers that may have run it and whose answer is lost.
     lost_answers: u32,
     /// Servers among these that count against the route's attempt limit; those that have ended
     /// since do not.
-    counted: Vec<BackendAddress>,
+    counted_servers: Vec<BackendAddress>,
     /// The server of the last attempt.
     current: Option<BackendAddress>,
     /// Number of servers that did not run it.
@@ -63,24 +65,24 @@
 /// The part of a server's answer that must be there before the caller gets any of it.
 pub(crate) enum Answer {
     /// The whole answer.
-    Whole { live: Box<LiveAnswer>, body: HeldBody },
+    Whole { response: Box<ServerResponse>, body: ReservedBody },
     /// A stream with its first piece; no piece if the stream is empty.
-    Stream { live: Box<LiveAnswer>, first: Option<Bytes> },
+    Stream { response: Box<ServerResponse>, first: Option<Bytes> },
 }
 
 impl<L: TurnLedger> Exchange<L> {
     pub(crate) fn new(
         shared: Arc<Shared<L>>,
-        matched: Matched,
+        matched: RouteMatch,
         head: RequestHead,
-        body: HeldBody,
+        body: ReservedBody,
         deadline: Instant,
         log: RequestLog,
-        caller: &CallerBytes,
+        caller: &CallerQuota,
     ) -> Self {
         let arrived = (shared.clock)();
-        let left = deadline.saturating_duration_since(Instant::now());
-        let leave_by = Self::leave_by(arrived, left, shared.settings.waiting.wait_share);
+        let time_left = deadline.saturating_duration_since(Instant::now());
+        let leave_by = Self::leave_by(arrived, time_left, shared.settings.waiting.wait_share);
         Self {
             arrived,
             leave_by,
@@ -96,7 +98,7 @@
             preferred: None,
             tried: Vec::new(),
             lost_answers: 0,
-            counted: Vec::new(),
+            counted_servers: Vec::new(),
             current: None,
             refusals: 0,
             is_sent: false,
@@ -121,16 +123,16 @@
         self.turn = Some(turn);
         self.log.turn_opened(opened.history.len(), opened.last_served_by.as_deref());
         self.preferred = opened.last_served_by.as_deref().map(BackendId::from);
-        self.compose(opened.history)
+        self.prepend_history(opened.history)
     }
 
     /// Puts the history of earlier turns before the body.
-    fn compose(&mut self, history: Vec<u8>) -> Result<(), Refusal> {
+    fn prepend_history(&mut self, history: Vec<u8>) -> Result<(), Refusal> {
         if history.is_empty() {
             return Ok(());
         }
         let retry_after = Duration::from_millis(self.shared.settings.retry_after_ms);
-        let grown = self.body.held.grow(history.len());
+        let grown = self.body.reservation.grow(history.len());
         grown.map_err(|_| Refusal::MemoryFull { retry_after })?;
         let mut prompt = history;
         prompt.extend_from_slice(&self.body.bytes);
@@ -139,86 +141,89 @@
     }
 
     /// Sends the request to servers until one has answered it.
-    pub(crate) async fn answer(&mut self) -> Result<Answer, Refusal> {
-        let most = self.shared.settings.most_answer_bytes;
+    pub(crate) async fn obtain_answer(&mut self) -> Result<Answer, Refusal> {
+        let max_bytes = self.shared.settings.most_answer_bytes;
         loop {
-            let mut live = self.live_answer().await?;
-            if self.route().is_stream && live.parts.status.is_success() {
-                match live.next().await {
+            let mut response = self.send_until_response().await?;
+            if self.route().is_stream && response.parts.status.is_success() {
+                match response.next().await {
                     Some(Err(BrokenAnswer)) => {}
-                    Some(Ok(first)) => return Ok(Answer::Stream { live, first: Some(first) }),
-                    None => return Ok(Answer::Stream { live, first: None }),
+                    Some(Ok(first)) => return Ok(Answer::Stream { response, first: Some(first) }),
+                    None => return Ok(Answer::Stream { response, first: None }),
                 }
             } else {
-                match live.read_whole(most, &self.caller).await {
-                    Ok(body) => return Ok(Answer::Whole { live, body }),
-                    Err(NoWholeAnswer::NotHeld { .. }) => return Err(Refusal::AnswerLost),
-                    Err(NoWholeAnswer::Broken { .. }) => {}
+                match response.read_whole(max_bytes, &self.caller).await {
+                    Ok(body) => return Ok(Answer::Whole { response, body }),
+                    Err(ReadWholeError::NoMemory { .. }) => {
+                        return Err(Refusal::AnswerLost);
+                    }
+                    Err(ReadWholeError::Broken { .. }) => {}
                 }
             }
             // The connection must close before another server gets the request.
-            drop(live);
-            self.answer_lost().await?;
+            drop(response);
+            self.handle_answer_lost().await?;
         }
     }
 
     /// Sends the request to servers until one begins to answer.
-    pub(crate) async fn live_answer(&mut self) -> Result<Box<LiveAnswer>, Refusal> {
+    pub(crate) async fn send_until_response(&mut self) -> Result<Box<ServerResponse>, Refusal> {
         loop {
-            let chosen = self.take_place().await?;
+            let chosen = self.acquire_server().await?;
             let may_run_again = self.may_run_again();
-            let place = SlotGuard::new(&self.shared.waiting, self.matched.service_name());
+            let slot = SlotGuard::new(&self.shared.queues, self.matched.service_name());
             let log = self.log.clone();
-            let guard = AttemptGuard::new(&self.shared, &chosen, may_run_again, log, place);
+            let guard = AttemptGuard::new(&self.shared, &chosen, may_run_again, log, slot);
             let server = chosen.server;
             count(&self.shared.counters.attempts);
-            let sent = self.send_within_bounds(&server, guard).await;
+            let outcome = self.send_within_memory_limit(&server, guard).await;
             self.tried.push(server.id.clone());
             self.current = Some(server);
-            match sent {
-                Sent::Answering(live) => return Ok(live),
-                Sent::Broken => self.answer_lost().await?,
-                Sent::NotRun { retry_after } => self.not_run(retry_after)?,
+            match outcome {
+                SendOutcome::Responding(response) => return Ok(response),
+                SendOutcome::AnswerLost => self.handle_answer_lost().await?,
+                SendOutcome::NotRun { retry_after } => self.handle_not_run(retry_after)?,
             }
         }
     }
 
     /// Sends the request to one server, unless too many bytes are already on their way there. A
     /// server that does not read would only make this gateway hold more memory.
-    async fn send_within_bounds(
+    async fn send_within_memory_limit(
         &mut self,
         server: &BackendAddress,
         mut guard: AttemptGuard,
-    ) -> Sent {
-        let Some(_on_the_way) = self.shared.held.send(&server.id, self.body.bytes.len()) else {
+    ) -> SendOutcome {
+        let Some(_reservation) = self.shared.memory.reserve_send(&server.id, self.body.bytes.len())
+        else {
             guard.fail(AttemptEnd::Cancelled, "too many bytes are on their way there");
-            return Sent::NotRun { retry_after: None };
+            return SendOutcome::NotRun { retry_after: None };
         };
         self.send_to(server, guard).await
     }
 
     /// Sends the request to one server, on the first of its connections that is still open.
-    async fn send_to(&mut self, server: &BackendAddress, mut guard: AttemptGuard) -> Sent {
+    async fn send_to(&mut self, server: &BackendAddress, mut guard: AttemptGuard) -> SendOutcome {
         // Another server can replace one lost answer. A second loss must be avoided.
-        let may_lose = self.may_run_again() && self.lost_answers == 0;
-        while let Some(connected) = connect(&self.shared, server, may_lose).await {
-            let is_new = connected.rested.is_none();
-            self.sent();
-            guard = match self.sending(server).send(connected, guard).await {
+        let tolerates_loss = self.may_run_again() && self.lost_answers == 0;
+        while let Some(connected) = connect(&self.shared, server, tolerates_loss).await {
+            let is_new = connected.idle_for.is_none();
+            self.mark_sent();
+            guard = match self.prepare(server).send(connected, guard).await {
                 Ok(sent) => return sent,
                 Err(guard) => guard,
             };
-            self.did_not_run();
+            self.mark_not_run();
             if is_new {
                 break;
             }
         }
         guard.fail(AttemptEnd::Unreachable, "no connection took a byte of it");
-        Sent::NotRun { retry_after: None }
+        SendOutcome::NotRun { retry_after: None }
     }
 
-    fn sending<'a>(&'a self, server: &'a BackendAddress) -> Sending<'a, L> {
-        let outgoing = Outgoing {
+    fn prepare<'a>(&'a self, server: &'a BackendAddress) -> PreparedRequest<'a, L> {
+        let outgoing = OutgoingRequest {
             names: &self.shared.headers,
             head: &self.head,
             body: &self.body.bytes,
@@ -228,21 +233,21 @@
             last_event: self.last_event.as_ref(),
             deadline: self.deadline,
         };
-        Sending { shared: &self.shared, service: self.matched.service(), outgoing }
+        PreparedRequest { shared: &self.shared, service: self.matched.service(), outgoing }
     }
 
     /// Chooses a server. The choice counts as an attempt in flight.
-    pub(crate) fn choose(&self) -> Choice {
-        let ask = ChoiceRequest {
+    pub(crate) fn choose_server(&self) -> Choice {
+        let request = ChoiceRequest {
             service: self.matched.service_name(),
             affinity: self.affinity(),
             preferred: self.preferred.as_ref(),
             tried: &self.tried,
-            size: self.size(),
+            size: self.turn_size(),
         };
         let now = (self.shared.clock)();
         let mut backends = self.shared.backends.lock().unwrap_or_else(PoisonError::into_inner);
-        let choice = backends.choose(&ask, now);
+        let choice = backends.choose(&request, now);
         if let Choice::Use { server, basis } = &choice {
             self.log.chosen(&server.id, basis, self.tried.len(), self.body.bytes.len());
         }
@@ -250,27 +255,31 @@
     }
 
     /// Combines a chosen server with the request's size and the estimate that the choice used.
-    pub(crate) fn chosen(&self, server: BackendAddress, basis: &ChoiceBasis) -> Chosen {
-        Chosen { server, size: self.size(), expected: basis.estimate }
+    pub(crate) fn chosen_server(
+        &self,
+        server: BackendAddress,
+        basis: &ChoiceBasis,
+    ) -> ChosenServer {
+        ChosenServer { server, size: self.turn_size(), expected: basis.estimate }
     }
 
     /// The request's size for a model server; none if the caller does not state it.
-    fn size(&self) -> Option<TurnSize> {
-        self.head.size(&self.shared.headers).filter(|_| self.route().is_stream)
+    fn turn_size(&self) -> Option<TurnSize> {
+        self.head.turn_size(&self.shared.headers).filter(|_| self.route().is_stream)
     }
 
     /// Whether no server has received the request yet.
-    pub(crate) fn is_new(&self) -> bool {
+    pub(crate) fn is_first_attempt(&self) -> bool {
         self.tried.is_empty()
     }
 
     /// Whether the ledger has an earlier turn of this program.
-    pub(crate) fn goes_on(&self) -> bool {
+    pub(crate) fn has_previous_turn(&self) -> bool {
         self.preferred.is_some()
     }
 
     /// The stage of its program, as far as the request's head and this gateway's memory tell.
-    pub(crate) fn stage_by_head(&self) -> Stage {
+    pub(crate) fn program_stage(&self) -> Stage {
         let is_stream = self.route().is_stream;
         let tenant = self.matched.tenant();
         self.shared.programs.stage(&self.head, &self.shared.headers, tenant, is_stream)
@@ -278,7 +287,7 @@
 
     /// The cost of the request in tokens; 1 if the caller does not state it.
     pub(crate) fn cost(&self) -> Tokens {
-        self.head.tokens(&self.shared.headers).unwrap_or(Tokens(1))
+        self.head.total_tokens(&self.shared.headers).unwrap_or(Tokens(1))
     }
 
     pub(crate) fn body_bytes(&self) -> usize {
@@ -289,17 +298,18 @@
         self.head.program_time_left
     }
 
-    pub(crate) fn told_to_come_back(&self) {
+    pub(crate) fn record_retry_later(&self) {
         let tenant = self.matched.tenant();
-        self.shared.programs.told_to_come_back(&self.head, &self.shared.headers, tenant);
+        self.shared.programs.record_retry_later(&self.head, &self.shared.headers, tenant);
     }
 
     /// Notes that the answer has begun. If no other server may get the request, its body is freed.
-    pub(crate) fn answer_began(&mut self) {
+    pub(crate) fn mark_answer_begun(&mut self) {
         let tenant = self.matched.tenant();
-        self.shared.programs.answered(&self.head, &self.shared.headers, tenant);
+        self.shared.programs.record_answer(&self.head, &self.shared.headers, tenant);
         if !self.may_run_again() {
-            self.body = HeldBody { bytes: Bytes::new(), held: self.caller.nothing() };
+            self.body =
+                ReservedBody { bytes: Bytes::new(), reservation: self.caller.empty_reservation() };
         }
     }
 
@@ -313,16 +323,16 @@
             return None;
         }
         let names = &self.shared.headers;
-        let hash = |text: &str| key_of(text.as_bytes());
+        let hash = |text: &str| hash_key(text.as_bytes());
         if !self.route().is_stream
-            && let Some(object) = self.head.object(names)
+            && let Some(object) = self.head.affinity_object(names)
         {
             return Some(Affinity::Object(hash(object)));
         }
         let program = self.head.text(&names.program);
-        let shared = self.head.text(&names.prompt_parts).and_then(SharedParts::parse);
+        let shared = self.head.text(&names.prompt_parts).and_then(SharedPromptParts::parse);
         match (shared, program) {
-            (Some(shared), _) if shared.outweigh => {
+            (Some(shared), _) if shared.are_majority => {
                 let prompt = SharedPrompt { hash: hash(shared.last), tokens: shared.tokens };
                 Some(Affinity::SharedPrompt(prompt))
             }
@@ -332,22 +342,22 @@
         }
     }
 
-    fn sent(&mut self) {
+    fn mark_sent(&mut self) {
         self.is_sent = true;
         if let Some(turn) = &mut self.turn {
-            turn.may_run();
+            turn.mark_sent();
         }
     }
 
     /// Notes that the last server did not run the request. The turn counts as not run unless
     /// another server may have run it.
-    pub(crate) fn did_not_run(&mut self) {
+    pub(crate) fn mark_not_run(&mut self) {
         self.is_sent = false;
         if self.may_have_run() {
             return;
         }
         if let Some(turn) = &mut self.turn {
-            turn.did_not_run();
+            turn.mark_not_run();
         }
     }
 
@@ -355,25 +365,25 @@
         self.is_sent || self.lost_answers > 0
     }
 
-    fn not_run(&mut self, retry_after: Option<Duration>) -> Result<(), Refusal> {
-        self.did_not_run();
+    fn handle_not_run(&mut self, retry_after: Option<Duration>) -> Result<(), Refusal> {
+        self.mark_not_run();
         self.refusals += 1;
         if self.refusals < self.shared.settings.most_refusals {
             return Ok(());
         }
-        let otherwise = Duration::from_millis(self.shared.settings.retry_after_ms);
-        Err(self.give_up(retry_after.unwrap_or(otherwise)))
+        let default = Duration::from_millis(self.shared.settings.retry_after_ms);
+        Err(self.refusal_without_server(retry_after.unwrap_or(default)))
     }
 
     /// Notes that the last server may have run the request and that its answer is lost.
     ///
     /// # Errors
     /// No other server may run it.
-    pub(crate) async fn answer_lost(&mut self) -> Result<(), Refusal> {
+    pub(crate) async fn handle_answer_lost(&mut self) -> Result<(), Refusal> {
         self.is_sent = false;
         self.lost_answers += 1;
-        self.counted.extend(self.current.take());
-        if self.may_run_again() && self.is_below_most().await {
+        self.counted_servers.extend(self.current.take());
+        if self.may_run_again() && self.is_below_max_attempts().await {
             return Ok(());
         }
         Err(Refusal::AnswerLost)
@@ -381,28 +391,28 @@
 
     /// Whether another server may run it. Servers that have ended or cannot be reached do not
     /// count; they are probed only if the answer depends on it.
-    async fn is_below_most(&mut self) -> bool {
-        let most = self.route().max_attempts as usize;
+    async fn is_below_max_attempts(&mut self) -> bool {
+        let max = self.route().max_attempts as usize;
         let mut checked = 0;
-        while self.counted.len() >= most && checked < self.counted.len() {
-            if self.is_out_of_reach(&self.counted[checked]).await {
-                self.counted.swap_remove(checked);
+        while self.counted_servers.len() >= max && checked < self.counted_servers.len() {
+            if self.is_unreachable(&self.counted_servers[checked]).await {
+                self.counted_servers.swap_remove(checked);
             } else {
                 checked += 1;
             }
         }
-        self.counted.len() < most
+        self.counted_servers.len() < max
     }
 
-    async fn is_out_of_reach(&self, server: &BackendAddress) -> bool {
+    async fn is_unreachable(&self, server: &BackendAddress) -> bool {
         let is_gone = {
             let backends = self.shared.backends.lock().unwrap_or_else(PoisonError::into_inner);
             backends.is_leaving_or_gone(&server.id)
         };
-        if is_gone || self.shared.heard.is_silent(&server.id) {
+        if is_gone || self.shared.liveness.is_unresponsive(&server.id) {
             return true;
         }
-        reachability(server.address, &self.shared.settings).await != Reachability::Alive
+        probe_reachability(server.address, &self.shared.settings).await != Reachability::Alive
     }
 
     /// Whether the request may run on more than one server. A stream that cannot be resumed runs at
@@ -415,7 +425,7 @@
         }
     }
 
-    pub(crate) fn give_up(&self, retry_after: Duration) -> Refusal {
+    pub(crate) fn refusal_without_server(&self, retry_after: Duration) -> Refusal {
         if self.may_have_run() {
             return Refusal::AnswerLost;
         }
@@ -423,7 +433,7 @@
     }
 
     /// The refusal for a request whose deadline has passed.
-    pub(crate) fn out_of_time(&self) -> Refusal {
+    pub(crate) fn deadline_refusal(&self) -> Refusal {
         if self.may_have_run() {
             return Refusal::DeadlinePassed;
         }
--- a/crates/relay/src/hop.rs
+++ b/crates/relay/src/hop_by_hop.rs
@@ -11,7 +11,7 @@
 pub(crate) const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
 
-const OF_ONE_CONNECTION: [HeaderName; 9] = [
+const HOP_BY_HOP_HEADERS: [HeaderName; 9] = [
     CONNECTION,
     KEEP_ALIVE,
     TE,
@@ -24,16 +24,16 @@
 ];
 
 /// Removes the headers of one connection, including those that `Connection` names.
-pub(crate) fn strip(headers: &mut HeaderMap) {
-    for name in named_by_connection(headers) {
+pub(crate) fn strip_headers(headers: &mut HeaderMap) {
+    for name in connection_options(headers) {
         headers.remove(name);
     }
-    for name in &OF_ONE_CONNECTION {
+    for name in &HOP_BY_HOP_HEADERS {
         headers.remove(name);
     }
 }
 
-fn named_by_connection(headers: &HeaderMap) -> Vec<HeaderName> {
+fn connection_options(headers: &HeaderMap) -> Vec<HeaderName> {
     headers
         .get_all(CONNECTION)
         .iter()
--- a/crates/relay/src/rest_limit.rs
+++ b/crates/relay/src/idle_limit.rs
@@ -9,47 +9,48 @@
 use tokio::time::{Duration, Instant};
 
 /// Connections that were idle for less than this were probably not dropped for being idle.
-const LEAST_REST: Duration = Duration::from_millis(250);
+const MIN_DROPPED_IDLE: Duration = Duration::from_millis(250);
 /// A reset that comes later than this after the send means that the server itself ended, not that
 /// it had dropped the connection.
-const PROMPT_RESET: Duration = Duration::from_millis(100);
+const MAX_RESET_DELAY: Duration = Duration::from_millis(100);
 /// The longest idle time that is allowed while cautious.
-const CAUTIOUS_REST: Duration = Duration::from_millis(150);
+const CAUTIOUS_MAX_IDLE: Duration = Duration::from_millis(150);
 /// How long the relay is cautious after a reset.
-const CAUTION: Duration = Duration::from_secs(15);
+const CAUTION_DURATION: Duration = Duration::from_secs(15);
 
 /// A reset that the sender of a request saw instead of an answer.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Reset {
     /// How long the connection had been idle; none for a new one.
-    pub(crate) rested: Option<Duration>,
+    pub(crate) idle_for: Option<Duration>,
     /// Time from the send to the reset.
-    pub(crate) after: Duration,
+    pub(crate) delay: Duration,
 }
 
 impl Reset {
     /// Whether the server had probably dropped the connection while it was idle.
-    pub(crate) fn is_of_dropped_connection(&self) -> bool {
-        self.after <= PROMPT_RESET && self.rested.is_some_and(|rested| rested >= LEAST_REST)
+    pub(crate) fn is_from_dropped_connection(&self) -> bool {
+        self.delay <= MAX_RESET_DELAY
+            && self.idle_for.is_some_and(|idle_for| idle_for >= MIN_DROPPED_IDLE)
     }
 }
 
 /// The limit in force.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct RestLimit {
+pub(crate) struct IdleLimit {
     cautious_until: Option<Instant>,
 }
 
-impl RestLimit {
+impl IdleLimit {
     /// Whether a request that must not run twice may use a connection that was idle this long.
-    pub(crate) fn allows(&self, rested: Duration, now: Instant) -> bool {
-        rested <= CAUTIOUS_REST || self.cautious_until.is_none_or(|until| until <= now)
+    pub(crate) fn allows(&self, idle_for: Duration, now: Instant) -> bool {
+        idle_for <= CAUTIOUS_MAX_IDLE || self.cautious_until.is_none_or(|until| until <= now)
     }
 
     /// Records a reset.
-    pub(crate) fn note(&mut self, reset: Reset, now: Instant) {
-        if reset.is_of_dropped_connection() {
-            self.cautious_until = Some(now + CAUTION);
+    pub(crate) fn record(&mut self, reset: Reset, now: Instant) {
+        if reset.is_from_dropped_connection() {
+            self.cautious_until = Some(now + CAUTION_DURATION);
         }
     }
 }
--- a/crates/relay/src/ledger.rs
+++ b/crates/relay/src/ledger.rs
@@ -31,7 +31,7 @@
     fn submit(
         &self,
         command: LedgerCommand,
-        patience: Duration,
+        timeout: Duration,
     ) -> impl Future<Output = Result<LedgerReply, LedgerUnavailable>> + Send;
 
     /// Does the same for a turn whose text is retained, which the ledger may store near this
@@ -42,8 +42,8 @@
     fn submit_for_retained_turn(
         &self,
         command: LedgerCommand,
-        patience: Duration,
+        timeout: Duration,
     ) -> impl Future<Output = Result<LedgerReply, LedgerUnavailable>> + Send {
-        self.submit(command, patience)
+        self.submit(command, timeout)
     }
 }
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -39,41 +39,41 @@
 //! | `settings`, `counters`, `metrics` | settings, counters and Prometheus metrics |
 //! | `request_log` | log lines on a request's decisions |
 
+mod active_programs;
 mod answer;
 mod attempt;
 mod body;
 mod caller;
 mod connection;
 mod counters;
-mod decisions;
 mod events;
 mod exchange;
 mod headers;
-mod hop;
+mod hop_by_hop;
+mod idle_limit;
 mod ledger;
 mod limits;
-mod live;
+mod liveness;
 mod memory;
 mod metrics;
 mod outgoing;
-mod place;
 mod pool;
+mod priority;
 mod prompt_parts;
 mod refusal;
 mod relay;
 mod request;
-mod rest_limit;
+mod request_log;
 mod router;
 mod routes;
 mod server;
+mod server_response;
+mod server_slot;
 mod settings;
-mod silence;
-mod stage;
 mod tenant;
 mod token_intervals;
 mod turn;
-mod urgency;
-mod waiting;
+mod wait_queues;
 
 pub use counters::CounterReadings;
 pub use events::{Event, EventReader};
@@ -81,6 +81,7 @@
 pub use ledger::{LedgerUnavailable, TurnLedger};
 pub use limits::{LimitReached, TenantLimits};
 pub use memory::MemoryLimits;
+pub use priority::{RankPosition, priority_level};
 pub use relay::{Clock, Relay};
 pub use routes::{
     CallerLimits, EngineSpecification, Repeatability, Route, RouteTable, Service, Tenant,
@@ -88,4 +89,3 @@
 };
 pub use settings::RelaySettings;
 pub use token_intervals::TokenIntervals;
-pub use urgency::{RankPosition, priority_level};
--- a/crates/relay/src/silence.rs
+++ b/crates/relay/src/liveness.rs
@@ -21,14 +21,14 @@
 use crate::RelaySettings;
 
 /// How often a request checks the result of a probe that another request makes.
-const PROBE_POLL: Duration = Duration::from_millis(25);
+const PROBE_POLL_INTERVAL: Duration = Duration::from_millis(25);
 /// How often a waiting request checks whether its server has restarted: short compared with the
 /// time that callers wait, long compared with most answers.
-const LIFE_POLL: Duration = Duration::from_millis(250);
+const RESTART_POLL_INTERVAL: Duration = Duration::from_millis(250);
 /// Number of tracked servers from which on servers without recent contact are forgotten.
-const MANY_SERVERS: usize = 1_024;
+const PRUNE_ABOVE_SERVERS: usize = 1_024;
 /// Time without contact after which a server may be forgotten.
-const LONG_AGO: Duration = Duration::from_secs(60);
+const CONTACT_RETENTION: Duration = Duration::from_secs(60);
 
 /// The result of a probe connection to a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -42,103 +42,110 @@
 }
 
 /// Opens a probe connection to a server.
-pub(crate) async fn reachability(server: SocketAddr, settings: &RelaySettings) -> Reachability {
-    let patience = Duration::from_millis(settings.connect_timeout_ms);
-    let reached = match timeout(patience, TcpStream::connect(server)).await {
+pub(crate) async fn probe_reachability(
+    server: SocketAddr,
+    settings: &RelaySettings,
+) -> Reachability {
+    let connect_timeout = Duration::from_millis(settings.connect_timeout_ms);
+    let result = match timeout(connect_timeout, TcpStream::connect(server)).await {
         Err(_) => Reachability::Silent,
         Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused => Reachability::Refused,
         Ok(Ok(_) | Err(_)) => Reachability::Alive,
     };
     log::info!(
         target: "relay",
-        server:% = server, outcome:? = reached;
+        server:% = server, outcome:? = result;
         "Tried whether a server can be reached."
     );
-    reached
+    result
 }
 
 /// When each server last sent something.
 #[derive(Debug, Default)]
-pub(crate) struct Heard {
-    servers: Mutex<HashMap<BackendId, State>>,
+pub(crate) struct ServerLiveness {
+    servers: Mutex<HashMap<BackendId, ServerState>>,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct State {
+struct ServerState {
     /// When something last came from the server.
-    heard: Instant,
+    last_contact: Instant,
     /// Whether a probe since then timed out.
-    is_silent: bool,
+    is_unresponsive: bool,
     /// Whether a probe connection is being opened.
-    is_probed: bool,
+    is_probing: bool,
 }
 
-impl State {
-    fn new(heard: Instant) -> Self {
-        Self { heard, is_silent: false, is_probed: false }
+impl ServerState {
+    fn new(last_contact: Instant) -> Self {
+        Self { last_contact, is_unresponsive: false, is_probing: false }
     }
 }
 
-impl Heard {
-    fn lock(&self) -> MutexGuard<'_, HashMap<BackendId, State>> {
+impl ServerLiveness {
+    fn lock(&self) -> MutexGuard<'_, HashMap<BackendId, ServerState>> {
         self.servers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Records that something came from a server.
-    pub(crate) fn note(&self, server: &BackendId) {
+    pub(crate) fn record_contact(&self, server: &BackendId) {
         let now = Instant::now();
         let mut servers = self.lock();
         if let Some(state) = servers.get_mut(server) {
-            state.heard = now;
-            state.is_silent = false;
+            state.last_contact = now;
+            state.is_unresponsive = false;
             return;
         }
-        if servers.len() >= MANY_SERVERS {
-            servers.retain(|_, state| state.is_probed || now - state.heard < LONG_AGO);
+        if servers.len() >= PRUNE_ABOVE_SERVERS {
+            servers.retain(|_, state| {
+                state.is_probing || now - state.last_contact < CONTACT_RETENTION
+            });
         }
-        servers.insert(server.clone(), State::new(now));
+        servers.insert(server.clone(), ServerState::new(now));
     }
 
     /// Whether a probe of the server timed out and nothing came from it since.
-    pub(crate) fn is_silent(&self, server: &BackendId) -> bool {
-        self.lock().get(server).is_some_and(|state| state.is_silent)
+    pub(crate) fn is_unresponsive(&self, server: &BackendId) -> bool {
+        self.lock().get(server).is_some_and(|state| state.is_unresponsive)
     }
 
-    fn state(&self, server: &BackendId, since: Instant) -> State {
+    fn state(&self, server: &BackendId, since: Instant) -> ServerState {
         let mut servers = self.lock();
-        *servers.entry(server.clone()).or_insert(State::new(since))
+        *servers.entry(server.clone()).or_insert(ServerState::new(since))
     }
 
     /// Starts a probe; none if another request is already making one.
     fn begin_probe(self: &Arc<Self>, server: &BackendId) -> Option<Probe> {
         let mut servers = self.lock();
-        let state = servers.get_mut(server).filter(|state| !state.is_probed)?;
-        state.is_probed = true;
-        Some(Probe { heard: Arc::clone(self), server: server.clone() })
+        let state = servers.get_mut(server).filter(|state| !state.is_probing)?;
+        state.is_probing = true;
+        Some(Probe { liveness: Arc::clone(self), server: server.clone() })
     }
 }
 
 /// A probe in progress. It also ends when its request is dropped.
 struct Probe {
-    heard: Arc<Heard>,
+    liveness: Arc<ServerLiveness>,
     server: BackendId,
 }
 
 impl Drop for Probe {
     fn drop(&mut self) {
-        if let Some(state) = self.heard.lock().get_mut(&self.server) {
-            state.is_probed = false;
+        if let Some(state) = self.liveness.lock().get_mut(&self.server) {
+            state.is_probing = false;
         }
     }
 }
 
 impl Probe {
-    fn end(self, reached: Reachability) {
-        match reached {
-            Reachability::Alive | Reachability::Refused => self.heard.note(&self.server),
+    fn finish(self, result: Reachability) {
+        match result {
+            Reachability::Alive | Reachability::Refused => {
+                self.liveness.record_contact(&self.server)
+            }
             Reachability::Silent => {
-                if let Some(state) = self.heard.lock().get_mut(&self.server) {
-                    state.is_silent = true;
+                if let Some(state) = self.liveness.lock().get_mut(&self.server) {
+                    state.is_unresponsive = true;
                 }
             }
         }
@@ -147,76 +154,76 @@
 
 /// Why a request stops waiting for its server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum GivenUp {
+pub(crate) enum LossCause {
     /// The server does not respond.
-    Silent,
+    Unresponsive,
     /// The server has restarted.
-    StartedAgain,
+    Restarted,
 }
 
-impl GivenUp {
+impl LossCause {
     /// The cause as logs have it.
     pub(crate) fn cause(self) -> &'static str {
         match self {
-            Self::Silent => "the server fell silent",
-            Self::StartedAgain => "the server has started again",
+            Self::Unresponsive => "the server fell silent",
+            Self::Restarted => "the server has started again",
         }
     }
 }
 
 /// Watches one server for a request that waits for it.
 #[derive(Debug, Clone)]
-pub(crate) struct SilenceWatch {
-    heard: Arc<Heard>,
+pub(crate) struct LivenessWatch {
+    liveness: Arc<ServerLiveness>,
     backends: Arc<Mutex<Backends>>,
     server: BackendAddress,
     settings: Arc<RelaySettings>,
     /// Whether probes are made: only if another server may run the request. Otherwise the request
     /// waits for the end of its connection.
-    is_on: bool,
+    is_enabled: bool,
 }
 
-impl SilenceWatch {
+impl LivenessWatch {
     pub(crate) fn new(
-        heard: &Arc<Heard>,
+        liveness: &Arc<ServerLiveness>,
         backends: &Arc<Mutex<Backends>>,
         server: &BackendAddress,
         settings: &Arc<RelaySettings>,
         may_run_again: bool,
     ) -> Self {
         Self {
-            heard: Arc::clone(heard),
+            liveness: Arc::clone(liveness),
             backends: Arc::clone(backends),
             server: server.clone(),
             settings: Arc::clone(settings),
-            is_on: may_run_again && settings.silence_ms > 0,
+            is_enabled: may_run_again && settings.silence_ms > 0,
         }
     }
 
     /// Records that something came from the server.
-    pub(crate) fn heard(&self) {
-        if self.is_on {
-            self.heard.note(&self.server.id);
+    pub(crate) fn record_contact(&self) {
+        if self.is_enabled {
+            self.liveness.record_contact(&self.server.id);
         }
     }
 
     /// Returns when the server's answer cannot come any more, or should not be waited for.
-    pub(crate) async fn given_up(&self) -> GivenUp {
+    pub(crate) async fn wait_until_lost(&self) -> LossCause {
         select! {
             biased;
-            () = self.silence() => GivenUp::Silent,
-            () = self.later_life() => GivenUp::StartedAgain,
+            () = self.wait_until_unresponsive() => LossCause::Unresponsive,
+            () = self.wait_until_restarted() => LossCause::Restarted,
         }
     }
 
     /// Returns when the server is known to have restarted.
-    async fn later_life(&self) {
+    async fn wait_until_restarted(&self) {
         if self.server.id.born == 0 {
             // It does not report its incarnations.
             return std::future::pending().await;
         }
         loop {
-            sleep(LIFE_POLL).await;
+            sleep(RESTART_POLL_INTERVAL).await;
             let backends = self.backends.lock().unwrap_or_else(PoisonError::into_inner);
             if backends.has_later_incarnation(&self.server.id) {
                 return;
@@ -225,30 +232,30 @@
     }
 
     /// Returns when the server is found unresponsive.
-    async fn silence(&self) {
-        if !self.is_on {
+    async fn wait_until_unresponsive(&self) {
+        if !self.is_enabled {
             return std::future::pending().await;
         }
-        let patience = Duration::from_millis(self.settings.silence_ms);
-        let began = Instant::now();
+        let silence_limit = Duration::from_millis(self.settings.silence_ms);
+        let wait_started = Instant::now();
         loop {
-            let state = self.heard.state(&self.server.id, began);
+            let state = self.liveness.state(&self.server.id, wait_started);
             // Contact before this wait began does not shorten the wait: the server was running
             // then.
-            let due = state.heard.max(began) + patience;
-            if state.is_silent {
+            let probe_at = state.last_contact.max(wait_started) + silence_limit;
+            if state.is_unresponsive {
                 return;
             }
-            if Instant::now() < due {
-                sleep_until(due).await;
+            if Instant::now() < probe_at {
+                sleep_until(probe_at).await;
                 continue;
             }
-            match self.heard.begin_probe(&self.server.id) {
+            match self.liveness.begin_probe(&self.server.id) {
                 Some(probe) => {
-                    let reached = reachability(self.server.address, &self.settings).await;
-                    probe.end(reached);
+                    let result = probe_reachability(self.server.address, &self.settings).await;
+                    probe.finish(result);
                 }
-                None => sleep(PROBE_POLL).await,
+                None => sleep(PROBE_POLL_INTERVAL).await,
             }
         }
     }
--- a/crates/relay/src/memory.rs
+++ b/crates/relay/src/memory.rs
@@ -44,22 +44,22 @@
     pub fn new(settings: &RelaySettings) -> Self {
         let Some(memory_mb) = settings.memory_mb else { return Self::NONE };
         let memory = memory_mb as f64 * BYTES_PER_MB;
-        let part = |share: f64| (memory * share) as usize;
+        let share_of_memory = |share: f64| (memory * share) as usize;
         Self {
-            total: part(settings.held_share),
-            first_turns: part(settings.first_turns_share),
-            caller: part(settings.caller_share),
-            server: part(settings.server_share),
+            total: share_of_memory(settings.held_share),
+            first_turns: share_of_memory(settings.first_turns_share),
+            caller: share_of_memory(settings.caller_share),
+            server: share_of_memory(settings.server_share),
         }
     }
 }
 
 /// Why memory cannot be reserved.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
-pub(crate) enum NotHeld {
+pub(crate) enum ReservationError {
     /// The limit of the gateway is reached.
     #[snafu(display("the gateway holds as many bytes as it may"))]
-    Full,
+    GatewayFull,
     /// The limit of the caller is reached.
     #[snafu(display("it holds as many bytes for this caller as it may"))]
     CallerFull,
@@ -67,34 +67,34 @@
 
 /// The memory reserved by one gateway.
 #[derive(Debug)]
-pub(crate) struct HeldBytes {
-    bounds: MemoryLimits,
-    total: AtomicUsize,
+pub(crate) struct MemoryQuota {
+    limits: MemoryLimits,
+    reserved: AtomicUsize,
     /// Bytes of the buffers of callers' connections. The number of connections bounds them. They
     /// are counted separately, because idle connections are no reason to refuse a request.
     connection_buffers: AtomicUsize,
     to_servers: Mutex<HashMap<BackendId, usize>>,
     /// Whether a caller has exceeded the total limit.
-    is_overdrawn: AtomicBool,
+    is_total_exceeded: AtomicBool,
     /// Notified whenever memory is released.
-    freed: Notify,
+    released: Notify,
 }
 
-impl HeldBytes {
+impl MemoryQuota {
     pub(crate) fn new(settings: &RelaySettings) -> Arc<Self> {
         Arc::new(Self {
-            bounds: MemoryLimits::new(settings),
-            total: AtomicUsize::new(0),
+            limits: MemoryLimits::new(settings),
+            reserved: AtomicUsize::new(0),
             connection_buffers: AtomicUsize::new(0),
             to_servers: Mutex::default(),
-            is_overdrawn: AtomicBool::new(false),
-            freed: Notify::new(),
+            is_total_exceeded: AtomicBool::new(false),
+            released: Notify::new(),
         })
     }
 
     /// The bytes that are reserved now.
-    pub(crate) fn total(&self) -> usize {
-        self.total.load(Ordering::Relaxed)
+    pub(crate) fn reserved(&self) -> usize {
+        self.reserved.load(Ordering::Relaxed)
     }
 
     /// The most bytes that the buffers of callers' connections may take now.
@@ -104,36 +104,40 @@
 
     /// Whether a request may start. Requests of active programs are accepted while first turns are
     /// refused: the work already spent on these programs would be lost.
-    pub(crate) fn may_begin(&self, is_under_way: bool) -> bool {
-        let most = if is_under_way { self.bounds.total } else { self.bounds.first_turns };
-        self.total() < most
+    pub(crate) fn may_start(&self, is_active: bool) -> bool {
+        let most = if is_active { self.limits.total } else { self.limits.first_turns };
+        self.reserved() < most
     }
 
     /// Creates the quota of a new caller's connection with buffers of this size.
-    pub(crate) fn caller(self: &Arc<Self>, buffers: usize) -> CallerBytes {
+    pub(crate) fn caller_quota(self: &Arc<Self>, buffers: usize) -> CallerQuota {
         self.connection_buffers.fetch_add(buffers, Ordering::Relaxed);
         let account = CallerAccount {
-            held: Arc::clone(self),
+            gateway: Arc::clone(self),
             bytes: AtomicUsize::new(0),
-            overdraws: AtomicBool::new(false),
+            exceeds_total: AtomicBool::new(false),
             buffers,
         };
-        CallerBytes(Arc::new(account))
+        CallerQuota(Arc::new(account))
     }
 
     /// Reserves bytes on their way to a server; none if the server's limit is reached. A single
     /// request may exceed that limit.
-    pub(crate) fn send(self: &Arc<Self>, server: &BackendId, bytes: usize) -> Option<OnTheWay> {
+    pub(crate) fn reserve_send(
+        self: &Arc<Self>,
+        server: &BackendId,
+        bytes: usize,
+    ) -> Option<SendReservation> {
         let mut to_servers = self.to_servers.lock().unwrap_or_else(PoisonError::into_inner);
         let before = to_servers.get(server).copied().unwrap_or(0);
-        if before > 0 && before + bytes > self.bounds.server {
+        if before > 0 && before + bytes > self.limits.server {
             return None;
         }
         to_servers.insert(server.clone(), before + bytes);
-        Some(OnTheWay { held: Arc::clone(self), server: server.clone(), bytes })
+        Some(SendReservation { gateway: Arc::clone(self), server: server.clone(), bytes })
     }
 
-    fn sent(&self, server: &BackendId, bytes: usize) {
+    fn release_send(&self, server: &BackendId, bytes: usize) {
         let mut to_servers = self.to_servers.lock().unwrap_or_else(PoisonError::into_inner);
         let Some(left) = to_servers.get_mut(server) else { return };
         *left = left.saturating_sub(bytes);
@@ -142,101 +146,102 @@
         }
     }
 
-    fn take(&self, bytes: usize) -> Result<(), NotHeld> {
-        let within =
-            |total: usize| total.checked_add(bytes).filter(|sum| *sum <= self.bounds.total);
-        let taken = self.total.fetch_update(Ordering::Relaxed, Ordering::Relaxed, within);
-        taken.map(drop).map_err(|_| NotHeld::Full)
+    fn reserve(&self, bytes: usize) -> Result<(), ReservationError> {
+        let add_within_limit =
+            |total: usize| total.checked_add(bytes).filter(|sum| *sum <= self.limits.total);
+        let taken =
+            self.reserved.fetch_update(Ordering::Relaxed, Ordering::Relaxed, add_within_limit);
+        taken.map(drop).map_err(|_| ReservationError::GatewayFull)
     }
 }
 
 #[derive(Debug)]
 struct CallerAccount {
-    held: Arc<HeldBytes>,
+    gateway: Arc<MemoryQuota>,
     bytes: AtomicUsize,
     /// Whether this caller is the one that has exceeded the total limit.
-    overdraws: AtomicBool,
+    exceeds_total: AtomicBool,
     buffers: usize,
 }
 
 impl Drop for CallerAccount {
     fn drop(&mut self) {
-        self.held.connection_buffers.fetch_sub(self.buffers, Ordering::Relaxed);
+        self.gateway.connection_buffers.fetch_sub(self.buffers, Ordering::Relaxed);
     }
 }
 
 /// The memory quota of one caller's connection. Clones share one quota.
 #[derive(Debug, Clone)]
-pub(crate) struct CallerBytes(Arc<CallerAccount>);
+pub(crate) struct CallerQuota(Arc<CallerAccount>);
 
-impl CallerBytes {
+impl CallerQuota {
     /// Returns a reservation of no bytes, which can grow.
-    pub(crate) fn nothing(&self) -> Held {
-        Held { caller: self.clone(), bytes: 0 }
+    pub(crate) fn empty_reservation(&self) -> MemoryReservation {
+        MemoryReservation { caller: self.clone(), bytes: 0 }
     }
 
     /// The bytes that this caller may still reserve.
-    fn room(&self) -> usize {
-        self.0.held.bounds.caller.saturating_sub(self.0.bytes.load(Ordering::Relaxed))
+    fn available(&self) -> usize {
+        self.0.gateway.limits.caller.saturating_sub(self.0.bytes.load(Ordering::Relaxed))
     }
 
-    fn take(&self, bytes: usize) -> Result<(), NotHeld> {
-        if bytes > self.room() {
-            return Err(NotHeld::CallerFull);
+    fn reserve(&self, bytes: usize) -> Result<(), ReservationError> {
+        if bytes > self.available() {
+            return Err(ReservationError::CallerFull);
         }
-        self.0.held.take(bytes)?;
+        self.0.gateway.reserve(bytes)?;
         self.0.bytes.fetch_add(bytes, Ordering::Relaxed);
         Ok(())
     }
 
     /// Reserves beyond the total limit, unless another caller does so already. Otherwise callers
     /// that keep their reservations while they wait for more memory could all wait for each other.
-    fn overdraw(&self, bytes: usize) -> Result<(), NotHeld> {
-        let CallerAccount { held, bytes: own, overdraws, .. } = &*self.0;
-        if bytes > self.room() {
-            return Err(NotHeld::CallerFull);
+    fn exceed_total(&self, bytes: usize) -> Result<(), ReservationError> {
+        let CallerAccount { gateway, bytes: own_bytes, exceeds_total, .. } = &*self.0;
+        if bytes > self.available() {
+            return Err(ReservationError::CallerFull);
         }
-        if !overdraws.load(Ordering::Relaxed) {
-            if held.is_overdrawn.swap(true, Ordering::Relaxed) {
-                return Err(NotHeld::Full);
+        if !exceeds_total.load(Ordering::Relaxed) {
+            if gateway.is_total_exceeded.swap(true, Ordering::Relaxed) {
+                return Err(ReservationError::GatewayFull);
             }
-            overdraws.store(true, Ordering::Relaxed);
+            exceeds_total.store(true, Ordering::Relaxed);
         }
-        held.total.fetch_add(bytes, Ordering::Relaxed);
-        own.fetch_add(bytes, Ordering::Relaxed);
+        gateway.reserved.fetch_add(bytes, Ordering::Relaxed);
+        own_bytes.fetch_add(bytes, Ordering::Relaxed);
         Ok(())
     }
 
-    fn free(&self, bytes: usize) {
-        let CallerAccount { held, bytes: own, overdraws, .. } = &*self.0;
-        let had = own.fetch_sub(bytes, Ordering::Relaxed);
-        let total = held.total.fetch_sub(bytes, Ordering::Relaxed) - bytes;
-        let is_made_good = had == bytes || total <= held.bounds.total;
-        if is_made_good && overdraws.swap(false, Ordering::Relaxed) {
-            held.is_overdrawn.store(false, Ordering::Relaxed);
+    fn release(&self, bytes: usize) {
+        let CallerAccount { gateway, bytes: own_bytes, exceeds_total, .. } = &*self.0;
+        let bytes_before = own_bytes.fetch_sub(bytes, Ordering::Relaxed);
+        let total = gateway.reserved.fetch_sub(bytes, Ordering::Relaxed) - bytes;
+        let is_within_total = bytes_before == bytes || total <= gateway.limits.total;
+        if is_within_total && exceeds_total.swap(false, Ordering::Relaxed) {
+            gateway.is_total_exceeded.store(false, Ordering::Relaxed);
         }
-        held.freed.notify_waiters();
+        gateway.released.notify_waiters();
     }
 }
 
 /// Memory that is reserved until this is dropped.
 #[derive(Debug)]
-pub(crate) struct Held {
-    caller: CallerBytes,
+pub(crate) struct MemoryReservation {
+    caller: CallerQuota,
     bytes: usize,
 }
 
-impl Held {
+impl MemoryReservation {
     /// Reserves further bytes, before they are stored.
     ///
     /// # Errors
     /// A limit is reached. The bytes reserved before stay reserved.
-    pub(crate) fn grow(&mut self, bytes: usize) -> Result<(), NotHeld> {
+    pub(crate) fn grow(&mut self, bytes: usize) -> Result<(), ReservationError> {
         if bytes == 0 {
             // A body whose memory is reserved need not wait while another caller exceeds the limit.
             return Ok(());
         }
-        self.caller.take(bytes)?;
+        self.caller.reserve(bytes)?;
         self.bytes += bytes;
         Ok(())
     }
@@ -246,53 +251,60 @@
     ///
     /// # Errors
     /// The caller's own limit is reached.
-    pub(crate) async fn grow_when_free(&mut self, bytes: usize) -> Result<(), NotHeld> {
+    pub(crate) async fn grow_when_available(
+        &mut self,
+        bytes: usize,
+    ) -> Result<(), ReservationError> {
         let account = Arc::clone(&self.caller.0);
         loop {
             // Subscribe before the check, so that no release in between is missed.
-            let mut freed = pin!(account.held.freed.notified());
-            freed.as_mut().enable();
-            match self.grow(bytes).or_else(|why| self.overdraw(bytes, why)) {
-                Err(NotHeld::Full) => freed.await,
+            let mut released = pin!(account.gateway.released.notified());
+            released.as_mut().enable();
+            match self.grow(bytes).or_else(|why| self.exceed_total(bytes, why)) {
+                Err(ReservationError::GatewayFull) => released.await,
                 grown => return grown,
             }
         }
     }
 
-    fn overdraw(&mut self, bytes: usize, why: NotHeld) -> Result<(), NotHeld> {
-        if why == NotHeld::CallerFull {
+    fn exceed_total(
+        &mut self,
+        bytes: usize,
+        why: ReservationError,
+    ) -> Result<(), ReservationError> {
+        if why == ReservationError::CallerFull {
             return Err(why);
         }
-        self.caller.overdraw(bytes)?;
+        self.caller.exceed_total(bytes)?;
         self.bytes += bytes;
         Ok(())
     }
 
     /// Moves at most this many bytes to a new reservation.
-    pub(crate) fn split(&mut self, bytes: usize) -> Held {
+    pub(crate) fn split(&mut self, bytes: usize) -> MemoryReservation {
         let bytes = bytes.min(self.bytes);
         self.bytes -= bytes;
-        Held { caller: self.caller.clone(), bytes }
+        MemoryReservation { caller: self.caller.clone(), bytes }
     }
 
     /// Merges another reservation of the same caller into this one.
-    pub(crate) fn join(&mut self, mut other: Held) {
+    pub(crate) fn merge(&mut self, mut other: MemoryReservation) {
         self.bytes += std::mem::take(&mut other.bytes);
     }
 
     /// Attaches the reservation to some bytes: it ends when the last reader has dropped them.
-    pub(crate) fn tie_to(self, bytes: Bytes) -> Bytes {
+    pub(crate) fn attach_to(self, bytes: Bytes) -> Bytes {
         if bytes.is_empty() {
             return bytes;
         }
-        Bytes::from_owner(HeldPiece { bytes, _held: self })
+        Bytes::from_owner(ReservedPiece { bytes, _reservation: self })
     }
 }
 
-impl Drop for Held {
+impl Drop for MemoryReservation {
     fn drop(&mut self) {
         if self.bytes > 0 {
-            self.caller.free(self.bytes);
+            self.caller.release(self.bytes);
         }
     }
 }
@@ -300,20 +312,20 @@
 /// A body that is assembled piece by piece. Its whole buffer is reserved before it is allocated,
 /// since allocated memory is unavailable to others even before the bytes arrive.
 #[derive(Debug)]
-pub(crate) struct Assembly {
+pub(crate) struct BodyBuffer {
     bytes: Vec<u8>,
     /// The length that the head announced. The buffer for it is allocated when the first bytes
     /// arrive.
     expected: usize,
     /// The most bytes that the body may have.
     limit: usize,
-    held: Held,
+    reservation: MemoryReservation,
 }
 
-impl Assembly {
-    pub(crate) fn new(expected: Option<u64>, limit: usize, caller: &CallerBytes) -> Self {
+impl BodyBuffer {
+    pub(crate) fn new(expected: Option<u64>, limit: usize, caller: &CallerQuota) -> Self {
         let expected = expected.map_or(0, |expected| expected as usize);
-        Self { bytes: Vec::new(), expected, limit, held: caller.nothing() }
+        Self { bytes: Vec::new(), expected, limit, reservation: caller.empty_reservation() }
     }
 
     pub(crate) fn len(&self) -> usize {
@@ -321,24 +333,24 @@
     }
 
     /// The capacity that the buffer needs for this many more bytes.
-    fn wanted(&self, more: usize) -> usize {
+    fn required_capacity(&self, more: usize) -> usize {
         let end = self.bytes.len() + more;
         match self.bytes.capacity() {
             0 => end.max(self.expected),
             enough if enough >= end => enough,
-            too_little => end.max(self.most().min(2 * too_little)),
+            current => end.max(self.max_capacity().min(2 * current)),
         }
     }
 
     /// The most capacity that the buffer may have.
-    fn most(&self) -> usize {
-        self.limit.min(self.held.bytes.saturating_add(self.held.caller.room()))
+    fn max_capacity(&self) -> usize {
+        self.limit.min(self.reservation.bytes.saturating_add(self.reservation.caller.available()))
     }
 
-    fn add(&mut self, piece: &[u8], wanted: usize) {
-        if wanted > self.bytes.capacity() {
+    fn append(&mut self, piece: &[u8], capacity: usize) {
+        if capacity > self.bytes.capacity() {
             // Allocate exactly what is reserved.
-            self.bytes.reserve_exact(wanted - self.bytes.len());
+            self.bytes.reserve_exact(capacity - self.bytes.len());
         }
         self.bytes.extend_from_slice(piece);
     }
@@ -347,10 +359,10 @@
     ///
     /// # Errors
     /// No memory is available for it.
-    pub(crate) fn push(&mut self, piece: &[u8]) -> Result<(), NotHeld> {
-        let wanted = self.wanted(piece.len());
-        self.held.grow(wanted.saturating_sub(self.held.bytes))?;
-        self.add(piece, wanted);
+    pub(crate) fn push(&mut self, piece: &[u8]) -> Result<(), ReservationError> {
+        let capacity = self.required_capacity(piece.len());
+        self.reservation.grow(capacity.saturating_sub(self.reservation.bytes))?;
+        self.append(piece, capacity);
         Ok(())
     }
 
@@ -358,31 +370,36 @@
     ///
     /// # Errors
     /// The caller's own limit is reached.
-    pub(crate) async fn push_when_free(&mut self, piece: &[u8]) -> Result<(), NotHeld> {
-        let wanted = self.wanted(piece.len());
-        self.held.grow_when_free(wanted.saturating_sub(self.held.bytes)).await?;
-        self.add(piece, wanted);
+    pub(crate) async fn push_when_available(
+        &mut self,
+        piece: &[u8],
+    ) -> Result<(), ReservationError> {
+        let capacity = self.required_capacity(piece.len());
+        self.reservation
+            .grow_when_available(capacity.saturating_sub(self.reservation.bytes))
+            .await?;
+        self.append(piece, capacity);
         Ok(())
     }
 
-    pub(crate) fn finish(self) -> HeldBody {
-        HeldBody { bytes: self.bytes.into(), held: self.held }
+    pub(crate) fn finish(self) -> ReservedBody {
+        ReservedBody { bytes: self.bytes.into(), reservation: self.reservation }
     }
 }
 
 /// A complete body and its reservation.
 #[derive(Debug)]
-pub(crate) struct HeldBody {
+pub(crate) struct ReservedBody {
     pub(crate) bytes: Bytes,
-    pub(crate) held: Held,
+    pub(crate) reservation: MemoryReservation,
 }
 
-struct HeldPiece {
+struct ReservedPiece {
     bytes: Bytes,
-    _held: Held,
+    _reservation: MemoryReservation,
 }
 
-impl AsRef<[u8]> for HeldPiece {
+impl AsRef<[u8]> for ReservedPiece {
     fn as_ref(&self) -> &[u8] {
         &self.bytes
     }
@@ -390,14 +407,14 @@
 
 /// A reservation for bytes on their way to a server. It is released on drop.
 #[derive(Debug)]
-pub(crate) struct OnTheWay {
-    held: Arc<HeldBytes>,
+pub(crate) struct SendReservation {
+    gateway: Arc<MemoryQuota>,
     server: BackendId,
     bytes: usize,
 }
 
-impl Drop for OnTheWay {
+impl Drop for SendReservation {
     fn drop(&mut self) {
-        self.held.sent(&self.server, self.bytes);
+        self.gateway.release_send(&self.server, self.bytes);
     }
 }
--- a/crates/relay/src/metrics.rs
+++ b/crates/relay/src/metrics.rs
@@ -14,13 +14,14 @@
 
 /// Upper bounds of histogram buckets in seconds, from a lookup of a few milliseconds to a long
 /// stream.
-const SECONDS: [f64; 12] = [0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 12.8];
+const BUCKET_BOUNDS_SECONDS: [f64; 12] =
+    [0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 12.8];
 
 /// Metrics of one relay.
 #[derive(Debug)]
 pub(crate) struct RelayMetrics {
     events: IntCounterVec,
-    now: IntGaugeVec,
+    gauges: IntGaugeVec,
     choices: IntCounterVec,
     sends: IntCounterVec,
     sent_bytes: IntCounterVec,
@@ -45,7 +46,7 @@
             IntCounterVec::new(Opts::new(name, help), &[label]).expect("constant names are valid")
         };
         let histograms = |name: &str, help: &str| {
-            let options = HistogramOpts::new(name, help).buckets(SECONDS.to_vec());
+            let options = HistogramOpts::new(name, help).buckets(BUCKET_BOUNDS_SECONDS.to_vec());
             HistogramVec::new(options, &["service"]).expect("constant names are valid")
         };
         let turns = HistogramOpts::new(
@@ -58,10 +59,10 @@
         );
         let waiting =
             Opts::new("dahlialadder_relay_waiting", "Requests that wait for a server now.");
-        let now = Opts::new("dahlialadder_relay_now", "What is open at this moment.");
+        let gauges = Opts::new("dahlialadder_relay_now", "What is open at this moment.");
         Self {
             events: counters("dahlialadder_relay_events_total", "Events by kind.", "event"),
-            now: IntGaugeVec::new(now, &["what"]).expect("constant names are valid"),
+            gauges: IntGaugeVec::new(gauges, &["what"]).expect("constant names are valid"),
             choices: counters(
                 "dahlialadder_relay_choices_total",
                 "Servers chosen, by what decided.",
@@ -95,7 +96,7 @@
                 "dahlialadder_relay_whole_seconds",
                 "From a request's arrival until its answer ended whole.",
             ),
-            turn_seconds: Histogram::with_opts(turns.buckets(SECONDS.to_vec()))
+            turn_seconds: Histogram::with_opts(turns.buckets(BUCKET_BOUNDS_SECONDS.to_vec()))
                 .expect("constant names are valid"),
             expected_seconds: histograms(
                 "dahlialadder_relay_expected_turn_seconds",
@@ -106,7 +107,7 @@
                 "What the same turns took, from the choice of their servers on.",
             ),
             waiting: IntGaugeVec::new(waiting, &["rank"]).expect("constant names are valid"),
-            wait_seconds: Histogram::with_opts(waits.buckets(SECONDS.to_vec()))
+            wait_seconds: Histogram::with_opts(waits.buckets(BUCKET_BOUNDS_SECONDS.to_vec()))
                 .expect("constant names are valid"),
         }
     }
@@ -118,7 +119,7 @@
     pub(crate) fn register(&self, registry: &Registry) -> Result<(), prometheus::Error> {
         let collectors: [Box<dyn Collector>; 14] = [
             Box::new(self.events.clone()),
-            Box::new(self.now.clone()),
+            Box::new(self.gauges.clone()),
             Box::new(self.choices.clone()),
             Box::new(self.sends.clone()),
             Box::new(self.sent_bytes.clone()),
@@ -154,7 +155,7 @@
             let counter = self.events.with_label_values(&[event]);
             counter.inc_by(count.saturating_sub(counter.get()));
         }
-        let now = [
+        let gauges = [
             ("connections", readings.open_connections),
             ("requests", readings.in_progress),
             ("unsettled_turns", readings.unsettled_turns),
@@ -164,16 +165,16 @@
             ("connection_buffer_bytes", readings.connection_buffer_bytes),
             ("waiting", readings.waiting),
         ];
-        for (what, count) in now {
-            self.now.with_label_values(&[what]).set(count as i64);
+        for (state, count) in gauges {
+            self.gauges.with_label_values(&[state]).set(count as i64);
         }
     }
 
     /// Updates the metrics of cold servers, before each reading.
     pub(crate) fn refresh_cold(&self, readings: ColdStats) {
-        self.now.with_label_values(&["cold_servers"]).set(readings.cold as i64);
-        let turned = self.events.with_label_values(&["turned_from_cold_server"]);
-        turned.inc_by(readings.turned_away.saturating_sub(turned.get()));
+        self.gauges.with_label_values(&["cold_servers"]).set(readings.cold as i64);
+        let turned_away = self.events.with_label_values(&["turned_from_cold_server"]);
+        turned_away.inc_by(readings.turned_away.saturating_sub(turned_away.get()));
     }
 
     /// Updates the number of waiting requests by rank, before each reading.
@@ -184,33 +185,33 @@
         }
     }
 
-    pub(crate) fn waited(&self, time: Duration) {
+    pub(crate) fn observe_wait(&self, time: Duration) {
         self.wait_seconds.observe(time.as_secs_f64());
     }
 
-    pub(crate) fn chosen(&self, way: ChoiceReason, reach: Distance, bytes: usize) {
-        self.choices.with_label_values(&[way.name()]).inc();
-        self.sends.with_label_values(&[reach.name()]).inc();
-        self.sent_bytes.with_label_values(&[reach.name()]).inc_by(bytes as u64);
+    pub(crate) fn count_choice(&self, reason: ChoiceReason, distance: Distance, bytes: usize) {
+        self.choices.with_label_values(&[reason.name()]).inc();
+        self.sends.with_label_values(&[distance.name()]).inc();
+        self.sent_bytes.with_label_values(&[distance.name()]).inc_by(bytes as u64);
     }
 
-    pub(crate) fn attempt_failed(&self, end: AttemptEnd) {
+    pub(crate) fn count_failed_attempt(&self, end: AttemptEnd) {
         self.attempt_failures.with_label_values(&[end.name()]).inc();
     }
 
-    pub(crate) fn refused(&self, cause: &str) {
+    pub(crate) fn count_refusal(&self, cause: &str) {
         self.refusals.with_label_values(&[cause]).inc();
     }
 
-    pub(crate) fn answer_began(&self, service: &ServiceName, after: Duration) {
-        self.head_seconds.with_label_values(&[&service.0]).observe(after.as_secs_f64());
+    pub(crate) fn observe_answer_begin(&self, service: &ServiceName, elapsed: Duration) {
+        self.head_seconds.with_label_values(&[&service.0]).observe(elapsed.as_secs_f64());
     }
 
-    pub(crate) fn answer_ended(&self, service: &ServiceName, after: Duration) {
-        self.whole_seconds.with_label_values(&[&service.0]).observe(after.as_secs_f64());
+    pub(crate) fn observe_answer_end(&self, service: &ServiceName, elapsed: Duration) {
+        self.whole_seconds.with_label_values(&[&service.0]).observe(elapsed.as_secs_f64());
     }
 
-    pub(crate) fn turn_took(
+    pub(crate) fn observe_turn(
         &self,
         service: &ServiceName,
         expected: dahlia_types::Duration,
@@ -221,7 +222,7 @@
         self.taken_seconds.with_label_values(&labels).observe(taken.as_secs_f64());
     }
 
-    pub(crate) fn turn_opened(&self, after: Duration) {
-        self.turn_seconds.observe(after.as_secs_f64());
+    pub(crate) fn observe_turn_open(&self, elapsed: Duration) {
+        self.turn_seconds.observe(elapsed.as_secs_f64());
     }
 }
--- a/crates/relay/src/outgoing.rs
+++ b/crates/relay/src/outgoing.rs
@@ -12,7 +12,7 @@
 
 /// The parts of a request to one server.
 #[derive(Clone, Copy)]
-pub(crate) struct Outgoing<'a> {
+pub(crate) struct OutgoingRequest<'a> {
     pub(crate) names: &'a HeaderNames,
     pub(crate) head: &'a RequestHead,
     pub(crate) body: &'a Bytes,
@@ -25,9 +25,9 @@
     pub(crate) deadline: Instant,
 }
 
-impl Outgoing<'_> {
+impl OutgoingRequest<'_> {
     /// Builds the request. Its deadline header is the time left now.
-    pub(crate) fn request(&self) -> Request<Full<Bytes>> {
+    pub(crate) fn build(&self) -> Request<Full<Bytes>> {
         let left = self.deadline.saturating_duration_since(Instant::now());
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.version_mut() = Version::HTTP_11;
--- a/crates/relay/src/pool.rs
+++ b/crates/relay/src/pool.rs
@@ -11,43 +11,43 @@
 use tokio::time::{Duration, Instant};
 
 use crate::connection::ServerConnection;
-use crate::rest_limit::{Reset, RestLimit};
-use crate::{RelaySettings, Service, hop};
+use crate::idle_limit::{IdleLimit, Reset};
+use crate::{RelaySettings, Service, hop_by_hop};
 
 /// How often expired connections are removed.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 /// The most idle connections of a server whose service is not described.
-const MOST_IDLE_BY_DEFAULT: usize = 4;
+const DEFAULT_MAX_IDLE: usize = 4;
 
-/// How long an idle connection is kept, and among how many.
+/// How long an idle connection is kept, and how many are kept for its server.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Keeping {
+pub(crate) struct KeepAlive {
     /// How long it is kept.
-    pub(crate) rest: Duration,
+    pub(crate) idle_timeout: Duration,
     /// The most idle connections of its server, this one included.
-    pub(crate) most: usize,
+    pub(crate) max_idle: usize,
 }
 
-impl Keeping {
-    /// Derives this from the head of an answer and the service's description.
+impl KeepAlive {
+    /// Derives the values from the head of an answer and the service's description.
     pub(crate) fn new(
         answer: &HeaderMap,
         service: Option<&Service>,
         settings: &RelaySettings,
     ) -> Self {
-        let rest = match hop::keep_alive_seconds(answer) {
+        let idle_timeout = match hop_by_hop::keep_alive_seconds(answer) {
             Some(seconds) => {
-                let end = Duration::from_secs(seconds);
+                let server_timeout = Duration::from_secs(seconds);
                 let margin = Duration::from_millis(settings.idle_margin_ms);
-                // Servers that keep connections for only a second still get them reused.
-                end - margin.min(end / 2)
+                // Connections are reused even if the server keeps them for only a second.
+                server_timeout - margin.min(server_timeout / 2)
             }
             None => Duration::from_millis(settings.idle_connection_ms),
         };
-        let most = service.map_or(MOST_IDLE_BY_DEFAULT, |service| {
+        let max_idle = service.map_or(DEFAULT_MAX_IDLE, |service| {
             (service.max_connections / settings.connection_sharers).max(1) as usize
         });
-        Self { rest, most }
+        Self { idle_timeout, max_idle }
     }
 }
 
@@ -59,20 +59,20 @@
 struct IdleConnections {
     by_server: HashMap<BackendId, Vec<IdleConnection>>,
     swept_at: Instant,
-    rest_limit: RestLimit,
+    idle_limit: IdleLimit,
 }
 
 struct IdleConnection {
     connection: ServerConnection,
-    since: Instant,
-    until: Instant,
+    idle_since: Instant,
+    expires_at: Instant,
 }
 
 /// A connection for one request.
 pub(crate) struct Connected {
     pub(crate) connection: ServerConnection,
     /// How long the connection was idle before; none for a new one.
-    pub(crate) rested: Option<Duration>,
+    pub(crate) idle_for: Option<Duration>,
 }
 
 impl Pool {
@@ -80,7 +80,7 @@
         let idle = IdleConnections {
             by_server: HashMap::new(),
             swept_at: Instant::now(),
-            rest_limit: RestLimit::default(),
+            idle_limit: IdleLimit::default(),
         };
         Self { idle: Mutex::new(idle) }
     }
@@ -92,34 +92,34 @@
     /// Takes the connection of a server that was used last. If the server has closed it meanwhile,
     /// a request on it is not sent. If the request does not tolerate the loss of its answer, it
     /// gets no connection that the server may have dropped.
-    pub(crate) fn take(&self, server: &BackendId, may_lose: bool) -> Option<Connected> {
+    pub(crate) fn take(&self, server: &BackendId, tolerates_loss: bool) -> Option<Connected> {
         let now = Instant::now();
         let mut idle = self.lock();
-        let rest_limit = idle.rest_limit;
+        let idle_limit = idle.idle_limit;
         let connections = idle.by_server.get_mut(server)?;
-        connections.retain(|idle| idle.until > now);
-        let rested = now - connections.last()?.since;
-        if !may_lose && !rest_limit.allows(rested, now) {
+        connections.retain(|idle| idle.expires_at > now);
+        let idle_for = now - connections.last()?.idle_since;
+        if !tolerates_loss && !idle_limit.allows(idle_for, now) {
             return None;
         }
         let IdleConnection { connection, .. } = connections.pop()?;
-        Some(Connected { connection, rested: Some(rested) })
+        Some(Connected { connection, idle_for: Some(idle_for) })
     }
 
     /// Records that a request to a server got a reset instead of an answer. A server that silently
     /// dropped one idle connection has dropped the others too: it may have restarted without
     /// notice.
-    pub(crate) fn note_reset(&self, server: &BackendId, reset: Reset) {
+    pub(crate) fn record_reset(&self, server: &BackendId, reset: Reset) {
         let mut idle = self.lock();
-        idle.rest_limit.note(reset, Instant::now());
-        if reset.is_of_dropped_connection() {
+        idle.idle_limit.record(reset, Instant::now());
+        if reset.is_from_dropped_connection() {
             idle.by_server.remove(server);
         }
     }
 
     /// Closes the idle connections to the servers that match.
-    pub(crate) fn close(&self, servers: impl Fn(&BackendId) -> bool) {
-        self.lock().by_server.retain(|server, _| !servers(server));
+    pub(crate) fn close(&self, matches: impl Fn(&BackendId) -> bool) {
+        self.lock().by_server.retain(|server, _| !matches(server));
     }
 
     /// Keeps a connection if it can be reused.
@@ -127,7 +127,7 @@
         &self,
         server: &BackendId,
         mut connection: ServerConnection,
-        keeping: Keeping,
+        keep_alive: KeepAlive,
     ) {
         if !connection.is_reusable() {
             return;
@@ -136,11 +136,11 @@
         let mut idle = self.lock();
         idle.sweep(now);
         let connections = idle.by_server.entry(server.clone()).or_default();
-        if connections.len() >= keeping.most {
+        if connections.len() >= keep_alive.max_idle {
             connections.remove(0);
         }
-        let until = now + keeping.rest;
-        connections.push(IdleConnection { connection, since: now, until });
+        let expires_at = now + keep_alive.idle_timeout;
+        connections.push(IdleConnection { connection, idle_since: now, expires_at });
     }
 }
 
@@ -151,7 +151,7 @@
         }
         self.swept_at = now;
         for connections in self.by_server.values_mut() {
-            connections.retain(|idle| idle.until > now);
+            connections.retain(|idle| idle.expires_at > now);
         }
         self.by_server.retain(|_, connections| !connections.is_empty());
     }
--- a/crates/relay/src/urgency.rs
+++ b/crates/relay/src/priority.rs
@@ -2,11 +2,11 @@
 
 use dahlia_types::Duration;
 
-/// Number of priority levels of servers, 0 first.
-const LEVELS: u32 = 10;
+/// Number of priority levels that servers know; level 0 goes first.
+const LEVEL_COUNT: u32 = 10;
 /// Remaining time of a program that puts its requests in the middle of their rank's levels. This is
 /// an estimate, about the duration of a few turns; it affects only the order among programs.
-const MIDDLE: Duration = Duration::from_secs(8);
+const MIDDLE_TIME_LEFT: Duration = Duration::from_secs(8);
 
 /// The position of a route's rank among the ranks of all routes in force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -32,17 +32,20 @@
 /// one of an earlier rank. Within the band, programs with less time left go first. Requests without
 /// a program are in the middle, and so are programs whose time is over: most of their value is
 /// lost, and putting them first would delay others as well.
-pub fn priority_level(place: RankPosition, time_left: Option<Duration>) -> u32 {
-    let (first, end) = (edge(place.earlier, place.total), edge(place.earlier + 1, place.total));
+pub fn priority_level(position: RankPosition, time_left: Option<Duration>) -> u32 {
+    let (first, end) = (
+        band_start(position.earlier, position.total),
+        band_start(position.earlier + 1, position.total),
+    );
     let width = end.saturating_sub(first).max(1);
-    let time_left = time_left.filter(|left| *left > Duration::ZERO).unwrap_or(MIDDLE);
+    let time_left = time_left.filter(|left| *left > Duration::ZERO).unwrap_or(MIDDLE_TIME_LEFT);
     let left = time_left.as_secs_f64();
-    let share = left / (left + MIDDLE.as_secs_f64());
+    let share = left / (left + MIDDLE_TIME_LEFT.as_secs_f64());
     let step = (share * f64::from(width)) as u32;
-    (first + step.min(width - 1)).min(LEVELS - 1)
+    (first + step.min(width - 1)).min(LEVEL_COUNT - 1)
 }
 
 /// The first level of the band after this many ranks.
-fn edge(ranks: u32, of: u32) -> u32 {
-    (ranks * LEVELS).div_ceil(of)
+fn band_start(ranks: u32, total: u32) -> u32 {
+    (ranks * LEVEL_COUNT).div_ceil(total)
 }
--- a/crates/relay/src/refusal.rs
+++ b/crates/relay/src/refusal.rs
@@ -25,8 +25,8 @@
     UnknownKey { scheme: &'static str },
     #[snafu(display("the tenant's limit is reached"))]
     LimitReached { retry_after: Duration },
-    #[snafu(display("the request is not proper: {what}"))]
-    NotProper { what: &'static str },
+    #[snafu(display("the request is not proper: {reason}"))]
+    NotProper { reason: &'static str },
     #[snafu(display("the head is too large"))]
     HeadTooLarge,
     #[snafu(display("the body is too large"))]
@@ -36,8 +36,8 @@
     #[snafu(display("no server takes the request now"))]
     Busy { retry_after: Duration },
     /// The queue rejected the request: it got no server in time.
-    #[snafu(display("{why}"))]
-    NoPlace { why: QueueRejection, retry_after: Duration },
+    #[snafu(display("{reason}"))]
+    Rejected { reason: QueueRejection, retry_after: Duration },
     /// The memory limits leave no room for the request.
     #[snafu(display("this gateway has no memory for the request; ask again elsewhere"))]
     MemoryFull { retry_after: Duration },
@@ -62,7 +62,7 @@
         match self {
             Self::NoConfiguration { .. }
             | Self::Busy { .. }
-            | Self::NoPlace { .. }
+            | Self::Rejected { .. }
             | Self::MemoryFull { .. }
             | Self::Stopping { .. }
             | Self::LedgerUnavailable { .. } => StatusCode::SERVICE_UNAVAILABLE,
@@ -91,7 +91,7 @@
             Self::BodyTooLarge => "body-too-large",
             Self::TooSlow => "too-slow",
             Self::Busy { .. } => "busy",
-            Self::NoPlace { why, .. } => why.name(),
+            Self::Rejected { reason, .. } => reason.name(),
             Self::MemoryFull { .. } => "memory-full",
             Self::Stopping { .. } => "stopping",
             Self::LedgerUnavailable { .. } => "ledger-unavailable",
@@ -107,7 +107,7 @@
             Self::NoConfiguration { retry_after }
             | Self::Busy { retry_after }
             | Self::LimitReached { retry_after }
-            | Self::NoPlace { retry_after, .. }
+            | Self::Rejected { retry_after, .. }
             | Self::MemoryFull { retry_after }
             | Self::Stopping { retry_after }
             | Self::LedgerUnavailable { retry_after } => Some(*retry_after),
@@ -128,7 +128,7 @@
         let headers = response.headers_mut();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("text/plain"));
         if let Some(wait) = self.retry_after() {
-            headers.insert(RETRY_AFTER, seconds(wait));
+            headers.insert(RETRY_AFTER, format_seconds(wait));
         }
         if let Self::UnknownKey { scheme } = self {
             headers.insert(WWW_AUTHENTICATE, HeaderValue::from_static(scheme));
@@ -151,7 +151,7 @@
 }
 
 /// Formats seconds with a fraction, as `Retry-After` has them here.
-fn seconds(wait: Duration) -> HeaderValue {
+fn format_seconds(wait: Duration) -> HeaderValue {
     let text = format!("{:.3}", wait.as_secs_f64());
     HeaderValue::from_str(&text).expect("digits and a point make a header value")
 }
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -9,14 +9,14 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
+use crate::active_programs::ActivePrograms;
 use crate::counters::{CounterReadings, Counters};
-use crate::memory::HeldBytes;
+use crate::liveness::ServerLiveness;
+use crate::memory::MemoryQuota;
 use crate::metrics::RelayMetrics;
 use crate::pool::Pool;
-use crate::router::Routing;
-use crate::silence::Heard;
-use crate::stage::ProgramsUnderWay;
-use crate::waiting::Waiting;
+use crate::router::RouteIndex;
+use crate::wait_queues::WaitQueues;
 use crate::{
     CallerLimits, HeaderNames, RelaySettings, RouteTable, TenantLimits, TurnLedger, server,
 };
@@ -34,19 +34,19 @@
     pub(crate) counters: Arc<Counters>,
     pub(crate) metrics: Arc<RelayMetrics>,
     pub(crate) pool: Arc<Pool>,
-    pub(crate) heard: Arc<Heard>,
-    pub(crate) held: Arc<HeldBytes>,
-    pub(crate) programs: ProgramsUnderWay,
-    pub(crate) waiting: Arc<Waiting>,
+    pub(crate) liveness: Arc<ServerLiveness>,
+    pub(crate) memory: Arc<MemoryQuota>,
+    pub(crate) programs: ActivePrograms,
+    pub(crate) queues: Arc<WaitQueues>,
     pub(crate) drain: watch::Sender<bool>,
-    refusing: AtomicBool,
-    turning_away: AtomicBool,
-    routing: RwLock<Option<Arc<Routing>>>,
+    refuses_requests: AtomicBool,
+    is_cut_off: AtomicBool,
+    routing: RwLock<Option<Arc<RouteIndex>>>,
 }
 
 impl<L> Shared<L> {
     /// The routes in force; none before the first configuration.
-    pub(crate) fn routing(&self) -> Option<Arc<Routing>> {
+    pub(crate) fn routing(&self) -> Option<Arc<RouteIndex>> {
         self.routing.read().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
@@ -55,14 +55,14 @@
         self.routing().map(|routing| routing.table().limits.clone()).unwrap_or_default()
     }
 
-    pub(crate) fn is_refusing(&self) -> bool {
-        self.refusing.load(Ordering::Relaxed)
+    pub(crate) fn refuses_requests(&self) -> bool {
+        self.refuses_requests.load(Ordering::Relaxed)
     }
 
     /// Whether answers close their connections, so that callers send their next requests to another
     /// gateway.
-    pub(crate) fn lets_callers_go(&self) -> bool {
-        *self.drain.borrow() || self.turning_away.load(Ordering::Relaxed)
+    pub(crate) fn closes_connections(&self) -> bool {
+        *self.drain.borrow() || self.is_cut_off.load(Ordering::Relaxed)
     }
 }
 
@@ -88,19 +88,19 @@
     ) -> Self {
         let shared = Shared {
             headers,
-            waiting: Waiting::new(settings.waiting.clone(), Arc::clone(&clock)),
+            queues: WaitQueues::new(settings.waiting.clone(), Arc::clone(&clock)),
             clock,
             ledger,
             backends,
             counters: Arc::default(),
             metrics: Arc::new(RelayMetrics::new()),
             pool: Arc::new(Pool::new()),
-            heard: Arc::default(),
-            held: HeldBytes::new(&settings),
-            programs: ProgramsUnderWay::default(),
+            liveness: Arc::default(),
+            memory: MemoryQuota::new(&settings),
+            programs: ActivePrograms::default(),
             drain: watch::Sender::new(false),
-            refusing: AtomicBool::new(false),
-            turning_away: AtomicBool::new(false),
+            refuses_requests: AtomicBool::new(false),
+            is_cut_off: AtomicBool::new(false),
             routing: RwLock::new(None),
             settings: Arc::new(settings),
         };
@@ -109,7 +109,7 @@
 
     /// Replaces the routes for all requests whose body is complete from now on.
     pub fn set_routes(&self, table: Arc<RouteTable>) {
-        let routing = Some(Arc::new(Routing::new(table)));
+        let routing = Some(Arc::new(RouteIndex::new(table)));
         *self.shared.routing.write().unwrap_or_else(PoisonError::into_inner) = routing;
     }
 
@@ -119,11 +119,12 @@
     pub fn evacuate(&self, zones: BTreeSet<Zone>) {
         let now = (self.shared.clock)();
         let mut backends = self.lock_backends();
-        let before: Vec<Zone> = backends.evacuations().into_iter().map(|it| it.zone).collect();
-        let taken_back = before.into_iter().filter(|zone| !zones.contains(zone));
+        let evacuated_before: Vec<Zone> =
+            backends.evacuations().into_iter().map(|it| it.zone).collect();
+        let restored = evacuated_before.into_iter().filter(|zone| !zones.contains(zone));
         // Servers without traffic may have turned cold, and they report that only with their next
         // entry.
-        taken_back.for_each(|zone| backends.presume_cold(&zone, now));
+        restored.for_each(|zone| backends.presume_cold(&zone, now));
         backends.evacuate(zones);
         self.shared.pool.close(|server| backends.is_evacuated(server));
     }
@@ -160,7 +161,7 @@
     /// caller that connects again may reach another gateway. Idle connections stay open, because a
     /// caller cannot tell a closed idle connection from a lost request.
     pub fn set_cut_off(&self, is_cut_off: bool) {
-        self.shared.turning_away.store(is_cut_off, Ordering::Relaxed);
+        self.shared.is_cut_off.store(is_cut_off, Ordering::Relaxed);
     }
 
     /// Refuses every request whose body is complete from now on. Refused requests have not run, and
@@ -168,7 +169,7 @@
     /// starts now might be cut off. Callers may still connect, because whoever routes them to this
     /// gateway learns of the stop late.
     pub fn refuse_new_requests(&self) {
-        self.shared.refusing.store(true, Ordering::Relaxed);
+        self.shared.refuses_requests.store(true, Ordering::Relaxed);
     }
 
     /// Registers the relay's metrics.
@@ -186,7 +187,7 @@
         let backends = self.shared.backends.lock().unwrap_or_else(PoisonError::into_inner);
         self.shared.metrics.refresh_cold(backends.cold_stats(now));
         drop(backends);
-        self.shared.metrics.refresh_waiting(&self.shared.waiting.by_rank());
+        self.shared.metrics.refresh_waiting(&self.shared.queues.len_by_rank());
     }
 
     /// The number of requests whose answer the caller's connection has not yet taken completely.
@@ -201,9 +202,9 @@
         CounterReadings {
             evacuated_zones: evacuations.len() as u64,
             in_evacuated_zones: in_flight.sum(),
-            waiting: self.shared.waiting.by_rank().values().sum::<usize>() as u64,
-            held_bytes: self.shared.held.total() as u64,
-            connection_buffer_bytes: self.shared.held.connection_buffers() as u64,
+            waiting: self.shared.queues.len_by_rank().values().sum::<usize>() as u64,
+            held_bytes: self.shared.memory.reserved() as u64,
+            connection_buffer_bytes: self.shared.memory.connection_buffers() as u64,
             ..self.shared.counters.read()
         }
     }
--- a/crates/relay/src/request.rs
+++ b/crates/relay/src/request.rs
@@ -12,14 +12,14 @@
 use snafu::Snafu;
 use tokio::time::{Duration, Instant, timeout_at};
 
-use crate::memory::{Assembly, CallerBytes, HeldBody, NotHeld};
+use crate::memory::{BodyBuffer, CallerQuota, ReservationError, ReservedBody};
 use crate::refusal::Refusal;
-use crate::{CallerLimits, HeaderNames, hop};
+use crate::{CallerLimits, HeaderNames, hop_by_hop};
 
 /// The longest identifier that callers may choose, in bytes.
-const LONGEST_IDENTIFIER: usize = 128;
+const MAX_IDENTIFIER_BYTES: usize = 128;
 /// Bytes of a header line besides name and value: colon, space, carriage return, line feed.
-const BYTES_AROUND_HEADER: usize = 4;
+const HEADER_LINE_OVERHEAD_BYTES: usize = 4;
 
 /// The head of a request, without the headers of the caller's connection and those that the relay
 /// sets itself.
@@ -32,7 +32,7 @@
     pub(crate) headers: HeaderMap,
     pub(crate) attempt: HeaderValue,
     /// How long the caller waits, if it says so.
-    pub(crate) patience: Option<Duration>,
+    pub(crate) caller_timeout: Option<Duration>,
     /// Time until its program should end, if the caller says so.
     pub(crate) program_time_left: Option<dahlia_types::Duration>,
     /// The caller's `Authorization` header.
@@ -50,17 +50,18 @@
             return Err(Refusal::HeadTooLarge);
         }
         let target = parts.uri.path_and_query().cloned();
-        let target = target.ok_or(Refusal::NotProper { what: "it names no path" })?;
-        let host = host(&parts)?;
-        let attempt = attempt(&parts.headers, names)?;
-        let patience = parts.headers.get(&names.deadline).and_then(milliseconds);
-        let program_time_left = parts.headers.get(&names.program_deadline).and_then(milliseconds);
+        let target = target.ok_or(Refusal::NotProper { reason: "it names no path" })?;
+        let host = parse_host(&parts)?;
+        let attempt = parse_attempt(&parts.headers, names)?;
+        let caller_timeout = parts.headers.get(&names.deadline).and_then(parse_milliseconds);
+        let program_time_left =
+            parts.headers.get(&names.program_deadline).and_then(parse_milliseconds);
         let program_time_left =
             program_time_left.map(|left| dahlia_types::Duration::from_secs_f64(left.as_secs_f64()));
         let headers = &mut parts.headers;
         // Read before headers are removed: a caller may name any header in `Connection`.
-        let authorization = authorization(headers);
-        hop::strip(headers);
+        let authorization = mark_authorization(headers);
+        hop_by_hop::strip_headers(headers);
         // The body is read whole here, which is all that `Expect` asks for. Its length is set again
         // when it is sent.
         for name in [&EXPECT, &CONTENT_LENGTH] {
@@ -75,14 +76,14 @@
             host,
             headers: parts.headers,
             attempt,
-            patience,
+            caller_timeout,
             program_time_left,
             authorization,
         })
     }
 
     /// The object that the request concerns, by a cookie.
-    pub(crate) fn object(&self, names: &HeaderNames) -> Option<&str> {
+    pub(crate) fn affinity_object(&self, names: &HeaderNames) -> Option<&str> {
         let cookies = self.headers.get_all(COOKIE).iter();
         let cookies = cookies.filter_map(|value| value.to_str().ok());
         let pairs = cookies.flat_map(|value| value.split(';'));
@@ -92,7 +93,7 @@
     }
 
     /// The digest of the caller's key; none without a key, or with more than one.
-    pub(crate) fn key(&self, names: &HeaderNames) -> Option<KeyDigest> {
+    pub(crate) fn key_digest(&self, names: &HeaderNames) -> Option<KeyDigest> {
         let value = self.authorization.as_ref()?.as_bytes();
         let (scheme, key) = value.split_at_checked(names.key_scheme.len())?;
         let is_key = scheme.eq_ignore_ascii_case(names.key_scheme.as_bytes());
@@ -101,7 +102,7 @@
     }
 
     /// Removes the caller's key, so that it is not passed on.
-    pub(crate) fn drop_key(&mut self) {
+    pub(crate) fn remove_key(&mut self) {
         self.authorization = None;
         self.headers.remove(AUTHORIZATION);
     }
@@ -115,8 +116,8 @@
     /// An identifier that the caller chose, from a header.
     pub(crate) fn identifier(&self, name: &HeaderName) -> Result<Option<&str>, Refusal> {
         match self.text(name) {
-            Some(text) if text.len() > LONGEST_IDENTIFIER => {
-                Err(Refusal::NotProper { what: "an identifier is too long" })
+            Some(text) if text.len() > MAX_IDENTIFIER_BYTES => {
+                Err(Refusal::NotProper { reason: "an identifier is too long" })
             }
             text => Ok(text),
         }
@@ -142,47 +143,49 @@
 
     pub(crate) fn budget(&self, names: &HeaderNames) -> Result<Option<Tokens>, Refusal> {
         let Some(text) = self.text(&names.budget) else { return Ok(None) };
-        let tokens = text.parse().map_err(|_| Refusal::NotProper { what: "the token budget" })?;
+        let tokens = text.parse().map_err(|_| Refusal::NotProper { reason: "the token budget" })?;
         Ok(Some(Tokens(tokens)))
     }
 
     /// The request's size; none if the caller does not state it.
-    pub(crate) fn size(&self, names: &HeaderNames) -> Option<TurnSize> {
-        let (prompt, most) = self.token_count(names)?;
+    pub(crate) fn turn_size(&self, names: &HeaderNames) -> Option<TurnSize> {
+        let (prompt, max_generated) = self.token_count(names)?;
         let hint = self.text(&names.length_hint).and_then(|hint| hint.parse().ok());
-        let generated = hint.map_or(most, |hint| Tokens(hint).min(most));
+        let generated = hint.map_or(max_generated, |hint| Tokens(hint).min(max_generated));
         Some(TurnSize { prompt, generated })
     }
 
     /// The tokens of the prompt plus the most tokens of the answer.
-    pub(crate) fn tokens(&self, names: &HeaderNames) -> Option<Tokens> {
-        let (prompt, most) = self.token_count(names)?;
-        Some(Tokens(prompt.0.saturating_add(most.0)))
+    pub(crate) fn total_tokens(&self, names: &HeaderNames) -> Option<Tokens> {
+        let (prompt, max_generated) = self.token_count(names)?;
+        Some(Tokens(prompt.0.saturating_add(max_generated.0)))
     }
 
     /// The tokens of the prompt, and the most tokens of the answer.
     fn token_count(&self, names: &HeaderNames) -> Option<(Tokens, Tokens)> {
-        let (prompt, most) = self.text(&names.token_count)?.split_once(',')?;
-        let (prompt, most) = (prompt.trim().parse().ok()?, most.trim().parse().ok()?);
-        Some((Tokens(prompt), Tokens(most)))
+        let (prompt, max_generated) = self.text(&names.token_count)?.split_once(',')?;
+        let (prompt, max_generated) =
+            (prompt.trim().parse().ok()?, max_generated.trim().parse().ok()?);
+        Some((Tokens(prompt), Tokens(max_generated)))
     }
 
     /// The most tokens that the answer may have: the second number of the token count.
-    pub(crate) fn most_generated(&self, names: &HeaderNames) -> Option<Tokens> {
-        let (_, most) = self.text(&names.token_count)?.split_once(',')?;
-        most.trim().parse().ok().map(Tokens)
+    pub(crate) fn max_generated(&self, names: &HeaderNames) -> Option<Tokens> {
+        let (_, max_generated) = self.text(&names.token_count)?.split_once(',')?;
+        max_generated.trim().parse().ok().map(Tokens)
     }
 }
 
 fn head_bytes(parts: &request::Parts) -> usize {
     let target = parts.uri.path_and_query().map_or(0, |target| target.as_str().len());
     let lines = parts.headers.iter();
-    let lines = lines.map(|(name, value)| name.as_str().len() + value.len() + BYTES_AROUND_HEADER);
+    let lines =
+        lines.map(|(name, value)| name.as_str().len() + value.len() + HEADER_LINE_OVERHEAD_BYTES);
     target + lines.sum::<usize>()
 }
 
 /// The only value of `Authorization`, marked as sensitive so that nothing prints it.
-fn authorization(headers: &mut HeaderMap) -> Option<HeaderValue> {
+fn mark_authorization(headers: &mut HeaderMap) -> Option<HeaderValue> {
     let is_key = |(name, _): &(&HeaderName, &mut HeaderValue)| **name == AUTHORIZATION;
     headers.iter_mut().filter(is_key).for_each(|(_, value)| value.set_sensitive(true));
     let mut values = headers.get_all(AUTHORIZATION).iter();
@@ -190,7 +193,7 @@
     first.filter(|_| second.is_none()).cloned()
 }
 
-fn host(parts: &request::Parts) -> Result<String, Refusal> {
+fn parse_host(parts: &request::Parts) -> Result<String, Refusal> {
     if let Some(host) = parts.uri.host() {
         return Ok(host.to_ascii_lowercase());
     }
@@ -199,7 +202,7 @@
     let text = match (first, second) {
         (Some(value), None) => value.to_str().unwrap_or_default(),
         (None, _) if parts.version < Version::HTTP_11 => "",
-        _ => return Err(Refusal::NotProper { what: "it must name one host" }),
+        _ => return Err(Refusal::NotProper { reason: "it must name one host" }),
     };
     Ok(without_port(text).to_ascii_lowercase())
 }
@@ -211,56 +214,56 @@
     }
 }
 
-fn attempt(headers: &HeaderMap, names: &HeaderNames) -> Result<HeaderValue, Refusal> {
+fn parse_attempt(headers: &HeaderMap, names: &HeaderNames) -> Result<HeaderValue, Refusal> {
     let mut values = headers.get_all(&names.attempt).iter();
     match (values.next(), values.next()) {
-        (Some(id), None) if !id.is_empty() && id.len() <= LONGEST_IDENTIFIER => Ok(id.clone()),
-        _ => Err(Refusal::NotProper { what: "it must have one attempt id" }),
+        (Some(id), None) if !id.is_empty() && id.len() <= MAX_IDENTIFIER_BYTES => Ok(id.clone()),
+        _ => Err(Refusal::NotProper { reason: "it must have one attempt id" }),
     }
 }
 
-fn milliseconds(value: &HeaderValue) -> Option<Duration> {
+fn parse_milliseconds(value: &HeaderValue) -> Option<Duration> {
     let milliseconds: f64 = value.to_str().ok()?.trim().parse().ok()?;
     Duration::try_from_secs_f64(milliseconds / 1e3).ok()
 }
 
 /// Reads a body within limits, until a deadline, with memory of its caller's quota.
-pub(crate) struct BodyReading<'a> {
+pub(crate) struct BodyReader<'a> {
     pub(crate) limits: &'a CallerLimits,
-    pub(crate) until: Instant,
-    pub(crate) caller: &'a CallerBytes,
+    pub(crate) deadline: Instant,
+    pub(crate) caller: &'a CallerQuota,
 }
 
-impl BodyReading<'_> {
+impl BodyReader<'_> {
     /// Reads a body to its end.
     ///
     /// # Errors
     /// The body is longer than the limit, pauses for longer than a head may take, does not arrive
     /// in time, breaks off, or finds no memory.
-    pub(crate) async fn read(&self, mut body: Incoming) -> Result<HeldBody, BodyError> {
+    pub(crate) async fn read(&self, mut body: Incoming) -> Result<ReservedBody, BodyError> {
         if body.size_hint().lower() > self.limits.body_bytes as u64 {
             return Err(Refusal::BodyTooLarge.into());
         }
         let expected = body.size_hint().exact();
-        let mut whole = Assembly::new(expected, self.limits.body_bytes, self.caller);
+        let mut buffer = BodyBuffer::new(expected, self.limits.body_bytes, self.caller);
         while let Some(data) = self.next_data(&mut body).await? {
-            if whole.len() + data.len() > self.limits.body_bytes {
+            if buffer.len() + data.len() > self.limits.body_bytes {
                 return Err(Refusal::BodyTooLarge.into());
             }
-            whole.push(&data)?;
+            buffer.push(&data)?;
         }
-        Ok(whole.finish())
+        Ok(buffer.finish())
     }
 
     async fn next_data(&self, body: &mut Incoming) -> Result<Option<Bytes>, Refusal> {
-        let pause = Duration::from_micros(self.limits.header_timeout.as_micros());
+        let max_pause = Duration::from_micros(self.limits.header_timeout.as_micros());
         loop {
-            let until = self.until.min(Instant::now() + pause);
-            let frame = timeout_at(until, body.frame()).await.map_err(|_| Refusal::TooSlow)?;
+            let deadline = self.deadline.min(Instant::now() + max_pause);
+            let frame = timeout_at(deadline, body.frame()).await.map_err(|_| Refusal::TooSlow)?;
             match frame {
                 None => return Ok(None),
                 Some(Err(_)) => {
-                    return Err(Refusal::NotProper { what: "its body broke off" });
+                    return Err(Refusal::NotProper { reason: "its body broke off" });
                 }
                 Some(Ok(frame)) => {
                     if let Ok(data) = frame.into_data() {
@@ -280,5 +283,5 @@
     Refused { source: Refusal },
     /// No memory is available for the body.
     #[snafu(context(false), display("{source}"))]
-    NotHeld { source: NotHeld },
+    NoMemory { source: ReservationError },
 }
--- a/crates/relay/src/decisions.rs
+++ b/crates/relay/src/request_log.rs
@@ -16,10 +16,10 @@
 use crate::metrics::RelayMetrics;
 use crate::refusal::Refusal;
 use crate::request::RequestHead;
-use crate::router::Matched;
+use crate::router::RouteMatch;
 
 /// Stands for a missing value, or an identifier that is not text.
-const NOT_NAMED: &str = "-";
+const MISSING: &str = "-";
 
 /// The log of one request. Cheap to clone.
 #[derive(Debug, Clone)]
@@ -37,24 +37,24 @@
     }
 
     /// Sets the request's identifier for all further lines.
-    pub(crate) fn name(&mut self, head: &RequestHead) {
+    pub(crate) fn set_attempt(&mut self, head: &RequestHead) {
         self.attempt = Some(head.attempt.clone());
     }
 
     fn request(&self) -> &str {
         let text = self.attempt.as_ref().and_then(|attempt| attempt.to_str().ok());
-        text.unwrap_or(NOT_NAMED)
+        text.unwrap_or(MISSING)
     }
 
     fn answer_began(&self) {
         if let Some(service) = &self.service {
-            self.metrics.answer_began(service, self.arrived.elapsed());
+            self.metrics.observe_answer_begin(service, self.arrived.elapsed());
         }
     }
 
     fn answer_ended(&self) {
         if let Some(service) = &self.service {
-            self.metrics.answer_ended(service, self.arrived.elapsed());
+            self.metrics.observe_answer_end(service, self.arrived.elapsed());
         }
     }
 
@@ -63,13 +63,18 @@
     }
 
     /// The request matched a route.
-    pub(crate) fn routed(&mut self, matched: &Matched, program: Option<&str>, deadline: Instant) {
+    pub(crate) fn routed(
+        &mut self,
+        matched: &RouteMatch,
+        program: Option<&str>,
+        deadline: Instant,
+    ) {
         self.service = Some(matched.service_name().clone());
         log::info!(
             target: "relay",
             request = self.request(),
-            program = program.unwrap_or(NOT_NAMED),
-            tenant = matched.tenant().map_or(NOT_NAMED, |tenant| tenant.name.as_str()),
+            program = program.unwrap_or(MISSING),
+            tenant = matched.tenant().map_or(MISSING, |tenant| tenant.name.as_str()),
             route = matched.route().name.as_str(),
             service = matched.service_name().0.as_str(),
             generation = matched.generation(),
@@ -92,33 +97,33 @@
 
     /// The ledger opened its turn.
     pub(crate) fn turn_opened(&self, history_bytes: usize, served_by: Option<&str>) {
-        self.metrics.turn_opened(self.arrived.elapsed());
+        self.metrics.observe_turn_open(self.arrived.elapsed());
         log::info!(
             target: "relay",
             request = self.request(),
             history_bytes = history_bytes,
-            last_server = served_by.unwrap_or(NOT_NAMED),
+            last_server = served_by.unwrap_or(MISSING),
             age_ms = self.age_ms();
             "Turn opened."
         );
     }
 
     /// All servers are full, and the request starts to wait.
-    pub(crate) fn waits(&self, waiter: &QueuedRequest) {
+    pub(crate) fn wait_started(&self, queued: &QueuedRequest) {
         log::info!(
             target: "relay",
             request = self.request(),
-            rank = waiter.rank,
-            stage:? = waiter.stage,
-            tokens = waiter.cost.0,
+            rank = queued.rank,
+            stage:? = queued.stage,
+            tokens = queued.cost.0,
             age_ms = self.age_ms();
             "Waits for a server."
         );
     }
 
     /// The wait ended, with or without a server.
-    pub(crate) fn waited(&self, time: tokio::time::Duration) {
-        self.metrics.waited(time);
+    pub(crate) fn wait_ended(&self, time: tokio::time::Duration) {
+        self.metrics.observe_wait(time);
         log::info!(
             target: "relay",
             request = self.request(),
@@ -136,7 +141,7 @@
         sends_before: usize,
         bytes: usize,
     ) {
-        self.metrics.chosen(basis.reason, basis.distance, bytes);
+        self.metrics.count_choice(basis.reason, basis.distance, bytes);
         let expected = basis.estimate;
         let view_age = expected.and_then(|expected| expected.view_age);
         log::info!(
@@ -149,11 +154,11 @@
             sound = basis.healthy,
             usable = basis.usable,
             listed = basis.listed,
-            expected_ms:% = OrNone(expected.map(|expected| expected.duration.as_millis())),
-            token_us:% = OrNone(expected.map(|expected| expected.time_per_token.as_micros())),
-            attempts:% = OrNone(expected.map(|expected| expected.attempts)),
-            keeps_prompt:% = OrNone(expected.map(|expected| expected.holds_prompt)),
-            view_age_ms:% = OrNone(view_age.map(Duration::as_millis)),
+            expected_ms:% = OrMissing(expected.map(|expected| expected.duration.as_millis())),
+            token_us:% = OrMissing(expected.map(|expected| expected.time_per_token.as_micros())),
+            attempts:% = OrMissing(expected.map(|expected| expected.attempts)),
+            keeps_prompt:% = OrMissing(expected.map(|expected| expected.holds_prompt)),
+            view_age_ms:% = OrMissing(view_age.map(Duration::as_millis)),
             sends_before = sends_before,
             age_ms = self.age_ms();
             "Server chosen."
@@ -161,15 +166,15 @@
     }
 
     /// An answer was complete after this time, and the choice had estimated another.
-    pub(crate) fn turn_took(&self, expected: TurnEstimate, time: Duration) {
+    pub(crate) fn turn_ended(&self, expected: TurnEstimate, time: Duration) {
         if let Some(service) = &self.service {
-            self.metrics.turn_took(service, expected.duration, time);
+            self.metrics.observe_turn(service, expected.duration, time);
         }
     }
 
     /// An attempt did not produce an answer.
     pub(crate) fn attempt_failed(&self, server: &BackendId, end: AttemptEnd, cause: &str) {
-        self.metrics.attempt_failed(end);
+        self.metrics.count_failed_attempt(end);
         log::warn!(
             target: "relay",
             request = self.request(),
@@ -245,7 +250,7 @@
 
     /// The relay refuses the request.
     pub(crate) fn refused(&self, refusal: &Refusal) {
-        self.metrics.refused(refusal.name());
+        self.metrics.count_refusal(refusal.name());
         log::warn!(
             target: "relay",
             request = self.request(),
@@ -269,36 +274,36 @@
 }
 
 /// A value of a log line that may be missing.
-struct OrNone<T>(Option<T>);
+struct OrMissing<T>(Option<T>);
 
-impl<T: fmt::Display> fmt::Display for OrNone<T> {
+impl<T: fmt::Display> fmt::Display for OrMissing<T> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match &self.0 {
             Some(value) => value.fmt(f),
-            None => f.write_str(NOT_NAMED),
+            None => f.write_str(MISSING),
         }
     }
 }
 
 /// Logs on drop that the caller disconnected, unless the request ended before.
 #[derive(Default)]
-pub(crate) struct LeavingGuard {
+pub(crate) struct DisconnectGuard {
     log: Option<RequestLog>,
 }
 
-impl LeavingGuard {
+impl DisconnectGuard {
     /// Starts watching a request.
-    pub(crate) fn began(&mut self, log: RequestLog) {
+    pub(crate) fn start(&mut self, log: RequestLog) {
         self.log = Some(log);
     }
 
     /// Records that the request has ended.
-    pub(crate) fn ended(&mut self) {
+    pub(crate) fn finish(&mut self) {
         self.log = None;
     }
 }
 
-impl Drop for LeavingGuard {
+impl Drop for DisconnectGuard {
     fn drop(&mut self) {
         if let Some(log) = &self.log {
             log.caller_left();
--- a/crates/relay/src/router.rs
+++ b/crates/relay/src/router.rs
@@ -11,7 +11,7 @@
 
 /// The routes in force, indexed for lookup.
 #[derive(Debug)]
-pub(crate) struct Routing {
+pub(crate) struct RouteIndex {
     table: Arc<RouteTable>,
     /// Indices of each host's routes, the longest prefix first.
     by_host: HashMap<String, Vec<usize>>,
@@ -34,19 +34,19 @@
 }
 
 /// All ranks that the routes can have, for every tenant.
-fn ranks(table: &RouteTable) -> BTreeSet<Rank> {
+fn all_ranks(table: &RouteTable) -> BTreeSet<Rank> {
     let priorities: BTreeSet<Option<u32>> = match &table.tenants {
         Some(tenants) => tenants.iter().map(|tenant| tenant.priority).collect(),
         None => BTreeSet::from([None]),
     };
-    let for_tenants = |route: &Route| -> Vec<Rank> {
-        let with = |tenant: &Option<u32>| (tenant.unwrap_or(route.priority), route.priority);
-        priorities.iter().map(with).collect()
+    let ranks_of_route = |route: &Route| -> Vec<Rank> {
+        let rank_for = |tenant: &Option<u32>| (tenant.unwrap_or(route.priority), route.priority);
+        priorities.iter().map(rank_for).collect()
     };
-    table.routes.iter().flat_map(for_tenants).collect()
+    table.routes.iter().flat_map(ranks_of_route).collect()
 }
 
-impl Routing {
+impl RouteIndex {
     pub(crate) fn new(table: Arc<RouteTable>) -> Self {
         let mut by_host: HashMap<String, Vec<usize>> = HashMap::new();
         for (position, route) in table.routes.iter().enumerate() {
@@ -64,9 +64,9 @@
         let keys = tenants
             .flat_map(|(position, tenant)| tenant.keys.iter().map(move |key| (*key, position)));
         let tenants_by_key = keys.collect();
-        let ranks = ranks(&table);
-        let place = |rank: &Rank| (*rank, RankPosition::new(*rank, ranks.iter().copied()));
-        let ranks = ranks.iter().map(place).collect();
+        let ranks = all_ranks(&table);
+        let position = |rank: &Rank| (*rank, RankPosition::new(*rank, ranks.iter().copied()));
+        let ranks = ranks.iter().map(position).collect();
         // Without programs or tenants there is nothing to order waiting requests by.
         let may_wait =
             table.tenants.is_some() || table.routes.iter().any(|route| route.retains_turns);
@@ -83,57 +83,57 @@
     }
 
     /// Finds the route with the longest matching path prefix, and chooses the service for the key.
-    pub(crate) fn find(self: &Arc<Self>, host: &str, path: &str, key: u64) -> Option<Matched> {
+    pub(crate) fn find(self: &Arc<Self>, host: &str, path: &str, key: u64) -> Option<RouteMatch> {
         let positions = self.by_host.get(host)?;
         let route = *positions
             .iter()
             .find(|&&position| path.starts_with(&self.table.routes[position].path_prefix))?;
-        let target = share_of(&self.table.routes[route].targets, key)?;
-        Some(Matched { routing: Arc::clone(self), route, target, tenant: None })
+        let target = choose_target(&self.table.routes[route].targets, key)?;
+        Some(RouteMatch { index: Arc::clone(self), route, target, tenant: None })
     }
 }
 
 /// The route of a request. It stays valid for the request when the routes in force change.
 #[derive(Debug, Clone)]
-pub(crate) struct Matched {
-    routing: Arc<Routing>,
+pub(crate) struct RouteMatch {
+    index: Arc<RouteIndex>,
     route: usize,
     target: usize,
     tenant: Option<usize>,
 }
 
-impl Matched {
+impl RouteMatch {
     pub(crate) fn route(&self) -> &Route {
-        &self.routing.table.routes[self.route]
+        &self.index.table.routes[self.route]
     }
 
     /// Looks up the tenant of a key. Returns whether there is one.
     pub(crate) fn find_tenant(&mut self, key: KeyDigest) -> bool {
-        self.tenant = self.routing.tenants_by_key.get(&key).copied();
+        self.tenant = self.index.tenants_by_key.get(&key).copied();
         self.tenant.is_some()
     }
 
     /// The tenant of the request, if callers need a key.
     pub(crate) fn tenant(&self) -> Option<&Tenant> {
-        self.routing.table.tenants.as_ref()?.get(self.tenant?)
+        self.index.table.tenants.as_ref()?.get(self.tenant?)
     }
 
     /// Whether callers need a key, unless their route is open.
     pub(crate) fn has_tenants(&self) -> bool {
-        self.routing.has_tenants()
+        self.index.has_tenants()
     }
 
     /// Whether the request may wait at the gateway while all servers are full.
     pub(crate) fn may_wait(&self) -> bool {
-        self.routing.may_wait
+        self.index.may_wait
     }
 
     pub(crate) fn rank(&self) -> RankPosition {
         let rank = rank(self.route(), self.tenant());
-        let place = self.routing.ranks.get(&rank);
+        let position = self.index.ranks.get(&rank);
         // A request on an open route may have a rank that no tenant has.
-        place.copied().unwrap_or_else(|| {
-            RankPosition::new(rank, self.routing.ranks.keys().copied().chain([rank]))
+        position.copied().unwrap_or_else(|| {
+            RankPosition::new(rank, self.index.ranks.keys().copied().chain([rank]))
         })
     }
 
@@ -143,19 +143,19 @@
 
     /// The generation of the routes that matched the request.
     pub(crate) fn generation(&self) -> u64 {
-        self.routing.table.generation
+        self.index.table.generation
     }
 
     /// The service's description, if there is one.
     pub(crate) fn service(&self) -> Option<&Service> {
-        let position = *self.routing.services.get(self.service_name())?;
-        self.routing.table.services.get(position)
+        let position = *self.index.services.get(self.service_name())?;
+        self.index.table.services.get(position)
     }
 }
 
 /// Returns the index of the target that a key falls to. Equal keys choose the same target, and
 /// uniform keys are spread by weight.
-fn share_of(targets: &[WeightedService], key: u64) -> Option<usize> {
+fn choose_target(targets: &[WeightedService], key: u64) -> Option<usize> {
     let total: f64 = targets.iter().map(|target| target.weight.max(0.0)).sum();
     let mut rest = key as f64 / u64::MAX as f64 * total;
     for (position, target) in targets.iter().enumerate() {
@@ -169,7 +169,7 @@
 }
 
 /// Hashes bytes to a uniform key, which is the same in all daemons of one build.
-pub(crate) fn key_of(bytes: &[u8]) -> u64 {
+pub(crate) fn hash_key(bytes: &[u8]) -> u64 {
     let mut hasher = DefaultHasher::new();
     hasher.write(bytes);
     hasher.finish()
--- a/crates/relay/src/live.rs
+++ b/crates/relay/src/server_response.rs
@@ -13,12 +13,12 @@
 use tokio::select;
 
 use crate::connection::ServerConnection;
-use crate::decisions::RequestLog;
-use crate::memory::{Assembly, CallerBytes, HeldBody, NotHeld};
-use crate::pool::{Keeping, Pool};
+use crate::liveness::LivenessWatch;
+use crate::memory::{BodyBuffer, CallerQuota, ReservationError, ReservedBody};
+use crate::pool::{KeepAlive, Pool};
 use crate::relay::{Clock, Shared};
-use crate::silence::SilenceWatch;
-use crate::waiting::SlotGuard;
+use crate::request_log::RequestLog;
+use crate::wait_queues::SlotGuard;
 
 /// The answer was incomplete, missing, or belonged to another request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
@@ -27,17 +27,17 @@
 
 /// Why an answer could not be read completely.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
-pub(crate) enum NoWholeAnswer {
+pub(crate) enum ReadWholeError {
     #[snafu(transparent)]
     Broken { source: BrokenAnswer },
     /// The answer is longer than the memory for one caller. No other server's answer would be
     /// shorter.
     #[snafu(transparent)]
-    NotHeld { source: NotHeld },
+    NoMemory { source: ReservationError },
 }
 
 /// A server that was chosen for a request.
-pub(crate) struct Chosen {
+pub(crate) struct ChosenServer {
     pub(crate) server: BackendAddress,
     /// The request's size that the choice used.
     pub(crate) size: Option<TurnSize>,
@@ -57,13 +57,13 @@
     size: TurnSize,
     /// The estimate for the server, if it decided the choice.
     expected: Option<TurnEstimate>,
-    began: Timestamp,
+    started: Timestamp,
     /// When the attempt was sent; none before that, and once its answer has begun.
-    waits_since: Option<Timestamp>,
+    sent_at: Option<Timestamp>,
     /// Detects that the server stops responding.
-    pub(crate) watch: SilenceWatch,
+    pub(crate) watch: LivenessWatch,
     /// Dropped after the end is reported: only then can the next request use the slot.
-    place: SlotGuard,
+    slot: SlotGuard,
 }
 
 impl AttemptGuard {
@@ -71,15 +71,15 @@
     /// its request.
     pub(crate) fn new<L>(
         shared: &Shared<L>,
-        chosen: &Chosen,
+        chosen: &ChosenServer,
         may_run_again: bool,
         log: RequestLog,
-        place: SlotGuard,
+        slot: SlotGuard,
     ) -> Self {
-        let Chosen { server, size, expected } = chosen;
+        let ChosenServer { server, size, expected } = chosen;
         Self {
-            watch: SilenceWatch::new(
-                &shared.heard,
+            watch: LivenessWatch::new(
+                &shared.liveness,
                 &shared.backends,
                 server,
                 &shared.settings,
@@ -91,10 +91,10 @@
             end: AttemptEnd::Cancelled,
             size: size.unwrap_or_default(),
             expected: *expected,
-            began: (shared.clock)(),
+            started: (shared.clock)(),
             log,
-            waits_since: None,
-            place,
+            sent_at: None,
+            slot,
         }
     }
 
@@ -105,7 +105,7 @@
     }
 
     /// Reports the arrival times of tokens to [`Backends`].
-    fn tokens_came(&self, times: TokenTimes) {
+    fn record_tokens(&self, times: TokenTimes) {
         let now = (self.clock)();
         let mut backends = self.backends.lock().unwrap_or_else(PoisonError::into_inner);
         backends.record_token_times(&self.server, times, now);
@@ -118,16 +118,16 @@
     }
 
     /// Records that the attempt is being sent.
-    pub(crate) fn sending(&mut self) {
-        self.waits_since = Some((self.clock)());
+    pub(crate) fn record_send(&mut self) {
+        self.sent_at = Some((self.clock)());
     }
 
     /// Records that the head of the answer has arrived.
-    pub(crate) fn answering(&mut self) {
+    pub(crate) fn record_head(&mut self) {
         let now = (self.clock)();
-        if let Some(since) = self.waits_since.take() {
+        if let Some(sent_at) = self.sent_at.take() {
             let mut backends = self.backends.lock().unwrap_or_else(PoisonError::into_inner);
-            backends.record_response_time(&self.server, now.since(since), now);
+            backends.record_response_time(&self.server, now.since(sent_at), now);
         }
     }
 }
@@ -136,44 +136,44 @@
     fn drop(&mut self) {
         let now = (self.clock)();
         let mut backends = self.backends.lock().unwrap_or_else(PoisonError::into_inner);
-        let waited = self.waits_since.map(|since| now.since(since));
-        if let Some(waited) = waited.filter(|_| self.end == AttemptEnd::Cancelled) {
-            backends.record_unanswered(&self.server, waited, now);
+        let waiting_time = self.sent_at.map(|sent_at| now.since(sent_at));
+        if let Some(waiting_time) = waiting_time.filter(|_| self.end == AttemptEnd::Cancelled) {
+            backends.record_unanswered(&self.server, waiting_time, now);
         }
         backends.end_turn(&self.server, self.size, self.end, now);
         drop(backends);
-        self.place.ended(self.end);
+        self.slot.record_end(self.end);
         if let Some(expected) = self.expected.filter(|_| self.end == AttemptEnd::Answered) {
-            self.log.turn_took(expected, now.since(self.began));
+            self.log.turn_ended(expected, now.since(self.started));
         }
     }
 }
 
 /// An answer whose head has arrived. Dropping it before its end closes the connection.
-pub(crate) struct LiveAnswer {
+pub(crate) struct ServerResponse {
     pub(crate) parts: response::Parts,
     /// The server said that it did not run the request.
     pub(crate) did_not_run: bool,
     body: Incoming,
     /// None once the body has ended, complete or not.
     connection: Option<ServerConnection>,
-    keeping: Keeping,
+    keep_alive: KeepAlive,
     pool: Arc<Pool>,
     guard: AttemptGuard,
 }
 
-impl LiveAnswer {
+impl ServerResponse {
     pub(crate) fn new(
         parts: response::Parts,
         body: Incoming,
         did_not_run: bool,
         connection: ServerConnection,
-        keeping: Keeping,
+        keep_alive: KeepAlive,
         pool: Arc<Pool>,
         guard: AttemptGuard,
     ) -> Self {
         let connection = Some(connection);
-        Self { parts, did_not_run, body, connection, keeping, pool, guard }
+        Self { parts, did_not_run, body, connection, keep_alive, pool, guard }
     }
 
     pub(crate) fn server(&self) -> &BackendId {
@@ -181,8 +181,8 @@
     }
 
     /// Reports the arrival times of tokens to [`Backends`].
-    pub(crate) fn tokens_came(&self, times: TokenTimes) {
-        self.guard.tokens_came(times);
+    pub(crate) fn record_tokens(&self, times: TokenTimes) {
+        self.guard.record_tokens(times);
     }
 
     /// Records that this is no answer for the caller.
@@ -204,16 +204,16 @@
         let data = select! {
             biased;
             data = connection.next_data(&mut self.body) => data,
-            given_up = self.guard.watch.given_up() => {
+            loss = self.guard.watch.wait_until_lost() => {
                 self.connection = None;
-                let cause = format!("{} in its answer", given_up.cause());
+                let cause = format!("{} in its answer", loss.cause());
                 self.guard.fail(AttemptEnd::Unreachable, &cause);
                 return Some(Err(BrokenAnswer));
             }
         };
         match data {
             Some(Ok(piece)) => {
-                self.guard.watch.heard();
+                self.guard.watch.record_contact();
                 Some(Ok(piece))
             }
             Some(Err(error)) => {
@@ -222,7 +222,7 @@
                 Some(Err(BrokenAnswer))
             }
             None => {
-                self.keep_connection();
+                self.return_connection();
                 self.guard.end = match self.parts.status.is_server_error() {
                     true => AttemptEnd::Failed,
                     false => AttemptEnd::Answered,
@@ -240,44 +240,44 @@
     pub(crate) async fn read_whole(
         &mut self,
         limit: usize,
-        caller: &CallerBytes,
-    ) -> Result<HeldBody, NoWholeAnswer> {
+        caller: &CallerQuota,
+    ) -> Result<ReservedBody, ReadWholeError> {
         let expected = self.body.size_hint().exact();
         let expected = expected.filter(|&bytes| bytes <= limit as u64);
-        let mut whole = Assembly::new(expected, limit, caller);
+        let mut buffer = BodyBuffer::new(expected, limit, caller);
         while let Some(piece) = self.next().await {
             let piece = piece?;
-            if whole.len() + piece.len() > limit {
+            if buffer.len() + piece.len() > limit {
                 self.connection = None;
                 self.guard.fail(AttemptEnd::Broken, "the answer is too long");
                 return Err(BrokenAnswer.into());
             }
-            if let Err(error) = whole.push_when_free(&piece).await {
+            if let Err(error) = buffer.push_when_available(&piece).await {
                 self.connection = None;
                 self.guard.fail(AttemptEnd::Cancelled, &error.to_string());
                 return Err(error.into());
             }
         }
-        Ok(whole.finish())
+        Ok(buffer.finish())
     }
 
     /// Reads and discards the rest of a short body, so that the connection can be reused.
-    pub(crate) async fn skip_rest(&mut self, limit: usize) {
-        let mut skipped = 0;
+    pub(crate) async fn discard_rest(&mut self, limit: usize) {
+        let mut discarded = 0;
         while let Some(Ok(piece)) = self.next().await {
-            skipped += piece.len();
-            if skipped > limit {
+            discarded += piece.len();
+            if discarded > limit {
                 self.connection = None;
                 return;
             }
         }
     }
 
-    fn keep_connection(&mut self) {
+    fn return_connection(&mut self) {
         // No further request is sent to a zone that is being evacuated.
         let connection = self.connection.take().filter(|_| !self.guard.is_evacuated());
         if let Some(connection) = connection {
-            self.pool.put(&self.guard.server, connection, self.keeping);
+            self.pool.put(&self.guard.server, connection, self.keep_alive);
         }
     }
 }
--- a/crates/relay/src/settings.rs
+++ b/crates/relay/src/settings.rs
@@ -22,8 +22,8 @@
     /// while a request waits that another server may run; 0 disables probes. This should be longer
     /// than the pauses in streams that callers accept, so that a working server is seldom probed.
     pub silence_ms: u64,
-    /// Daemons that share a server's connections: each keeps at most this fraction (one over the
-    /// number) of them idle.
+    /// Daemons that share a server's connections: each daemon keeps at most its equal part of them
+    /// idle.
     pub connection_sharers: u32,
     /// Milliseconds that an idle connection is kept, if the server does not say how long.
     pub idle_connection_ms: u64,
--- a/crates/relay/src/tenant.rs
+++ b/crates/relay/src/tenant.rs
@@ -11,28 +11,28 @@
 use crate::refusal::Refusal;
 use crate::relay::Shared;
 use crate::request::RequestHead;
-use crate::router::{Matched, key_of};
+use crate::router::{RouteMatch, hash_key};
 use crate::{LimitReached, TenantLimits};
 
 /// A request waits for its permit at most its remaining time divided by this. That is as long as
 /// its caller would wait before a retry, so the wait costs the caller nothing and saves the
 /// connection and the position in line.
-const WAITED_PART: u32 = 3;
+const MAX_WAIT_DIVISOR: u32 = 3;
 
 /// Finds the tenant of a request by its key, and removes the key from the head.
 ///
 /// # Errors
 /// The route requires a key, and no tenant has the caller's key.
-pub(crate) fn identify<L>(
+pub(crate) fn authenticate<L>(
     shared: &Shared<L>,
-    matched: &mut Matched,
+    matched: &mut RouteMatch,
     head: &mut RequestHead,
 ) -> Result<(), Refusal> {
     if !matched.has_tenants() {
         return Ok(());
     }
-    let key = head.key(&shared.headers);
-    head.drop_key();
+    let key = head.key_digest(&shared.headers);
+    head.remove_key();
     let is_known = key.is_some_and(|key| matched.find_tenant(key));
     if is_known || matched.route().is_open {
         return Ok(());
@@ -51,31 +51,31 @@
     ///
     /// # Errors
     /// The tenant exceeds its limit.
-    pub(crate) async fn take<L: TenantLimits>(
+    pub(crate) async fn acquire<L: TenantLimits>(
         shared: &Shared<L>,
-        matched: &Matched,
+        matched: &RouteMatch,
         head: &RequestHead,
         deadline: Instant,
     ) -> Result<Option<Self>, Refusal> {
         let Some(tenant) = matched.tenant() else { return Ok(None) };
         let Some(limit) = tenant.limit else { return Ok(None) };
-        let known = VersionedLimit { generation: matched.generation(), limit };
+        let versioned_limit = VersionedLimit { generation: matched.generation(), limit };
         let program = head.program(&shared.headers, Some(&tenant.name))?;
         let program = program.as_ref().map(program_key);
-        let left = deadline.saturating_duration_since(Instant::now()) / WAITED_PART;
-        let most_wait = Duration::from_micros(left.as_micros() as u64);
-        match shared.ledger.admit(&tenant.name, known, program, most_wait).await {
+        let max_wait = deadline.saturating_duration_since(Instant::now()) / MAX_WAIT_DIVISOR;
+        let max_wait = Duration::from_micros(max_wait.as_micros() as u64);
+        match shared.ledger.admit(&tenant.name, versioned_limit, program, max_wait).await {
             Ok(()) => Ok(Some(Self { tenant: tenant.name.clone(), program })),
             Err(LimitReached { retry_after }) => Err(Refusal::LimitReached { retry_after }),
         }
     }
 
     /// Takes the permit back, because the request has not run and never will.
-    pub(crate) fn give_back<L: TenantLimits>(self, shared: &Shared<L>) {
+    pub(crate) fn refund<L: TenantLimits>(self, shared: &Shared<L>) {
         shared.ledger.refund(&self.tenant, self.program);
     }
 }
 
 fn program_key(program: &ProgramName) -> ProgramKey {
-    ProgramKey(key_of(program.name().as_bytes()))
+    ProgramKey(hash_key(program.name().as_bytes()))
 }
--- a/crates/relay/src/turn.rs
+++ b/crates/relay/src/turn.rs
@@ -17,11 +17,11 @@
 
 use crate::counters::{Gauge, GaugeGuard};
 use crate::events::Event;
-use crate::memory::{CallerBytes, Held};
+use crate::memory::{CallerQuota, MemoryReservation};
 use crate::refusal::Refusal;
 use crate::relay::Shared;
 use crate::request::RequestHead;
-use crate::router::Matched;
+use crate::router::RouteMatch;
 use crate::{LedgerUnavailable, TurnLedger};
 
 /// A turn whose end the ledger has not yet confirmed.
@@ -29,12 +29,12 @@
     shared: Arc<Shared<L>>,
     program: ProgramName,
     turn: TurnId,
-    retains: bool,
+    retains_text: bool,
     tokens_per_event: Tokens,
     events: u64,
     output: Vec<u8>,
     /// The memory of the output, reserved until the ledger has it.
-    held: Held,
+    reservation: MemoryReservation,
     /// The end to record if the turn stops now; none if the ledger knows it already.
     end: Option<TurnEnd>,
     open: Option<GaugeGuard>,
@@ -47,11 +47,11 @@
     /// The ledger refuses the turn or did not answer; nothing was sent and nothing will be.
     pub(crate) async fn open(
         shared: &Arc<Shared<L>>,
-        matched: &Matched,
+        matched: &RouteMatch,
         head: &RequestHead,
         body: &Bytes,
         deadline: Instant,
-        caller: &CallerBytes,
+        caller: &CallerQuota,
     ) -> Result<Option<(Self, OpenedTurn)>, Refusal> {
         let Some(command) = open_command(shared, matched, head, body)? else { return Ok(None) };
         let engine = matched.service().and_then(|service| service.engine.as_ref());
@@ -59,22 +59,22 @@
             shared: Arc::clone(shared),
             program: command.program.clone(),
             turn: command.turn.clone(),
-            retains: matched.route().retains_turns,
+            retains_text: matched.route().retains_turns,
             tokens_per_event: engine.map_or(Tokens(1), |engine| engine.tokens_per_event),
             events: 0,
             output: Vec::new(),
-            held: caller.nothing(),
+            reservation: caller.empty_reservation(),
             end: Some(TurnEnd::NotRun),
             open: Some(GaugeGuard::new(&shared.counters, Gauge::UnsettledTurns)),
         };
-        let retains = turn.retains;
+        let retains_text = turn.retains_text;
         let command = LedgerCommand::Open(command);
-        let reply = ask(shared, retains, command, until(deadline)).await;
-        let opened = turn.opened(reply)?;
+        let reply = submit(shared, retains_text, command, time_left_until(deadline)).await;
+        let opened = turn.handle_open_reply(reply)?;
         Ok(Some((turn, opened)))
     }
 
-    fn opened(
+    fn handle_open_reply(
         &mut self,
         reply: Result<LedgerReply, LedgerUnavailable>,
     ) -> Result<OpenedTurn, Refusal> {
@@ -86,13 +86,13 @@
             Ok(_) => return Err(Refusal::LedgerUnavailable { retry_after }),
             Err(error) => {
                 if error.was_not_submitted {
-                    self.settled();
+                    self.mark_settled();
                 }
                 let retry_after = error.retry_after.unwrap_or(retry_after);
                 return Err(Refusal::LedgerUnavailable { retry_after });
             }
         };
-        self.settled();
+        self.mark_settled();
         Err(match refusal {
             TurnRefusal::BudgetSpent { .. } => Refusal::BudgetSpent,
             TurnRefusal::NoSuchTurn { .. } => Refusal::NoSuchTurn,
@@ -105,27 +105,27 @@
     }
 
     /// Notes that a server may run the turn from now on.
-    pub(crate) fn may_run(&mut self) {
+    pub(crate) fn mark_sent(&mut self) {
         self.end = Some(TurnEnd::Incomplete);
     }
 
     /// Notes that no server has run the turn, and that none will unless it is sent again.
-    pub(crate) fn did_not_run(&mut self) {
+    pub(crate) fn mark_not_run(&mut self) {
         self.end = Some(TurnEnd::NotRun);
     }
 
     /// Whether the turn's text is retained.
-    pub(crate) fn retains(&self) -> bool {
-        self.retains
+    pub(crate) fn retains_text(&self) -> bool {
+        self.retains_text
     }
 
     /// Records an event that is forwarded to the caller. `reservation` covers what is retained of
     /// it.
-    pub(crate) fn hand_on(&mut self, event: &Event, held: Held) {
-        self.held.join(held);
+    pub(crate) fn record_event(&mut self, event: &Event, reservation: MemoryReservation) {
+        self.reservation.merge(reservation);
         let Some(data) = &event.data else { return };
         self.events += 1;
-        if self.retains {
+        if self.retains_text {
             self.output.extend_from_slice(data);
             self.output.push(b'\n');
         }
@@ -137,21 +137,21 @@
     ///
     /// # Errors
     /// The ledger did not confirm it.
-    pub(crate) async fn whole(mut self, served_by: String) -> Result<(), LedgerUnavailable> {
+    pub(crate) async fn complete(mut self, served_by: String) -> Result<(), LedgerUnavailable> {
         self.end = Some(TurnEnd::Completed {
             generated: Tokens(self.events.saturating_mul(self.tokens_per_event.0)),
             output: std::mem::take(&mut self.output),
             served_by,
         });
-        if !self.retains {
+        if !self.retains_text {
             return Ok(());
         }
         let Some(command) = self.close_command() else { return Ok(()) };
-        let confirmed = offer(&self.shared, self.retains, &command).await;
-        if confirmed.is_ok() {
-            self.settled();
+        let result = close_with_retries(&self.shared, self.retains_text, &command).await;
+        if result.is_ok() {
+            self.mark_settled();
         }
-        confirmed
+        result
     }
 
     fn close_command(&self) -> Option<CloseTurn> {
@@ -163,7 +163,7 @@
         })
     }
 
-    fn settled(&mut self) {
+    fn mark_settled(&mut self) {
         self.end = None;
     }
 }
@@ -173,10 +173,10 @@
         let Some(command) = self.close_command() else { return };
         let Ok(runtime) = Handle::try_current() else { return };
         let (shared, open) = (Arc::clone(&self.shared), self.open.take());
-        let held = self.held.split(usize::MAX);
-        let retains = self.retains;
+        let reservation = self.reservation.split(usize::MAX);
+        let retains_text = self.retains_text;
         runtime.spawn(async move {
-            if let Err(error) = offer(&shared, retains, &command).await {
+            if let Err(error) = close_with_retries(&shared, retains_text, &command).await {
                 log::warn!(
                     target: "relay",
                     request = command.turn.name(),
@@ -184,23 +184,23 @@
                     "The end of the turn is not recorded."
                 );
             }
-            drop((open, held));
+            drop((open, reservation));
         });
     }
 }
 
 /// Submits the end of a turn to the ledger until it is recorded or the time for that is over.
-async fn offer<L: TurnLedger>(
+async fn close_with_retries<L: TurnLedger>(
     shared: &Shared<L>,
-    retains: bool,
+    retains_text: bool,
     command: &CloseTurn,
 ) -> Result<(), LedgerUnavailable> {
     let settings = &shared.settings;
-    let end = Instant::now() + time::Duration::from_millis(settings.close_turn_ms);
+    let give_up_at = Instant::now() + time::Duration::from_millis(settings.close_turn_ms);
     let pause = time::Duration::from_millis(settings.close_turn_pause_ms);
     loop {
         let close = LedgerCommand::Close(command.clone());
-        let error = match ask(shared, retains, close, until(end)).await {
+        let error = match submit(shared, retains_text, close, time_left_until(give_up_at)).await {
             Ok(LedgerReply::Closed) => return Ok(()),
             Ok(reply) => LedgerUnavailable {
                 reason: format!("it replied {reply:?}"),
@@ -209,7 +209,7 @@
             },
             Err(error) => error,
         };
-        if Instant::now() + pause >= end {
+        if Instant::now() + pause >= give_up_at {
             return Err(error);
         }
         sleep(pause).await;
@@ -217,20 +217,20 @@
 }
 
 /// Submits a command to the ledger that stores turns of this kind.
-async fn ask<L: TurnLedger>(
+async fn submit<L: TurnLedger>(
     shared: &Shared<L>,
-    retains: bool,
+    retains_text: bool,
     command: LedgerCommand,
-    patience: Duration,
+    timeout: Duration,
 ) -> Result<LedgerReply, LedgerUnavailable> {
-    match retains {
-        true => shared.ledger.submit_for_retained_turn(command, patience).await,
-        false => shared.ledger.submit(command, patience).await,
+    match retains_text {
+        true => shared.ledger.submit_for_retained_turn(command, timeout).await,
+        false => shared.ledger.submit(command, timeout).await,
     }
 }
 
 /// The time left until a moment.
-fn until(moment: Instant) -> Duration {
+fn time_left_until(moment: Instant) -> Duration {
     let left = moment.saturating_duration_since(Instant::now());
     Duration::from_micros(left.as_micros() as u64)
 }
@@ -239,7 +239,7 @@
 /// retained turns are turns.
 fn open_command<L: TurnLedger>(
     shared: &Shared<L>,
-    matched: &Matched,
+    matched: &RouteMatch,
     head: &RequestHead,
     body: &Bytes,
 ) -> Result<Option<OpenTurn>, Refusal> {
@@ -250,7 +250,7 @@
     }
     let Some(program) = head.program(names, tenant)? else {
         return match route.retains_turns {
-            true => Err(Refusal::NotProper { what: "a turn must name its program" }),
+            true => Err(Refusal::NotProper { reason: "a turn must name its program" }),
             false => Ok(None),
         };
     };
@@ -259,10 +259,12 @@
         return Ok(None);
     }
     let turn = head.identifier(&names.attempt)?;
-    let turn = turn.ok_or(Refusal::NotProper { what: "the attempt id of a turn" })?;
-    let max_generated = head.most_generated(names);
+    let turn = turn.ok_or(Refusal::NotProper { reason: "the attempt id of a turn" })?;
+    let max_generated = head.max_generated(names);
     if budget.is_some() && max_generated.is_none() {
-        return Err(Refusal::NotProper { what: "a turn with a budget must name its token count" });
+        return Err(Refusal::NotProper {
+            reason: "a turn with a budget must name its token count",
+        });
     }
     let input = route.retains_turns.then_some(());
     let input = match input {
