--- a/crates/relay/tests/common/caller.rs
+++ b/crates/relay/tests/common/caller.rs
@@ -1,4 +1,4 @@
-//! A caller with a plain socket: it sees every byte, and whether an answer is whole.
+//! A caller on a plain socket. It sees every byte, and whether an answer is complete.
 
 use std::net::SocketAddr;
 
@@ -6,7 +6,7 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-use super::PATIENCE;
+use super::HANG_TIMEOUT;
 
 /// An answer as it arrived.
 #[derive(Debug, Clone, Default)]
@@ -14,7 +14,7 @@
     pub status: u16,
     pub headers: Vec<(String, String)>,
     pub body: String,
-    /// It ended as its head says; otherwise the connection ended first.
+    /// Whether it ended as its head says, and not by the end of the connection.
     pub is_whole: bool,
 }
 
@@ -33,39 +33,39 @@
 
 impl Caller {
     pub async fn new(address: SocketAddr) -> Self {
-        let stream = TcpStream::connect(address).await.expect("the relay listens");
+        let stream = TcpStream::connect(address).await.expect("the relay accepts the connection");
         Self { stream, buffer: Vec::new() }
     }
 
     pub async fn send(&mut self, text: &str) {
-        self.stream.write_all(text.as_bytes()).await.expect("the relay reads");
+        self.stream.write_all(text.as_bytes()).await.expect("the relay accepts the bytes");
     }
 
     pub async fn call(&mut self, text: &str) -> Reply {
         self.send(text).await;
-        self.reply().await
+        self.read_reply().await
     }
 
     /// Reads the head of an answer.
-    pub async fn head(&mut self) -> Reply {
-        let head = self.take_until("\r\n\r\n").await.expect("a head");
+    pub async fn read_head(&mut self) -> Reply {
+        let head = self.take_until("\r\n\r\n").await.expect("the head of an answer");
         let mut lines = head.split("\r\n");
-        let status = lines.next().and_then(|line| line.split(' ').nth(1)).expect("a status");
-        let status = status.parse().expect("a number");
+        let status = lines.next().and_then(|line| line.split(' ').nth(1)).expect("a status code");
+        let status = status.parse().expect("a numeric value");
         let headers = lines.filter_map(|line| line.split_once(": "));
         let headers = headers.map(|(name, value)| (name.into(), value.into())).collect();
         Reply { status, headers, ..Reply::default() }
     }
 
-    pub async fn reply(&mut self) -> Reply {
-        let mut reply = self.head().await;
+    pub async fn read_reply(&mut self) -> Reply {
+        let mut reply = self.read_head().await;
         if let Some(length) = reply.header("content-length") {
-            let length = length.parse().expect("a number");
+            let length = length.parse().expect("a numeric value");
             reply.body = self.take(length).await.unwrap_or_default();
             reply.is_whole = reply.body.len() == length;
             return reply;
         }
-        while let Some(chunk) = self.chunk().await {
+        while let Some(chunk) = self.read_chunk().await {
             if chunk.is_empty() {
                 reply.is_whole = true;
                 break;
@@ -75,8 +75,8 @@
         reply
     }
 
-    /// The next chunk: empty at the end of the body, none when the connection ends before.
-    pub async fn chunk(&mut self) -> Option<String> {
+    /// Reads the next chunk: empty at the end of the body, none if the connection ends before.
+    pub async fn read_chunk(&mut self) -> Option<String> {
         let line = self.take_until("\r\n").await?;
         let length = usize::from_str_radix(&line, 16).expect("the length of a chunk");
         let chunk = self.take(length).await?;
@@ -84,8 +84,8 @@
         Some(chunk)
     }
 
-    /// Whether the relay ends the connection without another byte.
-    pub async fn ends(&mut self) -> bool {
+    /// Whether the relay closes the connection without another byte.
+    pub async fn is_closed(&mut self) -> bool {
         self.buffer.is_empty() && !self.fill().await
     }
 
@@ -111,16 +111,16 @@
         }
         let rest = self.buffer.split_off(length);
         let taken = std::mem::replace(&mut self.buffer, rest);
-        Some(String::from_utf8(taken).expect("text"))
+        Some(String::from_utf8(taken).expect("valid UTF-8"))
     }
 
     async fn fill(&mut self) -> bool {
-        let read = timeout(PATIENCE, self.stream.read_buf(&mut self.buffer)).await;
-        matches!(read.expect("the relay goes on or ends"), Ok(count) if count > 0)
+        let read = timeout(HANG_TIMEOUT, self.stream.read_buf(&mut self.buffer)).await;
+        matches!(read.expect("the relay sends bytes or closes in time"), Ok(count) if count > 0)
     }
 }
 
-/// A request with an attempt id and more header lines.
+/// Builds a request with an attempt id and further header lines.
 pub fn post(attempt: &str, lines: &str, body: &str) -> String {
     let length = body.len();
     format!(
@@ -128,7 +128,7 @@
     )
 }
 
-/// One request on a connection of its own.
+/// Sends one request on its own connection.
 pub async fn call(address: SocketAddr, text: &str) -> Reply {
     Caller::new(address).await.call(text).await
 }
--- a/crates/relay/tests/common/ledger.rs
+++ b/crates/relay/tests/common/ledger.rs
@@ -1,4 +1,4 @@
-//! A ledger that answers as it is told and remembers what it was asked.
+//! A ledger with scripted replies that records its commands.
 
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex};
@@ -11,7 +11,7 @@
 
 type Reply = Result<LedgerReply, LedgerUnavailable>;
 
-/// Opens with an empty history and closes everything, unless told otherwise.
+/// Opens turns with an empty history and closes all turns, unless other replies are queued.
 #[derive(Clone)]
 pub struct TestLedger {
     commands: Arc<Mutex<Vec<LedgerCommand>>>,
@@ -20,7 +20,7 @@
     answers_opens: Arc<watch::Sender<bool>>,
     answers_closes: Arc<watch::Sender<bool>>,
     admissions: Arc<Mutex<Vec<(TenantId, VersionedLimit)>>>,
-    given_back: Arc<Mutex<Vec<TenantId>>>,
+    refunded: Arc<Mutex<Vec<TenantId>>>,
     limits: Arc<Mutex<VecDeque<LimitReached>>>,
 }
 
@@ -33,33 +33,33 @@
             answers_opens: Arc::new(watch::Sender::new(true)),
             answers_closes: Arc::new(watch::Sender::new(true)),
             admissions: Arc::default(),
-            given_back: Arc::default(),
+            refunded: Arc::default(),
             limits: Arc::default(),
         }
     }
 }
 
 impl TestLedger {
-    pub fn next_open(&self, reply: Reply) {
-        self.opens.lock().expect("whole").push_back(reply);
+    pub fn queue_open_reply(&self, reply: Reply) {
+        self.opens.lock().expect("the lock is not poisoned").push_back(reply);
     }
 
-    pub fn next_close(&self, reply: Reply) {
-        self.closes.lock().expect("whole").push_back(reply);
+    pub fn queue_close_reply(&self, reply: Reply) {
+        self.closes.lock().expect("the lock is not poisoned").push_back(reply);
     }
 
-    /// Whether openings get their reply, or wait until this is called again.
-    pub fn answer_opens(&self, answers: bool) {
+    /// Sets whether commands that open turns get their reply, or wait until this is set.
+    pub fn set_answers_opens(&self, answers: bool) {
         self.answers_opens.send_replace(answers);
     }
 
-    /// Whether closes get their reply, or wait until this is called again.
-    pub fn answer_closes(&self, answers: bool) {
+    /// Sets whether commands that close turns get their reply, or wait until this is set.
+    pub fn set_answers_closes(&self, answers: bool) {
         self.answers_closes.send_replace(answers);
     }
 
-    pub fn opened(&self) -> Vec<OpenTurn> {
-        let commands = self.commands.lock().expect("whole");
+    pub fn opened_turns(&self) -> Vec<OpenTurn> {
+        let commands = self.commands.lock().expect("the lock is not poisoned");
         let opens = commands.iter().filter_map(|command| match command {
             LedgerCommand::Open(open) => Some(open.clone()),
             _ => None,
@@ -67,8 +67,8 @@
         opens.collect()
     }
 
-    pub fn closed(&self) -> Vec<CloseTurn> {
-        let commands = self.commands.lock().expect("whole");
+    pub fn closed_turns(&self) -> Vec<CloseTurn> {
+        let commands = self.commands.lock().expect("the lock is not poisoned");
         let closes = commands.iter().filter_map(|command| match command {
             LedgerCommand::Close(close) => Some(close.clone()),
             _ => None,
@@ -76,44 +76,47 @@
         closes.collect()
     }
 
-    /// The next request of a tenant with a limit is beyond it.
-    pub fn next_limit(&self, retry_after: Duration) {
-        self.limits.lock().expect("whole").push_back(LimitReached { retry_after });
+    /// Rejects the next request of a tenant with a rate limit.
+    pub fn queue_limit_reached(&self, retry_after: Duration) {
+        self.limits
+            .lock()
+            .expect("the lock is not poisoned")
+            .push_back(LimitReached { retry_after });
     }
 
-    /// Requests that were counted against a limit.
+    /// The requests that were counted against a limit.
     pub fn admissions(&self) -> Vec<(TenantId, VersionedLimit)> {
-        self.admissions.lock().expect("whole").clone()
+        self.admissions.lock().expect("the lock is not poisoned").clone()
     }
 
-    /// Counted requests that did not run.
-    pub fn given_back(&self) -> Vec<TenantId> {
-        self.given_back.lock().expect("whole").clone()
+    /// The tenants of refunded requests.
+    pub fn refunded(&self) -> Vec<TenantId> {
+        self.refunded.lock().expect("the lock is not poisoned").clone()
     }
 
-    pub fn ends(&self) -> Vec<TurnEnd> {
-        self.closed().into_iter().map(|close| close.end).collect()
+    pub fn turn_ends(&self) -> Vec<TurnEnd> {
+        self.closed_turns().into_iter().map(|close| close.end).collect()
     }
 }
 
-pub fn unavailable() -> Reply {
+pub fn ledger_unavailable() -> Reply {
     Err(LedgerUnavailable { reason: "told so".into(), retry_after: None, was_not_submitted: false })
 }
 
 impl TurnLedger for TestLedger {
     async fn submit(&self, command: LedgerCommand, _patience: Duration) -> Reply {
         let is_open = matches!(command, LedgerCommand::Open(_));
-        self.commands.lock().expect("whole").push(command);
+        self.commands.lock().expect("the lock is not poisoned").push(command);
         if is_open {
             let mut answers = self.answers_opens.subscribe();
             let _ = answers.wait_for(|answers| *answers).await;
-            let told = self.opens.lock().expect("whole").pop_front();
-            return told.unwrap_or(Ok(LedgerReply::Opened(OpenedTurn::default())));
+            let reply = self.opens.lock().expect("the lock is not poisoned").pop_front();
+            return reply.unwrap_or(Ok(LedgerReply::Opened(OpenedTurn::default())));
         }
         let mut answers = self.answers_closes.subscribe();
         let _ = answers.wait_for(|answers| *answers).await;
-        let told = self.closes.lock().expect("whole").pop_front();
-        told.unwrap_or(Ok(LedgerReply::Closed))
+        let reply = self.closes.lock().expect("the lock is not poisoned").pop_front();
+        reply.unwrap_or(Ok(LedgerReply::Closed))
     }
 }
 
@@ -125,14 +128,14 @@
         _program: Option<ProgramKey>,
         _most_wait: Duration,
     ) -> Result<(), LimitReached> {
-        if let Some(reached) = self.limits.lock().expect("whole").pop_front() {
+        if let Some(reached) = self.limits.lock().expect("the lock is not poisoned").pop_front() {
             return Err(reached);
         }
-        self.admissions.lock().expect("whole").push((tenant.clone(), limit));
+        self.admissions.lock().expect("the lock is not poisoned").push((tenant.clone(), limit));
         Ok(())
     }
 
     fn refund(&self, tenant: &TenantId, _program: Option<ProgramKey>) {
-        self.given_back.lock().expect("whole").push(tenant.clone());
+        self.refunded.lock().expect("the lock is not poisoned").push(tenant.clone());
     }
 }
--- a/crates/relay/tests/common/mod.rs
+++ b/crates/relay/tests/common/mod.rs
@@ -1,9 +1,9 @@
-//! A relay on loopback between a scripted server, a scripted ledger and a plain caller.
+//! A relay on loopback with scripted servers, a scripted ledger and callers on plain sockets.
 #![allow(dead_code)] // Each test file uses its own part.
 
 pub mod caller;
 pub mod ledger;
-pub mod stand_in;
+pub mod scripted_server;
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -22,10 +22,10 @@
 use tokio::time::{Instant, sleep, timeout};
 
 use ledger::TestLedger;
-use stand_in::StandIn;
+use scripted_server::ScriptedServer;
 
-/// Longest wait for what must come: a bound on a hang, never a measure.
-pub const PATIENCE: StdDuration = StdDuration::from_secs(10);
+/// Timeout for events that must happen. It only limits hangs and measures nothing.
+pub const HANG_TIMEOUT: StdDuration = StdDuration::from_secs(10);
 
 /// Header names as a deployment may have them.
 pub fn names() -> HeaderNames {
@@ -54,7 +54,7 @@
 }
 
 /// A repeatable route that may use three servers.
-pub fn route() -> Route {
+pub fn repeatable_route() -> Route {
     Route {
         name: "route".into(),
         host: "host.example".into(),
@@ -75,19 +75,19 @@
     }
 }
 
-/// The same, for requests that must not run twice.
-pub fn once() -> Route {
-    Route { repeatability: Repeatability::AtMostOnce, ..route() }
+/// A route for requests that must not run twice.
+pub fn at_most_once_route() -> Route {
+    Route { repeatability: Repeatability::AtMostOnce, ..repeatable_route() }
 }
 
-/// A stream that may go on elsewhere.
-pub fn resumable() -> Route {
-    Route { is_stream: true, is_resumable: true, ..route() }
+/// A route with streams that may resume at another server.
+pub fn resumable_stream_route() -> Route {
+    Route { is_stream: true, is_resumable: true, ..repeatable_route() }
 }
 
-/// A stream of turns whose text is kept.
-pub fn turns() -> Route {
-    Route { is_stream: true, retains_turns: true, ..once() }
+/// A route with streams of turns whose text is retained.
+pub fn retained_turns_route() -> Route {
+    Route { is_stream: true, retains_turns: true, ..at_most_once_route() }
 }
 
 pub fn service_name() -> ServiceName {
@@ -106,27 +106,27 @@
     }
 }
 
-pub fn table(routes: Vec<Route>) -> RouteTable {
+pub fn route_table(routes: Vec<Route>) -> RouteTable {
     RouteTable { generation: 1, routes, services: vec![service()], ..RouteTable::default() }
 }
 
 /// A relay that serves on loopback.
-pub struct Bed {
+pub struct TestGateway {
     pub relay: Relay<TestLedger>,
     pub ledger: TestLedger,
     pub backends: Arc<Mutex<Backends>>,
     pub address: SocketAddr,
 }
 
-impl Bed {
-    pub async fn new(table: Option<RouteTable>, servers: &[&StandIn]) -> Self {
+impl TestGateway {
+    pub async fn new(table: Option<RouteTable>, servers: &[&ScriptedServer]) -> Self {
         Self::with_settings(RelaySettings::default(), table, servers).await
     }
 
     pub async fn with_settings(
         settings: RelaySettings,
         table: Option<RouteTable>,
-        servers: &[&StandIn],
+        servers: &[&ScriptedServer],
     ) -> Self {
         let zone = Zone("zone".into());
         let backends = Backends::new(BackendSettings::default(), zone, 1);
@@ -139,22 +139,22 @@
         if let Some(table) = table {
             relay.set_routes(Arc::new(table));
         }
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let address = listener.local_addr().expect("its address");
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+        let address = listener.local_addr().expect("the local address");
         let serving = relay.clone();
         tokio::spawn(async move { serving.serve(listener).await });
-        let bed = Self { relay, ledger, backends, address };
+        let gateway = Self { relay, ledger, backends, address };
         for server in servers {
-            bed.add(&server.id, server.address);
+            gateway.add_server(&server.id, server.address);
         }
-        bed
+        gateway
     }
 
-    pub fn add(&self, id: &str, address: SocketAddr) {
-        self.add_to(service_name(), id, address);
+    pub fn add_server(&self, id: &str, address: SocketAddr) {
+        self.add_server_to(service_name(), id, address);
     }
 
-    pub fn add_to(&self, service: ServiceName, id: &str, address: SocketAddr) {
+    pub fn add_server_to(&self, service: ServiceName, id: &str, address: SocketAddr) {
         let record = BackendRecord {
             id: BackendId::from(id),
             service,
@@ -164,16 +164,16 @@
             state: BackendState::Ready,
             cold_for: Duration::ZERO,
         };
-        self.backends.lock().expect("whole").put(record, Timestamp(0));
+        self.backends.lock().expect("the lock is not poisoned").put(record, Timestamp(0));
     }
 }
 
 /// Waits until a condition holds.
-pub async fn until(what: &str, condition: impl Fn() -> bool) {
+pub async fn wait_until(what: &str, condition: impl Fn() -> bool) {
     let wait = async {
         while !condition() {
             sleep(StdDuration::from_millis(2)).await;
         }
     };
-    assert!(timeout(PATIENCE, wait).await.is_ok(), "never happened: {what}");
+    assert!(timeout(HANG_TIMEOUT, wait).await.is_ok(), "never happened: {what}");
 }
--- a/crates/relay/tests/common/stand_in.rs
+++ b/crates/relay/tests/common/scripted_server.rs
@@ -9,24 +9,24 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// A request as a server got it.
+/// A request as a server received it.
 #[derive(Debug, Clone)]
-pub struct Got {
-    /// Which of the server's connections it came on, from 0.
+pub struct ReceivedRequest {
+    /// Index of the server's connection on which it came, from 0.
     pub connection: usize,
     pub line: String,
     pub headers: Vec<(String, String)>,
     pub body: String,
 }
 
-impl Got {
+impl ReceivedRequest {
     pub fn header(&self, name: &str) -> Option<&str> {
         let found = self.headers.iter().find(|(known, _)| known.eq_ignore_ascii_case(name));
         found.map(|(_, value)| value.as_str())
     }
 
     pub fn attempt(&self) -> &str {
-        self.header("x-attempt").expect("an attempt id")
+        self.header("x-attempt").expect("an attempt id header")
     }
 }
 
@@ -34,39 +34,42 @@
 #[derive(Debug, Clone)]
 pub enum Step {
     Send(String),
-    /// Waits until [`StandIn::release`].
-    Wait,
+    /// Waits until [`ScriptedServer::release`].
+    WaitForRelease,
     /// Waits until the relay closes the connection.
     WaitForClose,
     Close,
     Reset,
-    /// Stops listening, and resets.
-    Die,
-    /// Says nothing more, and takes no new connection: they hang.
-    FallSilent,
+    /// Stops listening and resets the connection.
+    StopAndReset,
+    /// Sends nothing more and accepts no new connections, so that they hang.
+    StopResponding,
 }
 
-type Script = dyn Fn(&Got) -> Vec<Step> + Send + Sync;
+type Script = dyn Fn(&ReceivedRequest) -> Vec<Step> + Send + Sync;
 
 /// A scripted server.
 #[derive(Clone)]
-pub struct StandIn {
+pub struct ScriptedServer {
     pub id: String,
     pub address: SocketAddr,
-    got: Arc<Mutex<Vec<Got>>>,
+    requests: Arc<Mutex<Vec<ReceivedRequest>>>,
     closed: Arc<Mutex<usize>>,
     connections: Arc<Mutex<usize>>,
     released: Arc<watch::Sender<bool>>,
     accepting: Arc<Mutex<Option<JoinHandle<()>>>>,
 }
 
-impl StandIn {
-    pub async fn new(id: &str, script: impl Fn(&Got) -> Vec<Step> + Send + Sync + 'static) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+impl ScriptedServer {
+    pub async fn new(
+        id: &str,
+        script: impl Fn(&ReceivedRequest) -> Vec<Step> + Send + Sync + 'static,
+    ) -> Self {
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let server = Self {
             id: id.into(),
-            address: listener.local_addr().expect("its address"),
-            got: Arc::default(),
+            address: listener.local_addr().expect("the local address"),
+            requests: Arc::default(),
             closed: Arc::default(),
             connections: Arc::default(),
             released: Arc::new(watch::Sender::new(false)),
@@ -78,26 +81,26 @@
             while let Ok((stream, _)) = listener.accept().await {
                 tokio::spawn(accepting.clone().serve(connection, stream, Arc::clone(&script)));
                 connection += 1;
-                *accepting.connections.lock().expect("whole") += 1;
+                *accepting.connections.lock().expect("the lock is not poisoned") += 1;
             }
         });
-        *server.accepting.lock().expect("whole") = Some(task);
+        *server.accepting.lock().expect("the lock is not poisoned") = Some(task);
         server
     }
 
-    /// Requests so far.
-    pub fn got(&self) -> Vec<Got> {
-        self.got.lock().expect("whole").clone()
+    /// The requests received so far.
+    pub fn requests(&self) -> Vec<ReceivedRequest> {
+        self.requests.lock().expect("the lock is not poisoned").clone()
     }
 
     /// Connections that the relay opened so far.
     pub fn connections(&self) -> usize {
-        *self.connections.lock().expect("whole")
+        *self.connections.lock().expect("the lock is not poisoned")
     }
 
     /// Connections that the relay closed so far.
     pub fn closed(&self) -> usize {
-        *self.closed.lock().expect("whole")
+        *self.closed.lock().expect("the lock is not poisoned")
     }
 
     pub fn release(&self) {
@@ -106,39 +109,49 @@
 
     async fn serve(self, connection: usize, mut stream: TcpStream, script: Arc<Script>) {
         let mut buffer = Vec::new();
-        while let Some(got) = read_request(&mut stream, &mut buffer, connection).await {
-            self.got.lock().expect("whole").push(got.clone());
-            for step in script(&got) {
+        while let Some(request) = read_request(&mut stream, &mut buffer, connection).await {
+            self.requests.lock().expect("the lock is not poisoned").push(request.clone());
+            for step in script(&request) {
                 if !self.act(&mut stream, step).await {
                     return;
                 }
             }
         }
-        *self.closed.lock().expect("whole") += 1;
+        *self.closed.lock().expect("the lock is not poisoned") += 1;
     }
 
     async fn act(&self, stream: &mut TcpStream, step: Step) -> bool {
         match step {
             Step::Send(text) => stream.write_all(text.as_bytes()).await.is_ok(),
-            Step::Wait => {
+            Step::WaitForRelease => {
                 let mut released = self.released.subscribe();
                 released.wait_for(|released| *released).await.is_ok()
             }
             Step::WaitForClose => {
                 let ended = !matches!(stream.read(&mut [0; 64]).await, Ok(count) if count > 0);
-                *self.closed.lock().expect("whole") += usize::from(ended);
+                *self.closed.lock().expect("the lock is not poisoned") += usize::from(ended);
                 false
             }
             Step::Close => false,
-            Step::Die => {
-                let task = self.accepting.lock().expect("whole").take().expect("it listens");
+            Step::StopAndReset => {
+                let task = self
+                    .accepting
+                    .lock()
+                    .expect("the lock is not poisoned")
+                    .take()
+                    .expect("the server is listening");
                 task.abort();
                 let _ = task.await;
                 let _ = SockRef::from(&*stream).set_linger(Some(std::time::Duration::ZERO));
                 false
             }
-            Step::FallSilent => {
-                let task = self.accepting.lock().expect("whole").take().expect("it listens");
+            Step::StopResponding => {
+                let task = self
+                    .accepting
+                    .lock()
+                    .expect("the lock is not poisoned")
+                    .take()
+                    .expect("the server is listening");
                 task.abort();
                 let _ = task.await;
                 let _full = FullListener::at(self.address);
@@ -154,7 +167,7 @@
     }
 }
 
-/// A listener whose queue is full: the system drops what asks for a connection.
+/// A listener whose queue is full, so that the system drops further connection requests.
 struct FullListener {
     _listener: Socket,
     _waiting: Vec<Socket>,
@@ -163,13 +176,13 @@
 impl FullListener {
     fn at(address: SocketAddr) -> Self {
         let listener = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-        listener.set_reuse_address(true).expect("the option exists");
-        listener.bind(&address.into()).expect("the address is free again");
-        listener.listen(0).expect("it listens");
-        // A queue of length 0 takes one connection; more of them make sure that it is full.
+        listener.set_reuse_address(true).expect("the socket option is supported");
+        listener.bind(&address.into()).expect("the address can be bound again");
+        listener.listen(0).expect("the server is listening");
+        // A queue of length 0 accepts one connection; the further ones make sure that it is full.
         let connect = |_| {
             let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-            socket.set_nonblocking(true).expect("the option exists");
+            socket.set_nonblocking(true).expect("the socket option is supported");
             let _ = socket.connect(&address.into());
             socket
         };
@@ -181,10 +194,10 @@
     stream: &mut TcpStream,
     buffer: &mut Vec<u8>,
     connection: usize,
-) -> Option<Got> {
+) -> Option<ReceivedRequest> {
     loop {
-        if let Some(got) = whole_request(buffer, connection) {
-            return Some(got);
+        if let Some(request) = whole_request(buffer, connection) {
+            return Some(request);
         }
         match stream.read_buf(buffer).await {
             Ok(count) if count > 0 => {}
@@ -193,45 +206,47 @@
     }
 }
 
-fn whole_request(buffer: &mut Vec<u8>, connection: usize) -> Option<Got> {
+fn whole_request(buffer: &mut Vec<u8>, connection: usize) -> Option<ReceivedRequest> {
     let end = buffer.windows(4).position(|bytes| bytes == b"\r\n\r\n")? + 4;
-    let head = String::from_utf8(buffer[..end - 4].to_vec()).expect("text");
+    let head = String::from_utf8(buffer[..end - 4].to_vec()).expect("valid UTF-8");
     let mut lines = head.split("\r\n");
     let line = lines.next().unwrap_or_default().to_owned();
     let headers = lines.filter_map(|line| line.split_once(": "));
     let headers: Vec<_> =
         headers.map(|(name, value)| (name.to_owned(), value.to_owned())).collect();
-    let mut got = Got { connection, line, headers, body: String::new() };
-    let length = got.header("content-length").map_or(0, |length| length.parse().expect("number"));
+    let mut request = ReceivedRequest { connection, line, headers, body: String::new() };
+    let length = request
+        .header("content-length")
+        .map_or(0, |length| length.parse().expect("a numeric length"));
     if buffer.len() < end + length {
         return None;
     }
-    got.body = String::from_utf8(buffer[end..end + length].to_vec()).expect("text");
+    request.body = String::from_utf8(buffer[end..end + length].to_vec()).expect("valid UTF-8");
     buffer.drain(..end + length);
-    Some(got)
+    Some(request)
 }
 
 /// An answer with a length.
-pub fn answer(got: &Got, status: &str, lines: &str, body: &str) -> Step {
-    let (attempt, length) = (got.attempt(), body.len());
+pub fn answer(request: &ReceivedRequest, status: &str, lines: &str, body: &str) -> Step {
+    let (attempt, length) = (request.attempt(), body.len());
     Step::Send(format!(
         "HTTP/1.1 {status}\r\nX-Attempt: {attempt}\r\nX-Signature: s-1\r\n{lines}Content-Length: {length}\r\n\r\n{body}"
     ))
 }
 
-/// The usual answer.
-pub fn ok(got: &Got) -> Vec<Step> {
-    vec![answer(got, "200 OK", "", "done")]
+/// A successful answer.
+pub fn answer_ok(request: &ReceivedRequest) -> Vec<Step> {
+    vec![answer(request, "200 OK", "", "done")]
 }
 
 /// A refusal that says that the request did not run.
-pub fn shed(got: &Got) -> Vec<Step> {
-    vec![answer(got, "503 Service Unavailable", "X-Not-Run: full\r\n", "full")]
+pub fn refuse_not_run(request: &ReceivedRequest) -> Vec<Step> {
+    vec![answer(request, "503 Service Unavailable", "X-Not-Run: full\r\n", "full")]
 }
 
-/// The head of a stream in chunks.
-pub fn stream_head(got: &Got) -> Step {
-    let attempt = got.attempt();
+/// The head of a chunked stream.
+pub fn stream_head(request: &ReceivedRequest) -> Step {
+    let attempt = request.attempt();
     Step::Send(format!(
         "HTTP/1.1 200 OK\r\nX-Attempt: {attempt}\r\nX-Signature: s-1\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
     ))
--- a/crates/relay/tests/failures.rs
+++ b/crates/relay/tests/failures.rs
@@ -1,75 +1,87 @@
-//! Which failures are promises, which requests run again, and what ends at once.
+//! Which failures guarantee that a request has not run, which requests run again, and which end at
+//! once.
 
 mod common;
 
 use std::net::SocketAddr;
 
 use common::caller::{Caller, Reply, call, post};
-use common::stand_in::{Got, StandIn, Step, answer, ok, shed};
-use common::{Bed, once, route, table, until};
+use common::scripted_server::{
+    ReceivedRequest, ScriptedServer, Step, answer, answer_ok, refuse_not_run,
+};
+use common::{TestGateway, at_most_once_route, repeatable_route, route_table, wait_until};
 use dahlia_backends::{Affinity, BackendId, Choice, ChoiceRequest};
 use dahlia_relay::{RelaySettings, Route};
 use dahlia_types::{Duration, Timestamp};
 use socket2::{Domain, Socket, Type};
 
-type Script = fn(&Got) -> Vec<Step>;
+type Script = fn(&ReceivedRequest) -> Vec<Step>;
 
-/// Two servers that do what the script says to the first request that either gets, and answer
-/// every later one. Returns what the caller got and how many requests reached a server.
-async fn first_fails(
+/// Calls a gateway with two servers. The first request that either server gets follows the script,
+/// and every later one is answered. Returns the reply and the number of requests that reached a
+/// server.
+async fn call_with_failing_first_attempt(
     route: Route,
-    script: impl Fn(&Got) -> Vec<Step> + Clone + Send + Sync + 'static,
-) -> (Reply, usize, Bed) {
+    script: impl Fn(&ReceivedRequest) -> Vec<Step> + Clone + Send + Sync + 'static,
+) -> (Reply, usize, TestGateway) {
     let count = std::sync::Arc::new(std::sync::atomic::AtomicUsize::new(0));
-    let script = move |got: &Got| match count.fetch_add(1, std::sync::atomic::Ordering::SeqCst) {
-        0 => script(got),
-        _ => ok(got),
+    let script = move |request: &ReceivedRequest| match count
+        .fetch_add(1, std::sync::atomic::Ordering::SeqCst)
+    {
+        0 => script(request),
+        _ => answer_ok(request),
     };
-    let first = StandIn::new("s-1", script.clone()).await;
-    let second = StandIn::new("s-2", script).await;
-    let bed = Bed::new(Some(table(vec![route])), &[&first, &second]).await;
-    let reply = call(bed.address, &post("t-1", "", "x")).await;
-    let got = [first.got(), second.got()].concat();
-    assert!(got.iter().all(|got| got.attempt() == "t-1"));
-    (reply, got.len(), bed)
+    let first = ScriptedServer::new("s-1", script.clone()).await;
+    let second = ScriptedServer::new("s-2", script).await;
+    let gateway = TestGateway::new(Some(route_table(vec![route])), &[&first, &second]).await;
+    let reply = call(gateway.address, &post("t-1", "", "x")).await;
+    let requests = [first.requests(), second.requests()].concat();
+    assert!(requests.iter().all(|request| request.attempt() == "t-1"));
+    (reply, requests.len(), gateway)
 }
 
 /// Every way in which an answer can be lost after the request was sent.
-fn lost_answers() -> Vec<(&'static str, Script)> {
+fn scripts_that_lose_answers() -> Vec<(&'static str, Script)> {
     vec![
         ("reset", |_| vec![Step::Reset]),
         ("closed", |_| vec![Step::Close]),
         ("no answer in the protocol", |_| vec![Step::Send("garbage\r\n\r\n".into()), Step::Close]),
-        ("another request's answer", |got| {
-            let other = Got { headers: vec![("x-attempt".into(), "t-0".into())], ..got.clone() };
-            ok(&other)
+        ("another request's answer", |request| {
+            let other = ReceivedRequest {
+                headers: vec![("x-attempt".into(), "t-0".into())],
+                ..request.clone()
+            };
+            answer_ok(&other)
         }),
         ("an answer without an id", |_| {
             vec![Step::Send("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".into())]
         }),
-        ("cut short", |got| {
-            let Step::Send(text) = answer(got, "200 OK", "", "done") else { return vec![] };
+        ("cut short", |request| {
+            let Step::Send(text) = answer(request, "200 OK", "", "done") else { return vec![] };
             vec![Step::Send(text[..text.len() - 1].into()), Step::Close]
         }),
-        ("cut in its chunks", |got| {
-            let head = format!("HTTP/1.1 200 OK\r\nX-Attempt: {}\r\n", got.attempt());
+        ("cut in its chunks", |request| {
+            let head = format!("HTTP/1.1 200 OK\r\nX-Attempt: {}\r\n", request.attempt());
             vec![
                 Step::Send(format!("{head}Transfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n")),
                 Step::Close,
             ]
         }),
-        ("without a length, and reset", |got| {
-            let head = format!("HTTP/1.1 200 OK\r\nX-Attempt: {}\r\n", got.attempt());
+        ("without a length, and reset", |request| {
+            let head = format!("HTTP/1.1 200 OK\r\nX-Attempt: {}\r\n", request.attempt());
             vec![Step::Send(format!("{head}\r\ndone")), Step::Reset]
         }),
-        ("a promise without ground", |got| vec![answer(got, "503 Service Unavailable", "", "")]),
+        ("a promise without ground", |request| {
+            vec![answer(request, "503 Service Unavailable", "", "")]
+        }),
     ]
 }
 
 #[tokio::test]
-async fn a_lost_answer_of_a_request_that_must_not_run_twice_is_said_to_be_lost() {
-    for (name, script) in lost_answers() {
-        let (reply, sends, _bed) = first_fails(once(), script).await;
+async fn a_lost_answer_of_a_request_that_must_not_run_twice_is_reported_as_lost() {
+    for (name, script) in scripts_that_lose_answers() {
+        let (reply, sends, _gateway) =
+            call_with_failing_first_attempt(at_most_once_route(), script).await;
         assert_eq!((reply.status, sends), (502, 1), "{name}");
         assert_eq!(reply.header("x-signature"), None, "{name}");
         assert_eq!(reply.header("retry-after"), None, "{name}");
@@ -77,133 +89,151 @@
 }
 
 #[tokio::test]
-async fn a_lost_answer_of_a_repeatable_request_is_fetched_from_another_server() {
-    for (name, script) in lost_answers() {
-        let (reply, sends, _bed) = first_fails(route(), script).await;
+async fn a_repeatable_request_with_a_lost_answer_is_sent_to_another_server() {
+    for (name, script) in scripts_that_lose_answers() {
+        let (reply, sends, _gateway) =
+            call_with_failing_first_attempt(repeatable_route(), script).await;
         assert_eq!((reply.status, reply.body.as_str(), sends), (200, "done", 2), "{name}");
     }
 }
 
 #[tokio::test]
-async fn no_more_servers_run_a_request_than_its_route_allows() {
-    let only = Route { max_attempts: 1, ..route() };
-    let (reply, sends, _bed) = first_fails(only, |_| vec![Step::Reset]).await;
+async fn a_request_runs_on_at_most_as_many_servers_as_its_route_allows() {
+    let only = Route { max_attempts: 1, ..repeatable_route() };
+    let (reply, sends, _gateway) =
+        call_with_failing_first_attempt(only, |_| vec![Step::Reset]).await;
     assert_eq!((reply.status, sends), (502, 1));
     let mut servers = Vec::new();
     for id in ["s-1", "s-2", "s-3", "s-4"] {
-        servers.push(StandIn::new(id, |_| vec![Step::Reset]).await);
+        servers.push(ScriptedServer::new(id, |_| vec![Step::Reset]).await);
     }
-    let references: Vec<&StandIn> = servers.iter().collect();
-    let bed = Bed::new(Some(table(vec![route()])), &references).await;
-    assert_eq!(call(bed.address, &post("t", "", "")).await.status, 502);
-    assert_eq!(servers.iter().map(|server| server.got().len()).sum::<usize>(), 3);
+    let references: Vec<&ScriptedServer> = servers.iter().collect();
+    let gateway = TestGateway::new(Some(route_table(vec![repeatable_route()])), &references).await;
+    assert_eq!(call(gateway.address, &post("t", "", "")).await.status, 502);
+    assert_eq!(servers.iter().map(|server| server.requests().len()).sum::<usize>(), 3);
 }
 
 #[tokio::test]
-async fn a_server_that_has_ended_does_not_count_against_the_most() {
-    let only = Route { max_attempts: 1, ..route() };
-    let (reply, sends, _bed) = first_fails(only, |_| vec![Step::Die]).await;
+async fn a_server_that_has_ended_does_not_count_against_the_attempt_limit() {
+    let only = Route { max_attempts: 1, ..repeatable_route() };
+    let (reply, sends, _gateway) =
+        call_with_failing_first_attempt(only, |_| vec![Step::StopAndReset]).await;
     assert_eq!((reply.status, sends), (200, 2));
-    let (reply, sends, _bed) = first_fails(once(), |_| vec![Step::Die]).await;
+    let (reply, sends, _gateway) =
+        call_with_failing_first_attempt(at_most_once_route(), |_| vec![Step::StopAndReset]).await;
     assert_eq!((reply.status, sends), (502, 1), "it must not run twice");
 }
 
 #[tokio::test]
-async fn a_request_that_a_server_did_not_run_goes_to_another_whatever_its_route() {
+async fn a_request_that_a_server_did_not_run_goes_to_another_on_any_route() {
     let not_run: [(&str, Script); 3] = [
-        ("full", shed),
-        ("another instance", |got| vec![answer(got, "421 Misdirected Request", "", "")]),
-        ("too many", |got| vec![answer(got, "429 Too Many", "X-Not-Run: 1\r\n", "")]),
+        ("full", refuse_not_run),
+        ("another instance", |request| vec![answer(request, "421 Misdirected Request", "", "")]),
+        ("too many", |request| vec![answer(request, "429 Too Many", "X-Not-Run: 1\r\n", "")]),
     ];
     for (name, script) in not_run {
-        let only = Route { max_attempts: 1, ..once() };
-        let (reply, sends, _bed) = first_fails(only, script).await;
+        let only = Route { max_attempts: 1, ..at_most_once_route() };
+        let (reply, sends, _gateway) = call_with_failing_first_attempt(only, script).await;
         assert_eq!((reply.status, reply.body.as_str(), sends), (200, "done", 2), "{name}");
     }
 }
 
 #[tokio::test]
-async fn when_no_server_runs_it_the_caller_is_told_at_once_when_to_come_back() {
-    let full =
-        |got: &Got| vec![answer(got, "503 Full", "X-Not-Run: full\r\nRetry-After: 0.25\r\n", "")];
-    let server = StandIn::new("s-1", full).await;
+async fn a_request_that_no_server_runs_is_refused_at_once_with_a_retry_time() {
+    let full = |request: &ReceivedRequest| {
+        vec![answer(request, "503 Full", "X-Not-Run: full\r\nRetry-After: 0.25\r\n", "")]
+    };
+    let server = ScriptedServer::new("s-1", full).await;
     let settings = RelaySettings { most_refusals: 1, ..RelaySettings::default() };
-    let bed = Bed::with_settings(settings, Some(table(vec![once()])), &[&server]).await;
-    let reply = call(bed.address, &post("t", "", "")).await;
+    let gateway = TestGateway::with_settings(
+        settings,
+        Some(route_table(vec![at_most_once_route()])),
+        &[&server],
+    )
+    .await;
+    let reply = call(gateway.address, &post("t", "", "")).await;
     assert_eq!((reply.status, reply.header("retry-after")), (503, Some("0.250")));
-    let bed = Bed::new(Some(table(vec![once()])), &[&server]).await;
-    let reply = call(bed.address, &post("t", "", "")).await;
-    assert_eq!((reply.status, server.got().len()), (503, 2), "the only server was tried");
-    let wait: f64 = reply.header("retry-after").expect("named").parse().expect("a number");
+    let gateway = TestGateway::new(Some(route_table(vec![at_most_once_route()])), &[&server]).await;
+    let reply = call(gateway.address, &post("t", "", "")).await;
+    assert_eq!((reply.status, server.requests().len()), (503, 2), "the only server was tried");
+    let wait: f64 = reply
+        .header("retry-after")
+        .expect("a Retry-After header")
+        .parse()
+        .expect("a numeric value");
     assert!(wait > 0.0 && wait < 10.0);
-    let bed = Bed::new(Some(table(vec![once()])), &[]).await;
-    assert_eq!(call(bed.address, &post("t", "", "")).await.status, 503);
+    let gateway = TestGateway::new(Some(route_table(vec![at_most_once_route()])), &[]).await;
+    assert_eq!(call(gateway.address, &post("t", "", "")).await.status, 503);
 }
 
 #[tokio::test]
-async fn a_server_that_cannot_be_reached_did_not_run_it() {
-    // Bound and not listening: connections are refused, and no other test's server gets the port.
+async fn an_unreachable_server_counts_as_not_having_run_the_request() {
+    // The socket is bound but not listening, so connections are refused and no other test's server
+    // gets the port.
     let dead = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-    dead.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a port");
-    let address = dead.local_addr().expect("its address").as_socket().expect("an IP address");
-    let server = StandIn::new("s-1", ok).await;
-    let bed = Bed::new(Some(table(vec![once()])), &[]).await;
-    bed.add("dead", address);
-    let reply = call(bed.address, &post("t", "", "")).await;
+    dead.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a free port");
+    let address = dead.local_addr().expect("the local address").as_socket().expect("an IP address");
+    let server = ScriptedServer::new("s-1", answer_ok).await;
+    let gateway = TestGateway::new(Some(route_table(vec![at_most_once_route()])), &[]).await;
+    gateway.add_server("dead", address);
+    let reply = call(gateway.address, &post("t", "", "")).await;
     assert_eq!(reply.status, 503);
-    bed.add("s-1", server.address);
-    assert_eq!(call(bed.address, &post("t", "", "")).await.status, 200);
+    gateway.add_server("s-1", server.address);
+    assert_eq!(call(gateway.address, &post("t", "", "")).await.status, 200);
     drop(dead);
 }
 
 #[tokio::test]
-async fn a_connection_that_closed_while_idle_costs_no_request() {
-    let server = StandIn::new("s-1", |got| match got.attempt() {
-        "first" => [ok(got), vec![Step::Wait, Step::Close]].concat(),
-        _ => ok(got),
+async fn a_connection_that_closed_while_idle_loses_no_request() {
+    let server = ScriptedServer::new("s-1", |request| match request.attempt() {
+        "first" => [answer_ok(request), vec![Step::WaitForRelease, Step::Close]].concat(),
+        _ => answer_ok(request),
     })
     .await;
-    let bed = Bed::new(Some(table(vec![once()])), &[&server]).await;
-    assert_eq!(call(bed.address, &post("first", "", "")).await.status, 200);
+    let gateway = TestGateway::new(Some(route_table(vec![at_most_once_route()])), &[&server]).await;
+    assert_eq!(call(gateway.address, &post("first", "", "")).await.status, 200);
     server.release();
-    // A round trip on another socket of the same host comes after the close.
-    let probe = StandIn::new("probe", ok).await;
+    // A round trip on another socket of the same host completes after the close has arrived.
+    let probe = ScriptedServer::new("probe", answer_ok).await;
     let mut caller = Caller::new(probe.address).await;
     caller.call(&post("probe", "", "")).await;
-    assert_eq!(call(bed.address, &post("second", "", "")).await.status, 200);
+    assert_eq!(call(gateway.address, &post("second", "", "")).await.status, 200);
 }
 
 #[tokio::test]
-async fn server_failures_pass_unchanged() {
+async fn server_errors_are_forwarded_unchanged() {
     for status in ["500 Internal Server Error", "504 Gateway Timeout", "404 Not Found"] {
-        let server = StandIn::new("s-1", move |got| vec![answer(got, status, "", "why")]).await;
-        let bed = Bed::new(Some(table(vec![route()])), &[&server]).await;
-        let reply = call(bed.address, &post("t", "", "")).await;
+        let server =
+            ScriptedServer::new("s-1", move |request| vec![answer(request, status, "", "why")])
+                .await;
+        let gateway =
+            TestGateway::new(Some(route_table(vec![repeatable_route()])), &[&server]).await;
+        let reply = call(gateway.address, &post("t", "", "")).await;
         assert_eq!((reply.status.to_string().as_str(), reply.body.as_str()), (&status[..3], "why"));
         assert_eq!(reply.header("x-signature"), Some("s-1"));
-        assert_eq!(server.got().len(), 1);
+        assert_eq!(server.requests().len(), 1);
     }
 }
 
-/// What a server is taken for.
+/// How the choice of servers rates a server.
 #[derive(Debug, PartialEq, Eq)]
 enum Fitness {
-    Sound,
-    /// Chosen when there is no other.
+    Healthy,
+    /// Chosen only if there is no other server.
     LastChoice,
-    /// Left alone for a moment.
+    /// Not chosen until a pause is over.
     Paused,
     Gone,
 }
 
-fn fitness(bed: &Bed, id: &str) -> Fitness {
-    bed.add("other", std::net::SocketAddr::from(([127, 0, 0, 1], 9)));
+fn fitness(gateway: &TestGateway, id: &str) -> Fitness {
+    gateway.add_server("other", std::net::SocketAddr::from(([127, 0, 0, 1], 9)));
     let (service, other) = (common::service_name(), [BackendId::from("other")]);
-    let mut backends = bed.backends.lock().expect("whole");
+    let mut backends = gateway.backends.lock().expect("the lock is not poisoned");
     if backends.is_leaving_or_gone(&BackendId::from(id)) {
         return Fitness::Gone;
     }
-    // Nothing has faded at the very beginning, and no pause is over.
+    // At time 0 no failure has decayed and no pause is over.
     let mut chosen = |preferred, tried| {
         let ask = ChoiceRequest {
             service: &service,
@@ -219,97 +249,115 @@
     };
     let own = BackendId::from(id);
     match (chosen(Some(&own), &[]), chosen(Some(&own), &other)) {
-        (Some(first), _) if first == id => Fitness::Sound,
+        (Some(first), _) if first == id => Fitness::Healthy,
         (_, Some(_)) => Fitness::LastChoice,
         (_, None) => Fitness::Paused,
     }
 }
 
 #[tokio::test]
-async fn the_choice_of_servers_learns_how_each_attempt_ended() {
+async fn the_end_of_each_attempt_is_reported_to_the_choice_of_servers() {
     let cases: [(&str, Script, Fitness); 9] = [
-        ("answered", ok, Fitness::Sound),
-        ("not found", |got| vec![answer(got, "404 Not Found", "", "")], Fitness::Sound),
-        ("not proper", |got| vec![answer(got, "400 Bad", "X-Not-Run: 1\r\n", "")], Fitness::Sound),
-        ("failed", |got| vec![answer(got, "500 Bad", "", "")], Fitness::LastChoice),
+        ("answered", answer_ok, Fitness::Healthy),
+        ("not found", |request| vec![answer(request, "404 Not Found", "", "")], Fitness::Healthy),
+        (
+            "not proper",
+            |request| vec![answer(request, "400 Bad", "X-Not-Run: 1\r\n", "")],
+            Fitness::Healthy,
+        ),
+        ("failed", |request| vec![answer(request, "500 Bad", "", "")], Fitness::LastChoice),
         ("reset", |_| vec![Step::Reset], Fitness::LastChoice),
-        ("no promise", |got| vec![answer(got, "503 Full", "", "")], Fitness::LastChoice),
-        ("full", shed, Fitness::Paused),
-        ("another", |got| vec![answer(got, "421 Misdirected", "", "")], Fitness::Gone),
-        ("left", |_| vec![Step::WaitForClose], Fitness::Sound),
+        ("no promise", |request| vec![answer(request, "503 Full", "", "")], Fitness::LastChoice),
+        ("full", refuse_not_run, Fitness::Paused),
+        ("another", |request| vec![answer(request, "421 Misdirected", "", "")], Fitness::Gone),
+        ("left", |_| vec![Step::WaitForClose], Fitness::Healthy),
     ];
     for (name, script, expected) in cases {
-        let server = StandIn::new("s-1", script).await;
-        let bed = Bed::new(Some(table(vec![once()])), &[&server]).await;
+        let server = ScriptedServer::new("s-1", script).await;
+        let gateway =
+            TestGateway::new(Some(route_table(vec![at_most_once_route()])), &[&server]).await;
         for _ in 0..3 {
-            call(bed.address, &post("t", "X-Deadline: 150\r\n", "")).await;
+            call(gateway.address, &post("t", "X-Deadline: 150\r\n", "")).await;
         }
-        let in_flight = || bed.backends.lock().expect("whole").in_flight(&common::service_name());
-        until("the attempt's end is told", || in_flight() == 0).await;
-        assert_eq!(fitness(&bed, "s-1"), expected, "{name}");
+        let in_flight = || {
+            gateway
+                .backends
+                .lock()
+                .expect("the lock is not poisoned")
+                .in_flight(&common::service_name())
+        };
+        wait_until("the end of the attempt is reported", || in_flight() == 0).await;
+        assert_eq!(fitness(&gateway, "s-1"), expected, "{name}");
     }
-    // Bound and not listening: connections are refused, and no other test's server gets the port.
+    // The socket is bound but not listening, so connections are refused and no other test's server
+    // gets the port.
     let dead = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-    dead.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a port");
-    let address = dead.local_addr().expect("its address").as_socket().expect("an IP address");
-    let bed = Bed::new(Some(table(vec![once()])), &[]).await;
-    bed.add("dead", address);
-    call(bed.address, &post("t", "", "")).await;
-    assert_eq!(fitness(&bed, "dead"), Fitness::Paused, "unreachable");
+    dead.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a free port");
+    let address = dead.local_addr().expect("the local address").as_socket().expect("an IP address");
+    let gateway = TestGateway::new(Some(route_table(vec![at_most_once_route()])), &[]).await;
+    gateway.add_server("dead", address);
+    call(gateway.address, &post("t", "", "")).await;
+    assert_eq!(fitness(&gateway, "dead"), Fitness::Paused, "unreachable");
 }
 
 #[tokio::test]
-async fn a_caller_that_leaves_takes_the_connection_to_the_server_with_it() {
+async fn the_connection_to_the_server_closes_when_the_caller_disconnects() {
     for head_first in [false, true] {
-        let server = StandIn::new("s-1", move |got| {
-            let head = format!("HTTP/1.1 200 OK\r\nX-Attempt: {}\r\n", got.attempt());
+        let server = ScriptedServer::new("s-1", move |request| {
+            let head = format!("HTTP/1.1 200 OK\r\nX-Attempt: {}\r\n", request.attempt());
             let head = Step::Send(format!("{head}Content-Length: 9\r\n\r\nfirst"));
             let steps = [head, Step::WaitForClose];
             steps[usize::from(!head_first)..].to_vec()
         })
         .await;
-        let bed = Bed::new(Some(table(vec![route()])), &[&server]).await;
-        let mut caller = Caller::new(bed.address).await;
+        let gateway =
+            TestGateway::new(Some(route_table(vec![repeatable_route()])), &[&server]).await;
+        let mut caller = Caller::new(gateway.address).await;
         caller.send(&post("t", "", "")).await;
-        until("the server has the request", || server.got().len() == 1).await;
+        wait_until("the server has the request", || server.requests().len() == 1).await;
         drop(caller);
-        until("the server sees the close", || server.closed() == 1).await;
-        until("nothing is in progress", || bed.relay.in_progress() == 0).await;
-        assert_eq!(server.got().len(), 1, "it is not sent again");
+        wait_until("the server sees the close", || server.closed() == 1).await;
+        wait_until("no request is in progress", || gateway.relay.in_progress() == 0).await;
+        assert_eq!(server.requests().len(), 1, "it is not sent again");
     }
 }
 
 #[tokio::test]
-async fn at_the_deadline_the_caller_gets_its_answer_and_the_server_is_let_go() {
-    let short = Route { timeout: Duration::from_millis(200), ..route() };
-    let cases = [(short, "X-Deadline: 60000\r\n"), (route(), "X-Deadline: 200\r\n")];
+async fn at_the_deadline_the_caller_gets_a_timeout_and_the_connection_to_the_server_closes() {
+    let short = Route { timeout: Duration::from_millis(200), ..repeatable_route() };
+    let cases = [(short, "X-Deadline: 60000\r\n"), (repeatable_route(), "X-Deadline: 200\r\n")];
     for (route, lines) in cases {
-        let server = StandIn::new("s-1", |_| vec![Step::WaitForClose]).await;
-        let bed = Bed::new(Some(table(vec![route])), &[&server]).await;
-        let reply = call(bed.address, &post("t", lines, "")).await;
+        let server = ScriptedServer::new("s-1", |_| vec![Step::WaitForClose]).await;
+        let gateway = TestGateway::new(Some(route_table(vec![route])), &[&server]).await;
+        let reply = call(gateway.address, &post("t", lines, "")).await;
         assert_eq!(reply.status, 504);
-        until("the server sees the close", || server.closed() == 1).await;
-        assert_eq!(server.got().len(), 1);
+        wait_until("the server sees the close", || server.closed() == 1).await;
+        assert_eq!(server.requests().len(), 1);
     }
 }
 
 #[tokio::test]
-async fn callers_beyond_the_most_wait_until_another_one_has_left() {
-    let server = StandIn::new("s-1", ok).await;
+async fn callers_above_the_connection_limit_wait_until_another_disconnects() {
+    let server = ScriptedServer::new("s-1", answer_ok).await;
     let settings = RelaySettings { most_connections: 1, ..RelaySettings::default() };
-    let bed = Bed::with_settings(settings, Some(table(vec![once()])), &[&server]).await;
-    let mut first = Caller::new(bed.address).await;
+    let gateway = TestGateway::with_settings(
+        settings,
+        Some(route_table(vec![at_most_once_route()])),
+        &[&server],
+    )
+    .await;
+    let mut first = Caller::new(gateway.address).await;
     assert_eq!(first.call(&post("t-1", "", "")).await.status, 200);
-    let mut second = Caller::new(bed.address).await;
+    let mut second = Caller::new(gateway.address).await;
     second.send(&post("t-2", "", "")).await;
     assert_eq!(first.call(&post("t-3", "", "")).await.status, 200);
-    assert_eq!(bed.relay.counters().connections, 1, "the other one waits");
+    assert_eq!(gateway.relay.counters().connections, 1, "the other caller waits");
     drop(first);
-    assert_eq!(second.reply().await.status, 200);
+    assert_eq!(second.read_reply().await.status, 200);
 }
 
 #[test]
-fn settings_out_of_range_are_named() {
+fn settings_out_of_range_are_reported_by_name() {
     assert!(RelaySettings::default().check().is_ok());
     let wrong = RelaySettings { most_refusals: 0, ..RelaySettings::default() };
     let error = wrong.check().expect_err("none").to_string();
--- a/crates/relay/tests/urgency.rs
+++ b/crates/relay/tests/priority.rs
@@ -1,10 +1,10 @@
-//! The order of requests at servers.
+//! Priority levels of requests at servers.
 
 use dahlia_relay::{RankPosition, priority_level};
 use dahlia_types::Duration;
 
 #[test]
-fn no_request_passes_one_of_an_earlier_rank_and_less_time_left_goes_first() {
+fn earlier_ranks_go_first_and_within_a_rank_less_time_left() {
     for total in 1..=12 {
         let mut earlier_last = None;
         for earlier in 0..total {
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn without_a_program_or_with_its_time_over_a_request_stands_in_the_middle() {
+fn a_request_without_a_program_or_without_time_left_gets_the_middle_level() {
     let place = |earlier| RankPosition { earlier, total: 2 };
     assert_eq!([priority_level(place(0), None), priority_level(place(1), None)], [2, 7]);
     assert_eq!(priority_level(place(1), Some(Duration::ZERO)), 7);
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn ranks_are_placed_among_those_in_force() {
+fn a_rank_is_positioned_among_the_ranks_in_force() {
     let ranks = [7, 1, 7, 4];
     let places = ranks.map(|rank| RankPosition::new(rank, ranks.into_iter()).earlier);
     assert_eq!(places, [2, 0, 2, 1]);
