--- a/crates/relay/tests/common/ledger.rs
+++ b/crates/relay/tests/common/ledger.rs
@@ -100,11 +100,15 @@
 }
 
 pub fn ledger_unavailable() -> Reply {
-    Err(LedgerUnavailable { reason: "told so".into(), retry_after: None, was_not_submitted: false })
+    Err(LedgerUnavailable {
+        reason: "scripted failure".into(),
+        retry_after: None,
+        was_not_submitted: false,
+    })
 }
 
 impl TurnLedger for TestLedger {
-    async fn submit(&self, command: LedgerCommand, _patience: Duration) -> Reply {
+    async fn submit(&self, command: LedgerCommand, _timeout: Duration) -> Reply {
         let is_open = matches!(command, LedgerCommand::Open(_));
         self.commands.lock().expect("the lock is not poisoned").push(command);
         if is_open {
@@ -126,7 +130,7 @@
         tenant: &TenantId,
         limit: VersionedLimit,
         _program: Option<ProgramKey>,
-        _most_wait: Duration,
+        _max_wait: Duration,
     ) -> Result<(), LimitReached> {
         if let Some(reached) = self.limits.lock().expect("the lock is not poisoned").pop_front() {
             return Err(reached);
--- a/crates/relay/tests/draining.rs
+++ b/crates/relay/tests/draining.rs
@@ -13,15 +13,15 @@
 async fn requests_are_served_with_connection_close_and_idle_connections_close() {
     let server = ScriptedServer::new("s-1", answer_ok).await;
     let gateway = TestGateway::new(Some(route_table(vec![repeatable_route()])), &[&server]).await;
-    let mut resting = Caller::new(gateway.address).await;
-    assert_eq!(resting.call(&post("t", "", "")).await.header("connection"), None);
+    let mut idle = Caller::new(gateway.address).await;
+    assert_eq!(idle.call(&post("t", "", "")).await.header("connection"), None);
     let mut begun = Caller::new(gateway.address).await;
     begun.send("POST /a/ HTTP/1.1\r\n").await;
     let mut fresh = Caller::new(gateway.address).await;
     wait_until("all connections are accepted", || gateway.relay.counters().open_connections == 3)
         .await;
     gateway.relay.begin_drain();
-    assert!(resting.is_closed().await);
+    assert!(idle.is_closed().await);
     let rest = "Host: host.example\r\nX-Attempt: u\r\nContent-Length: 0\r\n\r\n";
     for (caller, text) in [(&mut begun, rest), (&mut fresh, post("v", "", "").as_str())] {
         let reply = caller.call(text).await;
@@ -97,12 +97,12 @@
 async fn a_gateway_that_is_cut_off_still_serves_requests_and_closes_their_connections() {
     let server = ScriptedServer::new("s-1", answer_ok).await;
     let gateway = TestGateway::new(Some(route_table(vec![repeatable_route()])), &[&server]).await;
-    let mut resting = Caller::new(gateway.address).await;
-    assert_eq!(resting.call(&post("t", "", "")).await.header("connection"), None);
+    let mut idle = Caller::new(gateway.address).await;
+    assert_eq!(idle.call(&post("t", "", "")).await.header("connection"), None);
     gateway.relay.set_cut_off(true);
-    let reply = resting.call(&post("u", "", "")).await;
+    let reply = idle.call(&post("u", "", "")).await;
     assert_eq!((reply.status, reply.header("connection")), (200, Some("close")));
-    assert!(resting.is_closed().await);
+    assert!(idle.is_closed().await);
     gateway.relay.set_cut_off(false);
     let back = call(gateway.address, &post("v", "", "")).await;
     assert_eq!((back.status, back.header("connection")), (200, None));
--- a/crates/relay/tests/evacuation.rs
+++ b/crates/relay/tests/evacuation.rs
@@ -97,12 +97,12 @@
 }
 
 /// Sends a request to a gateway with six servers. The server that gets it first follows `first`,
-/// after all zones but its own and one other are evacuated. Returns the order in which servers got
-/// the request, and the other zone that was left.
+/// after all zones but its own and one other are evacuated; later requests follow `second`. Returns
+/// the order in which servers got the request, and the other zone that was left.
 async fn second_attempt_of(
     route: Route,
     first: fn(&ReceivedRequest) -> Vec<Step>,
-    then: fn(&ReceivedRequest) -> Vec<Step>,
+    second: fn(&ReceivedRequest) -> Vec<Step>,
 ) -> (Vec<String>, String) {
     const IDS: [&str; 6] = ["a", "b", "c", "d", "e", "f"];
     let order: Arc<Mutex<Vec<String>>> = Arc::default();
@@ -115,7 +115,7 @@
             if order.len() == 1 {
                 [vec![Step::WaitForRelease], first(request)].concat()
             } else {
-                then(request)
+                second(request)
             }
         };
         servers.push(ScriptedServer::new(id, script).await);
@@ -144,7 +144,7 @@
         name: &'static str,
         route: Route,
         first: fn(&ReceivedRequest) -> Vec<Step>,
-        then: fn(&ReceivedRequest) -> Vec<Step>,
+        second: fn(&ReceivedRequest) -> Vec<Step>,
     }
     let stream_from =
         |request: &ReceivedRequest| vec![stream_head(request), chunk(&event(2, "b")), last_chunk()];
@@ -153,23 +153,23 @@
             name: "after a refusal",
             route: at_most_once_route(),
             first: refuse_not_run,
-            then: answer_ok,
+            second: answer_ok,
         },
         Case {
             name: "after a lost answer",
             route: repeatable_route(),
             first: |_| vec![Step::Reset],
-            then: answer_ok,
+            second: answer_ok,
         },
         Case {
             name: "a broken stream",
             route: resumable_stream_route(),
             first: |request| vec![stream_head(request), chunk(&event(1, "a")), Step::Reset],
-            then: stream_from,
+            second: stream_from,
         },
     ];
-    for Case { name, route, first, then } in cases {
-        let (order, left) = second_attempt_of(route, first, then).await;
+    for Case { name, route, first, second } in cases {
+        let (order, left) = second_attempt_of(route, first, second).await;
         assert_eq!(order[1..], [left], "{name}: {order:?}");
     }
 }
--- a/crates/relay/tests/failures.rs
+++ b/crates/relay/tests/failures.rs
@@ -235,14 +235,14 @@
     }
     // At time 0 no failure has decayed and no pause is over.
     let mut chosen = |preferred, tried| {
-        let ask = ChoiceRequest {
+        let request = ChoiceRequest {
             service: &service,
             affinity: Some(Affinity::Program(1)),
             preferred,
             tried,
             size: None,
         };
-        match backends.choose(&ask, Timestamp(0)) {
+        match backends.choose(&request, Timestamp(0)) {
             Choice::Use { server, .. } => Some(server.id.name),
             _ => None,
         }
--- a/crates/relay/tests/forwarding.rs
+++ b/crates/relay/tests/forwarding.rs
@@ -303,9 +303,9 @@
         assert_eq!((reply.status, reply.header("connection")), (408, Some("close")), "{slow}");
         assert!(caller.is_closed().await);
     }
-    let mut resting = Caller::new(gateway.address).await;
-    assert_eq!(resting.call(&post("t", "", "")).await.status, 200);
-    assert!(resting.is_closed().await, "an idle connection is closed without an answer");
+    let mut idle = Caller::new(gateway.address).await;
+    assert_eq!(idle.call(&post("t", "", "")).await.status, 200);
+    assert!(idle.is_closed().await, "an idle connection is closed without an answer");
     assert_eq!(server.requests().len(), 1, "nothing else reached a server");
 }
 
--- a/crates/relay/tests/memory_limits.rs
+++ b/crates/relay/tests/memory_limits.rs
@@ -266,11 +266,11 @@
         let mut order = order.lock().expect("the lock is not poisoned");
         *order += 1;
         let events = (1..=EVENTS).map(|id| chunk(&event(id, &"x".repeat(8 * KB))));
-        let begun = std::iter::once(stream_head(request)).chain(events);
+        let all_events = std::iter::once(stream_head(request)).chain(events);
         let last = [chunk(&event(EVENTS + 1, "last")), Step::WaitForRelease, last_chunk()];
         match *order {
-            1 => begun.chain([Step::Close]).collect(),
-            _ => begun.chain(last).collect::<Vec<_>>(),
+            1 => all_events.chain([Step::Close]).collect(),
+            _ => all_events.chain(last).collect::<Vec<_>>(),
         }
     };
     let servers = [
--- a/crates/relay/tests/request_log.rs
+++ b/crates/relay/tests/request_log.rs
@@ -68,9 +68,9 @@
 
 /// All lines with this request's identifier, in order.
 fn lines_of(request: &str) -> Vec<LoggedLine> {
-    let line = LOGGED_LINES.get_or_init(Mutex::default).lock().expect("the lock is not poisoned");
+    let lines = LOGGED_LINES.get_or_init(Mutex::default).lock().expect("the lock is not poisoned");
     let is_of_request = |line: &&LoggedLine| line.field("request") == Some(request);
-    line.iter().filter(is_of_request).cloned().collect()
+    lines.iter().filter(is_of_request).cloned().collect()
 }
 
 fn sentences(lines: &[LoggedLine]) -> Vec<&str> {
--- a/crates/relay/tests/token_intervals.rs
+++ b/crates/relay/tests/token_intervals.rs
@@ -17,7 +17,7 @@
     name: &'static str,
     pieces: Vec<Piece>,
     /// The expected interval of each event in milliseconds.
-    measured: Vec<Option<u64>>,
+    expected: Vec<Option<u64>>,
 }
 
 fn piece(wait_started: u64, read_at: u64, events: usize) -> Piece {
@@ -47,35 +47,35 @@
         Case {
             name: "one event a piece",
             pieces: vec![piece(0, 50, 1), piece(50, 90, 1), piece(91, 120, 1)],
-            measured: vec![None, Some(40), Some(30)],
+            expected: vec![None, Some(40), Some(30)],
         },
         Case {
             name: "an event in two pieces",
             pieces: vec![piece(0, 50, 1), piece(50, 80, 0), piece(80, 90, 1)],
-            measured: vec![None, Some(40)],
+            expected: vec![None, Some(40)],
         },
         Case {
             name: "two events came together",
             pieces: vec![piece(0, 50, 1), piece(50, 130, 2)],
-            measured: vec![None, Some(80), Some(0)],
+            expected: vec![None, Some(80), Some(0)],
         },
         Case {
             name: "events that were there when the stream began",
             pieces: vec![piece(0, 50, 3), piece(50, 90, 1)],
-            measured: vec![None, None, None, Some(40)],
+            expected: vec![None, None, None, Some(40)],
         },
         Case {
             name: "the caller was slow, and the event was there before",
             pieces: vec![piece(0, 50, 1), piece(300, 300, 1), piece(300, 340, 1)],
-            measured: vec![None, None, None],
+            expected: vec![None, None, None],
         },
         Case {
             name: "the caller was slow, but the event came later",
             pieces: vec![piece(0, 50, 1), piece(60, 90, 1), piece(90, 130, 1)],
-            measured: vec![None, Some(40), Some(40)],
+            expected: vec![None, Some(40), Some(40)],
         },
     ];
-    for Case { name, pieces, measured: expected } in cases {
+    for Case { name, pieces, expected } in cases {
         assert_eq!(measure(&pieces), expected, "{name}");
     }
 }
