--- a/crates/relay/src/body.rs
+++ b/crates/relay/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers to callers: whole ones with a length, and streams.
+//! Bodies of answers to callers: complete ones with a length, and streams.
 
 use std::convert::Infallible;
 use std::pin::Pin;
@@ -12,26 +12,26 @@
 use crate::caller::BusyGuard;
 use crate::counters::GaugeGuard;
 
-/// A stream ends before its last piece; the caller's connection must end with it, since any other
-/// end would look complete.
+/// The stream ended before its last piece. The caller's connection must close with it, since any
+/// other end would look complete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 #[snafu(display("the answer broke off"))]
-pub(crate) struct BrokenOff;
+pub(crate) struct BrokenStream;
 
-impl From<Infallible> for BrokenOff {
+impl From<Infallible> for BrokenStream {
     fn from(never: Infallible) -> Self {
         match never {}
     }
 }
 
-/// Pieces of a stream as they are handed on.
-pub(crate) type Pieces = Pin<Box<dyn Stream<Item = Result<Bytes, BrokenOff>> + Send>>;
+/// The pieces of a stream in the order in which they are forwarded.
+pub(crate) type Pieces = Pin<Box<dyn Stream<Item = Result<Bytes, BrokenStream>> + Send>>;
 
 /// The body of an answer to a caller.
 pub(crate) struct AnswerBody {
     content: Content,
-    // Held until the connection has taken the last byte, or has ended.
-    held: Option<(GaugeGuard, BusyGuard)>,
+    // Kept until the connection has taken the last byte or has closed.
+    guards: Option<(GaugeGuard, BusyGuard)>,
 }
 
 enum Content {
@@ -42,31 +42,31 @@
 impl AnswerBody {
     pub(crate) fn whole(bytes: Bytes) -> Self {
         let content = Content::Whole(Some(bytes).filter(|bytes| !bytes.is_empty()));
-        Self { content, held: None }
+        Self { content, guards: None }
     }
 
     pub(crate) fn stream(pieces: Pieces) -> Self {
-        Self { content: Content::Stream(pieces), held: None }
+        Self { content: Content::Stream(pieces), guards: None }
     }
 
     pub(crate) fn is_stream(&self) -> bool {
         matches!(self.content, Content::Stream(_))
     }
 
-    /// Keeps the request in progress and its connection busy until the body is gone.
-    pub(crate) fn hold(&mut self, gauge: GaugeGuard, busy: BusyGuard) {
-        self.held = Some((gauge, busy));
+    /// Keeps the request counted as in progress and its connection busy until the body is dropped.
+    pub(crate) fn attach_guards(&mut self, gauge: GaugeGuard, busy: BusyGuard) {
+        self.guards = Some((gauge, busy));
     }
 }
 
 impl Body for AnswerBody {
     type Data = Bytes;
-    type Error = BrokenOff;
+    type Error = BrokenStream;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BrokenStream>>> {
         match &mut self.content {
             Content::Whole(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
             Content::Stream(pieces) => {
--- a/crates/relay/src/caller.rs
+++ b/crates/relay/src/caller.rs
@@ -1,7 +1,8 @@
-//! A caller's connection: what it waits for, and since when.
+//! The state of a caller's connection, and its timeouts.
 //!
-//! Two limits hold on a connection without a request: how long it may rest, and how long a head
-//! may take once its first byte is there. hyper has one timer for both, so they are kept here.
+//! A connection without a request has two timeouts: how long it may be idle, and how long a head
+//! may take after its first byte. hyper has only one timer for both, so this module implements
+//! them.
 
 use std::io;
 use std::pin::Pin;
@@ -12,176 +13,184 @@
 use tokio::net::TcpStream;
 use tokio::time::{Duration, Instant, Sleep, sleep_until};
 
-/// What a caller's connection waits for.
+/// The phase of a caller's connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Phase {
-    /// No byte of the next request is there.
-    Resting { since: Instant },
+    /// No byte of the next request has arrived.
+    Idle { since: Instant },
     /// The head of a request is arriving.
-    Head { since: Instant },
-    /// A request is read whole or being read, or its answer is under way.
+    ReadingHead { since: Instant },
+    /// The body of a request is being read, or the request is being processed or answered.
     Busy,
 }
 
-/// What has become of a connection's rest.
+/// The result of checking a connection's idle timeout.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum RestCheck {
-    /// It cannot be over before this moment.
-    Until(Instant),
-    /// It is over.
-    TooLong,
+pub(crate) enum IdleCheck {
+    /// The timeout cannot pass before this moment.
+    NotBefore(Instant),
+    /// The timeout has passed.
+    Expired,
 }
 
 #[derive(Debug)]
-struct State {
+struct ConnectionState {
     phase: Phase,
-    served: u64,
-    /// When the caller must have taken the answer under way.
-    answer_due: Option<Instant>,
-    /// How long the caller may take no byte of the stream under way.
-    most_stall: Option<Duration>,
+    requests_served: u64,
+    /// When the caller must have taken the current answer.
+    answer_deadline: Option<Instant>,
+    /// How long the caller may take no byte of the current stream.
+    max_stall: Option<Duration>,
 }
 
 /// The state of a caller's connection, shared by its stream and its requests.
 #[derive(Debug, Clone)]
-pub(crate) struct CallerState(Arc<Mutex<State>>);
+pub(crate) struct CallerState(Arc<Mutex<ConnectionState>>);
 
 impl CallerState {
     pub(crate) fn new() -> Self {
-        let phase = Phase::Resting { since: Instant::now() };
-        Self(Arc::new(Mutex::new(State { phase, served: 0, answer_due: None, most_stall: None })))
+        let phase = Phase::Idle { since: Instant::now() };
+        Self(Arc::new(Mutex::new(ConnectionState {
+            phase,
+            requests_served: 0,
+            answer_deadline: None,
+            max_stall: None,
+        })))
     }
 
-    fn lock(&self) -> MutexGuard<'_, State> {
+    fn lock(&self) -> MutexGuard<'_, ConnectionState> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The connection is busy until the guard is dropped.
+    /// Marks the connection as busy until the guard is dropped.
     pub(crate) fn busy(&self) -> BusyGuard {
         self.lock().phase = Phase::Busy;
         BusyGuard(self.clone())
     }
 
-    /// The answer under way must be taken by then.
-    pub(crate) fn answer_due(&self, deadline: Instant) {
-        self.lock().answer_due = Some(deadline);
+    /// Sets when the caller must have taken the current answer.
+    pub(crate) fn set_answer_deadline(&self, deadline: Instant) {
+        self.lock().answer_deadline = Some(deadline);
     }
 
-    /// The answer under way is a stream, which keeps a place at its server until it is taken.
-    pub(crate) fn answer_streams(&self, most_stall: Duration) {
-        self.lock().most_stall = Some(most_stall);
+    /// Limits how long the caller may stall the current answer: it is a stream, which occupies a
+    /// server's slot until the caller takes it.
+    pub(crate) fn limit_stalls(&self, max_stall: Duration) {
+        self.lock().max_stall = Some(max_stall);
     }
 
-    /// When a write that has to wait from now on has waited too long.
-    fn write_due(&self) -> Option<Instant> {
+    /// When a write that blocks now times out.
+    fn write_deadline(&self) -> Option<Instant> {
         let state = self.lock();
-        let stalled = state.most_stall.map(|most| Instant::now() + most);
-        state.answer_due.into_iter().chain(stalled).min()
+        let stall_deadline = state.max_stall.map(|limit| Instant::now() + limit);
+        state.answer_deadline.into_iter().chain(stall_deadline).min()
     }
 
-    fn bytes_arrived(&self) {
+    fn record_bytes(&self) {
         let mut state = self.lock();
-        if matches!(state.phase, Phase::Resting { .. }) {
-            state.phase = Phase::Head { since: Instant::now() };
+        if matches!(state.phase, Phase::Idle { .. }) {
+            state.phase = Phase::ReadingHead { since: Instant::now() };
         }
     }
 
-    /// Whether closing the connection for new requests loses none: one that never had a request
-    /// may have one on the way, and one whose head arrives is answered and then closed.
-    pub(crate) fn may_be_closed(&self) -> bool {
+    /// Whether the connection can be closed to new requests without losing one. A connection that
+    /// never had a request may have one on the way. A connection whose head is arriving is answered
+    /// and then closed.
+    pub(crate) fn is_safe_to_close(&self) -> bool {
         let state = self.lock();
         match state.phase {
-            Phase::Resting { .. } => state.served > 0,
-            Phase::Head { .. } => false,
+            Phase::Idle { .. } => state.requests_served > 0,
+            Phase::ReadingHead { .. } => false,
             Phase::Busy => true,
         }
     }
 
-    /// Whether the connection has rested too long.
-    pub(crate) fn check_rest(&self, now: Instant, most: Duration) -> RestCheck {
+    /// Checks whether the connection has been idle for too long.
+    pub(crate) fn check_idle(&self, now: Instant, limit: Duration) -> IdleCheck {
         match self.lock().phase {
-            Phase::Resting { since } if now >= since + most => RestCheck::TooLong,
-            Phase::Resting { since } => RestCheck::Until(since + most),
-            Phase::Head { .. } | Phase::Busy => RestCheck::Until(now + most),
+            Phase::Idle { since } if now >= since + limit => IdleCheck::Expired,
+            Phase::Idle { since } => IdleCheck::NotBefore(since + limit),
+            Phase::ReadingHead { .. } | Phase::Busy => IdleCheck::NotBefore(now + limit),
         }
     }
 
-    /// Since when the head of a request is arriving.
+    /// When the head of the current request began to arrive.
     fn head_since(&self) -> Option<Instant> {
         match self.lock().phase {
-            Phase::Head { since } => Some(since),
-            Phase::Resting { .. } | Phase::Busy => None,
+            Phase::ReadingHead { since } => Some(since),
+            Phase::Idle { .. } | Phase::Busy => None,
         }
     }
 
-    /// Whether the head of a request is not there yet.
-    pub(crate) fn awaits_head(&self) -> bool {
+    /// Whether the head of a request is still incomplete.
+    pub(crate) fn is_reading_head(&self) -> bool {
         self.head_since().is_some()
     }
 }
 
-/// Holds a connection busy; it rests from the guard's end.
+/// Marks a connection as busy. The connection is idle from the guard's drop on.
 #[derive(Debug)]
 pub(crate) struct BusyGuard(CallerState);
 
 impl Drop for BusyGuard {
     fn drop(&mut self) {
         let mut state = self.0.lock();
-        state.phase = Phase::Resting { since: Instant::now() };
-        state.served += 1;
-        state.answer_due = None;
-        state.most_stall = None;
+        state.phase = Phase::Idle { since: Instant::now() };
+        state.requests_served += 1;
+        state.answer_deadline = None;
+        state.max_stall = None;
     }
 }
 
-/// A caller's stream that notes when bytes arrive, and fails when a head takes too long or an
+/// A caller's stream that records when bytes arrive. It fails if a head takes too long or if an
 /// answer is not taken in time.
 pub(crate) struct CallerStream {
     stream: TcpStream,
     state: CallerState,
-    most_head_time: Duration,
-    /// Set only when a head does not come in one piece, which is rare.
-    alarm: Option<Pin<Box<Sleep>>>,
+    header_timeout: Duration,
+    /// Set only if a head does not arrive in one piece, which is rare.
+    header_timer: Option<Pin<Box<Sleep>>>,
     /// Set only while the caller takes no bytes.
-    write_alarm: Option<Pin<Box<Sleep>>>,
+    write_timer: Option<Pin<Box<Sleep>>>,
 }
 
 impl CallerStream {
-    pub(crate) fn new(stream: TcpStream, state: CallerState, most_head_time: Duration) -> Self {
-        Self { stream, state, most_head_time, alarm: None, write_alarm: None }
+    pub(crate) fn new(stream: TcpStream, state: CallerState, header_timeout: Duration) -> Self {
+        Self { stream, state, header_timeout, header_timer: None, write_timer: None }
     }
 
-    fn poll_head_time(&mut self, context: &mut Context<'_>) -> Poll<io::Result<()>> {
+    fn poll_header_timeout(&mut self, context: &mut Context<'_>) -> Poll<io::Result<()>> {
         let Some(since) = self.state.head_since() else {
-            self.alarm = None;
+            self.header_timer = None;
             return Poll::Pending;
         };
-        let end = since + self.most_head_time;
-        let alarm = self.alarm.get_or_insert_with(|| Box::pin(sleep_until(end)));
-        alarm.as_mut().poll(context).map(|()| Err(io::ErrorKind::TimedOut.into()))
+        let deadline = since + self.header_timeout;
+        let timer = self.header_timer.get_or_insert_with(|| Box::pin(sleep_until(deadline)));
+        timer.as_mut().poll(context).map(|()| Err(io::ErrorKind::TimedOut.into()))
     }
 
-    /// What becomes of a write: one that still waits when the answer is due fails, and so does one of
-    /// a stream of which the caller takes no byte for too long. The answer's body cannot tell, since
-    /// it is not asked for more until the caller has taken what is there.
-    fn or_due(
+    /// Applies the deadline to a write: a write fails if it still blocks when the answer is due, or
+    /// if the caller has taken no byte of a stream for too long. The answer's body cannot notice
+    /// this, since it is not polled until the caller has taken the earlier bytes.
+    fn with_write_deadline(
         &mut self,
         written: Poll<io::Result<usize>>,
         context: &mut Context<'_>,
     ) -> Poll<io::Result<usize>> {
         if written.is_ready() {
-            self.write_alarm = None;
+            self.write_timer = None;
             return written;
         }
-        if self.write_alarm.is_none() {
-            self.write_alarm = self.state.write_due().map(|due| Box::pin(sleep_until(due)));
+        if self.write_timer.is_none() {
+            self.write_timer =
+                self.state.write_deadline().map(|deadline| Box::pin(sleep_until(deadline)));
         }
-        let Some(alarm) = &mut self.write_alarm else { return Poll::Pending };
-        alarm.as_mut().poll(context).map(|()| Err(io::ErrorKind::TimedOut.into()))
+        let Some(timer) = &mut self.write_timer else { return Poll::Pending };
+        timer.as_mut().poll(context).map(|()| Err(io::ErrorKind::TimedOut.into()))
     }
 
-    /// Offers bytes to the socket without waiting, as a last word before it is closed.
-    pub(crate) fn last_word(&self, bytes: &[u8]) {
+    /// Writes bytes to the socket without waiting, just before it is closed.
+    pub(crate) fn write_last(&self, bytes: &[u8]) {
         let _ = self.stream.try_write(bytes);
     }
 }
@@ -195,10 +204,10 @@
         let before = buffer.filled().len();
         let result = Pin::new(&mut self.stream).poll_read(context, buffer);
         if buffer.filled().len() > before {
-            self.state.bytes_arrived();
+            self.state.record_bytes();
         }
         if result.is_pending() {
-            return self.poll_head_time(context);
+            return self.poll_header_timeout(context);
         }
         result
     }
@@ -211,7 +220,7 @@
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write(context, bytes);
-        self.or_due(written, context)
+        self.with_write_deadline(written, context)
     }
 
     fn poll_write_vectored(
@@ -220,7 +229,7 @@
         slices: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write_vectored(context, slices);
-        self.or_due(written, context)
+        self.with_write_deadline(written, context)
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/crates/relay/src/connection.rs
+++ b/crates/relay/src/connection.rs
@@ -1,7 +1,7 @@
 //! One connection to a server.
 //!
-//! hyper's connection is driven by the task that waits for its answer, not by a task of its own:
-//! that spares two wake-ups a request, and a caller that leaves takes the connection with it.
+//! hyper's connection is driven by the task that waits for its answer, not by a task of its own.
+//! That saves two wake-ups per request, and the connection closes when the caller disconnects.
 
 use std::future::poll_fn;
 use std::io;
@@ -25,9 +25,9 @@
 
 use crate::RelaySettings;
 
-/// Bytes of an answer that are read before they are asked for, the head at least: what a slow caller
+/// Bytes of an answer, the head at least, that are read before they are needed. What a slow caller
 /// has not taken waits at the server.
-const MOST_READ_AHEAD: usize = 64 * 1024;
+const MAX_READ_AHEAD_BYTES: usize = 64 * 1024;
 
 type Driver = http1::Connection<TokioIo<ServerStream>, Full<Bytes>>;
 
@@ -35,7 +35,7 @@
 #[derive(Debug, Snafu)]
 pub(crate) enum OpenError {
     #[snafu(display("{server} took longer than the time to connect"))]
-    TooSlow { server: SocketAddr },
+    Timeout { server: SocketAddr },
     #[snafu(display("connecting to {server}: {source}"))]
     Connect { server: SocketAddr, source: io::Error },
     #[snafu(display("starting HTTP with {server}: {source}"))]
@@ -45,10 +45,10 @@
 /// A request got no head of an answer.
 #[derive(Debug, Snafu)]
 pub(crate) enum SendError {
-    /// No byte of it left: it cannot have run.
+    /// No byte of it was sent, so it cannot have run.
     #[snafu(display("the connection was closed before the request was sent"))]
     NotSent,
-    /// Some of it left: it may have run.
+    /// Some of it was sent, so it may have run.
     #[snafu(display("no answer to what was sent: {source}"))]
     NoAnswer { source: hyper::Error },
 }
@@ -67,18 +67,19 @@
         server: SocketAddr,
         settings: &RelaySettings,
     ) -> Result<Self, OpenError> {
-        let patience = Duration::from_millis(settings.connect_timeout_ms);
-        let stream = timeout(patience, TcpStream::connect(server)).await;
-        let stream = stream.map_err(|_| OpenError::TooSlow { server })?;
+        let connect_timeout = Duration::from_millis(settings.connect_timeout_ms);
+        let stream = timeout(connect_timeout, TcpStream::connect(server)).await;
+        let stream = stream.map_err(|_| OpenError::Timeout { server })?;
         let stream = stream.context(ConnectSnafu { server })?;
-        // A system without these options still serves; it only notices dead peers later.
+        // Systems without these options still work, but notice dead peers later.
         let _ = stream.set_nodelay(true);
-        let _ = notice_dead_peers(&stream, settings);
+        let _ = set_dead_peer_detection(&stream, settings);
         let progress = Arc::new(WriteProgress::default());
         let stream = ServerStream { stream, progress: Arc::clone(&progress) };
-        let started =
-            http1::Builder::new().max_buf_size(MOST_READ_AHEAD).handshake(TokioIo::new(stream));
-        let (sender, driver) = started.await.context(StartSnafu { server })?;
+        let handshake = http1::Builder::new()
+            .max_buf_size(MAX_READ_AHEAD_BYTES)
+            .handshake(TokioIo::new(stream));
+        let (sender, driver) = handshake.await.context(StartSnafu { server })?;
         Ok(Self { sender, driver: Some(Box::new(driver)), progress })
     }
 
@@ -101,7 +102,7 @@
         }
     }
 
-    /// The next data of an answer's body; none at its end.
+    /// Returns the next data of an answer's body; none at its end.
     pub(crate) async fn next_data(
         &mut self,
         body: &mut Incoming,
@@ -116,8 +117,9 @@
         .await
     }
 
-    /// Whether another request may go over it: the one before is fully sent and answered, nothing
-    /// is left over, and the server has not closed it. hyper wants no further request before.
+    /// Whether the connection can take another request: the last request is fully sent and
+    /// answered, no bytes are left over, and the server has not closed it. hyper takes no further
+    /// request before that.
     pub(crate) fn is_reusable(&mut self) -> bool {
         poll_driver(&mut self.driver, &mut Context::from_waker(Waker::noop()));
         self.driver.is_some() && self.sender.is_ready()
@@ -126,7 +128,7 @@
 
 fn poll_driver(driver: &mut Option<Box<Driver>>, context: &mut Context<'_>) {
     let Some(running) = driver else { return };
-    // How it ended shows in the answer.
+    // How the connection ended shows in the answer.
     if Pin::new(running).poll(context).is_ready() {
         *driver = None;
     }
@@ -149,8 +151,9 @@
     }
 }
 
-/// Ends connections whose peer is gone without a word: without power, or behind a cut.
-fn notice_dead_peers(stream: &TcpStream, settings: &RelaySettings) -> io::Result<()> {
+/// Makes the system close connections whose peer disappeared without closing them, because it lost
+/// power or is cut off.
+fn set_dead_peer_detection(stream: &TcpStream, settings: &RelaySettings) -> io::Result<()> {
     let socket = SockRef::from(stream);
     let interval = Duration::from_secs(settings.probe_interval_s);
     let probes = TcpKeepalive::new()
@@ -161,7 +164,7 @@
     socket.set_tcp_user_timeout(Some(Duration::from_millis(settings.unacknowledged_timeout_ms)))
 }
 
-/// Bytes that the socket has taken.
+/// The number of bytes that the socket has accepted.
 #[derive(Debug, Default)]
 struct WriteProgress(AtomicU64);
 
@@ -170,14 +173,14 @@
         self.0.load(Ordering::Relaxed)
     }
 
-    fn note(&self, result: &Poll<io::Result<usize>>) {
-        if let Poll::Ready(Ok(taken)) = result {
-            self.0.fetch_add(*taken as u64, Ordering::Relaxed);
+    fn record(&self, result: &Poll<io::Result<usize>>) {
+        if let Poll::Ready(Ok(accepted)) = result {
+            self.0.fetch_add(*accepted as u64, Ordering::Relaxed);
         }
     }
 }
 
-/// A stream to a server that notes how much the socket has taken.
+/// A stream to a server that counts the bytes that the socket has accepted.
 struct ServerStream {
     stream: TcpStream,
     progress: Arc<WriteProgress>,
@@ -200,7 +203,7 @@
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
         let result = Pin::new(&mut self.stream).poll_write(context, bytes);
-        self.progress.note(&result);
+        self.progress.record(&result);
         result
     }
 
@@ -210,7 +213,7 @@
         slices: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let result = Pin::new(&mut self.stream).poll_write_vectored(context, slices);
-        self.progress.note(&result);
+        self.progress.record(&result);
         result
     }
 
--- a/crates/relay/src/live.rs
+++ b/crates/relay/src/server_response.rs
@@ -1,4 +1,4 @@
-//! An answer of a server while it arrives.
+//! A server's answer while it arrives.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
@@ -13,70 +13,73 @@
 use tokio::select;
 
 use crate::connection::ServerConnection;
-use crate::decisions::RequestLog;
-use crate::memory::{Assembly, CallerBytes, HeldBody, NotHeld};
-use crate::pool::{Keeping, Pool};
+use crate::liveness::LivenessWatch;
+use crate::memory::{BodyBuffer, CallerQuota, ReservationError, ReservedBody};
+use crate::pool::{KeepAlive, Pool};
 use crate::relay::{Clock, Shared};
-use crate::silence::SilenceWatch;
-use crate::waiting::SlotGuard;
+use crate::request_log::RequestLog;
+use crate::wait_queues::SlotGuard;
 
-/// The answer was not whole, or was none, or was another request's.
+/// The answer was incomplete, missing, or belonged to another request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 #[snafu(display("the server's answer was not whole"))]
 pub(crate) struct BrokenAnswer;
 
-/// Why a whole answer is not there.
+/// Why an answer could not be read completely.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
-pub(crate) enum NoWholeAnswer {
+pub(crate) enum ReadWholeError {
     #[snafu(transparent)]
     Broken { source: BrokenAnswer },
-    /// It is longer than this gateway holds for one caller: no other server's would be shorter.
+    /// The answer is longer than the memory for one caller. No other server's answer would be
+    /// shorter.
     #[snafu(transparent)]
-    NotHeld { source: NotHeld },
+    NoMemory { source: ReservationError },
 }
 
 /// A server that was chosen for a request.
-pub(crate) struct Chosen {
+pub(crate) struct ChosenServer {
     pub(crate) server: BackendAddress,
-    /// How large the request is, as the choice was told.
+    /// The request's size that the choice used.
     pub(crate) size: Option<TurnSize>,
-    /// What was expected of the server, where that decided.
+    /// The estimate for the server, if it decided the choice.
     pub(crate) expected: Option<TurnEstimate>,
 }
 
-/// Tells [`Backends`] how an attempt ended; that the caller left, when nothing else was said.
+/// Reports to [`Backends`] how an attempt ended; as cancelled by the caller, if nothing else was
+/// recorded.
 pub(crate) struct AttemptGuard {
     backends: Arc<Mutex<Backends>>,
     clock: Clock,
     server: BackendId,
     end: AttemptEnd,
     log: RequestLog,
-    /// How large its request is, as the choice was told.
+    /// The request's size that the choice used.
     size: TurnSize,
-    /// What was expected of it, where that decided.
+    /// The estimate for the server, if it decided the choice.
     expected: Option<TurnEstimate>,
-    began: Timestamp,
-    /// When the attempt was sent; none before, and once its answer has begun.
-    waits_since: Option<Timestamp>,
-    /// Notices that the server falls silent.
-    pub(crate) watch: SilenceWatch,
-    /// Dropped after the end is told: only then is there room for the next request.
-    place: SlotGuard,
+    started: Timestamp,
+    /// When the attempt was sent; none before that, and once its answer has begun.
+    sent_at: Option<Timestamp>,
+    /// Detects that the server stops responding.
+    pub(crate) watch: LivenessWatch,
+    /// Dropped after the end is reported: only then can the next request use the slot.
+    slot: SlotGuard,
 }
 
 impl AttemptGuard {
-    /// An attempt at the chosen server. `may_run_again` says whether another server may run its request.
+    /// Starts an attempt at the chosen server. `may_run_again` says whether another server may run
+    /// its request.
     pub(crate) fn new<L>(
         shared: &Shared<L>,
-        chosen: &Chosen,
+        chosen: &ChosenServer,
         may_run_again: bool,
         log: RequestLog,
-        place: SlotGuard,
+        slot: SlotGuard,
     ) -> Self {
-        let Chosen { server, size, expected } = chosen;
+        let ChosenServer { server, size, expected } = chosen;
         Self {
-            watch: SilenceWatch::new(
-                &shared.heard,
+            watch: LivenessWatch::new(
+                &shared.liveness,
                 &shared.backends,
                 server,
                 &shared.settings,
@@ -88,43 +91,43 @@
             end: AttemptEnd::Cancelled,
             size: size.unwrap_or_default(),
             expected: *expected,
-            began: (shared.clock)(),
+            started: (shared.clock)(),
             log,
-            waits_since: None,
-            place,
+            sent_at: None,
+            slot,
         }
     }
 
-    /// The attempt did not bring its request's answer.
+    /// Records that the attempt did not produce an answer.
     pub(crate) fn fail(&mut self, end: AttemptEnd, cause: &str) {
         self.end = end;
         self.log.attempt_failed(&self.server, end, cause);
     }
 
-    /// Tokens of its stream came.
-    fn tokens_came(&self, times: TokenTimes) {
+    /// Reports the arrival times of tokens to [`Backends`].
+    fn record_tokens(&self, times: TokenTimes) {
         let now = (self.clock)();
         let mut backends = self.backends.lock().unwrap_or_else(PoisonError::into_inner);
         backends.record_token_times(&self.server, times, now);
     }
 
-    /// Whether the server's zone is being emptied.
+    /// Whether the server's zone is being evacuated.
     fn is_evacuated(&self) -> bool {
         let backends = self.backends.lock().unwrap_or_else(PoisonError::into_inner);
         backends.is_evacuated(&self.server)
     }
 
-    /// The attempt is being sent.
-    pub(crate) fn sending(&mut self) {
-        self.waits_since = Some((self.clock)());
+    /// Records that the attempt is being sent.
+    pub(crate) fn record_send(&mut self) {
+        self.sent_at = Some((self.clock)());
     }
 
-    /// The head of the attempt's answer is there.
-    pub(crate) fn answering(&mut self) {
+    /// Records that the head of the answer has arrived.
+    pub(crate) fn record_head(&mut self) {
         let now = (self.clock)();
-        if let Some(since) = self.waits_since.take() {
+        if let Some(sent_at) = self.sent_at.take() {
             let mut backends = self.backends.lock().unwrap_or_else(PoisonError::into_inner);
-            backends.record_response_time(&self.server, now.since(since), now);
+            backends.record_response_time(&self.server, now.since(sent_at), now);
         }
     }
 }
@@ -133,84 +136,84 @@
     fn drop(&mut self) {
         let now = (self.clock)();
         let mut backends = self.backends.lock().unwrap_or_else(PoisonError::into_inner);
-        let waited = self.waits_since.map(|since| now.since(since));
-        if let Some(waited) = waited.filter(|_| self.end == AttemptEnd::Cancelled) {
-            backends.record_unanswered(&self.server, waited, now);
+        let waiting_time = self.sent_at.map(|sent_at| now.since(sent_at));
+        if let Some(waiting_time) = waiting_time.filter(|_| self.end == AttemptEnd::Cancelled) {
+            backends.record_unanswered(&self.server, waiting_time, now);
         }
         backends.end_turn(&self.server, self.size, self.end, now);
         drop(backends);
-        self.place.ended(self.end);
+        self.slot.record_end(self.end);
         if let Some(expected) = self.expected.filter(|_| self.end == AttemptEnd::Answered) {
-            self.log.turn_took(expected, now.since(self.began));
+            self.log.turn_ended(expected, now.since(self.started));
         }
     }
 }
 
-/// An answer whose head is there. Dropping it before its end drops the connection.
-pub(crate) struct LiveAnswer {
+/// An answer whose head has arrived. Dropping it before its end closes the connection.
+pub(crate) struct ServerResponse {
     pub(crate) parts: response::Parts,
     /// The server said that it did not run the request.
     pub(crate) did_not_run: bool,
     body: Incoming,
-    /// None once the body has ended, whole or not.
+    /// None once the body has ended, complete or not.
     connection: Option<ServerConnection>,
-    keeping: Keeping,
+    keep_alive: KeepAlive,
     pool: Arc<Pool>,
     guard: AttemptGuard,
 }
 
-impl LiveAnswer {
+impl ServerResponse {
     pub(crate) fn new(
         parts: response::Parts,
         body: Incoming,
         did_not_run: bool,
         connection: ServerConnection,
-        keeping: Keeping,
+        keep_alive: KeepAlive,
         pool: Arc<Pool>,
         guard: AttemptGuard,
     ) -> Self {
         let connection = Some(connection);
-        Self { parts, did_not_run, body, connection, keeping, pool, guard }
+        Self { parts, did_not_run, body, connection, keep_alive, pool, guard }
     }
 
     pub(crate) fn server(&self) -> &BackendId {
         &self.guard.server
     }
 
-    /// Tokens of the stream came.
-    pub(crate) fn tokens_came(&self, times: TokenTimes) {
-        self.guard.tokens_came(times);
+    /// Reports the arrival times of tokens to [`Backends`].
+    pub(crate) fn record_tokens(&self, times: TokenTimes) {
+        self.guard.record_tokens(times);
     }
 
-    /// Tells that this is no answer for the caller.
+    /// Records that this is no answer for the caller.
     pub(crate) fn fail(&mut self, end: AttemptEnd, cause: &str) {
         self.guard.fail(end, cause);
     }
 
-    /// Overrides what is told of the attempt's end.
+    /// Overrides the end that is reported for the attempt.
     pub(crate) fn set_end(&mut self, end: AttemptEnd) {
         self.guard.end = end;
     }
 
-    /// The next piece of the body; none at its end.
+    /// Returns the next piece of the body; none at its end.
     ///
     /// # Errors
-    /// The body broke off. The connection is closed then.
+    /// The body broke off. The connection is then closed.
     pub(crate) async fn next(&mut self) -> Option<Result<Bytes, BrokenAnswer>> {
         let connection = self.connection.as_mut()?;
         let data = select! {
             biased;
             data = connection.next_data(&mut self.body) => data,
-            given_up = self.guard.watch.given_up() => {
+            loss = self.guard.watch.wait_until_lost() => {
                 self.connection = None;
-                let cause = format!("{} in its answer", given_up.cause());
+                let cause = format!("{} in its answer", loss.cause());
                 self.guard.fail(AttemptEnd::Unreachable, &cause);
                 return Some(Err(BrokenAnswer));
             }
         };
         match data {
             Some(Ok(piece)) => {
-                self.guard.watch.heard();
+                self.guard.watch.record_contact();
                 Some(Ok(piece))
             }
             Some(Err(error)) => {
@@ -219,7 +222,7 @@
                 Some(Err(BrokenAnswer))
             }
             None => {
-                self.keep_connection();
+                self.return_connection();
                 self.guard.end = match self.parts.status.is_server_error() {
                     true => AttemptEnd::Failed,
                     false => AttemptEnd::Answered,
@@ -229,51 +232,52 @@
         }
     }
 
-    /// The whole body. While there is no room for more of it, it waits at the server.
+    /// Reads the whole body. While no memory is available for more of it, the rest waits at the
+    /// server.
     ///
     /// # Errors
-    /// It broke off, or is longer than the limit or than may be held for one caller.
+    /// The body broke off, or is longer than the limit or than the memory for one caller.
     pub(crate) async fn read_whole(
         &mut self,
         limit: usize,
-        caller: &CallerBytes,
-    ) -> Result<HeldBody, NoWholeAnswer> {
+        caller: &CallerQuota,
+    ) -> Result<ReservedBody, ReadWholeError> {
         let expected = self.body.size_hint().exact();
         let expected = expected.filter(|&bytes| bytes <= limit as u64);
-        let mut whole = Assembly::new(expected, limit, caller);
+        let mut buffer = BodyBuffer::new(expected, limit, caller);
         while let Some(piece) = self.next().await {
             let piece = piece?;
-            if whole.len() + piece.len() > limit {
+            if buffer.len() + piece.len() > limit {
                 self.connection = None;
                 self.guard.fail(AttemptEnd::Broken, "the answer is too long");
                 return Err(BrokenAnswer.into());
             }
-            if let Err(error) = whole.push_when_free(&piece).await {
+            if let Err(error) = buffer.push_when_available(&piece).await {
                 self.connection = None;
                 self.guard.fail(AttemptEnd::Cancelled, &error.to_string());
                 return Err(error.into());
             }
         }
-        Ok(whole.finish())
+        Ok(buffer.finish())
     }
 
-    /// Reads the rest of a short body and drops it, so that the connection can be kept.
-    pub(crate) async fn skip_rest(&mut self, limit: usize) {
-        let mut skipped = 0;
+    /// Reads and discards the rest of a short body, so that the connection can be reused.
+    pub(crate) async fn discard_rest(&mut self, limit: usize) {
+        let mut discarded = 0;
         while let Some(Ok(piece)) = self.next().await {
-            skipped += piece.len();
-            if skipped > limit {
+            discarded += piece.len();
+            if discarded > limit {
                 self.connection = None;
                 return;
             }
         }
     }
 
-    fn keep_connection(&mut self) {
-        // Nothing further goes to a zone that is being emptied.
+    fn return_connection(&mut self) {
+        // No further request is sent to a zone that is being evacuated.
         let connection = self.connection.take().filter(|_| !self.guard.is_evacuated());
         if let Some(connection) = connection {
-            self.pool.put(&self.guard.server, connection, self.keeping);
+            self.pool.put(&self.guard.server, connection, self.keep_alive);
         }
     }
 }
