--- a/crates/node/src/attempts.rs
+++ b/crates/node/src/attempts.rs
@@ -12,7 +12,7 @@
     Term, Timestamp, Tokens,
 };
 
-use crate::group::{IntentPurpose, LiveAttempt, Purpose};
+use crate::group::{IntentPurpose, LiveAttempt, ProposalPurpose};
 use crate::node::Node;
 use crate::owner::token_bound;
 use crate::request::{AttemptEnd, NotRunCause};
@@ -61,7 +61,7 @@
             // Its chunks were dropped while it waited for an engine. Placement counts the attempt
             // as dispatched: unless it is taken back, the call is known there and never placed.
             self.schedule(PlacementEvent::AttemptWithdrawn(attempt), now);
-            self.wait_for_prompt(attempt.call);
+            self.defer_call(attempt.call);
             return;
         };
         let bound = |sum: Tokens, message: &Message| sum.saturating_add(token_bound(message));
@@ -76,7 +76,7 @@
         let Some(group) = self.groups.get_mut(&id) else {
             return;
         };
-        let purpose = Purpose::Intent(intent);
+        let purpose = ProposalPurpose::Intent(intent);
         // Not leading any more is fine: the next owner dispatches the call.
         let proposed = group.propose(Command::RecordIntent(command), purpose, now);
         self.dirty.insert(id);
@@ -91,10 +91,10 @@
         &mut self,
         id: GroupId,
         terms: TokenReservation,
-        purpose: Option<Purpose>,
+        purpose: Option<ProposalPurpose>,
         now: Timestamp,
     ) {
-        let Some(Purpose::Intent(intent)) = purpose else {
+        let Some(ProposalPurpose::Intent(intent)) = purpose else {
             return;
         };
         let limit = self.settings.attempt_limit;
@@ -110,7 +110,7 @@
         if !self.may_use(&intent.holder.engine, now) {
             // The engine was taken out of service while the intent was on its way to a quorum. No
             // byte has left, and only this owner could have sent one in this epoch.
-            self.recalled.insert(intent.attempt);
+            self.recalled_attempts.insert(intent.attempt);
             let reason = "the engine was taken out of service before the attempt was sent";
             let end = not_run(reason);
             self.attempt_ended(intent.attempt, epoch, end, now);
@@ -227,7 +227,7 @@
             CallOutcome::NotRun { reason, retry_after }
         };
         let command = Command::AbandonCall(AbandonCall { call, outcome, at: now });
-        let _ = group.propose(command, Purpose::Housekeeping, now);
+        let _ = group.propose(command, ProposalPurpose::Housekeeping, now);
         self.dirty.insert(id);
     }
 
@@ -257,7 +257,7 @@
             AttemptEnd::Cut { usage } => AttemptOutcome::Cut { usage },
             AttemptEnd::NotRun { cause, .. } => {
                 if cause != NotRunCause::Engine {
-                    self.refusals.insert(attempt, cause);
+                    self.not_run_causes.insert(attempt, cause);
                 }
                 AttemptOutcome::NotRun
             }
@@ -267,7 +267,7 @@
             }
         };
         let command = Command::RecordOutcome(RecordOutcome { attempt, outcome, at: now });
-        let _ = group.propose(command, Purpose::Housekeeping, now);
+        let _ = group.propose(command, ProposalPurpose::Housekeeping, now);
         self.dirty.insert(id);
     }
 
@@ -277,8 +277,8 @@
             return;
         };
         let attempt = recorded.attempt;
-        self.recalled.remove(&attempt);
-        self.refusals.remove(&attempt);
+        self.recalled_attempts.remove(&attempt);
+        self.not_run_causes.remove(&attempt);
         if let Some(group) = self.groups.get_mut(&attempt.call.program.group) {
             group.taken_over.remove(&attempt);
         }
@@ -301,8 +301,8 @@
             return;
         };
         let attempt = recorded.attempt;
-        let was_recalled = self.recalled.remove(&attempt);
-        let cause = self.refusals.remove(&attempt);
+        let was_recalled = self.recalled_attempts.remove(&attempt);
+        let cause = self.not_run_causes.remove(&attempt);
         if !self.is_open_program(call.program) {
             self.abandon(call, NotRunReason::ProgramClosed, None, now);
             return;
@@ -373,7 +373,7 @@
         let group = self.groups.get(&attempt.call.program.group);
         if let Some(live) = group.and_then(|group| group.live.get(&attempt)) {
             let epoch = live.epoch;
-            self.recalled.insert(attempt);
+            self.recalled_attempts.insert(attempt);
             self.actions.push(Action::RecallAttempt { attempt, epoch });
         }
     }
--- a/crates/node/src/bootstrap.rs
+++ b/crates/node/src/bootstrap.rs
@@ -23,9 +23,9 @@
 /// How often the key is read while it is missing.
 const READ_INTERVAL: Duration = Duration::from_millis(300);
 /// How long no further daemon must have come before the groups are laid out on those that did.
-const SETTLE_TIME: Duration = Duration::from_millis(500);
+const SETTLE_DELAY: Duration = Duration::from_millis(500);
 /// The same while fewer daemons are there than the declared losses need.
-const PATIENCE: Duration = Duration::from_secs(3);
+const SHORTFALL_DELAY: Duration = Duration::from_secs(3);
 /// What each live daemon adds to the interval: together they read about 100 times a second.
 const READ_INTERVAL_PER_DAEMON: Duration = Duration::from_millis(10);
 
@@ -43,29 +43,29 @@
 /// Progress of the first layout on this daemon.
 #[derive(Debug, Default)]
 pub(crate) struct Bootstrap {
-    done: bool,
-    missing: bool,
+    is_done: bool,
+    is_missing: bool,
     next_read: Timestamp,
     /// Most daemons that may hold groups seen at once.
-    holders: usize,
+    max_holders: usize,
     /// When there were that many first.
-    holders_since: Timestamp,
+    max_holders_since: Timestamp,
 }
 
 impl Bootstrap {
     /// Whether the layout is known here.
     pub(crate) fn is_done(&self) -> bool {
-        self.done
+        self.is_done
     }
 
     /// Whether the service said that no layout exists.
     pub(crate) fn is_missing(&self) -> bool {
-        self.missing && !self.done
+        self.is_missing && !self.is_done
     }
 
     /// Whether the key should be read now.
-    pub(crate) fn read_due(&mut self, now: Timestamp) -> bool {
-        if self.done || now < self.next_read {
+    pub(crate) fn take_due_read(&mut self, now: Timestamp) -> bool {
+        if self.is_done || now < self.next_read {
             return false;
         }
         self.next_read = now + READ_INTERVAL;
@@ -73,29 +73,29 @@
     }
 
     /// Spreads the reads of many daemons.
-    pub(crate) fn share_reads(&mut self, live_daemons: usize, now: Timestamp) {
-        let shared = READ_INTERVAL_PER_DAEMON.times(live_daemons as u64);
-        self.next_read = self.next_read.max(now + shared);
+    pub(crate) fn delay_next_read(&mut self, live_daemons: usize, now: Timestamp) {
+        let interval = READ_INTERVAL_PER_DAEMON.times(live_daemons as u64);
+        self.next_read = self.next_read.max(now + interval);
     }
 
     /// Whether the groups may be laid out on so many daemons, of which `needed` are wanted.
     pub(crate) fn has_settled(&mut self, holders: usize, needed: usize, now: Timestamp) -> bool {
-        if holders > self.holders {
-            self.holders = holders;
-            self.holders_since = now;
+        if holders > self.max_holders {
+            self.max_holders = holders;
+            self.max_holders_since = now;
         }
-        let pause = if holders >= needed { SETTLE_TIME } else { PATIENCE };
-        holders > 0 && now.since(self.holders_since) >= pause
+        let delay = if holders >= needed { SETTLE_DELAY } else { SHORTFALL_DELAY };
+        holders > 0 && now.since(self.max_holders_since) >= delay
     }
 
     /// Notes that the key is missing.
     pub(crate) fn note_missing(&mut self) {
-        self.missing = true;
+        self.is_missing = true;
     }
 
     /// Notes that the layout is known.
     pub(crate) fn finish(&mut self) {
-        self.done = true;
+        self.is_done = true;
     }
 }
 
@@ -129,11 +129,11 @@
             }
             return;
         }
-        if !self.bootstrap.read_due(now) {
+        if !self.bootstrap.take_due_read(now) {
             return;
         }
         let live = self.live_members();
-        self.bootstrap.share_reads(live.len(), now);
+        self.bootstrap.delay_next_read(live.len(), now);
         let step = if self.may_lay_out(&live, now) && self.bootstrap.is_missing() {
             LayoutStep::Value(self.choose_layout(&live))
         } else {
@@ -168,7 +168,7 @@
         )
     }
 
-    pub(crate) fn layout(&mut self, step: LayoutStep, now: Timestamp) {
+    pub(crate) fn handle_layout_step(&mut self, step: LayoutStep, now: Timestamp) {
         match step {
             LayoutStep::Read => self.bootstrap.note_missing(),
             LayoutStep::Failed => {}
--- a/crates/node/src/configuration.rs
+++ b/crates/node/src/configuration.rs
@@ -12,7 +12,7 @@
 
 use dahlia_configuration::{
     Anomaly, ChangeId, ChangeWriter, ChangeWriterEvent, ConfigurationFollower, ConfigurationRecord,
-    FollowerAction, FollowerEvent, Peer, PeerMessage as SpreadMessage, ServingGeneration,
+    FollowerAction, FollowerEvent, Peer, PeerMessage as FollowerMessage, ServingGeneration,
 };
 use dahlia_replication::membership::{Health, MemberState};
 use dahlia_types::{DaemonId, Duration, Generation, Timestamp};
@@ -24,9 +24,9 @@
 use crate::{Action, NodeSettings};
 
 /// A daemon whose seeds do not answer for so long goes on as if it were alone.
-const SEED_PATIENCE: Duration = Duration::from_secs(5);
+const SEED_TIMEOUT: Duration = Duration::from_secs(5);
 /// How often the list of peers is looked at.
-const PEERS_INTERVAL: Duration = Duration::from_millis(200);
+const PEER_UPDATE_INTERVAL: Duration = Duration::from_millis(200);
 
 /// The configuration as this node knows it.
 #[derive(Debug, Clone)]
@@ -43,29 +43,29 @@
 pub(crate) struct Configuration {
     follower: ConfigurationFollower,
     change_writer: ChangeWriter,
-    started: Timestamp,
+    started_at: Timestamp,
     has_seeds: bool,
     /// None until the follower was given the first list.
     peers: Option<Vec<Peer>>,
-    next_peers: Timestamp,
+    next_peer_update: Timestamp,
     next_tick: Timestamp,
     /// The last step of the change under way.
-    step: ChangeStep,
+    current_step: ChangeStep,
     /// Who waits for the verdict on a change.
-    waiting: BTreeMap<ChangeId, BTreeSet<RequestId>>,
+    change_waiters: BTreeMap<ChangeId, BTreeSet<RequestId>>,
     /// The document that the settings make, while it may be needed.
     first_document: Option<String>,
-    next_offer: Option<Timestamp>,
+    next_first_document_offer: Option<Timestamp>,
     /// Generations that other daemons told of.
-    told: BTreeMap<DaemonId, Generation>,
+    reported_generations: BTreeMap<DaemonId, Generation>,
     /// The follower allows this node to serve.
-    is_followed: bool,
+    is_follower_ready: bool,
     /// The node serves.
-    is_open: bool,
+    is_serving: bool,
     /// The configuration says that this daemon drains.
     drains: bool,
     /// Whether the operators' configuration is kept by the daemons at all.
-    is_kept: bool,
+    is_enabled: bool,
 }
 
 impl Configuration {
@@ -83,37 +83,37 @@
         #[cfg(feature = "test-switches")]
         let follower = {
             let mut follower = follower;
-            let off = &settings.faults.configuration;
-            off.iter().for_each(|mechanism| follower.disable(*mechanism));
+            let disabled = &settings.faults.configuration;
+            disabled.iter().for_each(|mechanism| follower.disable(*mechanism));
             follower
         };
         let is_other = |seed: &SocketAddr| *seed != settings.address;
         Self {
             follower,
             change_writer: new_change_writer(settings),
-            started: now,
+            started_at: now,
             has_seeds: settings.seeds.iter().any(is_other),
             peers: None,
-            next_peers: now,
+            next_peer_update: now,
             next_tick: now,
-            step: ChangeStep::default(),
-            waiting: BTreeMap::new(),
+            current_step: ChangeStep::default(),
+            change_waiters: BTreeMap::new(),
             first_document: settings.first_document.clone(),
-            next_offer: None,
-            told: BTreeMap::new(),
-            is_followed: false,
-            is_open: !settings.follows_configuration,
+            next_first_document_offer: None,
+            reported_generations: BTreeMap::new(),
+            is_follower_ready: false,
+            is_serving: !settings.follows_configuration,
             drains: false,
-            is_kept: settings.follows_configuration,
+            is_enabled: settings.follows_configuration,
         }
     }
 
     /// Why the node does not serve yet.
     pub(crate) fn problem(&self) -> Option<&'static str> {
-        if self.is_open {
+        if self.is_serving {
             return None;
         }
-        if self.is_followed {
+        if self.is_follower_ready {
             return Some("no generation of the configuration exists yet");
         }
         if self.has_seeds && self.peers.is_none() {
@@ -132,23 +132,23 @@
         self.follower.current()
     }
 
-    fn note_told(&mut self, from: DaemonId, message: &SpreadMessage) {
+    fn record_reported_generation(&mut self, from: DaemonId, message: &FollowerMessage) {
         let id = match message {
-            SpreadMessage::Compare(id) => *id,
-            SpreadMessage::CompareReply { newest, .. } => *newest,
-            SpreadMessage::Announce(id) => Some(*id),
-            SpreadMessage::Fetch | SpreadMessage::Record(_) => return,
+            FollowerMessage::Compare(id) => *id,
+            FollowerMessage::CompareReply { newest, .. } => *newest,
+            FollowerMessage::Announce(id) => Some(*id),
+            FollowerMessage::Fetch | FollowerMessage::Record(_) => return,
         };
         let generation = id.map_or(Generation(0), |id| id.generation);
-        self.told.insert(from, generation);
+        self.reported_generations.insert(from, generation);
     }
 }
 
 #[cfg(feature = "test-switches")]
 fn new_change_writer(settings: &NodeSettings) -> ChangeWriter {
     let mut change_writer = ChangeWriter::new(settings.configuration.clone());
-    let off = &settings.faults.configuration;
-    off.iter().for_each(|mechanism| change_writer.disable(*mechanism));
+    let disabled = &settings.faults.configuration;
+    disabled.iter().for_each(|mechanism| change_writer.disable(*mechanism));
     change_writer
 }
 
@@ -161,8 +161,8 @@
     /// Hands over again and again while the configuration says that this daemon drains, and takes
     /// work again when it no longer does.
     pub(crate) fn drain_by_configuration(&mut self, drains: bool, now: Timestamp) {
-        let part = &mut self.configuration;
-        let was_drained = std::mem::replace(&mut part.drains, drains);
+        let configuration = &mut self.configuration;
+        let was_drained = std::mem::replace(&mut configuration.drains, drains);
         if drains {
             self.drain(now);
         } else if was_drained {
@@ -185,31 +185,31 @@
         if daemon == self.settings.own.daemon {
             return Some(self.configuration.generation());
         }
-        self.configuration.told.get(&daemon).copied()
+        self.configuration.reported_generations.get(&daemon).copied()
     }
 
     /// Time has passed.
     pub(crate) fn configuration_tick(&mut self, now: Timestamp) {
-        if !self.configuration.is_kept {
+        if !self.configuration.is_enabled {
             return;
         }
         self.update_peers(now);
         if now >= self.configuration.next_tick {
-            self.follow(FollowerEvent::Tick, now);
+            self.run_follower(FollowerEvent::Tick, now);
             self.configuration.next_tick = self.configuration.follower.next_tick(now);
         }
         if self.configuration.change_writer.next_tick(now).is_some() {
-            self.accept(ChangeWriterEvent::Tick, now);
+            self.run_change_writer(ChangeWriterEvent::Tick, now);
         }
         self.offer_first_document(now);
     }
 
     /// Gives the follower the other daemons that are believed to live, when they changed.
     fn update_peers(&mut self, now: Timestamp) {
-        if now < self.configuration.next_peers {
+        if now < self.configuration.next_peer_update {
             return;
         }
-        self.configuration.next_peers = now + PEERS_INTERVAL;
+        self.configuration.next_peer_update = now + PEER_UPDATE_INTERVAL;
         if self.configuration.drains {
             self.drain(now);
         }
@@ -220,50 +220,55 @@
         let peers: Vec<Peer> = alive
             .map(|record| Peer { daemon: record.info.daemon, zone: record.info.zone })
             .collect();
-        let part = &mut self.configuration;
-        let is_patient = part.has_seeds && now.since(part.started) < SEED_PATIENCE;
-        if peers.is_empty() && part.peers.is_none() && is_patient {
+        let configuration = &mut self.configuration;
+        let waits_for_seeds =
+            configuration.has_seeds && now.since(configuration.started_at) < SEED_TIMEOUT;
+        if peers.is_empty() && configuration.peers.is_none() && waits_for_seeds {
             return;
         }
-        if part.peers.as_ref() != Some(&peers) {
-            part.peers = Some(peers.clone());
-            self.follow(FollowerEvent::Peers(peers), now);
+        if configuration.peers.as_ref() != Some(&peers) {
+            configuration.peers = Some(peers.clone());
+            self.run_follower(FollowerEvent::Peers(peers), now);
         }
     }
 
     /// A follower of another daemon says something.
-    pub(crate) fn configuration_message(
+    pub(crate) fn handle_configuration_message(
         &mut self,
         from: DaemonId,
-        message: SpreadMessage,
+        message: FollowerMessage,
         now: Timestamp,
     ) {
-        if !self.configuration.is_kept {
+        if !self.configuration.is_enabled {
             return;
         }
-        self.configuration.note_told(from, &message);
-        self.follow(FollowerEvent::Message { from, message }, now);
+        self.configuration.record_reported_generation(from, &message);
+        self.run_follower(FollowerEvent::Message { from, message }, now);
     }
 
     /// The key-value service answered.
-    pub(crate) fn key_value(&mut self, event: KeyValueEvent, now: Timestamp) {
+    pub(crate) fn handle_key_value_event(&mut self, event: KeyValueEvent, now: Timestamp) {
         match event {
-            KeyValueEvent::Read(result) => self.follow(FollowerEvent::ServiceRead(result), now),
-            KeyValueEvent::Watched(value) => self.follow(FollowerEvent::Watched(value), now),
-            KeyValueEvent::WatchEnded => self.follow(FollowerEvent::WatchEnded, now),
+            KeyValueEvent::Read(result) => {
+                self.run_follower(FollowerEvent::ServiceRead(result), now)
+            }
+            KeyValueEvent::Watched(value) => self.run_follower(FollowerEvent::Watched(value), now),
+            KeyValueEvent::WatchEnded => self.run_follower(FollowerEvent::WatchEnded, now),
             // An answer to the step of a change that was given up must not pass for the answer to
             // the present one's.
-            KeyValueEvent::ReadForChange { step, result } if step == self.configuration.step => {
-                self.accept(ChangeWriterEvent::Read(result), now);
+            KeyValueEvent::ReadForChange { step, result }
+                if step == self.configuration.current_step =>
+            {
+                self.run_change_writer(ChangeWriterEvent::Read(result), now);
             }
-            KeyValueEvent::Swapped { step, result } if step == self.configuration.step => {
-                self.accept(ChangeWriterEvent::Swapped(result), now);
+            KeyValueEvent::Swapped { step, result } if step == self.configuration.current_step => {
+                self.run_change_writer(ChangeWriterEvent::Swapped(result), now);
             }
             KeyValueEvent::ReadForChange { .. } | KeyValueEvent::Swapped { .. } => {}
         }
     }
 
-    fn follow(&mut self, event: FollowerEvent, now: Timestamp) {
+    fn run_follower(&mut self, event: FollowerEvent, now: Timestamp) {
         for action in self.configuration.follower.handle(event, now) {
             match action {
                 FollowerAction::ReadService => {
@@ -275,28 +280,31 @@
                 FollowerAction::CloseWatch => {
                     self.actions.push(Action::KeyValue(KeyValueOperation::CloseWatch));
                 }
-                FollowerAction::Send { to, message } => self.tell(to, message),
+                FollowerAction::Send { to, message } => {
+                    self.send_configuration_message(to, message)
+                }
                 FollowerAction::Ready => {
-                    self.configuration.is_followed = true;
-                    self.open(now);
+                    self.configuration.is_follower_ready = true;
+                    self.start_serving(now);
                 }
-                FollowerAction::Activate(record) => self.in_force(record, now),
-                FollowerAction::Report(anomaly) => report(&anomaly),
+                FollowerAction::Activate(record) => self.activate_generation(record, now),
+                FollowerAction::Report(anomaly) => log_anomaly(&anomaly),
             }
         }
         self.configuration.next_tick = self.configuration.follower.next_tick(now);
     }
 
-    fn tell(&mut self, to: DaemonId, message: SpreadMessage) {
+    fn send_configuration_message(&mut self, to: DaemonId, message: FollowerMessage) {
         let Some(address) = self.address(to) else {
             return;
         };
         let message = match message {
             // Before the groups are laid out nobody can have been served by any generation: a
             // system that starts for the first time need not wait for what may still spread.
-            SpreadMessage::CompareReply { newest, is_serving } => {
-                SpreadMessage::CompareReply { newest, is_serving: is_serving && self.is_laid_out() }
-            }
+            FollowerMessage::CompareReply { newest, is_serving } => FollowerMessage::CompareReply {
+                newest,
+                is_serving: is_serving && self.is_laid_out(),
+            },
             other => other,
         };
         let message = PeerMessage::Configuration(message);
@@ -304,33 +312,36 @@
     }
 
     /// A generation is in force from now on.
-    fn in_force(&mut self, record: Arc<ConfigurationRecord>, now: Timestamp) {
+    fn activate_generation(&mut self, record: Arc<ConfigurationRecord>, now: Timestamp) {
         let generation = record.generation();
         let change = &record.change().change;
         log::info!(target: "configuration", "Generation {generation} is in force, by change {change}.");
         self.configuration.first_document = None;
-        self.accept(ChangeWriterEvent::Activated(record.clone()), now);
+        self.run_change_writer(ChangeWriterEvent::Activated(record.clone()), now);
         self.use_document(record.document(), now);
-        self.plan_in_force(record.clone(), now);
+        self.plan_for_generation(record.clone(), now);
         self.actions.push(Action::ConfigurationInForce(record));
-        self.open(now);
+        self.start_serving(now);
     }
 
     /// Begins to serve when the follower allows it and a generation exists or is not needed.
-    fn open(&mut self, _now: Timestamp) {
-        let part = &mut self.configuration;
-        let has_generation = part.generation() > Generation(0);
-        if part.is_open || !part.is_followed || !(has_generation || part.first_document.is_none()) {
+    fn start_serving(&mut self, _now: Timestamp) {
+        let configuration = &mut self.configuration;
+        let has_generation = configuration.generation() > Generation(0);
+        if configuration.is_serving
+            || !configuration.is_follower_ready
+            || !(has_generation || configuration.first_document.is_none())
+        {
             return;
         }
-        part.is_open = true;
+        configuration.is_serving = true;
         if self.membership.own().state == MemberState::Joining {
             self.membership.set_state(MemberState::Live);
         }
     }
 }
 
-fn report(anomaly: &Anomaly) {
+fn log_anomaly(anomaly: &Anomaly) {
     match anomaly {
         Anomaly::StaleRead { found, in_force } => log::warn!(
             target: "configuration",
--- a/crates/node/src/configuration/changes.rs
+++ b/crates/node/src/configuration/changes.rs
@@ -17,7 +17,7 @@
 /// Pause before the first document is offered again.
 const FIRST_DOCUMENT_RETRY: Duration = Duration::from_secs(2);
 /// Author of the first document.
-const FIRST_AUTHOR: &str = "settings";
+const FIRST_DOCUMENT_AUTHOR: &str = "settings";
 
 impl Node {
     /// An operator asks for a change.
@@ -27,32 +27,32 @@
         proposal: ChangeProposal,
         now: Timestamp,
     ) {
-        if !self.configuration.is_followed {
+        if !self.configuration.is_follower_ready {
             // A daemon that does not know the newest generation cannot tell what follows it.
             let outcome = ChangeOutcome::Unavailable;
             self.actions.push(Action::AnswerChange { id, outcome });
             return;
         }
         let change = proposal.change.clone();
-        let decisions =
+        let actions =
             self.configuration.change_writer.handle(ChangeWriterEvent::Proposed(proposal), now);
-        if let [ChangeWriterAction::Answer(_, outcome)] = decisions.as_slice() {
+        if let [ChangeWriterAction::Answer(_, outcome)] = actions.as_slice() {
             // Refused at once: whoever waits for an earlier request of this change waits on.
             self.actions.push(Action::AnswerChange { id, outcome: outcome.clone() });
             return;
         }
-        self.configuration.waiting.entry(change).or_default().insert(id);
-        self.carry_out_change(decisions, now);
+        self.configuration.change_waiters.entry(change).or_default().insert(id);
+        self.perform_change_actions(actions, now);
     }
 
-    pub(super) fn accept(&mut self, event: ChangeWriterEvent, now: Timestamp) {
-        let decisions = self.configuration.change_writer.handle(event, now);
-        self.carry_out_change(decisions, now);
+    pub(super) fn run_change_writer(&mut self, event: ChangeWriterEvent, now: Timestamp) {
+        let actions = self.configuration.change_writer.handle(event, now);
+        self.perform_change_actions(actions, now);
     }
 
-    fn carry_out_change(&mut self, decisions: Vec<ChangeWriterAction>, now: Timestamp) {
-        for decision in decisions {
-            match decision {
+    fn perform_change_actions(&mut self, actions: Vec<ChangeWriterAction>, now: Timestamp) {
+        for action in actions {
+            match action {
                 ChangeWriterAction::Read => {
                     let step = self.next_step();
                     self.actions.push(Action::KeyValue(KeyValueOperation::ReadForChange(step)));
@@ -62,24 +62,26 @@
                     let swap = KeyValueOperation::Swap { step, expected, value };
                     self.actions.push(Action::KeyValue(swap));
                 }
-                ChangeWriterAction::Answer(change, outcome) => self.decided(&change, &outcome, now),
+                ChangeWriterAction::Answer(change, outcome) => {
+                    self.finish_change(&change, &outcome, now)
+                }
             }
         }
     }
 
     fn next_step(&mut self) -> ChangeStep {
-        self.configuration.step.0 += 1;
-        self.configuration.step
+        self.configuration.current_step.0 += 1;
+        self.configuration.current_step
     }
 
-    fn decided(&mut self, change: &ChangeId, outcome: &ChangeOutcome, now: Timestamp) {
-        log::info!(target: "configuration", "Change {change}: {}.", summary(outcome));
+    fn finish_change(&mut self, change: &ChangeId, outcome: &ChangeOutcome, now: Timestamp) {
+        log::info!(target: "configuration", "Change {change}: {}.", describe_outcome(outcome));
         if let ChangeOutcome::Accepted(record) = outcome {
             // Others get the record before the operator gets the answer: an acceptance that only
             // this daemon knew of could be lost with it while the service is down.
-            self.follow(FollowerEvent::Accepted(record.clone()), now);
+            self.run_follower(FollowerEvent::Accepted(record.clone()), now);
         }
-        for id in self.configuration.waiting.remove(change).unwrap_or_default() {
+        for id in self.configuration.change_waiters.remove(change).unwrap_or_default() {
             self.actions.push(Action::AnswerChange { id, outcome: outcome.clone() });
         }
     }
@@ -88,33 +90,35 @@
     /// settings offers the same change, so that only one of them takes effect.
     pub(super) fn offer_first_document(&mut self, now: Timestamp) {
         let own = self.settings.own.daemon;
-        let part = &self.configuration;
-        let Some(document) = part.first_document.clone().filter(|_| part.is_followed) else {
+        let configuration = &self.configuration;
+        let Some(document) =
+            configuration.first_document.clone().filter(|_| configuration.is_follower_ready)
+        else {
             return;
         };
-        let Some(at) = part.next_offer else {
-            let before = part.peers.iter().flatten().filter(|peer| peer.daemon < own);
+        let Some(at) = configuration.next_first_document_offer else {
+            let before = configuration.peers.iter().flatten().filter(|peer| peer.daemon < own);
             let wait = FIRST_DOCUMENT_STAGGER.times(before.count() as u64);
-            self.configuration.next_offer = Some(now + wait);
+            self.configuration.next_first_document_offer = Some(now + wait);
             return;
         };
-        if now < at || part.change_writer.is_busy() {
+        if now < at || configuration.change_writer.is_busy() {
             return;
         }
-        self.configuration.next_offer = Some(now + FIRST_DOCUMENT_RETRY);
+        self.configuration.next_first_document_offer = Some(now + FIRST_DOCUMENT_RETRY);
         let digest = Digest::of(document.as_bytes()).to_string();
         let proposal = ChangeProposal {
             change: ChangeId(format!("first-{}", &digest[..16])),
             expected: Generation(0),
-            author: FIRST_AUTHOR.to_owned(),
+            author: FIRST_DOCUMENT_AUTHOR.to_owned(),
             document,
             repeated: true,
         };
-        self.accept(ChangeWriterEvent::Proposed(proposal), now);
+        self.run_change_writer(ChangeWriterEvent::Proposed(proposal), now);
     }
 }
 
-fn summary(outcome: &ChangeOutcome) -> String {
+fn describe_outcome(outcome: &ChangeOutcome) -> String {
     match outcome {
         ChangeOutcome::Accepted(record) => {
             format!("accepted as generation {}", record.generation())
--- a/crates/node/src/group.rs
+++ b/crates/node/src/group.rs
@@ -19,7 +19,7 @@
 
 /// What a proposal was for.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) enum Purpose {
+pub(crate) enum ProposalPurpose {
     /// A request to be answered when the command is applied.
     Request(ReplyTo),
     /// An attempt's intent: dispatch when it is durable.
@@ -58,7 +58,7 @@
     /// Failures so far.
     pub(crate) failures: u32,
     /// Whether an answer is awaited.
-    pub(crate) asked: bool,
+    pub(crate) awaits_response: bool,
 }
 
 /// A group on this daemon.
@@ -66,9 +66,9 @@
     pub(crate) replica: Replica,
     pub(crate) state: GroupState,
     /// Proposals of this node by their place in the log.
-    pub(crate) pending: BTreeMap<LogIndex, (Term, Purpose)>,
+    pub(crate) pending: BTreeMap<LogIndex, (Term, ProposalPurpose)>,
     /// Commands that the replica could not take at the moment.
-    pub(crate) deferred: Vec<(Command, Purpose)>,
+    pub(crate) deferred: Vec<(Command, ProposalPurpose)>,
     /// Attempts that run here.
     pub(crate) live: BTreeMap<AttemptId, LiveAttempt>,
     /// Attempts that were taken over: placement on this daemon does not know them.
@@ -128,9 +128,9 @@
     pub(crate) fn propose(
         &mut self,
         command: Command,
-        purpose: Purpose,
+        purpose: ProposalPurpose,
         now: Timestamp,
-    ) -> Result<(), Purpose> {
+    ) -> Result<(), ProposalPurpose> {
         match self.replica.propose(encode(&command), now) {
             Ok(Proposal { index, term }) => {
                 self.pending.insert(index, (term, purpose));
@@ -144,7 +144,7 @@
             // must not be lost then: an attempt's end comes only once.
             Err(ProposeError::NotLeader { .. })
                 if self.replica.role() == Role::Leader
-                    && !matches!(purpose, Purpose::Request(_)) =>
+                    && !matches!(purpose, ProposalPurpose::Request(_)) =>
             {
                 self.deferred.push((command, purpose));
                 Ok(())
@@ -165,7 +165,7 @@
         if due {
             let command = Command::ExpirePrograms(ExpirePrograms { now, keep_records });
             // Not leading any more is fine: the next owner looks for itself.
-            let _ = self.propose(command, Purpose::Housekeeping, now);
+            let _ = self.propose(command, ProposalPurpose::Housekeeping, now);
         }
         self.propose_ledger_expiry(now);
     }
@@ -176,37 +176,37 @@
         }
         self.next_ledger_expiry = now + LEDGER_EXPIRY_INTERVAL;
         let command = Command::Ledger(LedgerCommand::Expire { now });
-        let _ = self.propose(command, Purpose::Housekeeping, now);
+        let _ = self.propose(command, ProposalPurpose::Housekeeping, now);
     }
 
     /// Takes the purpose of the entry at `index`, and those of proposals that are now known to
     /// be lost because another entry stands at or after their place.
-    pub(crate) fn settle(&mut self, index: LogIndex, term: Term) -> Settled {
-        let mut settled = Settled::default();
-        while let Some((place, _)) = self.pending.first_key_value() {
-            if *place > index {
+    pub(crate) fn resolve_proposals(&mut self, index: LogIndex, term: Term) -> ResolvedProposals {
+        let mut resolved = ResolvedProposals::default();
+        while let Some((oldest, _)) = self.pending.first_key_value() {
+            if *oldest > index {
                 break;
             }
-            let Some((place, (proposed, purpose))) = self.pending.pop_first() else {
+            let Some((oldest, (proposed_term, purpose))) = self.pending.pop_first() else {
                 break;
             };
-            if place == index && proposed == term {
-                settled.own = Some(purpose);
+            if oldest == index && proposed_term == term {
+                resolved.committed = Some(purpose);
             } else {
-                settled.lost.push(purpose);
+                resolved.lost.push(purpose);
             }
         }
-        settled
+        resolved
     }
 }
 
 /// What became of proposals when an entry was committed.
 #[derive(Debug, Default)]
-pub(crate) struct Settled {
+pub(crate) struct ResolvedProposals {
     /// The purpose of the entry itself, if this node proposed it.
-    pub(crate) own: Option<Purpose>,
+    pub(crate) committed: Option<ProposalPurpose>,
     /// Purposes of proposals that other entries replaced.
-    pub(crate) lost: Vec<Purpose>,
+    pub(crate) lost: Vec<ProposalPurpose>,
 }
 
 /// Encodes a command for the log.
--- a/crates/node/src/history/cache.rs
+++ b/crates/node/src/history/cache.rs
@@ -5,29 +5,29 @@
 use dahlia_types::{ChunkKey, Message, Timestamp};
 
 #[derive(Debug)]
-struct Held {
+struct CachedChunk {
     messages: Vec<Message>,
     bytes: u64,
-    used: Timestamp,
+    last_used: Timestamp,
 }
 
 /// The least recently used goes first when the limit is reached.
 #[derive(Debug, Default)]
 pub(crate) struct ChunkCache {
-    held: BTreeMap<ChunkKey, Held>,
+    chunks: BTreeMap<ChunkKey, CachedChunk>,
     bytes: u64,
 }
 
 impl ChunkCache {
     /// A chunk's messages.
     pub(super) fn get(&self, key: &ChunkKey) -> Option<&[Message]> {
-        self.held.get(key).map(|held| held.messages.as_slice())
+        self.chunks.get(key).map(|chunk| chunk.messages.as_slice())
     }
 
     /// Notes that a chunk was of use.
     pub(super) fn touch(&mut self, key: &ChunkKey, now: Timestamp) {
-        if let Some(held) = self.held.get_mut(key) {
-            held.used = now;
+        if let Some(chunk) = self.chunks.get_mut(key) {
+            chunk.last_used = now;
         }
     }
 
@@ -40,16 +40,19 @@
         now: Timestamp,
     ) {
         let bytes = messages.iter().map(|message| message.content.len() as u64).sum();
-        if let Some(before) = self.held.insert(key, Held { messages, bytes, used: now }) {
-            self.bytes -= before.bytes;
+        if let Some(replaced) =
+            self.chunks.insert(key, CachedChunk { messages, bytes, last_used: now })
+        {
+            self.bytes -= replaced.bytes;
         }
         self.bytes += bytes;
-        while self.bytes > limit && self.held.len() > 1 {
-            let oldest = self.held.iter().filter(|(held, _)| **held != key);
-            let Some(oldest) = oldest.min_by_key(|(_, held)| held.used).map(|(key, _)| *key) else {
+        while self.bytes > limit && self.chunks.len() > 1 {
+            let oldest = self.chunks.iter().filter(|(other, _)| **other != key);
+            let Some(oldest) = oldest.min_by_key(|(_, chunk)| chunk.last_used).map(|(key, _)| *key)
+            else {
                 return;
             };
-            if let Some(dropped) = self.held.remove(&oldest) {
+            if let Some(dropped) = self.chunks.remove(&oldest) {
                 self.bytes -= dropped.bytes;
             }
         }
--- a/crates/node/src/history/mod.rs
+++ b/crates/node/src/history/mod.rs
@@ -24,9 +24,9 @@
 
 pub(crate) use cache::ChunkCache;
 pub use message::{ChunkMessage, StoreOperation, StoreRequest, StoreResult};
-pub(crate) use moving::Moves;
-pub(crate) use reading::Reads;
-pub(crate) use repair::Repair;
+pub(crate) use moving::PendingMoves;
+pub(crate) use reading::PendingReads;
+pub(crate) use repair::CopyChecks;
 
 /// Settings of bulk history.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -66,7 +66,7 @@
 #[derive(Default)]
 pub(crate) struct History {
     pub(crate) cache: ChunkCache,
-    pub(crate) moves: Moves,
-    pub(crate) reads: Reads,
-    pub(crate) repair: Repair,
+    pub(crate) pending_moves: PendingMoves,
+    pub(crate) pending_reads: PendingReads,
+    pub(crate) copy_checks: CopyChecks,
 }
--- a/crates/node/src/history/moving.rs
+++ b/crates/node/src/history/moving.rs
@@ -9,33 +9,33 @@
 
 use super::holders::holders;
 use super::message::ChunkMessage;
-use crate::group::Purpose;
+use crate::group::ProposalPurpose;
 use crate::node::Node;
 
 /// How often programs with too much history in memory are looked for.
-const LOOK_INTERVAL: Duration = Duration::from_millis(500);
+const SCAN_INTERVAL: Duration = Duration::from_millis(500);
 /// Turns that are being moved at a time.
-const MOST_MOVES: usize = 16;
+const MAX_PENDING_MOVES: usize = 16;
 /// A move without all confirmations in this time is begun again later.
-const MOVE_LIMIT: Duration = Duration::from_secs(5);
+const MOVE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// A turn on its way to store daemons.
 #[derive(Debug)]
-struct Move {
+struct PendingMove {
     command: MoveTurnToStore,
-    waiting: BTreeSet<DaemonId>,
+    unconfirmed_holders: BTreeSet<DaemonId>,
     deadline: Timestamp,
 }
 
 /// Turns on their way to store daemons.
 #[derive(Debug, Default)]
-pub(crate) struct Moves {
-    under_way: BTreeMap<ChunkKey, Move>,
-    next_look: Timestamp,
+pub(crate) struct PendingMoves {
+    pending: BTreeMap<ChunkKey, PendingMove>,
+    next_scan: Timestamp,
 }
 
 /// A turn that may be moved.
-struct Candidate {
+struct MoveCandidate {
     program: ProgramId,
     chain: ChainId,
     turn: u32,
@@ -45,75 +45,75 @@
 impl Node {
     /// Begins to move old turns of programs with too much history in memory.
     pub(crate) fn move_history(&mut self, now: Timestamp) {
-        if now < self.history.moves.next_look {
+        if now < self.history.pending_moves.next_scan {
             return;
         }
-        self.history.moves.next_look = now + LOOK_INTERVAL;
-        self.history.moves.under_way.retain(|_, started| started.deadline > now);
+        self.history.pending_moves.next_scan = now + SCAN_INTERVAL;
+        self.history.pending_moves.pending.retain(|_, pending_move| pending_move.deadline > now);
         let stores = self.store_daemons();
         if stores.len() < self.settings.history.copies {
             return;
         }
-        let room = MOST_MOVES.saturating_sub(self.history.moves.under_way.len());
-        for candidate in self.movable_turns(room) {
+        let free_slots = MAX_PENDING_MOVES.saturating_sub(self.history.pending_moves.pending.len());
+        for candidate in self.movable_turns(free_slots) {
             let bytes = encode_chunk(&candidate.messages);
             let chunk = ChunkReference::of(&candidate.messages, Tokens::ZERO);
             let key = ChunkKey { program: candidate.program, digest: chunk.digest };
             let targets = holders(&key, &stores, self.settings.history.copies);
-            let Candidate { program, chain, turn, .. } = candidate;
-            let started = Move {
+            let MoveCandidate { program, chain, turn, .. } = candidate;
+            let pending_move = PendingMove {
                 command: MoveTurnToStore { program, chain, turn, chunk },
-                waiting: targets.iter().copied().collect(),
-                deadline: now + MOVE_LIMIT,
+                unconfirmed_holders: targets.iter().copied().collect(),
+                deadline: now + MOVE_TIMEOUT,
             };
-            self.history.moves.under_way.insert(key, started);
+            self.history.pending_moves.pending.insert(key, pending_move);
             for target in targets {
                 self.send_chunk(target, ChunkMessage::Put { key, bytes: bytes.clone() });
             }
         }
     }
 
-    fn movable_turns(&self, most: usize) -> Vec<Candidate> {
+    fn movable_turns(&self, max_turns: usize) -> Vec<MoveCandidate> {
         let limit = self.settings.history.inline_bytes;
         let serving = self.groups.values().filter(|group| group.is_serving());
         let programs = serving.flat_map(|group| group.state.programs());
         let candidates = programs.flat_map(|program| movable_turns(program, limit));
-        let is_new = |candidate: &Candidate| {
-            !self.history.moves.under_way.values().any(|started| {
-                let command = &started.command;
+        let is_new = |candidate: &MoveCandidate| {
+            !self.history.pending_moves.pending.values().any(|pending_move| {
+                let command = &pending_move.command;
                 (command.program, command.chain, command.turn)
                     == (candidate.program, candidate.chain, candidate.turn)
             })
         };
-        candidates.filter(is_new).take(most).collect()
+        candidates.filter(is_new).take(max_turns).collect()
     }
 
     /// A store daemon holds a chunk durably.
     pub(super) fn chunk_stored(&mut self, from: DaemonId, key: ChunkKey, now: Timestamp) {
-        let Some(started) = self.history.moves.under_way.get_mut(&key) else {
+        let Some(pending_move) = self.history.pending_moves.pending.get_mut(&key) else {
             return;
         };
-        started.waiting.remove(&from);
-        if !started.waiting.is_empty() {
+        pending_move.unconfirmed_holders.remove(&from);
+        if !pending_move.unconfirmed_holders.is_empty() {
             return;
         }
         // Every copy is durable before the replicas drop theirs.
-        let Some(done) = self.history.moves.under_way.remove(&key) else {
+        let Some(finished) = self.history.pending_moves.pending.remove(&key) else {
             return;
         };
-        let group: GroupId = key.program.group;
-        if let Some(held) = self.groups.get_mut(&group) {
-            let command = Command::MoveTurnToStore(done.command);
+        let id: GroupId = key.program.group;
+        if let Some(group) = self.groups.get_mut(&id) {
+            let command = Command::MoveTurnToStore(finished.command);
             // Not leading any more is fine: the next owner moves the turn.
-            let _ = held.propose(command, Purpose::Housekeeping, now);
-            self.dirty.insert(group);
+            let _ = group.propose(command, ProposalPurpose::Housekeeping, now);
+            self.dirty.insert(id);
         }
     }
 }
 
 /// Old turns of a program, oldest first, until the rest is below the limit. The newest turn of
 /// each chain stays: it is what a late reader of the last answer asks for.
-fn movable_turns(program: &Program, limit: u64) -> Vec<Candidate> {
+fn movable_turns(program: &Program, limit: u64) -> Vec<MoveCandidate> {
     let inline: Vec<(ChainId, u32, &[Message])> = program.inline_turns().collect();
     let size = |messages: &[Message]| -> u64 {
         messages.iter().map(|message| message.content.len() as u64).sum()
@@ -128,7 +128,7 @@
         if turn + 1 < turns {
             total -= size(messages);
             let messages = messages.to_vec();
-            movable.push(Candidate { program: program.id(), chain, turn, messages });
+            movable.push(MoveCandidate { program: program.id(), chain, turn, messages });
         }
     }
     movable
--- a/crates/node/src/history/reading.rs
+++ b/crates/node/src/history/reading.rs
@@ -14,20 +14,20 @@
 use crate::routing::ReplyTo;
 
 /// A store daemon that did not answer in this time is passed over.
-const ANSWER_LIMIT: Duration = Duration::from_millis(500);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// A chunk that was asked for.
 #[derive(Debug)]
-struct Read {
+struct PendingRead {
     reference: ChunkReference,
-    tries: usize,
-    next_try: Timestamp,
+    attempts: usize,
+    next_attempt: Timestamp,
 }
 
 /// Chunks that were asked for, and what waits for them.
 #[derive(Debug, Default)]
-pub(crate) struct Reads {
-    under_way: BTreeMap<ChunkKey, Read>,
+pub(crate) struct PendingReads {
+    chunks: BTreeMap<ChunkKey, PendingRead>,
     calls: BTreeSet<CallId>,
     answers: BTreeSet<CallId>,
     requests: BTreeMap<ProgramId, Vec<(ReplyTo, Request)>>,
@@ -74,19 +74,19 @@
             self.history.cache.touch(&key, now);
         }
         for reference in &missing {
-            self.ask_for(program, *reference, now);
+            self.request_chunk(program, *reference, now);
         }
         missing.is_empty().then_some(messages)
     }
 
     /// Hands the call in again when its chunks are here.
-    pub(crate) fn wait_for_prompt(&mut self, call: CallId) {
-        self.history.reads.calls.insert(call);
+    pub(crate) fn defer_call(&mut self, call: CallId) {
+        self.history.pending_reads.calls.insert(call);
     }
 
     /// Serves the request again when the program's chunks are here.
-    pub(crate) fn wait_with_request(&mut self, program: ProgramId, to: ReplyTo, request: Request) {
-        self.history.reads.requests.entry(program).or_default().push((to, request));
+    pub(crate) fn defer_request(&mut self, program: ProgramId, to: ReplyTo, request: Request) {
+        self.history.pending_reads.requests.entry(program).or_default().push((to, request));
     }
 
     /// Answers those who wait for a call's outcome when its chunk is here.
@@ -96,49 +96,49 @@
             .and_then(|group| group.state.program(call.program))
             .and_then(|program| program.outcome(call));
         if let Some(RecordedOutcome::Stored(stored)) = outcome {
-            self.history.reads.answers.insert(call);
-            self.ask_for(call.program, stored.chunk, now);
-            self.serve_what_waited(now);
+            self.history.pending_reads.answers.insert(call);
+            self.request_chunk(call.program, stored.chunk, now);
+            self.retry_waiting(now);
         }
     }
 
     /// Forgets what waits: this node does not own the programs any more.
-    pub(crate) fn drop_reads(&mut self, programs: &[ProgramId]) {
+    pub(crate) fn drop_pending_reads(&mut self, programs: &[ProgramId]) {
         let gone = |program: &ProgramId| programs.contains(program);
-        let reads = &mut self.history.reads;
-        reads.under_way.retain(|key, _| !gone(&key.program));
+        let reads = &mut self.history.pending_reads;
+        reads.chunks.retain(|key, _| !gone(&key.program));
         reads.calls.retain(|call| !gone(&call.program));
         reads.answers.retain(|call| !gone(&call.program));
         reads.requests.retain(|program, _| !gone(program));
     }
 
-    fn ask_for(&mut self, program: ProgramId, reference: ChunkReference, now: Timestamp) {
+    fn request_chunk(&mut self, program: ProgramId, reference: ChunkReference, now: Timestamp) {
         let key = ChunkKey { program, digest: reference.digest };
         if self.history.cache.get(&key).is_some() {
             return;
         }
-        let read = Read { reference, tries: 0, next_try: now };
-        self.history.reads.under_way.entry(key).or_insert(read);
-        self.ask_due_chunks(now);
+        let read = PendingRead { reference, attempts: 0, next_attempt: now };
+        self.history.pending_reads.chunks.entry(key).or_insert(read);
+        self.request_due_chunks(now);
     }
 
     /// Asks the next store daemon for each chunk whose answer is due.
-    pub(crate) fn ask_due_chunks(&mut self, now: Timestamp) {
-        if self.history.reads.under_way.values().all(|read| read.next_try > now) {
+    pub(crate) fn request_due_chunks(&mut self, now: Timestamp) {
+        if self.history.pending_reads.chunks.values().all(|read| read.next_attempt > now) {
             return;
         }
         let stores = self.store_daemons();
         let mut asked: Vec<(DaemonId, ChunkKey)> = Vec::new();
-        for (key, read) in &mut self.history.reads.under_way {
-            if read.next_try > now {
+        for (key, read) in &mut self.history.pending_reads.chunks {
+            if read.next_attempt > now {
                 continue;
             }
-            read.next_try = now + ANSWER_LIMIT;
+            read.next_attempt = now + RESPONSE_TIMEOUT;
             let ranked = ranked(key, &stores);
             if !ranked.is_empty() {
-                asked.push((ranked[read.tries % ranked.len()].daemon, *key));
+                asked.push((ranked[read.attempts % ranked.len()].daemon, *key));
             }
-            read.tries += 1;
+            read.attempts += 1;
         }
         for (daemon, key) in asked {
             self.send_chunk(daemon, ChunkMessage::Get { key });
@@ -148,42 +148,42 @@
     /// A store daemon does not have a chunk: the next one is asked at once.
     pub(super) fn chunk_missing(&mut self, key: ChunkKey, now: Timestamp) {
         let stores = self.store_daemons().len().max(1);
-        if let Some(read) = self.history.reads.under_way.get_mut(&key) {
+        if let Some(read) = self.history.pending_reads.chunks.get_mut(&key) {
             // After a whole round of refusals the pause stands: nobody has it at the moment.
-            if !read.tries.is_multiple_of(stores) {
-                read.next_try = now;
+            if !read.attempts.is_multiple_of(stores) {
+                read.next_attempt = now;
             }
         }
-        self.ask_due_chunks(now);
+        self.request_due_chunks(now);
     }
 
     /// A store daemon sent a chunk. Bytes that do not match their digest are as good as missing.
     pub(super) fn chunk_found(&mut self, key: ChunkKey, bytes: &[u8], now: Timestamp) {
-        let Some(read) = self.history.reads.under_way.get(&key) else {
+        let Some(read) = self.history.pending_reads.chunks.get(&key) else {
             return;
         };
         let Ok(messages) = decode_chunk(&read.reference, bytes) else {
             self.chunk_missing(key, now);
             return;
         };
-        self.history.reads.under_way.remove(&key);
+        self.history.pending_reads.chunks.remove(&key);
         let limit = self.settings.history.cache_bytes;
         self.history.cache.insert(key, messages, limit, now);
-        self.serve_what_waited(now);
+        self.retry_waiting(now);
     }
 
-    fn serve_what_waited(&mut self, now: Timestamp) {
-        for call in std::mem::take(&mut self.history.reads.calls) {
+    fn retry_waiting(&mut self, now: Timestamp) {
+        for call in std::mem::take(&mut self.history.pending_reads.calls) {
             // A call whose chunks are still missing waits again by itself.
             self.call_ready(call, now);
         }
-        for call in std::mem::take(&mut self.history.reads.answers) {
+        for call in std::mem::take(&mut self.history.pending_reads.answers) {
             match self.stored_outcome(call) {
                 Some(outcome) => self.answer_waiters(call, &outcome),
-                None => drop(self.history.reads.answers.insert(call)),
+                None => drop(self.history.pending_reads.answers.insert(call)),
             }
         }
-        for (_, requests) in std::mem::take(&mut self.history.reads.requests) {
+        for (_, requests) in std::mem::take(&mut self.history.pending_reads.requests) {
             for (to, request) in requests {
                 self.serve(to, request, now);
             }
--- a/crates/node/src/history/repair.rs
+++ b/crates/node/src/history/repair.rs
@@ -12,35 +12,35 @@
 
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 /// A copy that did not come about in this time is begun again by a later check.
-const COPY_LIMIT: Duration = Duration::from_secs(10);
+const COPY_TIMEOUT: Duration = Duration::from_secs(10);
 /// Copies under way at a time.
-const MOST_COPIES: usize = 16;
+const MAX_PENDING_COPIES: usize = 16;
 
 /// A chunk on its way from one store daemon to another, by way of the owner.
 #[derive(Debug, Clone, Copy)]
-struct Copy {
+struct PendingCopy {
     to: DaemonId,
     deadline: Timestamp,
 }
 
 /// Progress of the checks.
 #[derive(Debug, Default)]
-pub(crate) struct Repair {
+pub(crate) struct CopyChecks {
     next_check: Timestamp,
     cursor: Option<ProgramId>,
-    copies: BTreeMap<ChunkKey, Copy>,
+    copies: BTreeMap<ChunkKey, PendingCopy>,
 }
 
 impl Node {
     /// Asks about the next few chunks.
     pub(crate) fn check_copies(&mut self, now: Timestamp) {
-        let most = self.settings.history.checks_per_second;
-        if now < self.history.repair.next_check || most == 0 {
+        let max_chunks = self.settings.history.checks_per_second;
+        if now < self.history.copy_checks.next_check || max_chunks == 0 {
             return;
         }
-        self.history.repair.next_check = now + CHECK_INTERVAL;
-        self.history.repair.copies.retain(|_, copy| copy.deadline > now);
-        let keys = self.next_chunks(most);
+        self.history.copy_checks.next_check = now + CHECK_INTERVAL;
+        self.history.copy_checks.copies.retain(|_, copy| copy.deadline > now);
+        let keys = self.next_chunks(max_chunks);
         if keys.is_empty() {
             return;
         }
@@ -56,36 +56,42 @@
         }
     }
 
-    /// Chunks of the programs behind the cursor, whole programs at a time.
-    fn next_chunks(&mut self, most: usize) -> Vec<ChunkKey> {
+    /// Chunks of the programs remaining the cursor, whole programs at a time.
+    fn next_chunks(&mut self, max_chunks: usize) -> Vec<ChunkKey> {
         let serving = self.groups.values().filter(|group| group.is_serving());
-        let cursor = self.history.repair.cursor;
+        let cursor = self.history.copy_checks.cursor;
         let programs = serving.flat_map(|group| group.state.programs());
-        let behind = programs.filter(|program| cursor.is_none_or(|cursor| program.id() > cursor));
+        let remaining =
+            programs.filter(|program| cursor.is_none_or(|cursor| program.id() > cursor));
         let mut keys = Vec::new();
         let mut last = None;
-        for program in behind {
-            if keys.len() >= most {
+        for program in remaining {
+            if keys.len() >= max_chunks {
                 break;
             }
             keys.extend(stored_chunks(program));
             last = Some(program.id());
         }
         // At the end the next round starts from the front.
-        self.history.repair.cursor = if keys.len() >= most { last } else { None };
+        self.history.copy_checks.cursor = if keys.len() >= max_chunks { last } else { None };
         keys
     }
 
     /// A store daemon lacks chunks that it should hold: fetch them from those that have them.
-    pub(super) fn chunks_lacking(&mut self, to: DaemonId, keys: Vec<ChunkKey>, now: Timestamp) {
+    pub(super) fn copy_missing_chunks(
+        &mut self,
+        to: DaemonId,
+        keys: Vec<ChunkKey>,
+        now: Timestamp,
+    ) {
         let stores = self.store_daemons();
         for key in keys {
             let is_owned = self.owns(key.program.group);
-            if !is_owned || self.history.repair.copies.len() >= MOST_COPIES {
+            if !is_owned || self.history.copy_checks.copies.len() >= MAX_PENDING_COPIES {
                 continue;
             }
-            let copy = Copy { to, deadline: now + COPY_LIMIT };
-            if self.history.repair.copies.insert(key, copy).is_some() {
+            let copy = PendingCopy { to, deadline: now + COPY_TIMEOUT };
+            if self.history.copy_checks.copies.insert(key, copy).is_some() {
                 continue;
             }
             for store in ranked(&key, &stores).into_iter().filter(|store| store.daemon != to) {
@@ -95,8 +101,8 @@
     }
 
     /// Passes a chunk on to the store daemon that lacks it.
-    pub(super) fn pass_on(&mut self, key: ChunkKey, bytes: &[u8]) {
-        if let Some(copy) = self.history.repair.copies.remove(&key) {
+    pub(super) fn forward_chunk(&mut self, key: ChunkKey, bytes: &[u8]) {
+        if let Some(copy) = self.history.copy_checks.copies.remove(&key) {
             let bytes = bytes.to_vec();
             self.send_chunk(copy.to, ChunkMessage::Put { key, bytes });
         }
--- a/crates/node/src/history/serving.rs
+++ b/crates/node/src/history/serving.rs
@@ -9,27 +9,36 @@
 
 impl Node {
     /// Takes in a message about chunks.
-    pub(crate) fn chunk_message(&mut self, from: ReplicaId, message: ChunkMessage, now: Timestamp) {
+    pub(crate) fn handle_chunk_message(
+        &mut self,
+        from: ReplicaId,
+        message: ChunkMessage,
+        now: Timestamp,
+    ) {
         match message {
             ChunkMessage::Put { key, bytes } => {
-                self.order_store(from, StoreOperation::Put { key, bytes });
+                self.request_store_operation(from, StoreOperation::Put { key, bytes });
+            }
+            ChunkMessage::Get { key } => {
+                self.request_store_operation(from, StoreOperation::Get { key })
+            }
+            ChunkMessage::Check { keys } => {
+                self.request_store_operation(from, StoreOperation::Check { keys })
             }
-            ChunkMessage::Get { key } => self.order_store(from, StoreOperation::Get { key }),
-            ChunkMessage::Check { keys } => self.order_store(from, StoreOperation::Check { keys }),
             ChunkMessage::Forget { program } => {
-                self.order_store(from, StoreOperation::Forget { program });
+                self.request_store_operation(from, StoreOperation::Forget { program });
             }
             ChunkMessage::Stored { key } => self.chunk_stored(from.daemon, key, now),
             ChunkMessage::Found { key, bytes } => {
-                self.pass_on(key, &bytes);
+                self.forward_chunk(key, &bytes);
                 self.chunk_found(key, &bytes, now);
             }
             ChunkMessage::Missing { key } => self.chunk_missing(key, now),
-            ChunkMessage::MissingKeys { keys } => self.chunks_lacking(from.daemon, keys, now),
+            ChunkMessage::MissingKeys { keys } => self.copy_missing_chunks(from.daemon, keys, now),
         }
     }
 
-    fn order_store(&mut self, requester: ReplicaId, operation: StoreOperation) {
+    fn request_store_operation(&mut self, requester: ReplicaId, operation: StoreOperation) {
         if self.settings.has_store {
             self.actions.push(Action::Store(Box::new(StoreRequest { requester, operation })));
         }
--- a/crates/node/src/ledger.rs
+++ b/crates/node/src/ledger.rs
@@ -8,14 +8,14 @@
 use dahlia_types::{DaemonId, GroupId, Timestamp};
 
 use crate::Action;
-use crate::group::Purpose;
+use crate::group::ProposalPurpose;
 use crate::node::Node;
 use crate::request::{Request, RequestId, Response};
 use crate::routing::ReplyTo;
 use crate::wire::PeerMessage;
 
 /// Bytes of a command besides its texts: names, numbers, lengths.
-const COMMAND_OVERHEAD: usize = 4_096;
+const COMMAND_OVERHEAD_BYTES: usize = 4_096;
 
 impl Node {
     /// Sends an urgent request to whoever probably owns its group. While that daemon is silent,
@@ -29,16 +29,16 @@
     ) {
         let own = self.settings.own.daemon;
         let group = request.group();
-        let likely = self.owner_hint(group).filter(|daemon| *daemon != own);
-        let suspect = likely.filter(|daemon| self.is_suspect(*daemon, now));
-        let first = likely.filter(|_| suspect.is_none());
+        let probable_owner = self.owner_hint(group).filter(|daemon| *daemon != own);
+        let suspect = probable_owner.filter(|daemon| self.is_suspect(*daemon, now));
+        let preferred = probable_owner.filter(|_| suspect.is_none());
         if let Some(suspect) = suspect {
             self.router.ask_for_help_now(id, now);
             if self.router.asks_suspect(id, now) {
                 self.send_request(id, request.clone(), suspect);
             }
         }
-        let target = first.or_else(|| self.member_besides(group, suspect, tries, now));
+        let target = preferred.or_else(|| self.pick_other_member(group, suspect, tries, now));
         match target {
             Some(target) => {
                 self.router.note_asked(id, target);
@@ -50,20 +50,20 @@
         }
     }
 
-    fn member_besides(
+    fn pick_other_member(
         &self,
         group: GroupId,
-        besides: Option<DaemonId>,
+        excluded: Option<DaemonId>,
         tries: u32,
         now: Timestamp,
     ) -> Option<DaemonId> {
         let others = self.possible_owners(group);
-        let others = others.into_iter().filter(|daemon| Some(*daemon) != besides);
-        let (silent, heard): (Vec<DaemonId>, Vec<DaemonId>) =
+        let others = others.into_iter().filter(|daemon| Some(*daemon) != excluded);
+        let (suspects, responsive): (Vec<DaemonId>, Vec<DaemonId>) =
             others.partition(|daemon| self.is_suspect(*daemon, now));
-        let candidates = if heard.is_empty() { silent } else { heard };
-        let place = (tries as usize).checked_rem(candidates.len())?;
-        candidates.get(place).copied()
+        let candidates = if responsive.is_empty() { suspects } else { responsive };
+        let index = (tries as usize).checked_rem(candidates.len())?;
+        candidates.get(index).copied()
     }
 
     fn is_suspect(&self, daemon: DaemonId, now: Timestamp) -> bool {
@@ -87,8 +87,9 @@
         now: Timestamp,
     ) {
         let own = self.settings.own.daemon;
-        let most = self.settings.group.max_payload_bytes.saturating_sub(COMMAND_OVERHEAD);
-        if command.text_bytes() > most {
+        let max_text_bytes =
+            self.settings.group.max_payload_bytes.saturating_sub(COMMAND_OVERHEAD_BYTES);
+        if command.text_bytes() > max_text_bytes {
             let refusal = TurnRefusal::LimitReached { limit: "entry_bytes".to_owned() };
             self.reply(to, Response::Ledger(LedgerReply::Refused(refusal)));
             return;
@@ -97,7 +98,7 @@
             return;
         };
         let command = Command::Ledger(command.with_timestamp(now));
-        let refused = group.propose(command, Purpose::Request(to), now).is_err();
+        let refused = group.propose(command, ProposalPurpose::Request(to), now).is_err();
         let leader = group.replica.leader().map(|leader| leader.daemon);
         if refused {
             let hint = leader.filter(|leader| *leader != own);
--- a/crates/node/src/members.rs
+++ b/crates/node/src/members.rs
@@ -16,7 +16,7 @@
 use crate::{Action, BackendFailure, SharedDocument};
 
 /// Lines a minute on members that come, change and go; beyond, only their number is told.
-pub(crate) const MOST_MEMBER_LINES: u32 = 300;
+pub(crate) const MAX_MEMBER_LINES_PER_MINUTE: u32 = 300;
 
 /// A daemon as operators see it.
 #[derive(Debug, Clone)]
@@ -39,18 +39,18 @@
                     self.actions.push(Action::Send { to, message });
                 }
                 MembershipAction::MemberChanged(record) => {
-                    if let Some(passed_over) = self.member_lines.allow(now) {
+                    if let Some(suppressed) = self.member_line_limit.allow(now) {
                         log::info!(
                             target: "members",
                             daemon:% = record.info.replica(),
                             state:? = record.info.state,
                             health:? = record.health,
                             version = record.version,
-                            lines_passed_over = passed_over;
+                            lines_passed_over = suppressed;
                             "A member changed."
                         );
                     }
-                    self.note_life(&record.info, now);
+                    self.handle_member_incarnation(&record.info, now);
                 }
                 MembershipAction::FactChanged(fact) => self.fact_changed(&fact),
                 MembershipAction::Superseded { by } => {
@@ -62,13 +62,13 @@
     }
 
     /// Keeps a document for daemons that cannot read it themselves.
-    pub(crate) fn share(&mut self, document: SharedDocument) {
+    pub(crate) fn share_document(&mut self, document: SharedDocument) {
         let SharedDocument { number, version, bytes } = document;
         self.membership.publish(FactKey::Document(number), version, bytes);
     }
 
     /// Keeps a document that others have by the same way.
-    pub(crate) fn hold_document(&mut self, document: SharedDocument) {
+    pub(crate) fn keep_document(&mut self, document: SharedDocument) {
         let SharedDocument { number, version, bytes } = document;
         self.membership.publish_without_spreading(FactKey::Document(number), version, bytes);
     }
@@ -77,9 +77,9 @@
     pub(crate) fn report_backend_failure(&mut self, failure: &BackendFailure) {
         // A later life of this daemon begins above all versions of this one.
         const REPORTS_PER_LIFE_BITS: u32 = 20;
-        self.failure_reports += 1;
+        self.failure_report_count += 1;
         let own = self.settings.own;
-        let version = (own.incarnation.0 << REPORTS_PER_LIFE_BITS) + self.failure_reports;
+        let version = (own.incarnation.0 << REPORTS_PER_LIFE_BITS) + self.failure_report_count;
         let backend = failure.backend.clone();
         let key = FactKey::BackendFailure { backend, reporter: own.daemon };
         self.membership.publish(key, version, vec![failure.failures]);
@@ -87,7 +87,7 @@
 
     /// A voter whose daemon lost its memory or its disk is replaced without waiting for the next
     /// regular look, and one that can be reached now is asked for its vote.
-    fn note_life(&mut self, info: &MemberInfo, now: Timestamp) {
+    fn handle_member_incarnation(&mut self, info: &MemberInfo, now: Timestamp) {
         for group in self.groups.values_mut() {
             group.replica.peer_address_found(info.replica(), now);
         }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -25,8 +25,8 @@
 use crate::limits::LimitKeepers;
 use crate::line_limit::LineLimit;
 use crate::load_sharing::{LoadSharing, LoadSharingStatus};
-use crate::members::MOST_MEMBER_LINES;
-use crate::orders::Orders;
+use crate::members::MAX_MEMBER_LINES_PER_MINUTE;
+use crate::orders::EngineOrders;
 use crate::reach::ZoneLists;
 use crate::request::NotRunCause;
 use crate::routing::{ReplyTo, Router};
@@ -48,22 +48,22 @@
     pub(crate) history: History,
     pub(crate) sources: EngineSources,
     pub(crate) configuration: Configuration,
-    pub(crate) orders: Orders,
+    pub(crate) engine_orders: EngineOrders,
     /// Attempts that were taken back before they began to answer.
-    pub(crate) recalled: BTreeSet<AttemptId>,
+    pub(crate) recalled_attempts: BTreeSet<AttemptId>,
     /// Attempts that ended unrun by no fault of their engine, until that is recorded.
-    pub(crate) refusals: BTreeMap<AttemptId, NotRunCause>,
+    pub(crate) not_run_causes: BTreeMap<AttemptId, NotRunCause>,
     pub(crate) actions: Vec<Action>,
     pub(crate) dirty: BTreeSet<GroupId>,
     pub(crate) next_upkeep: Timestamp,
     /// Hand-overs for balance, over all groups owned here.
-    pub(crate) balance_pace: BalanceRateLimit,
+    pub(crate) balance_rate_limit: BalanceRateLimit,
     /// Voters that each group should have, as worked out at the last upkeep.
     pub(crate) voter_target: VoterTarget,
     pub(crate) bootstrap: Bootstrap,
     pub(crate) coalescer: Coalescer,
     /// Messages that need not wait for a sync.
-    pub(crate) unsynced: Coalescer,
+    pub(crate) unsynced_coalescer: Coalescer,
     pub(crate) draining: bool,
     /// None where no outside source is followed.
     pub(crate) feed: Option<Feed>,
@@ -73,8 +73,8 @@
     pub(crate) zone_liveness: Option<ZoneLiveness>,
     pub(crate) zone_lists: ZoneLists,
     /// Reports of failed back ends that this life has made.
-    pub(crate) failure_reports: u64,
-    pub(crate) member_lines: LineLimit,
+    pub(crate) failure_report_count: u64,
+    pub(crate) member_line_limit: LineLimit,
 }
 
 /// What a node says of itself.
@@ -141,7 +141,7 @@
             address: settings.address,
             zone: settings.zone.clone(),
             region: settings.region.clone(),
-            state: first_state(&settings),
+            state: initial_state(&settings),
             holds_groups: settings.holds_groups,
         };
         let mut membership = Membership::new(
@@ -155,7 +155,7 @@
         let voters = settings.tolerance.wanted_voters();
         let voter_target = VoterTarget { voters, shortfalls: Vec::new() };
         let scheduler = Scheduler::new(settings.placement.clone(), settings.policy, settings.seed);
-        let balance_pace = BalanceRateLimit::new(&settings.maintenance, now);
+        let balance_rate_limit = BalanceRateLimit::new(&settings.maintenance, now);
         let feed = settings.feed.clone();
         let feed = feed.map(|feed| Feed::new(feed, settings.own.daemon, settings.address));
         let loads = settings.load_sharing.clone();
@@ -175,9 +175,9 @@
             history: History::default(),
             sources: EngineSources::default(),
             configuration: Configuration::new(&settings, now),
-            orders: Orders::default(),
-            recalled: BTreeSet::new(),
-            refusals: BTreeMap::new(),
+            engine_orders: EngineOrders::default(),
+            recalled_attempts: BTreeSet::new(),
+            not_run_causes: BTreeMap::new(),
             settings,
             groups: BTreeMap::new(),
             directory: Directory::new(),
@@ -186,14 +186,14 @@
             actions: Vec::new(),
             dirty: BTreeSet::new(),
             next_upkeep: Timestamp::ZERO,
-            balance_pace,
+            balance_rate_limit,
             voter_target,
             bootstrap: Bootstrap::default(),
             coalescer: Coalescer::new(),
-            unsynced: Coalescer::new(),
+            unsynced_coalescer: Coalescer::new(),
             draining: false,
-            failure_reports: 0,
-            member_lines: LineLimit::new(MOST_MEMBER_LINES),
+            failure_report_count: 0,
+            member_line_limit: LineLimit::new(MAX_MEMBER_LINES_PER_MINUTE),
         };
         if node.settings.has_store {
             node.publish_store();
@@ -205,9 +205,9 @@
     pub fn handle(&mut self, event: Event, now: Timestamp) -> Vec<Action> {
         match event {
             Event::Tick => self.tick(now),
-            Event::Message { from, message } => self.message(from, message, now),
+            Event::Message { from, message } => self.handle_message(from, message, now),
             Event::ConnectionLost(peer) => self.connection_lost(peer, now),
-            Event::Request { id, request } => self.take_request(id, request, now),
+            Event::Request { id, request } => self.accept_request(id, request, now),
             Event::AttemptEnded { attempt, epoch, end } => {
                 self.attempt_ended(attempt, epoch, end, now);
             }
@@ -223,15 +223,15 @@
                 self.engine_refuses_work(&engine, incarnation, now);
             }
             Event::Machines(listing) => self.machine_listing(listing, now),
-            Event::KeyValue(event) => self.key_value(event, now),
+            Event::KeyValue(event) => self.handle_key_value_event(event, now),
             Event::ProposeChange { id, proposal } => self.propose_change(id, proposal, now),
-            Event::Layout(step) => self.layout(step, now),
+            Event::Layout(step) => self.handle_layout_step(step, now),
             Event::StoreEnded(result) => self.store_ended(*result),
             Event::SeedsFound(addresses) => self.membership.add_seeds(addresses),
             Event::PreviousPeers(addresses) => self.membership.contact_previous_peers(addresses),
             Event::ToleranceChanged(tolerance) => self.change_tolerance(tolerance, now),
-            Event::ShareDocument(document) => self.share(document),
-            Event::KeepDocument(document) => self.hold_document(document),
+            Event::ShareDocument(document) => self.share_document(document),
+            Event::KeepDocument(document) => self.keep_document(document),
             Event::RequestDocuments => self.membership.request_holder_documents(),
             Event::SourceRead(report) => self.source_read(report, now),
             Event::BackendFailed(failure) => self.report_backend_failure(&failure),
@@ -241,7 +241,7 @@
             Event::Retire => self.retire_daemon(now),
             Event::Drain => self.drain(now),
         }
-        self.settle(now);
+        self.process_dirty_groups(now);
         std::mem::take(&mut self.actions)
     }
 
@@ -272,8 +272,8 @@
         if self.draining {
             return Some("a planned stop is under way");
         }
-        let unlaid = "the replica groups are not laid out yet";
-        self.configuration.problem().or((!self.is_laid_out()).then_some(unlaid))
+        let missing_layout = "the replica groups are not laid out yet";
+        self.configuration.problem().or((!self.is_laid_out()).then_some(missing_layout))
     }
 
     /// Whether the groups are known to be laid out. A group with members, recovered from the disk
@@ -350,33 +350,33 @@
         }
         self.schedule(dahlia_placement::Event::Tick, now);
         self.check_engines(now);
-        self.plan_due(now);
+        self.update_planner(now);
         self.check_attempts(now);
         self.retry_releases(now);
         self.expire_programs(now);
         self.move_history(now);
-        self.ask_due_chunks(now);
+        self.request_due_chunks(now);
         self.check_copies(now);
         self.propose_deferred(now);
         self.review_limit_keepers(now);
         self.route_due(now);
     }
 
-    fn message(&mut self, from: ReplicaId, message: PeerMessage, now: Timestamp) {
+    fn handle_message(&mut self, from: ReplicaId, message: PeerMessage, now: Timestamp) {
         self.hear(from.daemon, now);
         match message {
             PeerMessage::Membership(envelope) => {
                 self.membership_event(MembershipEvent::Received(*envelope), now);
             }
             PeerMessage::Configuration(message) => {
-                self.configuration_message(from.daemon, message, now);
+                self.handle_configuration_message(from.daemon, message, now);
             }
-            PeerMessage::Groups(batch) => self.group_messages(batch, now),
-            PeerMessage::Chunks(message) => self.chunk_message(from, *message, now),
+            PeerMessage::Groups(batch) => self.handle_group_messages(batch, now),
+            PeerMessage::Chunks(message) => self.handle_chunk_message(from, *message, now),
             PeerMessage::Request { id, request, reply_to } => {
                 self.serve(ReplyTo::Peer { address: reply_to, id }, request, now);
             }
-            PeerMessage::Response { id, response } => self.response(from, id, response, now),
+            PeerMessage::Response { id, response } => self.handle_response(from, id, response, now),
             PeerMessage::Forward { id, request, reply_to } => {
                 self.take_for_other(ReplyTo::Peer { address: reply_to, id }, request, now);
             }
@@ -385,7 +385,7 @@
         }
     }
 
-    fn group_messages(&mut self, batch: PeerBatch, now: Timestamp) {
+    fn handle_group_messages(&mut self, batch: PeerBatch, now: Timestamp) {
         for message in batch.into_messages() {
             if message.to != self.settings.own {
                 continue;
@@ -419,22 +419,23 @@
                 continue;
             }
             let own = self.settings.own;
-            let heir = group.replica.members().voters.iter().find(|voter| **voter != own).copied();
-            if let Some(heir) = heir {
+            let successor =
+                group.replica.members().voters.iter().find(|voter| **voter != own).copied();
+            if let Some(successor) = successor {
                 // Refused when the group is in the middle of something; the next tick of a
                 // planned stop asks again.
-                let _ = group.replica.transfer_leadership(heir);
+                let _ = group.replica.transfer_leadership(successor);
                 self.dirty.insert(group.id());
             }
         }
     }
 
     /// Carries out what the groups ask for until none asks for more.
-    fn settle(&mut self, now: Timestamp) {
+    fn process_dirty_groups(&mut self, now: Timestamp) {
         while let Some(id) = self.dirty.pop_first() {
-            self.take_outputs(id, now);
+            self.handle_replica_outputs(id, now);
         }
-        for (daemon, batch) in self.unsynced.take() {
+        for (daemon, batch) in self.unsynced_coalescer.take() {
             if let Some(to) = self.address(daemon) {
                 self.actions.push(Action::SendUnsynced { to, message: PeerMessage::Groups(batch) });
             }
@@ -449,6 +450,6 @@
 
 /// A daemon that is kept in step with the operators' configuration takes no work before it knows
 /// which generation is in force.
-fn first_state(settings: &NodeSettings) -> MemberState {
+fn initial_state(settings: &NodeSettings) -> MemberState {
     if settings.follows_configuration { MemberState::Joining } else { MemberState::Live }
 }
--- a/crates/node/src/orders.rs
+++ b/crates/node/src/orders.rs
@@ -19,11 +19,11 @@
 
 /// The planner, while this node is the one that plans.
 #[derive(Debug, Default)]
-pub(crate) struct Orders {
+pub(crate) struct EngineOrders {
     planner: Option<OrderPlanner>,
     /// What each engine last reported of its models and its role.
-    states: BTreeMap<EngineId, EngineState>,
-    held: Vec<BlockedChange>,
+    engine_states: BTreeMap<EngineId, EngineState>,
+    blocked: Vec<BlockedChange>,
     next_plan: Timestamp,
 }
 
@@ -32,55 +32,55 @@
     pub(crate) fn engine_state(&mut self, engine: EngineId, state: EngineState, now: Timestamp) {
         let listed = self.sources.is_listed_leaving(&engine);
         let state = EngineState { leaving: state.leaving || listed, ..state };
-        self.orders.states.insert(engine.clone(), state.clone());
-        self.plan(PlannerEvent::EngineReported(engine, state), now);
+        self.engine_orders.engine_states.insert(engine.clone(), state.clone());
+        self.run_planner(PlannerEvent::EngineReported(engine, state), now);
     }
 
     /// An engine fell silent.
     pub(crate) fn engine_state_lost(&mut self, engine: &EngineId, now: Timestamp) {
-        self.orders.states.remove(engine);
-        self.plan(PlannerEvent::EngineLost(engine.clone()), now);
+        self.engine_orders.engine_states.remove(engine);
+        self.run_planner(PlannerEvent::EngineLost(engine.clone()), now);
     }
 
     /// A generation came into force.
-    pub(crate) fn plan_in_force(&mut self, record: Arc<ConfigurationRecord>, now: Timestamp) {
-        self.plan(PlannerEvent::Activated(record), now);
+    pub(crate) fn plan_for_generation(&mut self, record: Arc<ConfigurationRecord>, now: Timestamp) {
+        self.run_planner(PlannerEvent::Activated(record), now);
     }
 
     /// Begins or ends planning with the ownership of the first group, and looks for due orders.
-    pub(crate) fn plan_due(&mut self, now: Timestamp) {
-        if now < self.orders.next_plan {
+    pub(crate) fn update_planner(&mut self, now: Timestamp) {
+        if now < self.engine_orders.next_plan {
             return;
         }
-        self.orders.next_plan = now + PLAN_INTERVAL;
+        self.engine_orders.next_plan = now + PLAN_INTERVAL;
         let first = self.group_ids().into_iter().min();
-        let plans = first.is_some_and(|group| self.owns(group));
-        if !plans {
-            self.orders.planner = None;
+        let owns_first = first.is_some_and(|group| self.owns(group));
+        if !owns_first {
+            self.engine_orders.planner = None;
             return;
         }
-        if self.orders.planner.is_none() {
+        if self.engine_orders.planner.is_none() {
             self.begin_planning(now);
         }
-        self.plan(PlannerEvent::Tick, now);
+        self.run_planner(PlannerEvent::Tick, now);
     }
 
     fn begin_planning(&mut self, now: Timestamp) {
         log::info!(target: "configuration", "This daemon plans the orders to engines.");
-        self.orders.planner = Some(OrderPlanner::new(self.settings.configuration.clone()));
-        for (engine, state) in self.orders.states.clone() {
-            self.plan(PlannerEvent::EngineReported(engine, state), now);
+        self.engine_orders.planner = Some(OrderPlanner::new(self.settings.configuration.clone()));
+        for (engine, state) in self.engine_orders.engine_states.clone() {
+            self.run_planner(PlannerEvent::EngineReported(engine, state), now);
         }
         if let Some(record) = self.configuration.current().cloned() {
-            self.plan(PlannerEvent::Activated(record), now);
+            self.run_planner(PlannerEvent::Activated(record), now);
         }
     }
 
-    fn plan(&mut self, event: PlannerEvent, now: Timestamp) {
-        let Some(planner) = &mut self.orders.planner else {
+    fn run_planner(&mut self, event: PlannerEvent, now: Timestamp) {
+        let Some(planner) = &mut self.engine_orders.planner else {
             return;
         };
-        let mut held = Vec::new();
+        let mut blocked = Vec::new();
         for action in planner.handle(event, now) {
             match action {
                 PlannerAction::Send(order) => {
@@ -91,17 +91,17 @@
                     );
                     self.actions.push(Action::Order(Box::new(order)));
                 }
-                PlannerAction::ReportBlocked(waiting) => held.push(waiting),
+                PlannerAction::ReportBlocked(change) => blocked.push(change),
             }
         }
-        if held != self.orders.held {
-            for BlockedChange { engine, model } in &held {
+        if blocked != self.engine_orders.blocked {
+            for BlockedChange { engine, model } in &blocked {
                 log::info!(
                     target: "configuration",
                     "{engine} keeps {model}: too few others serve it."
                 );
             }
-            self.orders.held = held;
+            self.engine_orders.blocked = blocked;
         }
     }
 }
--- a/crates/node/src/outputs.rs
+++ b/crates/node/src/outputs.rs
@@ -6,12 +6,12 @@
 use dahlia_types::{Duration, GroupId, LogIndex, ReplicaId, Term, Timestamp};
 
 use crate::Action;
-use crate::group::{Group, Purpose, decode};
+use crate::group::{Group, ProposalPurpose, decode};
 use crate::node::Node;
 use crate::request::Response;
 
 /// The owner's decision on a turn, with the epoch and the entry that it rests on.
-fn note_ledger(id: GroupId, entry: &Entry, command: &LedgerCommand, reply: &LedgerReply) {
+fn log_ledger_decision(id: GroupId, entry: &Entry, command: &LedgerCommand, reply: &LedgerReply) {
     let Some(turn) = command.turn() else { return };
     log::info!(
         target: "ledger",
@@ -27,7 +27,7 @@
 }
 
 /// A change of what this replica believes; asking for votes is none yet.
-fn note_role(id: GroupId, role: Role, term: Term, leader: Option<ReplicaId>) {
+fn log_role_change(id: GroupId, role: Role, term: Term, leader: Option<ReplicaId>) {
     let level = match role {
         Role::PreCandidate | Role::Candidate => log::Level::Debug,
         Role::Leader | Role::Follower | Role::Learner => log::Level::Info,
@@ -45,7 +45,7 @@
 const EXPIRY_INTERVAL: Duration = Duration::from_secs(2);
 
 impl Node {
-    pub(crate) fn take_outputs(&mut self, id: GroupId, now: Timestamp) {
+    pub(crate) fn handle_replica_outputs(&mut self, id: GroupId, now: Timestamp) {
         let Some(group) = self.groups.get_mut(&id) else {
             return;
         };
@@ -53,14 +53,14 @@
         for output in group.replica.take_outputs() {
             match output {
                 Output::Send(message) => self.send_to_replica(message),
-                Output::Committed(entry) => self.apply(id, &entry, now),
-                Output::Restore(snapshot) => self.restore(id, &snapshot),
+                Output::Committed(entry) => self.apply_entry(id, &entry, now),
+                Output::Restore(snapshot) => self.restore_snapshot(id, &snapshot),
                 Output::RoleChanged { role, term, leader } => {
-                    note_role(id, role, term, leader);
+                    log_role_change(id, role, term, leader);
                 }
                 Output::MembersChanged { index, .. } => self.members_changed(id, index),
-                Output::SnapshotWanted => self.compact(id),
-                Output::Removed { .. } => self.retire(id, now),
+                Output::SnapshotWanted => self.compact_log(id),
+                Output::Removed { .. } => self.retire_replica(id, now),
             }
         }
         self.check_ownership(id, now);
@@ -68,8 +68,9 @@
 
     fn send_to_replica(&mut self, message: GroupMessage) {
         let sender = self.groups.get(&message.group).filter(|_| self.settings.group.is_durable);
-        let leaves_early = sender.is_some_and(|group| group.replica.may_send_unsynced(&message));
-        let coalescer = if leaves_early { &mut self.unsynced } else { &mut self.coalescer };
+        let may_skip_sync = sender.is_some_and(|group| group.replica.may_send_unsynced(&message));
+        let coalescer =
+            if may_skip_sync { &mut self.unsynced_coalescer } else { &mut self.coalescer };
         coalescer.push(message);
     }
 
@@ -82,11 +83,11 @@
         self.actions.extend(image.map(|image| Action::Persist(Box::new(image))));
     }
 
-    fn apply(&mut self, id: GroupId, entry: &Entry, now: Timestamp) {
+    fn apply_entry(&mut self, id: GroupId, entry: &Entry, now: Timestamp) {
         let Some(group) = self.groups.get_mut(&id) else {
             return;
         };
-        let settled = group.settle(entry.index, entry.term);
+        let resolved = group.resolve_proposals(entry.index, entry.term);
         let command = decode(&entry.payload);
         let Some(command) = command else {
             // Every replica of this build skips it alike.
@@ -97,29 +98,29 @@
         if let (Command::Ledger(ledger), Ok(CommandEffect::Ledger(reply)), true) =
             (&command, &result, group.is_serving())
         {
-            note_ledger(id, entry, ledger, reply);
+            log_ledger_decision(id, entry, ledger, reply);
         }
         let serving = group.is_serving();
-        for purpose in settled.lost {
-            self.lost(id, purpose);
+        for purpose in resolved.lost {
+            self.redirect_lost_proposal(id, purpose);
         }
-        let own = settled.own;
+        let own = resolved.committed;
         if serving {
-            self.applied(id, &command, result, own, now);
+            self.handle_applied_command(id, &command, result, own, now);
         } else if let Some(purpose) = own {
-            self.lost(id, purpose);
+            self.redirect_lost_proposal(id, purpose);
         }
     }
 
     /// A proposal whose fate is not known here any more: its asker repeats it at the owner.
-    pub(crate) fn lost(&mut self, id: GroupId, purpose: Purpose) {
-        if let Purpose::Request(to) = purpose {
+    pub(crate) fn redirect_lost_proposal(&mut self, id: GroupId, purpose: ProposalPurpose) {
+        if let ProposalPurpose::Request(to) = purpose {
             let hint = self.owner_hint(id);
             self.reply(to, Response::NotOwner { hint });
         }
     }
 
-    fn restore(&mut self, id: GroupId, snapshot: &Snapshot) {
+    fn restore_snapshot(&mut self, id: GroupId, snapshot: &Snapshot) {
         let Some(group) = self.groups.get_mut(&id) else {
             return;
         };
@@ -127,9 +128,9 @@
             Ok(state) => group.state = self.settings.with_faults(state),
             Err(error) => log::error!(target: "groups", "Snapshot of {id} refused: {error}."),
         }
-        let settled = group.settle(snapshot.index, snapshot.term);
-        for purpose in settled.own.into_iter().chain(settled.lost) {
-            self.lost(id, purpose);
+        let resolved = group.resolve_proposals(snapshot.index, snapshot.term);
+        for purpose in resolved.committed.into_iter().chain(resolved.lost) {
+            self.redirect_lost_proposal(id, purpose);
         }
     }
 
@@ -142,7 +143,7 @@
         self.publish_group(id);
     }
 
-    fn compact(&mut self, id: GroupId) {
+    fn compact_log(&mut self, id: GroupId) {
         if let Some(group) = self.groups.get_mut(&id) {
             let applied = group.replica.applied();
             let snapshot = group.state.snapshot();
@@ -151,7 +152,7 @@
         }
     }
 
-    fn retire(&mut self, id: GroupId, now: Timestamp) {
+    fn retire_replica(&mut self, id: GroupId, now: Timestamp) {
         if let Some(group) = self.groups.get_mut(&id) {
             group.replica.retire(now);
             group.state = self.settings.empty_state(id);
@@ -171,10 +172,10 @@
             None if leads => {
                 group.serving = Some(term);
                 self.publish_group(id);
-                self.take_up(id, now);
+                self.assume_ownership(id, now);
             }
-            Some(served) if !leads || served != term => {
-                self.step_down(id, now);
+            Some(served_term) if !leads || served_term != term => {
+                self.give_up_ownership(id, now);
                 // A replica can lose and win back the lead between two looks at it.
                 if leads {
                     self.check_ownership(id, now);
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -7,31 +7,31 @@
 use dahlia_types::{CallId, ChainId, Duration, GroupId, Message, ProgramId, Timestamp, Tokens};
 
 use crate::Action;
-use crate::group::Purpose;
+use crate::group::ProposalPurpose;
 use crate::node::Node;
 use crate::request::{Response, refusal_error};
 
 /// Bytes of text that count as one token in the upper bound of a prompt. Real tokenisers make
 /// fewer tokens of the same text; the engine refuses a prompt above the bound unrun.
-const BYTES_PER_TOKEN_AT_LEAST: u64 = 3;
+const MIN_BYTES_PER_TOKEN: u64 = 3;
 /// Tokens that the form of a message may add.
-const MESSAGE_OVERHEAD: u64 = 8;
+const MESSAGE_OVERHEAD_TOKENS: u64 = 8;
 /// Weight of an ordinary program in placement.
-const ORDINARY_WEIGHT: u32 = 100;
+const DEFAULT_WEIGHT: u32 = 100;
 
 impl Node {
     /// Acts on the result of a command that this node's group committed while it serves.
-    pub(crate) fn applied(
+    pub(crate) fn handle_applied_command(
         &mut self,
         id: GroupId,
         command: &Command,
         result: Result<CommandEffect, CommandRefusal>,
-        purpose: Option<Purpose>,
+        purpose: Option<ProposalPurpose>,
         now: Timestamp,
     ) {
         match result {
-            Err(refusal) => self.refused(id, command, &refusal, purpose, now),
-            Ok(CommandEffect::Begun(begun)) => self.begun(begun, purpose, now),
+            Err(refusal) => self.handle_refused_command(id, command, &refusal, purpose, now),
+            Ok(CommandEffect::Begun(begun)) => self.handle_begun_call(begun, purpose, now),
             Ok(CommandEffect::IntentRecorded(terms)) => {
                 self.intent_recorded(id, terms, purpose, now)
             }
@@ -66,7 +66,7 @@
                 }
             }
             Ok(CommandEffect::Ledger(reply)) => {
-                if let Some(Purpose::Request(to)) = purpose {
+                if let Some(ProposalPurpose::Request(to)) = purpose {
                     self.reply(to, Response::Ledger(reply));
                 }
             }
@@ -75,7 +75,12 @@
         }
     }
 
-    fn begun(&mut self, begun: BeginOutcome, purpose: Option<Purpose>, now: Timestamp) {
+    fn handle_begun_call(
+        &mut self,
+        begun: BeginOutcome,
+        purpose: Option<ProposalPurpose>,
+        now: Timestamp,
+    ) {
         let response = match &begun {
             BeginOutcome::Ready(call)
             | BeginOutcome::Waiting(call)
@@ -87,13 +92,13 @@
             // Its text is read back when the asker waits for the outcome.
             BeginOutcome::ReplayedFromStore(call, _) => Response::Begun { call: *call },
         };
-        if let Some(Purpose::Request(to)) = purpose {
+        if let Some(ProposalPurpose::Request(to)) = purpose {
             self.reply(to, response);
         }
-        let jumps = self.settings.faults.dispatch_waiting;
+        let skips_order = self.settings.faults.dispatch_waiting;
         match begun {
             BeginOutcome::Ready(call) => self.call_ready(call, now),
-            BeginOutcome::Waiting(call) if jumps => self.call_ready(call, now),
+            BeginOutcome::Waiting(call) if skips_order => self.call_ready(call, now),
             _ => {}
         }
     }
@@ -109,19 +114,19 @@
             return;
         }
         let Some(prompt) = self.compose_prompt(call, now) else {
-            self.wait_for_prompt(call);
+            self.defer_call(call);
             return;
         };
-        if let Some(ready) = self.describe(call, &prompt) {
+        if let Some(ready) = self.describe_ready_call(call, &prompt) {
             self.schedule(PlacementEvent::CallReady(ready), now);
         }
     }
 
-    fn describe(&self, id: CallId, prompt: &[Message]) -> Option<ReadyCall> {
+    fn describe_ready_call(&self, id: CallId, prompt: &[Message]) -> Option<ReadyCall> {
         let group = self.groups.get(&id.program.group)?;
         let program = group.state.program(id.program)?;
         let call = program.call(id)?;
-        let segments = prompt.iter().map(segment);
+        let segments = prompt.iter().map(history_segment);
         Some(ReadyCall {
             call: id,
             attempt: call.attempts() + 1,
@@ -130,8 +135,8 @@
             history: segments.collect(),
             max_generated: call.max_generated(),
             attained_service: Duration::ZERO,
-            depth: depth(program, id.chain),
-            weight: ORDINARY_WEIGHT,
+            depth: branch_depth(program, id.chain),
+            weight: DEFAULT_WEIGHT,
         })
     }
 
@@ -170,19 +175,19 @@
         self.release_program(id, program, now);
     }
 
-    fn refused(
+    fn handle_refused_command(
         &mut self,
         id: GroupId,
         command: &Command,
         refusal: &CommandRefusal,
-        purpose: Option<Purpose>,
+        purpose: Option<ProposalPurpose>,
         now: Timestamp,
     ) {
         match purpose {
-            Some(Purpose::Request(to)) => {
+            Some(ProposalPurpose::Request(to)) => {
                 self.reply(to, Response::Failed(refusal_error(refusal)));
             }
-            Some(Purpose::Intent(intent)) => self.intent_refused(id, &intent, refusal, now),
+            Some(ProposalPurpose::Intent(intent)) => self.intent_refused(id, &intent, refusal, now),
             _ => {
                 log::debug!(target: "programs", "A command was refused: {refusal}.");
                 self.release_refused(command, now);
@@ -190,8 +195,13 @@
         }
     }
 
-    fn answer_with_program(&mut self, id: GroupId, program: ProgramId, purpose: Option<Purpose>) {
-        let Some(Purpose::Request(to)) = purpose else {
+    fn answer_with_program(
+        &mut self,
+        id: GroupId,
+        program: ProgramId,
+        purpose: Option<ProposalPurpose>,
+    ) {
+        let Some(ProposalPurpose::Request(to)) = purpose else {
             return;
         };
         if let Some(view) = self.program_view(id, program, false) {
@@ -201,7 +211,7 @@
 }
 
 /// How many branchings lie between a chain and its program's main chain.
-fn depth(program: &Program, chain: ChainId) -> u32 {
+fn branch_depth(program: &Program, chain: ChainId) -> u32 {
     let mut depth = 0;
     let mut current = chain;
     while let Some(branch) = program.chain(current).and_then(|found| found.branch()) {
@@ -214,10 +224,10 @@
 /// An upper bound of a message's tokens.
 pub(crate) fn token_bound(message: &Message) -> Tokens {
     let bytes = message.content.len() as u64;
-    Tokens(bytes.div_ceil(BYTES_PER_TOKEN_AT_LEAST) + MESSAGE_OVERHEAD)
+    Tokens(bytes.div_ceil(MIN_BYTES_PER_TOKEN) + MESSAGE_OVERHEAD_TOKENS)
 }
 
-fn segment(message: &Message) -> HistorySegment {
+fn history_segment(message: &Message) -> HistorySegment {
     use std::hash::{DefaultHasher, Hash, Hasher};
     // The hash never leaves this daemon, so the standard library's is enough.
     let mut hasher = DefaultHasher::new();
--- a/crates/node/src/recovery.rs
+++ b/crates/node/src/recovery.rs
@@ -5,7 +5,7 @@
 use dahlia_types::{AttemptId, CallId, GroupId, ProgramId, Timestamp};
 
 use crate::Action;
-use crate::group::{IntentPurpose, LiveAttempt, Purpose};
+use crate::group::{IntentPurpose, LiveAttempt, ProposalPurpose};
 use crate::node::Node;
 use crate::request::{AttemptEnd, NotRunCause, Response};
 
@@ -14,7 +14,7 @@
 
 impl Node {
     /// Takes up the duties of an owner. Everything that earlier owners committed is applied.
-    pub(crate) fn take_up(&mut self, id: GroupId, now: Timestamp) {
+    pub(crate) fn assume_ownership(&mut self, id: GroupId, now: Timestamp) {
         let Some(group) = self.groups.get(&id) else {
             return;
         };
@@ -33,9 +33,9 @@
             .collect();
         for unfinished in group.state.unfinished_calls() {
             match unfinished {
-                UnfinishedCall::Ready(attempt) => self.take_up_ready(attempt.call, now),
+                UnfinishedCall::Ready(attempt) => self.restart_ready_call(attempt.call, now),
                 UnfinishedCall::Interrupted { attempt, open, .. } => {
-                    self.resume(id, attempt, &open, now);
+                    self.resume_attempt(id, attempt, &open, now);
                 }
             }
         }
@@ -49,7 +49,7 @@
         }
     }
 
-    fn take_up_ready(&mut self, call: CallId, now: Timestamp) {
+    fn restart_ready_call(&mut self, call: CallId, now: Timestamp) {
         let group = self.groups.get(&call.program.group);
         let open = group
             .and_then(|group| group.state.program(call.program))
@@ -62,7 +62,13 @@
     }
 
     /// Finds out about an attempt of an earlier owner: whether it ran is for the engine to say.
-    fn resume(&mut self, id: GroupId, attempt: AttemptId, open: &OpenAttempt, now: Timestamp) {
+    fn resume_attempt(
+        &mut self,
+        id: GroupId,
+        attempt: AttemptId,
+        open: &OpenAttempt,
+        now: Timestamp,
+    ) {
         let limit = self.settings.attempt_limit;
         let Some(group) = self.groups.get_mut(&id) else {
             return;
@@ -93,15 +99,15 @@
     }
 
     /// Ceases to act as owner. Attempts run on at their engines; the new owner resumes them.
-    pub(crate) fn step_down(&mut self, id: GroupId, now: Timestamp) {
+    pub(crate) fn give_up_ownership(&mut self, id: GroupId, now: Timestamp) {
         let hint = self.owner_hint(id);
         let Some(group) = self.groups.get_mut(&id) else {
             return;
         };
         log::info!(target: "groups", group:% = id; "This daemon owns a group no longer.");
         group.serving = None;
-        self.recalled.retain(|attempt| attempt.call.program.group != id);
-        self.refusals.retain(|attempt, _| attempt.call.program.group != id);
+        self.recalled_attempts.retain(|attempt| attempt.call.program.group != id);
+        self.not_run_causes.retain(|attempt, _| attempt.call.program.group != id);
         let attempts = std::mem::take(&mut group.live);
         let pending = std::mem::take(&mut group.pending);
         let deferred = std::mem::take(&mut group.deferred);
@@ -109,7 +115,7 @@
         group.releases.clear();
         group.taken_over.clear();
         let programs: Vec<ProgramId> = group.state.programs().map(|program| program.id()).collect();
-        self.drop_reads(&programs);
+        self.drop_pending_reads(&programs);
         for attempt in attempts.into_keys() {
             self.actions.push(Action::DetachAttempt { attempt });
             // Whoever resumes the attempt reads its text from the start. If that is this daemon
@@ -118,7 +124,7 @@
         }
         let purposes = pending.into_values().map(|(_, purpose)| purpose);
         for purpose in purposes.chain(deferred.into_iter().map(|(_, purpose)| purpose)) {
-            if let Purpose::Request(to) = purpose {
+            if let ProposalPurpose::Request(to) = purpose {
                 self.reply(to, Response::NotOwner { hint });
             }
         }
--- a/crates/node/src/release.rs
+++ b/crates/node/src/release.rs
@@ -7,17 +7,17 @@
     Bytes, Duration, EngineId, GroupId, Incarnation, LogIndex, ProgramId, Timestamp,
 };
 
-use crate::group::{PendingRelease, Purpose};
+use crate::group::{PendingRelease, ProposalPurpose};
 use crate::node::Node;
 use crate::request::ReleaseEnd;
 use crate::{Action, ReleaseOrder};
 
 /// First pause after a release that was not confirmed; doubles each time.
-const FIRST_RETRY: Duration = Duration::from_millis(250);
+const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(250);
 /// Longest pause.
-const LONGEST_RETRY: Duration = Duration::from_secs(10);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(10);
 /// A release whose answer never came is asked again after this time.
-const ANSWER_LIMIT: Duration = Duration::from_secs(10);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
 
 impl Node {
     /// Starts to free everything that engines hold for a program.
@@ -29,10 +29,10 @@
             return;
         };
         for (holder, _) in found.obligations() {
-            let due = PendingRelease { due: now, failures: 0, asked: false };
-            group.releases.entry((program, holder.clone())).or_insert(due);
+            let pending = PendingRelease { due: now, failures: 0, awaits_response: false };
+            group.releases.entry((program, holder.clone())).or_insert(pending);
         }
-        self.ask_due_releases(id, now);
+        self.request_due_releases(id, now);
     }
 
     /// Starts to free what one engine holds for a program.
@@ -45,21 +45,21 @@
             return;
         };
         for (holder, _) in found.obligations().filter(|(holder, _)| holder.engine == *engine) {
-            let due = PendingRelease { due: now, failures: 0, asked: false };
-            group.releases.entry((program, holder.clone())).or_insert(due);
+            let pending = PendingRelease { due: now, failures: 0, awaits_response: false };
+            group.releases.entry((program, holder.clone())).or_insert(pending);
         }
-        self.ask_due_releases(id, now);
+        self.request_due_releases(id, now);
     }
 
     /// Asks again for releases that are due.
     pub(crate) fn retry_releases(&mut self, now: Timestamp) {
         let ids: Vec<GroupId> = self.groups.keys().copied().collect();
         for id in ids {
-            self.ask_due_releases(id, now);
+            self.request_due_releases(id, now);
         }
     }
 
-    fn ask_due_releases(&mut self, id: GroupId, now: Timestamp) {
+    fn request_due_releases(&mut self, id: GroupId, now: Timestamp) {
         let Some(group) = self.groups.get_mut(&id) else {
             return;
         };
@@ -73,17 +73,18 @@
                 continue;
             }
             let found = group.state.program(*program);
-            let owed =
-                found.is_some_and(|found| found.obligations().any(|(owed, _)| owed == holder));
-            if !owed {
+            let is_obligation = found.is_some_and(|found| {
+                found.obligations().any(|(obligation, _)| obligation == holder)
+            });
+            if !is_obligation {
                 finished.push((*program, holder.clone()));
                 continue;
             }
             // None while an attempt is open there: its end has to be known first.
-            pending.due = now + FIRST_RETRY;
+            pending.due = now + INITIAL_RETRY_DELAY;
             if let Some(request) = found.and_then(|found| found.release_request(holder)) {
-                pending.asked = true;
-                pending.due = now + ANSWER_LIMIT;
+                pending.awaits_response = true;
+                pending.due = now + RESPONSE_TIMEOUT;
                 let ended = found.is_some_and(|found| !found.is_open());
                 let order = ReleaseOrder { request, epoch, ended };
                 self.actions.push(Action::Release(Box::new(order)));
@@ -112,10 +113,10 @@
                 let group = self.groups.get_mut(&program.group);
                 let key = (program, holder.clone());
                 if let Some(pending) = group.and_then(|group| group.releases.get_mut(&key)) {
-                    pending.asked = false;
+                    pending.awaits_response = false;
                     pending.failures += 1;
-                    let pause = FIRST_RETRY.times(1 << pending.failures.min(6));
-                    pending.due = now + pause.min(LONGEST_RETRY);
+                    let delay = INITIAL_RETRY_DELAY.times(1 << pending.failures.min(6));
+                    pending.due = now + delay.min(MAX_RETRY_DELAY);
                 }
             }
         }
@@ -140,7 +141,7 @@
             covers,
             freed,
         };
-        let _ = group.propose(Command::ConfirmRelease(command), Purpose::Housekeeping, now);
+        let _ = group.propose(Command::ConfirmRelease(command), ProposalPurpose::Housekeeping, now);
         self.dirty.insert(id);
     }
 
@@ -185,18 +186,18 @@
         incarnation: Incarnation,
         now: Timestamp,
     ) {
-        let mut gone = Vec::new();
+        let mut affected = Vec::new();
         for group in self.groups.values().filter(|group| group.is_serving()) {
             for program in group.state.programs() {
-                let earlier = program.obligations().any(|(holder, _)| {
+                let has_earlier = program.obligations().any(|(holder, _)| {
                     holder.engine == *engine && holder.incarnation < incarnation
                 });
-                if earlier {
-                    gone.push(program.id());
+                if has_earlier {
+                    affected.push(program.id());
                 }
             }
         }
-        for program in gone {
+        for program in affected {
             let life = EngineIncarnation { engine: engine.clone(), incarnation };
             self.confirm_release(program, life, LogIndex(0), Bytes::ZERO, now);
         }
--- a/crates/node/src/request.rs
+++ b/crates/node/src/request.rs
@@ -299,7 +299,7 @@
             let mut error = ApiError::new(kind, message);
             let hint = retry_after.map(|after| Duration::from_micros(after.as_micros()));
             if kind.should_retry() {
-                error = error.with_retry_after(hint.unwrap_or(NOT_RUN_RETRY));
+                error = error.with_retry_after(hint.unwrap_or(NOT_RUN_RETRY_DELAY));
             }
             Some(error)
         }
@@ -355,7 +355,7 @@
 }
 
 /// When a caller whose call did not run may come back, unless a better estimate exists.
-const NOT_RUN_RETRY: Duration = Duration::from_secs(1);
+const NOT_RUN_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// The answer of an attempt that is being generated, by attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
--- a/crates/node/src/requests.rs
+++ b/crates/node/src/requests.rs
@@ -10,23 +10,23 @@
 };
 
 use crate::Action;
-use crate::group::{Group, Purpose};
+use crate::group::{Group, ProposalPurpose};
 use crate::node::Node;
 use crate::request::{Request, RequestId, Response};
 use crate::routing::ReplyTo;
 use crate::wire::PeerMessage;
 
 /// When a caller may come back after no owner answered.
-const UNAVAILABLE_RETRY: std::time::Duration = std::time::Duration::from_secs(2);
+const UNAVAILABLE_RETRY_DELAY: std::time::Duration = std::time::Duration::from_secs(2);
 
 impl Node {
     /// A request of this daemon's gateway or operators' server.
-    pub(crate) fn take_request(&mut self, id: RequestId, request: Request, now: Timestamp) {
+    pub(crate) fn accept_request(&mut self, id: RequestId, request: Request, now: Timestamp) {
         // A ledger depends on no configuration: what it holds is named by callers.
         let problem = self.configuration.problem().filter(|_| !request.is_urgent());
         if let Some(problem) = problem {
             let error = ApiError::new(ErrorKind::Unavailable, problem);
-            let response = Response::Failed(error.with_retry_after(UNAVAILABLE_RETRY));
+            let response = Response::Failed(error.with_retry_after(UNAVAILABLE_RETRY_DELAY));
             self.actions.push(Action::Respond { id, response });
             return;
         }
@@ -40,7 +40,7 @@
             let message = "no owner of the program answered in time; a call may have its place: \
                            ask again with the same key or number";
             let error = ApiError::new(ErrorKind::Unavailable, message);
-            let response = Response::Failed(error.with_retry_after(UNAVAILABLE_RETRY));
+            let response = Response::Failed(error.with_retry_after(UNAVAILABLE_RETRY_DELAY));
             self.actions.push(Action::Respond { id, response });
         }
         for (id, request, tries) in self.router.take_due(now) {
@@ -74,8 +74,8 @@
             return Some(hint);
         }
         let others = self.possible_owners(group);
-        let place = (tries as usize).checked_rem(others.len())?;
-        others.get(place).copied()
+        let index = (tries as usize).checked_rem(others.len())?;
+        others.get(index).copied()
     }
 
     /// Other daemons that may own a group or know who does: its members, or while none is known all
@@ -90,7 +90,7 @@
     }
 
     /// An owner, or somebody who is not, answered.
-    pub(crate) fn response(
+    pub(crate) fn handle_response(
         &mut self,
         from: ReplicaId,
         id: RequestId,
@@ -107,12 +107,12 @@
         }
         if let Some(routed) = self.router.finish(id) {
             self.note_answered_by(from.daemon, &routed, now);
-            self.give_answer(routed.reply_to, response);
+            self.deliver_response(routed.reply_to, response);
         }
     }
 
     /// Gives the answer to a request that was on its way to whoever waits for it.
-    fn give_answer(&mut self, reply_to: ReplyTo, response: Response) {
+    fn deliver_response(&mut self, reply_to: ReplyTo, response: Response) {
         match reply_to {
             ReplyTo::Peer { address, id } => {
                 let message = PeerMessage::Response { id, response };
@@ -125,14 +125,14 @@
     /// Answers whoever asked.
     pub(crate) fn reply(&mut self, to: ReplyTo, response: Response) {
         match to {
-            ReplyTo::Peer { .. } => self.give_answer(to, response),
+            ReplyTo::Peer { .. } => self.deliver_response(to, response),
             ReplyTo::Here(id) => {
                 // A request stays on its way from here until an owner has answered.
                 if matches!(response, Response::NotOwner { .. }) {
                     return;
                 }
                 if let Some(routed) = self.router.finish(id) {
-                    self.give_answer(routed.reply_to, response);
+                    self.deliver_response(routed.reply_to, response);
                 }
             }
         }
@@ -186,13 +186,13 @@
         now: Timestamp,
     ) {
         let program = request.program;
-        if !self.may_open(program, tenant) {
+        if !self.may_access(program, tenant) {
             self.reply(to, Response::Failed(no_such_program(program)));
             return;
         }
         let Some(messages) = self.new_messages(&request, now) else {
             let request = Request::Submit { tenant: tenant.clone(), call: request, repeatable };
-            self.wait_with_request(program, to, request);
+            self.defer_request(program, to, request);
             return;
         };
         let repeatability =
@@ -229,7 +229,7 @@
     }
 
     fn await_outcome(&mut self, to: ReplyTo, tenant: &TenantId, call: CallId, now: Timestamp) {
-        if !self.may_open(call.program, tenant) {
+        if !self.may_access(call.program, tenant) {
             self.reply(to, Response::Failed(no_such_program(call.program)));
             return;
         }
@@ -273,7 +273,7 @@
         tenant: Option<&TenantId>,
         now: Timestamp,
     ) {
-        if tenant.is_some_and(|tenant| !self.may_open(program, tenant)) {
+        if tenant.is_some_and(|tenant| !self.may_access(program, tenant)) {
             self.reply(to, Response::Failed(no_such_program(program)));
             return;
         }
@@ -286,14 +286,14 @@
         let Some(group) = self.groups.get_mut(&id) else {
             return;
         };
-        if group.propose(command, Purpose::Request(to), now).is_err() {
+        if group.propose(command, ProposalPurpose::Request(to), now).is_err() {
             self.reply(to, Response::NotOwner { hint });
         }
         self.dirty.insert(id);
     }
 
     /// Another tenant's program looks exactly like one that does not exist.
-    fn may_open(&self, program: ProgramId, tenant: &TenantId) -> bool {
+    fn may_access(&self, program: ProgramId, tenant: &TenantId) -> bool {
         let group: Option<&Group> = self.groups.get(&program.group);
         let found = group.and_then(|group| group.state.program(program));
         found.is_some_and(|found| found.specification().tenant == *tenant)
--- a/crates/node/src/upkeep.rs
+++ b/crates/node/src/upkeep.rs
@@ -26,7 +26,7 @@
             return;
         }
         let members = self.membership.members();
-        self.renew_voter_target(&members);
+        self.update_voter_target(&members);
         let voters = self.voter_target.voters;
         let wanted = self.settings.tolerance.wanted_voters();
         let view = ClusterView::new(&members, &self.directory);
@@ -34,26 +34,27 @@
             let status = group.replica.status();
             // A lack of daemons is no reason to do with fewer voters than there are: membership may
             // know too few after a start, and one that is to be emptied stays until it is replaced.
-            let least = status.members.voters.len().min(wanted);
-            group.maintenance.set_voters(voters.max(least));
-            let is_exchanging = !status.members.learners.is_empty();
-            if status.members.voters.len() < voters || is_exchanging {
+            let min_voters = status.members.voters.len().min(wanted);
+            group.maintenance.set_voters(voters.max(min_voters));
+            let has_learners = !status.members.learners.is_empty();
+            if status.members.voters.len() < voters || has_learners {
                 self.next_upkeep = now + REPAIR_INTERVAL;
             }
-            let step = group.maintenance.next_step(&status, &view, &mut self.balance_pace, now);
+            let step =
+                group.maintenance.next_step(&status, &view, &mut self.balance_rate_limit, now);
             if matches!(step, Some(MaintenanceStep::Change(_))) {
                 self.next_upkeep = now + REPAIR_INTERVAL;
             }
             let refused = match step {
                 None => continue,
                 Some(MaintenanceStep::Change(change)) => {
-                    let name = group.replica.group();
-                    log::info!(target: "groups", group:% = name, change:? = change; "Members change.");
+                    let id = group.replica.group();
+                    log::info!(target: "groups", group:% = id, change:? = change; "Members change.");
                     group.replica.change_members(change).err().map(|error| error.to_string())
                 }
                 Some(MaintenanceStep::Transfer(to)) => {
-                    let name = group.replica.group();
-                    log::info!(target: "groups", group:% = name, to:% = to; "Leadership handed over.");
+                    let id = group.replica.group();
+                    log::info!(target: "groups", group:% = id, to:% = to; "Leadership handed over.");
                     group.replica.transfer_leadership(to).err().map(|error| error.to_string())
                 }
             };
@@ -76,7 +77,7 @@
     }
 
     /// Works out the voters of each group anew, and says when a declared loss cannot be borne.
-    fn renew_voter_target(&mut self, members: &[Member]) {
+    fn update_voter_target(&mut self, members: &[Member]) {
         let target = self.settings.tolerance.target(&HolderCounts::of_members(members));
         if target.shortfalls != self.voter_target.shortfalls {
             for shortfall in &target.shortfalls {
--- a/crates/node/src/view.rs
+++ b/crates/node/src/view.rs
@@ -14,11 +14,11 @@
         program: ProgramId,
         with_calls: bool,
     ) -> Option<ProgramView> {
-        let held = self.groups.get(&group)?;
-        let found = held.state.program(program)?;
+        let hosted = self.groups.get(&group)?;
+        let found = hosted.state.program(program)?;
         let mut view = view_of(found);
         view.owner = self.settings.own.daemon;
-        view.epoch = held.replica.term();
+        view.epoch = hosted.replica.term();
         if with_calls {
             view.calls = found.calls().map(|(id, call)| call_view(id, call, found)).collect();
         }
@@ -33,14 +33,14 @@
         include_closed: bool,
         limit: u32,
     ) -> Vec<ProgramView> {
-        let Some(held) = self.groups.get(&group) else {
+        let Some(hosted) = self.groups.get(&group) else {
             return Vec::new();
         };
         let wanted = |program: &&Program| {
             let of_tenant = tenant.is_none_or(|tenant| program.specification().tenant == *tenant);
             of_tenant && (include_closed || program.is_open())
         };
-        let found = held.state.programs().filter(wanted).take(limit as usize);
+        let found = hosted.state.programs().filter(wanted).take(limit as usize);
         found.filter_map(|program| self.program_view(group, program.id(), false)).collect()
     }
 }
