--- a/crates/node/src/answer.rs
+++ b/crates/node/src/answer.rs
@@ -1,8 +1,8 @@
-//! Reading one call's answer at its owner, across fail-over, without I/O.
+//! Reads one call's answer from its owner, across failover, without I/O.
 //!
-//! The reader keeps the text it has passed on. When the owner changes, or another attempt takes
-//! over, it compares the new text with what was passed on: nothing is missing or doubled, and an
-//! answer that turns out different is ended with an error instead of being glued.
+//! The reader keeps the text that it has delivered. When the owner or the attempt changes, it
+//! compares the new text with the delivered text, so that nothing is missing or duplicated. If they
+//! differ, it ends the answer with an error instead of joining two different texts.
 
 use dahlia_api::{ApiError, ErrorKind};
 use dahlia_program::CallOutcome;
@@ -11,49 +11,49 @@
 use crate::request::outcome_error;
 use crate::wire::{AnswerFrame, ReadAnswer};
 
-/// What a reader yields.
+/// An event of an answer, for the caller.
 #[derive(Debug, Clone, PartialEq)]
 pub enum AnswerEvent {
-    /// The next piece of the text.
+    /// The next part of the text.
     Text {
-        /// The attempt that it belongs to.
+        /// The attempt that generated it.
         attempt: u32,
-        /// Where it starts, in bytes.
+        /// Its start offset in bytes.
         offset: u64,
         /// The text.
         text: String,
     },
-    /// The answer is whole and durable.
+    /// The answer is complete and durable.
     End {
         /// Tokens used.
         usage: Usage,
     },
-    /// The call has no answer, or it cannot be had here now.
+    /// The call has no answer, or the answer is not available here now.
     Failed(ApiError),
 }
 
-/// Where a reader starts.
+/// The position at which a reader starts.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct StartPosition {
-    /// The attempt whose text the caller has; 0 when unknown.
+    /// The attempt whose text the caller has; 0 if unknown.
     pub attempt: u32,
-    /// Bytes that the caller has.
+    /// Number of bytes that the caller has.
     pub offset: u64,
 }
 
-/// What became of a frame.
+/// The result of handling a frame.
 #[derive(Debug, Clone, PartialEq)]
 pub enum FrameOutcome {
-    /// Nothing for the caller.
+    /// There is nothing to deliver.
     Nothing,
-    /// For the caller, in this order.
+    /// Events to deliver to the caller, in order.
     Events(Vec<AnswerEvent>),
-    /// The sender does not own the program: find the owner and ask it with
+    /// The sender does not own the program: find the owner and send it
     /// [`AnswerReader::request`].
     FindOwner,
 }
 
-/// Puts one call's answer together from the frames of its owners.
+/// Assembles one call's answer from the frames of its owners.
 #[derive(Debug, Clone)]
 pub struct AnswerReader {
     tenant: TenantId,
@@ -67,7 +67,7 @@
 }
 
 impl AnswerReader {
-    /// A reader that will yield what comes after `start`.
+    /// Creates a reader of the answer after `start`.
     pub fn new(tenant: TenantId, call: CallId, start: StartPosition) -> Self {
         Self {
             tenant,
@@ -81,23 +81,23 @@
         }
     }
 
-    /// Switches the comparison of attempts off, to show that a checker notices.
+    /// Disables the comparison of attempts, to test that a checker detects its absence.
     #[cfg(feature = "test-switches")]
     pub fn disable_comparison(&mut self) {
         self.is_comparison_disabled = true;
     }
 
-    /// The call.
+    /// Returns the call whose answer is read.
     pub fn call(&self) -> CallId {
         self.call
     }
 
-    /// Whether nothing follows.
+    /// Whether the answer has ended, so that no event follows.
     pub fn is_ended(&self) -> bool {
         self.ended
     }
 
-    /// What to ask the owner for.
+    /// Returns the request to send to the owner.
     pub fn request(&self) -> ReadAnswer {
         ReadAnswer {
             tenant: self.tenant.clone(),
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Takes in a frame of the owner that was asked last.
+    /// Handles a frame from the owner that was asked last.
     pub fn handle_frame(&mut self, frame: AnswerFrame) -> FrameOutcome {
         match frame {
             AnswerFrame::KeepAlive => FrameOutcome::Nothing,
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Ends with an error.
+    /// Ends the answer with an error.
     pub fn fail(&mut self, error: ApiError) -> AnswerEvent {
         self.ended = true;
         AnswerEvent::Failed(error)
@@ -146,7 +146,8 @@
         }
     }
 
-    /// The end of `text` that was not passed on yet, after checking the part that was.
+    /// Returns the part of `text` that was not delivered yet, after checking that the rest matches what
+    /// was delivered.
     fn unseen_part<'a>(
         &self,
         attempt: u32,
@@ -170,8 +171,8 @@
         Ok(comparable.get(seen.len()..).unwrap_or_default())
     }
 
-    /// Whether what the caller has is of another attempt than `attempt`. The part before the
-    /// start is held by the caller only, so it can be compared by the attempt's number alone.
+    /// Whether the caller's text is from another attempt than `attempt`. Only the caller has the text
+    /// before the start, so it can be compared by the attempt's number alone.
     fn is_other_attempt(&self, attempt: u32) -> bool {
         let held = self.start.attempt;
         self.start.offset > 0 && held != 0 && attempt != held && !self.is_comparison_disabled()
--- a/crates/node/src/bootstrap.rs
+++ b/crates/node/src/bootstrap.rs
@@ -1,10 +1,10 @@
-//! The first layout of groups: written once to the key-value service by compare-and-swap.
+//! Creates the first layout of groups, written once to the key-value service by compare-and-swap.
 //!
-//! Every daemon reads the key until it is there. The daemon that sees enough live members and
-//! no layout writes one. Enough are as many as the declared losses need; where fewer come, the
-//! groups are laid out on those that are there, and get further voters when others join. Whoever
-//! loses the race reads the winner's. A daemon bootstraps a replica only if the layout names it in
-//! exactly its present incarnation.
+//! Every daemon reads the key until it exists. A daemon that finds no layout and enough live members
+//! writes one. Enough means as many as the declared losses need. If fewer daemons come, the groups
+//! are laid out on those and get more voters when others join. A daemon that loses the race reads
+//! the winner's layout. A daemon bootstraps a replica only if the layout names exactly its current
+//! incarnation.
 
 use dahlia_replication::directory::{GroupDescription, initial_layout_with_homes};
 use dahlia_replication::group::Replica;
@@ -17,26 +17,27 @@
 use crate::group::Group;
 use crate::node::Node;
 
-/// The key of the layout.
+/// The key that stores the layout.
 pub const LAYOUT_KEY: &str = "groups/layout";
 
-/// How often the key is read while it is missing.
+/// The interval between reads while the key is missing.
 const READ_INTERVAL: Duration = Duration::from_millis(300);
-/// How long no further daemon must have come before the groups are laid out on those that did.
+/// How long the number of daemons must not have grown before the groups are laid out.
 const SETTLE_DELAY: Duration = Duration::from_millis(500);
-/// The same while fewer daemons are there than the declared losses need.
+/// The same delay while there are fewer daemons than the declared losses need.
 const SHORTFALL_DELAY: Duration = Duration::from_secs(3);
-/// What each live daemon adds to the interval: together they read about 100 times a second.
+/// Added to the read interval per live daemon, so that all daemons together read about 100 times a
+/// second.
 const READ_INTERVAL_PER_DAEMON: Duration = Duration::from_millis(10);
 
-/// One step with the key-value service, asked or answered.
+/// A request to the key-value service about the layout, or its response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LayoutStep {
-    /// Asked: read the key. Answered: it is missing.
+    /// Request: read the key. Response: the key is missing.
     Read,
-    /// Asked: create the key with this value if it is missing. Answered: its value.
+    /// Request: create the key with this value if it is missing. Response: the key's value.
     Value(Vec<u8>),
-    /// Answered: the service did not say. Asked again later.
+    /// Response: the service did not answer. The request is retried later.
     Failed,
 }
 
@@ -46,24 +47,24 @@
     is_done: bool,
     is_missing: bool,
     next_read: Timestamp,
-    /// Most daemons that may hold groups seen at once.
+    /// The most daemons that may hold groups that were live at once.
     max_holders: usize,
-    /// When there were that many first.
+    /// When that number was first reached.
     max_holders_since: Timestamp,
 }
 
 impl Bootstrap {
-    /// Whether the layout is known here.
+    /// Whether the layout is known to this daemon.
     pub(crate) fn is_done(&self) -> bool {
         self.is_done
     }
 
-    /// Whether the service said that no layout exists.
+    /// Whether the service reported that no layout exists.
     pub(crate) fn is_missing(&self) -> bool {
         self.is_missing && !self.is_done
     }
 
-    /// Whether the key should be read now.
+    /// Whether a read of the key is due; if so, schedules the next one.
     pub(crate) fn take_due_read(&mut self, now: Timestamp) -> bool {
         if self.is_done || now < self.next_read {
             return false;
@@ -72,13 +73,13 @@
         true
     }
 
-    /// Spreads the reads of many daemons.
+    /// Delays the next read in proportion to the number of live daemons.
     pub(crate) fn delay_next_read(&mut self, live_daemons: usize, now: Timestamp) {
         let interval = READ_INTERVAL_PER_DAEMON.times(live_daemons as u64);
         self.next_read = self.next_read.max(now + interval);
     }
 
-    /// Whether the groups may be laid out on so many daemons, of which `needed` are wanted.
+    /// Whether the groups may be laid out on `holders` daemons, where `needed` are wanted.
     pub(crate) fn has_settled(&mut self, holders: usize, needed: usize, now: Timestamp) -> bool {
         if holders > self.max_holders {
             self.max_holders = holders;
@@ -88,12 +89,12 @@
         holders > 0 && now.since(self.max_holders_since) >= delay
     }
 
-    /// Notes that the key is missing.
+    /// Records that the key is missing.
     pub(crate) fn note_missing(&mut self) {
         self.is_missing = true;
     }
 
-    /// Notes that the layout is known.
+    /// Records that the layout is known.
     pub(crate) fn finish(&mut self) {
         self.is_done = true;
     }
@@ -123,7 +124,7 @@
             return;
         }
         if !self.settings.holds_groups {
-            // The owners tell all daemons of their groups; the key holds nothing that it needs.
+            // Owners publish their groups to all daemons, so this daemon does not need the key.
             if self.directory.iter().count() >= self.settings.group_count as usize {
                 self.bootstrap.finish();
             }
@@ -185,13 +186,13 @@
         for description in layout {
             let (id, voters) = (description.group, description.members.clone());
             self.directory.merge(description);
-            // Another life of this daemon is another replica: only the life that the layout
-            // names starts as a voter, and it does so once, because the layout is read once.
+            // Another incarnation of this daemon is another replica. Only the incarnation that the
+            // layout names starts as a voter, and only once, because the layout is read once.
             if !voters.contains(&self.settings.own) {
                 continue;
             }
             if let Some(group) = self.groups.get_mut(&id) {
-                // A first voter that was elected already has sent a message before.
+                // The group exists already if the first voter was elected and sent a message.
                 group.replica.set_initial_voters(voters, now);
                 self.dirty.insert(id);
                 continue;
@@ -201,7 +202,7 @@
             let mut replica =
                 Replica::bootstrap(self.settings.own, id, voters.clone(), settings, seed, now);
             if voters.first() == Some(&self.settings.own) {
-                // The layout balances leaders: its first voter need not wait for a timeout.
+                // The layout balances leaders, so the first voter need not wait for a timeout.
                 replica.campaign(now);
             }
             let maintenance = Maintenance::new(self.settings.maintenance.clone());
--- a/crates/node/src/configuration.rs
+++ b/crates/node/src/configuration.rs
@@ -1,8 +1,8 @@
-//! The operators' configuration on this node: which generation is in force, and the changes that
-//! this node brings in for operators.
+//! The operators' configuration on this node: the generation in force, and changes proposed through
+//! this node.
 //!
-//! A node that starts does not know whether it is current. It stays `Joining`, owns no group and
-//! refuses requests until its follower allows it to serve.
+//! A node that starts does not know whether its configuration is current. It stays `Joining`, owns no
+//! group and refuses requests until its follower allows it to serve.
 
 mod changes;
 
@@ -23,53 +23,53 @@
 use crate::wire::PeerMessage;
 use crate::{Action, NodeSettings};
 
-/// A daemon whose seeds do not answer for so long goes on as if it were alone.
+/// A daemon whose seeds do not answer within this time proceeds as if it were alone.
 const SEED_TIMEOUT: Duration = Duration::from_secs(5);
-/// How often the list of peers is looked at.
+/// How often the list of peers is updated.
 const PEER_UPDATE_INTERVAL: Duration = Duration::from_millis(200);
 
 /// The configuration as this node knows it.
 #[derive(Debug, Clone)]
 pub struct ConfigurationView {
-    /// Whether the node may serve by it.
+    /// Whether the node may serve with this configuration.
     pub serving_generation: ServingGeneration,
-    /// The newest record; none before the first.
+    /// The newest record; none before the first one.
     pub current: Option<Arc<ConfigurationRecord>>,
-    /// Records that this node had in force before, newest first.
+    /// Records that were previously in force on this node, newest first.
     pub previous: Vec<Arc<ConfigurationRecord>>,
 }
 
-/// State of the configuration on this node.
+/// The configuration state of this node.
 pub(crate) struct Configuration {
     follower: ConfigurationFollower,
     change_writer: ChangeWriter,
     started_at: Timestamp,
     has_seeds: bool,
-    /// None until the follower was given the first list.
+    /// The last list passed to the follower; none before the first.
     peers: Option<Vec<Peer>>,
     next_peer_update: Timestamp,
     next_tick: Timestamp,
-    /// The last step of the change under way.
+    /// The last step of the change in progress.
     current_step: ChangeStep,
-    /// Who waits for the verdict on a change.
+    /// Requests that wait for the outcome of a change.
     change_waiters: BTreeMap<ChangeId, BTreeSet<RequestId>>,
-    /// The document that the settings make, while it may be needed.
+    /// The document from the settings, while it may be needed.
     first_document: Option<String>,
     next_first_document_offer: Option<Timestamp>,
-    /// Generations that other daemons told of.
+    /// The generations that other daemons last reported.
     reported_generations: BTreeMap<DaemonId, Generation>,
-    /// The follower allows this node to serve.
+    /// Whether the follower allows this node to serve.
     is_follower_ready: bool,
-    /// The node serves.
+    /// Whether the node serves.
     is_serving: bool,
-    /// The configuration says that this daemon drains.
+    /// Whether the configuration requests that this daemon drains.
     drains: bool,
-    /// Whether the operators' configuration is kept by the daemons at all.
+    /// Whether the daemons keep the operators' configuration at all.
     is_enabled: bool,
 }
 
 impl Configuration {
-    /// Knows no generation. `first_document` is offered when the system has none.
+    /// Creates a state without a generation. `first_document` is proposed if the system has none.
     pub(crate) fn new(settings: &NodeSettings, now: Timestamp) -> Self {
         let own = settings.own.daemon;
         let follower = ConfigurationFollower::new(
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Why the node does not serve yet.
+    /// Returns why the node does not serve yet; none if it serves.
     pub(crate) fn problem(&self) -> Option<&'static str> {
         if self.is_serving {
             return None;
@@ -122,12 +122,12 @@
         Some("it is not known yet which generation of the configuration is in force")
     }
 
-    /// The generation held; 0 when none is.
+    /// Returns the current generation; 0 if there is none.
     pub(crate) fn generation(&self) -> Generation {
         self.current().map_or(Generation(0), |record| record.generation())
     }
 
-    /// The record held.
+    /// Returns the current record.
     pub(crate) fn current(&self) -> Option<&Arc<ConfigurationRecord>> {
         self.follower.current()
     }
@@ -158,8 +158,7 @@
 }
 
 impl Node {
-    /// Hands over again and again while the configuration says that this daemon drains, and takes
-    /// work again when it no longer does.
+    /// Drains this daemon while the configuration requests it, and accepts work again afterwards.
     pub(crate) fn drain_by_configuration(&mut self, drains: bool, now: Timestamp) {
         let configuration = &mut self.configuration;
         let was_drained = std::mem::replace(&mut configuration.drains, drains);
@@ -170,7 +169,7 @@
         }
     }
 
-    /// The configuration as this node knows it.
+    /// Returns the configuration as this node knows it.
     pub fn configuration_view(&self) -> ConfigurationView {
         let follower = &self.configuration.follower;
         ConfigurationView {
@@ -180,7 +179,7 @@
         }
     }
 
-    /// The generation that a daemon last told of; this node's own for itself.
+    /// Returns the generation that a daemon last reported, or this node's own generation.
     pub fn generation_of(&self, daemon: DaemonId) -> Option<Generation> {
         if daemon == self.settings.own.daemon {
             return Some(self.configuration.generation());
@@ -188,7 +187,7 @@
         self.configuration.reported_generations.get(&daemon).copied()
     }
 
-    /// Time has passed.
+    /// Handles the passage of time.
     pub(crate) fn configuration_tick(&mut self, now: Timestamp) {
         if !self.configuration.is_enabled {
             return;
@@ -204,7 +203,7 @@
         self.offer_first_document(now);
     }
 
-    /// Gives the follower the other daemons that are believed to live, when they changed.
+    /// Passes the list of other daemons that are not known to be dead to the follower, if it changed.
     fn update_peers(&mut self, now: Timestamp) {
         if now < self.configuration.next_peer_update {
             return;
@@ -232,7 +231,7 @@
         }
     }
 
-    /// A follower of another daemon says something.
+    /// Handles a message from another daemon's follower.
     pub(crate) fn handle_configuration_message(
         &mut self,
         from: DaemonId,
@@ -246,7 +245,7 @@
         self.run_follower(FollowerEvent::Message { from, message }, now);
     }
 
-    /// The key-value service answered.
+    /// Handles an answer from the key-value service.
     pub(crate) fn handle_key_value_event(&mut self, event: KeyValueEvent, now: Timestamp) {
         match event {
             KeyValueEvent::Read(result) => {
@@ -254,8 +253,8 @@
             }
             KeyValueEvent::Watched(value) => self.run_follower(FollowerEvent::Watched(value), now),
             KeyValueEvent::WatchEnded => self.run_follower(FollowerEvent::WatchEnded, now),
-            // An answer to the step of a change that was given up must not pass for the answer to
-            // the present one's.
+            // The answer to a step of an abandoned change must not be mistaken for the answer to the
+            // current change.
             KeyValueEvent::ReadForChange { step, result }
                 if step == self.configuration.current_step =>
             {
@@ -299,8 +298,8 @@
             return;
         };
         let message = match message {
-            // Before the groups are laid out nobody can have been served by any generation: a
-            // system that starts for the first time need not wait for what may still spread.
+            // Before the groups are laid out, no generation can have served any caller. A system that
+            // starts for the first time need not wait for generations that may still spread.
             FollowerMessage::CompareReply { newest, is_serving } => FollowerMessage::CompareReply {
                 newest,
                 is_serving: is_serving && self.is_laid_out(),
@@ -311,7 +310,7 @@
         self.actions.push(Action::Send { to: address, message });
     }
 
-    /// A generation is in force from now on.
+    /// Puts a generation in force on this node.
     fn activate_generation(&mut self, record: Arc<ConfigurationRecord>, now: Timestamp) {
         let generation = record.generation();
         let change = &record.change().change;
@@ -324,7 +323,7 @@
         self.start_serving(now);
     }
 
-    /// Begins to serve when the follower allows it and a generation exists or is not needed.
+    /// Starts to serve once the follower allows it and a generation exists or is not needed.
     fn start_serving(&mut self, _now: Timestamp) {
         let configuration = &mut self.configuration;
         let has_generation = configuration.generation() > Generation(0);
--- a/crates/node/src/configuration/changes.rs
+++ b/crates/node/src/configuration/changes.rs
@@ -1,5 +1,5 @@
-//! Changes of the configuration that this node brings in: those of operators, and the first
-//! document of a new system.
+//! Configuration changes proposed through this node: operators' changes, and the first document of a
+//! new system.
 
 use dahlia_configuration::{
     ChangeId, ChangeOutcome, ChangeProposal, ChangeWriterAction, ChangeWriterEvent, Digest,
@@ -12,15 +12,15 @@
 use crate::node::Node;
 use crate::request::RequestId;
 
-/// Daemons of one system offer the first document one after the other, this far apart.
+/// The daemons of one system propose the first document one after another, at this interval.
 const FIRST_DOCUMENT_STAGGER: Duration = Duration::from_millis(300);
-/// Pause before the first document is offered again.
+/// Delay before the first document is proposed again.
 const FIRST_DOCUMENT_RETRY: Duration = Duration::from_secs(2);
 /// Author of the first document.
 const FIRST_DOCUMENT_AUTHOR: &str = "settings";
 
 impl Node {
-    /// An operator asks for a change.
+    /// Handles an operator's proposed change.
     pub(crate) fn propose_change(
         &mut self,
         id: RequestId,
@@ -28,7 +28,7 @@
         now: Timestamp,
     ) {
         if !self.configuration.is_follower_ready {
-            // A daemon that does not know the newest generation cannot tell what follows it.
+            // A daemon that does not know the newest generation cannot determine the next one.
             let outcome = ChangeOutcome::Unavailable;
             self.actions.push(Action::AnswerChange { id, outcome });
             return;
@@ -37,7 +37,7 @@
         let actions =
             self.configuration.change_writer.handle(ChangeWriterEvent::Proposed(proposal), now);
         if let [ChangeWriterAction::Answer(_, outcome)] = actions.as_slice() {
-            // Refused at once: whoever waits for an earlier request of this change waits on.
+            // The change was refused at once. Earlier requests for the same change keep waiting.
             self.actions.push(Action::AnswerChange { id, outcome: outcome.clone() });
             return;
         }
@@ -77,8 +77,8 @@
     fn finish_change(&mut self, change: &ChangeId, outcome: &ChangeOutcome, now: Timestamp) {
         log::info!(target: "configuration", "Change {change}: {}.", describe_outcome(outcome));
         if let ChangeOutcome::Accepted(record) = outcome {
-            // Others get the record before the operator gets the answer: an acceptance that only
-            // this daemon knew of could be lost with it while the service is down.
+            // Other daemons get the record before the operator gets the answer. If only this daemon
+            // knew of the acceptance, it could be lost with it while the service is down.
             self.run_follower(FollowerEvent::Accepted(record.clone()), now);
         }
         for id in self.configuration.change_waiters.remove(change).unwrap_or_default() {
@@ -86,8 +86,8 @@
         }
     }
 
-    /// Offers the document of the settings when the system has none. Each daemon with the same
-    /// settings offers the same change, so that only one of them takes effect.
+    /// Proposes the document from the settings if the system has none. Daemons with the same settings
+    /// propose the same change, so that only one proposal takes effect.
     pub(super) fn offer_first_document(&mut self, now: Timestamp) {
         let own = self.settings.own.daemon;
         let configuration = &self.configuration;
--- a/crates/node/src/durable.rs
+++ b/crates/node/src/durable.rs
@@ -1,4 +1,4 @@
-//! Starting again with the groups that were found on the disk.
+//! Restarts a node with the groups found on disk.
 
 use dahlia_program::{GroupState, SnapshotError};
 use dahlia_replication::group::{DurableReplica, Replica};
@@ -10,7 +10,7 @@
 use crate::group::Group;
 use crate::node::Node;
 
-/// Why a node could not go on with what was on the disk.
+/// An error in the state on disk from which a node cannot recover.
 #[derive(Debug, Snafu)]
 #[snafu(display("the recorded state of {group} cannot be read: {source}"))]
 pub struct RecoverError {
@@ -19,11 +19,11 @@
 }
 
 impl Node {
-    /// A node that goes on with the groups that an earlier life of this daemon recorded, under
-    /// the same replica identifier (`settings.own`).
+    /// Creates a node with the groups that a previous process of this daemon recorded under the same
+    /// replica identifier (`settings.own`).
     ///
     /// # Errors
-    /// [`RecoverError`] when the state of a group is damaged or of another layout.
+    /// [`RecoverError`] if the state of a group is damaged or has another layout.
     pub fn recover(
         settings: NodeSettings,
         replicas: Vec<DurableReplica>,
--- a/crates/node/src/event.rs
+++ b/crates/node/src/event.rs
@@ -1,4 +1,4 @@
-//! What drives a node, and what it asks of its driver.
+//! Events that drive a node, and actions that it requests from its driver.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -25,45 +25,45 @@
 use crate::wire::PeerMessage;
 use crate::zone_liveness::Reach;
 
-/// A document that the driver keeps in step with an outside source. Daemons that cannot reach the
-/// source learn it from those that could. The newest version of each number wins.
+/// A document that the driver keeps synchronized with an external source. Daemons that cannot reach
+/// the source get it from daemons that can. The newest version of each number wins.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SharedDocument {
-    /// Which document, by a number that the driver assigns.
+    /// The document's number, assigned by the driver.
     pub number: u32,
-    /// Rises with every change.
+    /// Increases with every change.
     pub version: u64,
-    /// The driver's encoding; `membership.max_document_bytes` at most.
+    /// The contents, encoded by the driver; at most `membership.max_document_bytes`.
     pub bytes: Vec<u8>,
 }
 
-/// Attempts at a back end that failed by its own doing, as one daemon saw them. With many gateways
-/// each sees few of them; together they see which back end is to be left alone.
+/// Attempts that failed through the fault of their back end, as observed by one daemon. With many
+/// gateways each observes only a few failures; together they identify a back end to avoid.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BackendFailure {
     /// The back end's identifier.
     pub backend: String,
-    /// Failed attempts since this daemon's last report of it.
+    /// Failed attempts since this daemon's last report on this back end.
     pub failures: u8,
 }
 
-/// Something that happened.
+/// An input to the node.
 #[derive(Debug, Clone)]
 pub enum Event {
-    /// Time passed. Due about every [`crate::Node::TICK_INTERVAL`].
+    /// Time has passed. The driver sends it after each [`crate::Node::tick_interval`].
     Tick,
-    /// A message of another daemon.
+    /// A message from another daemon arrived.
     Message {
-        /// The sender, by its first frame.
+        /// The sender, as named in the connection's first frame.
         from: ReplicaId,
         /// The message.
         message: PeerMessage,
     },
-    /// A connection to a daemon broke.
+    /// A connection to a daemon was lost.
     ConnectionLost(ReplicaId),
-    /// A request of this daemon's gateway or operators' server.
+    /// A request from this daemon's gateway or operators' server.
     Request {
-        /// Its name; the response carries it.
+        /// The request's identifier, repeated in the response.
         id: RequestId,
         /// The request.
         request: Request,
@@ -72,9 +72,9 @@
     AttemptEnded {
         /// The attempt.
         attempt: AttemptId,
-        /// The epoch that it was started or resumed under.
+        /// The epoch under which it was started or resumed.
         epoch: Term,
-        /// How.
+        /// How it ended.
         end: AttemptEnd,
     },
     /// The first text of an attempt arrived.
@@ -82,18 +82,18 @@
         /// The attempt.
         attempt: AttemptId,
     },
-    /// An engine answered a release, or did not.
+    /// A release request to an engine was confirmed or failed.
     ReleaseEnded {
         /// The program.
         program: ProgramId,
-        /// The engine's life that was asked.
+        /// The engine incarnation that was asked.
         holder: EngineIncarnation,
         /// The last intent that the request covered.
         covers: LogIndex,
-        /// How.
+        /// The result.
         end: ReleaseEnd,
     },
-    /// An engine reported.
+    /// An engine reported its load.
     EngineReported(EngineReport),
     /// An engine reported its models and its role.
     EngineState(EngineId, EngineState),
@@ -101,110 +101,112 @@
     EngineRefusesWork {
         /// The engine.
         engine: EngineId,
-        /// The life that the attempt was meant for.
+        /// The incarnation for which the attempt was meant.
         incarnation: Incarnation,
     },
     /// The platform's list of machines was read.
     Machines(MachineListing),
-    /// The key-value service answered about the configuration.
+    /// The key-value service answered an operation on the configuration key.
     KeyValue(KeyValueEvent),
-    /// An operator asks for a change of the configuration. Answered by [`Action::AnswerChange`].
+    /// An operator proposes a configuration change. Answered by [`Action::AnswerChange`].
     ProposeChange {
-        /// Its name; the verdict carries it.
+        /// The request's identifier, repeated in the answer.
         id: RequestId,
         /// The change.
         proposal: ChangeProposal,
     },
-    /// The key-value service answered about the layout of groups.
+    /// The key-value service answered an operation on the layout of groups.
     Layout(LayoutStep),
     /// An operation on this daemon's store has ended.
     StoreEnded(Box<StoreResult>),
-    /// Further addresses of daemons to start from, used while no other daemon is known.
+    /// More seed addresses were found. They are used while no other daemon is known.
     SeedsFound(Vec<SocketAddr>),
-    /// Addresses of daemons that an earlier life of this one knew: it makes itself known there.
+    /// Addresses of daemons known to a previous incarnation of this one. The node contacts them to
+    /// announce itself.
     PreviousPeers(Vec<SocketAddr>),
-    /// What may be lost at once has changed.
+    /// The losses to tolerate at the same time have changed.
     ToleranceChanged(LossTolerance),
-    /// This daemon has read a document that others may need from it.
+    /// Share a document that this daemon read and others may need.
     ShareDocument(SharedDocument),
-    /// The same of a document that others have by the same way as this daemon: it is kept for those that
-    /// ask, and nobody is told.
+    /// Keep a document that other daemons obtain in the same way as this one. It is not spread, only
+    /// returned to daemons that request it.
     KeepDocument(SharedDocument),
-    /// The source that this daemon reads does not answer: the documents are wanted that daemons with
-    /// groups keep of it.
+    /// Request documents from the daemons that hold groups, because the source that this daemon reads
+    /// does not answer.
     RequestDocuments,
-    /// This daemon has read the outside source that daemons share.
+    /// This daemon read the external source that daemons share.
     SourceRead(SourceReport),
-    /// Attempts of this daemon at a back end failed: others are told.
+    /// Attempts of this daemon at a back end failed; the failures are reported to other daemons.
     BackendFailed(BackendFailure),
-    /// The loads that this daemon makes, each item once. Due every
+    /// The loads caused by this daemon, each item once. The driver sends it every
     /// [`LoadSharingSettings::tell_interval`](crate::LoadSharingSettings::tell_interval).
     OwnLoads(Vec<ItemLoad>),
-    /// The loads that this daemon makes are told no more, until the next [`Self::OwnLoads`].
+    /// Stop reporting this daemon's loads until the next [`Self::OwnLoads`].
     OwnLoadsEnded,
-    /// The driver wants a group recorded as a whole, to drop its earlier changes.
+    /// The driver requests a full image of a group, so that it can drop earlier changes.
     ImageWanted(GroupId),
-    /// This daemon is to be emptied: its replicas are replaced elsewhere while it serves on.
+    /// Move all replicas off this daemon while it continues to serve.
     Retire,
-    /// A planned stop begins.
+    /// Begin a planned stop.
     Drain,
 }
 
-/// Something to do.
+/// An output of the node for its driver to perform.
 #[derive(Debug, Clone)]
 pub enum Action {
     /// Make a change of a group durable.
     ///
-    /// SAFETY: no later action may be carried out before, except for [`Action::SendUnsynced`],
-    /// and the node may take no event in from outside this batch. A driver collects the actions
-    /// of a batch of events, syncs all changes of the batch at once, and then carries out the
-    /// rest. Nothing of a batch whose changes could not be synced may ever be carried out. Given
-    /// only when [`NodeSettings::group`](crate::NodeSettings::group) says that there is a disk.
+    /// SAFETY: until the change is durable, the driver must perform no later action except
+    /// [`Action::SendUnsynced`] and must not pass the node events from outside this batch. A driver
+    /// collects the actions of a batch of events, syncs all changes of the batch at once, and then
+    /// performs the rest. If the sync fails, it must never perform any action of that batch. Emitted
+    /// only if [`NodeSettings::group`](crate::NodeSettings::group) says that there is a disk.
     Persist(Box<DurableChange>),
-    /// Send a message; it may be lost.
+    /// Send a message. It may be lost.
     Send {
-        /// Where to.
+        /// The destination.
         to: SocketAddr,
         /// The message.
         message: PeerMessage,
     },
-    /// Send a message without waiting for the sync of the batch; it may be lost. It promises
-    /// nothing: see [`Replica::may_send_unsynced`].
+    /// Send a message without waiting for the sync of the batch. It may be lost. It depends on no
+    /// durable state: see [`Replica::may_send_unsynced`].
     ///
     /// [`Replica::may_send_unsynced`]: dahlia_replication::group::Replica::may_send_unsynced
     SendUnsynced {
-        /// Where to.
+        /// The destination.
         to: SocketAddr,
         /// The message.
         message: PeerMessage,
     },
-    /// Answer a request of this daemon's gateway or operators' server.
+    /// Answer a request from this daemon's gateway or operators' server.
     Respond {
         /// The request.
         id: RequestId,
         /// The answer.
         response: Response,
     },
-    /// Send an attempt to its engine and read the answer. Its intent is durable.
+    /// Send an attempt to its engine and read the answer. Its intent is already durable.
     StartAttempt(Box<StartAttempt>),
-    /// Fence the program at the engine with this epoch, then find out about an attempt that an
-    /// earlier owner started, and read its answer from the start.
+    /// Fence the program at the engine with this epoch, then query the state of an attempt that a
+    /// previous owner started and read its answer from the beginning.
     ResumeAttempt(Box<StartAttempt>),
-    /// Ask the engine to cut an attempt; its end follows as usual.
+    /// Ask the engine to cancel an attempt. [`Event::AttemptEnded`] follows as usual.
     CancelAttempt {
         /// The attempt.
         attempt: AttemptId,
         /// The owner's epoch.
         epoch: Term,
     },
-    /// Cut an attempt only if the engine has not started it; its end follows as usual.
+    /// Cancel an attempt only if the engine has not started it. [`Event::AttemptEnded`] follows as
+    /// usual.
     RecallAttempt {
         /// The attempt.
         attempt: AttemptId,
         /// The owner's epoch.
         epoch: Term,
     },
-    /// Ask an engine to keep a program's cache until a time.
+    /// Ask an engine to keep a program's cache for a while.
     HoldCache {
         /// The program.
         program: ProgramId,
@@ -212,85 +214,85 @@
         engine: EngineId,
         /// The owner's epoch.
         epoch: Term,
-        /// How long from now.
+        /// How long to keep it, from now.
         length: Duration,
     },
-    /// Stop reading an attempt without touching the engine: a new owner takes over.
+    /// Stop reading an attempt but leave it running at the engine, because a new owner takes over.
     DetachAttempt {
         /// The attempt.
         attempt: AttemptId,
     },
-    /// The call's text is no longer needed outside its outcome.
+    /// Drop a call's buffered text; only its outcome is still needed.
     ForgetAnswer {
         /// The call.
         call: CallId,
     },
     /// Ask an engine to free a program's memory.
     Release(Box<ReleaseOrder>),
-    /// Talk to these engines from now on. Readings of others go on for as long as they answer.
+    /// Set the engines to use. Open reads from other engines continue while those answer.
     SetEngines(Vec<EngineAddress>),
-    /// Give an engine an order. It may be lost.
+    /// Send an engine an order. It may be lost.
     Order(Box<FencedOrder>),
-    /// Read, swap or watch the configuration's key.
+    /// Read, swap or watch the configuration key.
     KeyValue(KeyValueOperation),
-    /// Answer an operator's change.
+    /// Answer an operator's configuration change.
     AnswerChange {
         /// The request.
         id: RequestId,
-        /// What became of the change.
+        /// The outcome of the change.
         outcome: ChangeOutcome,
     },
-    /// A generation is in force on this daemon. Generations only rise.
+    /// A generation is in force on this daemon. Generations only increase.
     ConfigurationInForce(Arc<ConfigurationRecord>),
-    /// Read or write the layout of groups at the key-value service.
+    /// Read or write the layout of groups in the key-value service.
     Layout(LayoutStep),
     /// Another daemon shared a newer version of a document.
     DocumentShared(SharedDocument),
-    /// Read the outside source that daemons share, or take in what another one read of it.
+    /// Read the external source that daemons share, or accept what another daemon read from it.
     Feed(FeedOrder),
-    /// Another daemon saw attempts at a back end fail.
+    /// Another daemon reported failed attempts at a back end.
     BackendFailureReported(BackendFailure),
-    /// Other daemons told the loads that they make.
+    /// Other daemons reported the loads that they cause.
     LoadsReported(HeardLoads),
-    /// Whom this daemon reaches has changed.
+    /// The set of daemons that this one reaches has changed.
     ReachChanged(Reach),
-    /// Carry out an operation on this daemon's store.
+    /// Perform an operation on this daemon's store.
     Store(Box<StoreRequest>),
-    /// End the process: another life of this daemon has taken its place.
+    /// Stop the process because a later incarnation of this daemon replaces it.
     Stop {
-        /// That life, or a later one.
+        /// That incarnation or a later one.
         superseded_by: Incarnation,
     },
 }
 
-/// All that an engine must be told of an attempt.
+/// Everything that an engine needs to run an attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StartAttempt {
-    /// The attempt with its fences.
+    /// The attempt, with its epoch and engine incarnation as fences.
     pub attempt: Attempt,
     /// The engine.
     pub engine: EngineId,
-    /// Whose program it is; prefix caches are kept apart by it.
+    /// The tenant that owns the program; prefix caches are separated by tenant.
     pub tenant: TenantId,
     /// Model, adapter and version.
     pub model: ModelId,
-    /// The whole prompt. Empty when resuming.
+    /// The full prompt. Empty when resuming.
     pub messages: Vec<Message>,
-    /// The engine refuses a longer prompt unrun.
+    /// Upper bound of the prompt's tokens. The engine refuses a longer prompt without running it.
     pub prompt_bound: Tokens,
-    /// Most tokens to generate.
+    /// Maximum number of tokens to generate.
     pub max_generated: Tokens,
-    /// Smaller goes first.
+    /// Queue priority; smaller values run first.
     pub priority: u64,
 }
 
-/// A release with the owner's epoch.
+/// A release request with the owner's epoch.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReleaseOrder {
-    /// What to free, and what to fence first.
+    /// What to fence and then free.
     pub request: ReleaseRequest,
     /// The owner's epoch.
     pub epoch: Term,
-    /// Whether the program has ended, rather than pausing.
+    /// Whether the program has ended; false if it only pauses.
     pub ended: bool,
 }
--- a/crates/node/src/group.rs
+++ b/crates/node/src/group.rs
@@ -1,4 +1,4 @@
-//! One replica group on this daemon: its replica, its programs, and what waits for its log.
+//! One replica group on this daemon: its replica, its programs and its pending proposals.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,29 +13,29 @@
 use crate::Action;
 use crate::routing::ReplyTo;
 
-/// How often an owner has a ledger that holds something expire. Well below the most that one
-/// stamp moves a ledger's time.
+/// How often an owner proposes the expiry of a nonempty ledger. It is well below the most that one
+/// timestamp advances a ledger's time.
 const LEDGER_EXPIRY_INTERVAL: Duration = Duration::from_secs(4);
 
-/// What a proposal was for.
+/// The purpose of a proposal.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum ProposalPurpose {
-    /// A request to be answered when the command is applied.
+    /// A request that is answered when the command is applied.
     Request(ReplyTo),
-    /// An attempt's intent: dispatch when it is durable.
+    /// An attempt's intent. The attempt is dispatched when the intent is durable.
     Intent(IntentPurpose),
-    /// Nothing waits for it.
+    /// Maintenance that nothing waits for.
     Housekeeping,
 }
 
-/// What an intent's dispatch needs besides the command.
+/// Data needed to dispatch an intent, besides the command.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct IntentPurpose {
     /// The attempt.
     pub(crate) attempt: AttemptId,
-    /// The engine's life.
+    /// The engine's incarnation.
     pub(crate) holder: EngineIncarnation,
-    /// Upper bound of the prompt.
+    /// Upper bound of the prompt's tokens.
     pub(crate) prompt_bound: Tokens,
     /// The engine's queue priority.
     pub(crate) priority: u64,
@@ -44,20 +44,20 @@
 /// An attempt that this node runs as owner.
 #[derive(Debug, Clone)]
 pub(crate) struct LiveAttempt {
-    /// The epoch that it runs under.
+    /// The epoch under which it runs.
     pub(crate) epoch: Term,
-    /// When it is cancelled, or cancelled again.
+    /// When it is next cancelled.
     pub(crate) cancel_at: Timestamp,
 }
 
-/// A release that is under way or due.
+/// A release that is in progress or due.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct PendingRelease {
-    /// When to ask again.
+    /// When to send the next request.
     pub(crate) due: Timestamp,
-    /// Failures so far.
+    /// Number of failures so far.
     pub(crate) failures: u32,
-    /// Whether an answer is awaited.
+    /// Whether a response is outstanding.
     pub(crate) awaits_response: bool,
 }
 
@@ -65,32 +65,32 @@
 pub(crate) struct Group {
     pub(crate) replica: Replica,
     pub(crate) state: GroupState,
-    /// Proposals of this node by their place in the log.
+    /// Proposals of this node by log index.
     pub(crate) pending: BTreeMap<LogIndex, (Term, ProposalPurpose)>,
-    /// Commands that the replica could not take at the moment.
+    /// Commands that the replica could not accept yet.
     pub(crate) deferred: Vec<(Command, ProposalPurpose)>,
-    /// Attempts that run here.
+    /// Attempts that this node runs.
     pub(crate) live: BTreeMap<AttemptId, LiveAttempt>,
-    /// Attempts that were taken over: placement on this daemon does not know them.
+    /// Attempts taken over from a previous owner, unknown to placement on this daemon.
     pub(crate) taken_over: BTreeSet<AttemptId>,
     /// Requests that wait for a call's outcome.
     pub(crate) waiters: BTreeMap<CallId, BTreeSet<ReplyTo>>,
-    /// Releases that are due or under way.
+    /// Releases that are due or in progress.
     pub(crate) releases: BTreeMap<(ProgramId, EngineIncarnation), PendingRelease>,
-    /// The term in which this node took up its duties as owner, if it has.
+    /// The term in which this node assumed ownership, if it has.
     pub(crate) serving: Option<Term>,
-    /// When expired programs are next looked for.
+    /// When to check next for expired programs.
     pub(crate) next_expiry: Timestamp,
-    /// When the ledger is next to forget what is no longer kept.
+    /// When to propose the next expiry of the ledger.
     pub(crate) next_ledger_expiry: Timestamp,
-    /// Decides on changes of members while this node leads.
+    /// Decides on member changes while this node leads.
     pub(crate) maintenance: Maintenance,
-    /// The entry that set the members.
+    /// The log index of the entry that set the members.
     pub(crate) members_index: LogIndex,
 }
 
 impl Group {
-    /// A group with an empty state.
+    /// Creates a group without pending proposals.
     pub(crate) fn new(replica: Replica, state: GroupState, maintenance: Maintenance) -> Self {
         Self {
             replica,
@@ -109,12 +109,12 @@
         }
     }
 
-    /// The group's identifier.
+    /// Returns the group's identifier.
     pub(crate) fn id(&self) -> GroupId {
         self.replica.group()
     }
 
-    /// What must be durable before anything that the replica put out since the last call.
+    /// Takes the change that must be durable before any replica output since the last call is used.
     pub(crate) fn take_durable(&mut self) -> Option<Action> {
         self.replica.take_durable_change().map(|change| Action::Persist(Box::new(change)))
     }
@@ -124,7 +124,7 @@
         self.serving == Some(self.replica.term()) && self.replica.is_leader_ready()
     }
 
-    /// Puts a command into the log. Gives the purpose back when this replica does not lead.
+    /// Proposes a command for the log. Returns the purpose if this replica does not lead.
     pub(crate) fn propose(
         &mut self,
         command: Command,
@@ -140,8 +140,8 @@
                 self.deferred.push((command, purpose));
                 Ok(())
             }
-            // A leader that hands over refuses proposals and may yet go on leading. What it knows
-            // must not be lost then: an attempt's end comes only once.
+            // A leader refuses proposals during a leadership transfer, but may remain leader. Its
+            // proposals must not be lost then, because an attempt's end is reported only once.
             Err(ProposeError::NotLeader { .. })
                 if self.replica.role() == Role::Leader
                     && !matches!(purpose, ProposalPurpose::Request(_)) =>
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Proposes to end idle programs and forget ended ones, if there are any.
+    /// Proposes to close idle programs and delete ended ones, if there are any.
     pub(crate) fn propose_expiry(&mut self, keep_records: Duration, now: Timestamp) {
         let due = self.state.programs().any(|program| match program.lifecycle() {
             Lifecycle::Open => {
@@ -164,7 +164,7 @@
         });
         if due {
             let command = Command::ExpirePrograms(ExpirePrograms { now, keep_records });
-            // Not leading any more is fine: the next owner looks for itself.
+            // A lost leadership is no problem: the next owner checks as well.
             let _ = self.propose(command, ProposalPurpose::Housekeeping, now);
         }
         self.propose_ledger_expiry(now);
@@ -179,8 +179,8 @@
         let _ = self.propose(command, ProposalPurpose::Housekeeping, now);
     }
 
-    /// Takes the purpose of the entry at `index`, and those of proposals that are now known to
-    /// be lost because another entry stands at or after their place.
+    /// Takes the purpose of the entry at `index`, and those of proposals that are now known to be lost
+    /// because another entry was committed at or after their index.
     pub(crate) fn resolve_proposals(&mut self, index: LogIndex, term: Term) -> ResolvedProposals {
         let mut resolved = ResolvedProposals::default();
         while let Some((oldest, _)) = self.pending.first_key_value() {
@@ -200,12 +200,12 @@
     }
 }
 
-/// What became of proposals when an entry was committed.
+/// The fate of proposals when an entry was committed.
 #[derive(Debug, Default)]
 pub(crate) struct ResolvedProposals {
-    /// The purpose of the entry itself, if this node proposed it.
+    /// The purpose of the committed entry, if this node proposed it.
     pub(crate) committed: Option<ProposalPurpose>,
-    /// Purposes of proposals that other entries replaced.
+    /// The purposes of proposals that other entries replaced.
     pub(crate) lost: Vec<ProposalPurpose>,
 }
 
--- a/crates/node/src/history/cache.rs
+++ b/crates/node/src/history/cache.rs
@@ -1,4 +1,4 @@
-//! Chunks that were read lately, decoded.
+//! A cache of decoded chunks.
 
 use std::collections::BTreeMap;
 
@@ -11,7 +11,7 @@
     last_used: Timestamp,
 }
 
-/// The least recently used goes first when the limit is reached.
+/// A cache that evicts the least recently used chunk when its limit is exceeded.
 #[derive(Debug, Default)]
 pub(crate) struct ChunkCache {
     chunks: BTreeMap<ChunkKey, CachedChunk>,
@@ -19,19 +19,19 @@
 }
 
 impl ChunkCache {
-    /// A chunk's messages.
+    /// Returns a chunk's messages.
     pub(super) fn get(&self, key: &ChunkKey) -> Option<&[Message]> {
         self.chunks.get(key).map(|chunk| chunk.messages.as_slice())
     }
 
-    /// Notes that a chunk was of use.
+    /// Marks a chunk as used now.
     pub(super) fn touch(&mut self, key: &ChunkKey, now: Timestamp) {
         if let Some(chunk) = self.chunks.get_mut(key) {
             chunk.last_used = now;
         }
     }
 
-    /// Takes a chunk in and drops others above `limit` bytes. The new one stays in any case.
+    /// Inserts a chunk and evicts others above `limit` bytes. The new chunk always stays.
     pub(super) fn insert(
         &mut self,
         key: ChunkKey,
--- a/crates/node/src/history/holders.rs
+++ b/crates/node/src/history/holders.rs
@@ -1,5 +1,5 @@
-//! Which store daemons hold a chunk: rendezvous hashing (Thaler and Ravishankar 1998) over the
-//! live ones, so that a change of one daemon moves only its own chunks and nobody keeps a table.
+//! Chooses the store daemons that hold a chunk by rendezvous hashing (Thaler and Ravishankar 1998)
+//! over the live ones. A change of one daemon moves only its own chunks, and no table is needed.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -8,7 +8,7 @@
 
 use crate::node::Node;
 
-/// The body of the fact by which a daemon says that it has a store.
+/// The contents of the fact that announces a daemon's store.
 const HAS_STORE: &[u8] = b"store";
 
 /// A live store daemon.
@@ -19,14 +19,14 @@
 }
 
 impl Node {
-    /// Tells all daemons that this one has a store.
+    /// Announces to all daemons that this one has a store.
     pub(crate) fn publish_store(&mut self) {
         let own = self.settings.own;
         let key = FactKey::Other(own.daemon.0);
         self.membership.publish(key, own.incarnation.0, HAS_STORE.to_vec());
     }
 
-    /// Store daemons that are live, in the order of their numbers.
+    /// Returns the live store daemons, ordered by daemon id.
     pub(super) fn store_daemons(&self) -> Vec<StoreDaemon> {
         let has_store = |member: &Member| {
             let key = FactKey::Other(member.record.info.daemon.0);
@@ -45,8 +45,8 @@
     }
 }
 
-/// The daemons that should hold a chunk, best first, in different zones as far as there are
-/// zones.
+/// Returns the daemons that should hold a chunk, by descending rank, in different zones as far as
+/// possible.
 pub(super) fn holders(key: &ChunkKey, stores: &[StoreDaemon], copies: usize) -> Vec<DaemonId> {
     let ranked = ranked(key, stores);
     let mut chosen: Vec<&StoreDaemon> = Vec::new();
@@ -62,15 +62,16 @@
     chosen.into_iter().map(|store| store.daemon).collect()
 }
 
-/// All store daemons, the most likely holders first.
+/// Returns all store daemons, the most likely holders first.
 pub(super) fn ranked<'a>(key: &ChunkKey, stores: &'a [StoreDaemon]) -> Vec<&'a StoreDaemon> {
     let mut ranked: Vec<&StoreDaemon> = stores.iter().collect();
     ranked.sort_by_key(|store| std::cmp::Reverse((weight(key, store.daemon), store.daemon)));
     ranked
 }
 
-/// `DefaultHasher::new` has fixed keys. Daemons of different builds may disagree while they are
-/// being replaced; repair then copies a few chunks more, and readers ask everybody.
+/// Returns the rank of a daemon for a chunk. `DefaultHasher::new` has fixed keys. Daemons of different
+/// builds may disagree during an upgrade; repair then copies a few more chunks, and readers ask all
+/// store daemons.
 fn weight(key: &ChunkKey, daemon: DaemonId) -> u64 {
     let mut hasher = DefaultHasher::new();
     (key, daemon).hash(&mut hasher);
--- a/crates/node/src/history/message.rs
+++ b/crates/node/src/history/message.rs
@@ -1,4 +1,4 @@
-//! What owners and store daemons say to each other, and what a store daemon asks of its driver.
+//! Messages between owners and store daemons, and store operations for the driver.
 
 use dahlia_types::{ChunkKey, ProgramId, ReplicaId};
 use serde::{Deserialize, Serialize};
@@ -6,46 +6,46 @@
 /// A message about chunks.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ChunkMessage {
-    /// Store this durably.
+    /// Request: store a chunk durably.
     Put {
         /// The chunk.
         key: ChunkKey,
         /// Its bytes.
         bytes: Vec<u8>,
     },
-    /// It is durable here.
+    /// Response: the chunk is durable here.
     Stored {
         /// The chunk.
         key: ChunkKey,
     },
-    /// Send me this.
+    /// Request: send a chunk.
     Get {
         /// The chunk.
         key: ChunkKey,
     },
-    /// Here it is.
+    /// Response: the requested chunk.
     Found {
         /// The chunk.
         key: ChunkKey,
         /// Its bytes.
         bytes: Vec<u8>,
     },
-    /// It is not here, or damaged.
+    /// Response: the chunk is missing or damaged here.
     Missing {
         /// The chunk.
         key: ChunkKey,
     },
-    /// Do you have these?
+    /// Request: report which of these chunks are missing.
     Check {
         /// Chunks that the receiver should hold.
         keys: Vec<ChunkKey>,
     },
-    /// These I do not have.
+    /// Response: the checked chunks that are missing here.
     MissingKeys {
         /// The chunks.
         keys: Vec<ChunkKey>,
     },
-    /// The program is forgotten: remove its chunks.
+    /// Request: remove the chunks of a program that was deleted.
     Forget {
         /// The program.
         program: ProgramId,
@@ -67,7 +67,7 @@
         /// The chunk.
         key: ChunkKey,
     },
-    /// Find out which of these are not held.
+    /// Find out which of these chunks are missing.
     Check {
         /// The chunks.
         keys: Vec<ChunkKey>,
@@ -79,20 +79,20 @@
     },
 }
 
-/// An operation with the daemon that its result goes to.
+/// A store operation and the daemon that receives its result.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoreRequest {
-    /// Who asked.
+    /// The daemon that requested it.
     pub requester: ReplicaId,
-    /// What to do.
+    /// The operation to perform.
     pub operation: StoreOperation,
 }
 
-/// What came of an operation.
+/// The result of a store operation.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoreResult {
-    /// Who asked.
+    /// The daemon that requested the operation.
     pub requester: ReplicaId,
-    /// The answer to send; none when the operation failed, so that the requester goes elsewhere.
+    /// The response to send; none if the operation failed, so that the requester tries another daemon.
     pub answer: Option<ChunkMessage>,
 }
--- a/crates/node/src/history/mod.rs
+++ b/crates/node/src/history/mod.rs
@@ -1,15 +1,15 @@
-//! Bulk history: old turns are moved from the replicas' memory to store daemons' disks, and read
+//! Bulk history: moves old turns from the replicas' memory to store daemons' disks, and reads them
 //! back when a prompt or a late reader needs them.
 //!
-//! | module | job |
+//! | module | purpose |
 //! |---|---|
-//! | `message` | what owners and store daemons say to each other |
-//! | `holders` | which store daemons hold a chunk |
-//! | `cache` | chunks that were read lately |
-//! | `moving` | the owner moves old turns |
-//! | `reading` | the owner reads turns back |
-//! | `repair` | the owner looks after the number of copies |
-//! | `serving` | a store daemon carries out what owners ask |
+//! | `message` | messages between owners and store daemons |
+//! | `holders` | chooses the store daemons that hold a chunk |
+//! | `cache` | caches chunks that were read recently |
+//! | `moving` | moves old turns to store daemons, at the owner |
+//! | `reading` | reads turns back, at the owner |
+//! | `repair` | maintains the number of copies, at the owner |
+//! | `serving` | handles messages about chunks |
 
 mod cache;
 mod holders;
@@ -32,14 +32,14 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct HistorySettings {
-    /// Store daemons that hold each chunk, in different zones as far as there are zones. Turns
-    /// stay in the replicas' memory while fewer store daemons are live.
+    /// Number of store daemons that hold each chunk, in different zones as far as possible. Turns stay
+    /// in the replicas' memory while fewer store daemons are live.
     pub copies: usize,
-    /// Bytes of a program's history that stay in the replicas' memory.
+    /// Bytes of a program's history that stay in the replicas' memory; older turns are moved.
     pub inline_bytes: u64,
-    /// Bytes of chunks read lately that an owner keeps.
+    /// Size of an owner's cache of chunks in bytes.
     pub cache_bytes: u64,
-    /// Chunks whose copies an owner checks in a second.
+    /// Number of chunks per second whose copies an owner checks.
     pub checks_per_second: usize,
 }
 
@@ -53,7 +53,7 @@
     /// Checks every field.
     ///
     /// # Errors
-    /// The first field with a value that is not allowed.
+    /// The first field with a value out of range.
     pub fn check(&self) -> Result<(), InvalidSetting> {
         check_range("history.copies", self.copies, 1, 9)?;
         check_range("history.inline_bytes", self.inline_bytes, 0, 1 << 40)?;
@@ -62,7 +62,7 @@
     }
 }
 
-/// All that a node keeps of bulk history.
+/// The state of bulk history on a node.
 #[derive(Default)]
 pub(crate) struct History {
     pub(crate) cache: ChunkCache,
--- a/crates/node/src/history/moving.rs
+++ b/crates/node/src/history/moving.rs
@@ -1,4 +1,4 @@
-//! The owner moves old turns from the replicas' memory to store daemons.
+//! Moves old turns from the replicas' memory to store daemons, at the owner.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,14 +12,14 @@
 use crate::group::ProposalPurpose;
 use crate::node::Node;
 
-/// How often programs with too much history in memory are looked for.
+/// How often programs are scanned for too much history in memory.
 const SCAN_INTERVAL: Duration = Duration::from_millis(500);
-/// Turns that are being moved at a time.
+/// Maximum number of turns that are moved at the same time.
 const MAX_PENDING_MOVES: usize = 16;
-/// A move without all confirmations in this time is begun again later.
+/// A move that is not fully confirmed within this time is retried later.
 const MOVE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A turn on its way to store daemons.
+/// A turn that is being moved to store daemons.
 #[derive(Debug)]
 struct PendingMove {
     command: MoveTurnToStore,
@@ -27,7 +27,7 @@
     deadline: Timestamp,
 }
 
-/// Turns on their way to store daemons.
+/// The turns that are being moved to store daemons.
 #[derive(Debug, Default)]
 pub(crate) struct PendingMoves {
     pending: BTreeMap<ChunkKey, PendingMove>,
@@ -43,7 +43,7 @@
 }
 
 impl Node {
-    /// Begins to move old turns of programs with too much history in memory.
+    /// Starts to move old turns of programs with too much history in memory.
     pub(crate) fn move_history(&mut self, now: Timestamp) {
         if now < self.history.pending_moves.next_scan {
             return;
@@ -88,7 +88,7 @@
         candidates.filter(is_new).take(max_turns).collect()
     }
 
-    /// A store daemon holds a chunk durably.
+    /// Handles a store daemon's confirmation that a chunk is durable.
     pub(super) fn chunk_stored(&mut self, from: DaemonId, key: ChunkKey, now: Timestamp) {
         let Some(pending_move) = self.history.pending_moves.pending.get_mut(&key) else {
             return;
@@ -104,15 +104,15 @@
         let id: GroupId = key.program.group;
         if let Some(group) = self.groups.get_mut(&id) {
             let command = Command::MoveTurnToStore(finished.command);
-            // Not leading any more is fine: the next owner moves the turn.
+            // A lost leadership is no problem: the next owner moves the turn.
             let _ = group.propose(command, ProposalPurpose::Housekeeping, now);
             self.dirty.insert(id);
         }
     }
 }
 
-/// Old turns of a program, oldest first, until the rest is below the limit. The newest turn of
-/// each chain stays: it is what a late reader of the last answer asks for.
+/// Returns old turns of a program, oldest first, until the rest is within the limit. The newest turn
+/// of each chain stays, because a late reader of the last answer needs it.
 fn movable_turns(program: &Program, limit: u64) -> Vec<MoveCandidate> {
     let inline: Vec<(ChainId, u32, &[Message])> = program.inline_turns().collect();
     let size = |messages: &[Message]| -> u64 {
--- a/crates/node/src/history/reading.rs
+++ b/crates/node/src/history/reading.rs
@@ -1,4 +1,4 @@
-//! The owner reads turns back from store daemons.
+//! Reads turns back from store daemons, at the owner.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,10 +13,10 @@
 use crate::request::Request;
 use crate::routing::ReplyTo;
 
-/// A store daemon that did not answer in this time is passed over.
+/// After this time without a response, the next store daemon is asked.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A chunk that was asked for.
+/// A chunk that was requested.
 #[derive(Debug)]
 struct PendingRead {
     reference: ChunkReference,
@@ -24,7 +24,7 @@
     next_attempt: Timestamp,
 }
 
-/// Chunks that were asked for, and what waits for them.
+/// The requested chunks, and the calls, answers and requests that wait for them.
 #[derive(Debug, Default)]
 pub(crate) struct PendingReads {
     chunks: BTreeMap<ChunkKey, PendingRead>,
@@ -34,7 +34,7 @@
 }
 
 impl Node {
-    /// The whole prompt of a call. Chunks that are not at hand are asked for.
+    /// Returns the full prompt of a call. None if chunks are missing; they are then requested.
     pub(crate) fn compose_prompt(&mut self, call: CallId, now: Timestamp) -> Option<Vec<Message>> {
         let group = self.groups.get(&call.program.group)?;
         let program = group.state.program(call.program)?;
@@ -44,7 +44,7 @@
         Some(messages)
     }
 
-    /// A chain's whole history. None when chunks are not at hand; they are then asked for.
+    /// Returns the full history of a chain. None if chunks are missing; they are then requested.
     pub(crate) fn compose_history(
         &mut self,
         program: ProgramId,
@@ -79,17 +79,17 @@
         missing.is_empty().then_some(messages)
     }
 
-    /// Hands the call in again when its chunks are here.
+    /// Defers a call until its chunks are read.
     pub(crate) fn defer_call(&mut self, call: CallId) {
         self.history.pending_reads.calls.insert(call);
     }
 
-    /// Serves the request again when the program's chunks are here.
+    /// Defers a request until the program's chunks are read.
     pub(crate) fn defer_request(&mut self, program: ProgramId, to: ReplyTo, request: Request) {
         self.history.pending_reads.requests.entry(program).or_default().push((to, request));
     }
 
-    /// Answers those who wait for a call's outcome when its chunk is here.
+    /// Reads a stored outcome of a call and answers its waiters when the chunk is read.
     pub(crate) fn read_stored_outcome(&mut self, call: CallId, now: Timestamp) {
         let group = self.groups.get(&call.program.group);
         let outcome = group
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Forgets what waits: this node does not own the programs any more.
+    /// Drops all reads and deferred work of programs that this node no longer owns.
     pub(crate) fn drop_pending_reads(&mut self, programs: &[ProgramId]) {
         let gone = |program: &ProgramId| programs.contains(program);
         let reads = &mut self.history.pending_reads;
@@ -122,7 +122,7 @@
         self.request_due_chunks(now);
     }
 
-    /// Asks the next store daemon for each chunk whose answer is due.
+    /// Requests each chunk whose response is overdue from the next store daemon.
     pub(crate) fn request_due_chunks(&mut self, now: Timestamp) {
         if self.history.pending_reads.chunks.values().all(|read| read.next_attempt > now) {
             return;
@@ -145,11 +145,12 @@
         }
     }
 
-    /// A store daemon does not have a chunk: the next one is asked at once.
+    /// Handles a store daemon's report that it lacks a chunk. The next daemon is asked at once.
     pub(super) fn chunk_missing(&mut self, key: ChunkKey, now: Timestamp) {
         let stores = self.store_daemons().len().max(1);
         if let Some(read) = self.history.pending_reads.chunks.get_mut(&key) {
-            // After a whole round of refusals the pause stands: nobody has it at the moment.
+            // After all store daemons have reported it missing, wait for the timeout, because none has
+            // it at the moment.
             if !read.attempts.is_multiple_of(stores) {
                 read.next_attempt = now;
             }
@@ -157,7 +158,7 @@
         self.request_due_chunks(now);
     }
 
-    /// A store daemon sent a chunk. Bytes that do not match their digest are as good as missing.
+    /// Handles a chunk from a store daemon. Bytes that do not match their digest count as missing.
     pub(super) fn chunk_found(&mut self, key: ChunkKey, bytes: &[u8], now: Timestamp) {
         let Some(read) = self.history.pending_reads.chunks.get(&key) else {
             return;
@@ -174,7 +175,7 @@
 
     fn retry_waiting(&mut self, now: Timestamp) {
         for call in std::mem::take(&mut self.history.pending_reads.calls) {
-            // A call whose chunks are still missing waits again by itself.
+            // A call whose chunks are still missing is deferred again.
             self.call_ready(call, now);
         }
         for call in std::mem::take(&mut self.history.pending_reads.answers) {
--- a/crates/node/src/history/repair.rs
+++ b/crates/node/src/history/repair.rs
@@ -1,5 +1,5 @@
-//! The owner looks after the number of copies: it asks the store daemons that should hold its
-//! programs' chunks, a few at a time, and copies what they lack.
+//! Maintains the number of copies of chunks, at the owner: queries the store daemons that should hold
+//! its programs' chunks, a few at a time, and copies what is missing.
 
 use std::collections::BTreeMap;
 
@@ -11,19 +11,19 @@
 use crate::node::Node;
 
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// A copy that did not come about in this time is begun again by a later check.
+/// A copy that is not complete within this time is retried by a later check.
 const COPY_TIMEOUT: Duration = Duration::from_secs(10);
-/// Copies under way at a time.
+/// Maximum number of copies in progress.
 const MAX_PENDING_COPIES: usize = 16;
 
-/// A chunk on its way from one store daemon to another, by way of the owner.
+/// A chunk that is being copied from one store daemon to another through the owner.
 #[derive(Debug, Clone, Copy)]
 struct PendingCopy {
     to: DaemonId,
     deadline: Timestamp,
 }
 
-/// Progress of the checks.
+/// The progress of copy checks.
 #[derive(Debug, Default)]
 pub(crate) struct CopyChecks {
     next_check: Timestamp,
@@ -32,7 +32,7 @@
 }
 
 impl Node {
-    /// Asks about the next few chunks.
+    /// Checks the copies of the next few chunks.
     pub(crate) fn check_copies(&mut self, now: Timestamp) {
         let max_chunks = self.settings.history.checks_per_second;
         if now < self.history.copy_checks.next_check || max_chunks == 0 {
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Chunks of the programs remaining the cursor, whole programs at a time.
+    /// Returns the chunks of the programs after the cursor, all chunks of a program at a time.
     fn next_chunks(&mut self, max_chunks: usize) -> Vec<ChunkKey> {
         let serving = self.groups.values().filter(|group| group.is_serving());
         let cursor = self.history.copy_checks.cursor;
@@ -72,12 +72,12 @@
             keys.extend(stored_chunks(program));
             last = Some(program.id());
         }
-        // At the end the next round starts from the front.
+        // After the last program the next round starts from the first.
         self.history.copy_checks.cursor = if keys.len() >= max_chunks { last } else { None };
         keys
     }
 
-    /// A store daemon lacks chunks that it should hold: fetch them from those that have them.
+    /// Copies chunks to a store daemon that should hold them, from the daemons that have them.
     pub(super) fn copy_missing_chunks(
         &mut self,
         to: DaemonId,
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Passes a chunk on to the store daemon that lacks it.
+    /// Forwards a chunk to the store daemon that lacks it.
     pub(super) fn forward_chunk(&mut self, key: ChunkKey, bytes: &[u8]) {
         if let Some(copy) = self.history.copy_checks.copies.remove(&key) {
             let bytes = bytes.to_vec();
--- a/crates/node/src/history/serving.rs
+++ b/crates/node/src/history/serving.rs
@@ -1,4 +1,4 @@
-//! Messages about chunks: a store daemon carries out what owners ask; an owner takes answers.
+//! Handles messages about chunks: requests at a store daemon and responses at an owner.
 
 use dahlia_types::{DaemonId, ProgramId, ReplicaId, Timestamp};
 
@@ -8,7 +8,7 @@
 use crate::wire::PeerMessage;
 
 impl Node {
-    /// Takes in a message about chunks.
+    /// Handles a message about chunks.
     pub(crate) fn handle_chunk_message(
         &mut self,
         from: ReplicaId,
@@ -44,14 +44,14 @@
         }
     }
 
-    /// An operation on the store of this daemon has ended.
+    /// Sends the response of a finished operation on this daemon's store.
     pub(crate) fn store_ended(&mut self, result: StoreResult) {
         if let Some(answer) = result.answer {
             self.send_chunk(result.requester.daemon, answer);
         }
     }
 
-    /// Tells every store daemon that a program is forgotten.
+    /// Tells every store daemon to remove the chunks of a deleted program.
     pub(crate) fn forget_chunks(&mut self, program: ProgramId) {
         let stores = self.store_daemons();
         for store in stores {
--- a/crates/node/src/ledger.rs
+++ b/crates/node/src/ledger.rs
@@ -1,7 +1,7 @@
-//! Requests to the ledgers of caller-named programs: their way to the owner, and what it does.
+//! Routes requests to ledgers of caller-named programs, and serves them at the owner.
 //!
-//! A caller's turn waits for them, so they take a faster way than other requests: a redirection
-//! is followed at once, and a member that does not answer soon is no longer the only one asked.
+//! A caller's turn waits for these requests, so they are routed faster than others: a redirect is
+//! followed at once, and another member is asked as well if the first does not answer soon.
 
 use dahlia_ledger::{LedgerCommand, LedgerReply, TurnRefusal};
 use dahlia_program::Command;
@@ -14,12 +14,12 @@
 use crate::routing::ReplyTo;
 use crate::wire::PeerMessage;
 
-/// Bytes of a command besides its texts: names, numbers, lengths.
+/// Bytes of a command besides its texts: names, numbers and lengths.
 const COMMAND_OVERHEAD_BYTES: usize = 4_096;
 
 impl Node {
-    /// Sends an urgent request to whoever probably owns its group. While that daemon is silent,
-    /// another member is asked as well: it knows when there is a new owner.
+    /// Sends an urgent request to the probable owner of its group. While that daemon does not respond,
+    /// another member is asked as well, because it learns of a new owner.
     pub(crate) fn route_urgent(
         &mut self,
         id: RequestId,
@@ -44,7 +44,7 @@
                 self.router.note_asked(id, target);
                 self.send_request(id, request, target);
             }
-            // Nobody who could know the owner is known yet; news may arrive any moment.
+            // No daemon that could know the owner is known yet, but one may become known at any moment.
             None if suspect.is_none() => self.router.ask_soon(id, now),
             None => {}
         }
@@ -77,8 +77,8 @@
         }
     }
 
-    /// Puts a command into the log as owner. Reads go through the log too: an owner that was
-    /// replaced unawares must not say that there is no such turn.
+    /// Proposes a command as owner. Reads go through the log too: an owner that was replaced without
+    /// noticing must not reply that a turn does not exist.
     pub(crate) fn serve_ledger(
         &mut self,
         to: ReplyTo,
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,39 +1,39 @@
 //! A whole daemon as one state machine without I/O: `(event, now) -> actions`.
 //!
 //! The same code runs in the real daemon and in virtual-time runs with seeded faults. The driver
-//! owns sockets, timers and tasks; it feeds [`Event`]s and carries out [`Action`]s in the order
-//! given.
+//! owns sockets, timers and tasks. It passes [`Event`]s to the node and performs the returned
+//! [`Action`]s in order.
 //!
-//! | module | job |
+//! | module | purpose |
 //! |---|---|
-//! | `node` | assembly: hands each event to its part |
-//! | `durable` | starting again with the groups found on the disk |
-//! | `group` | one replica group here: its replica, its programs, its proposals |
-//! | `outputs` | what replicas ask for: entries to apply, snapshots, ownership |
-//! | `owner` | what the leader of a group does for calls |
-//! | `attempts` | intents, dispatch and outcomes of attempts |
-//! | `answer` | putting an answer together at a gateway, across fail-over |
-//! | `release` | freeing engines' memory |
-//! | `recovery` | what a new owner takes up |
-//! | `requests` | requests of operators and gateways, at the owner |
-//! | `routing` | the way of a request to its owner |
-//! | `ledger` | requests to ledgers of caller-named programs |
-//! | `limits` | the owner of a group as the keeper of rate limits |
-//! | `zone_liveness`, `reach` | which zones are heard, and who is cut off: decisions, and this node's part |
-//! | `helpers` | commands to ledgers by way of another daemon |
-//! | `bootstrap` | the first layout of groups |
-//! | `history` | old turns on store daemons' disks |
-//! | `feed`, `source` | sharing what few daemons read of an outside source: decisions, and this node's part |
-//! | `load_sharing`, `loads` | daemons tell each other their loads: decisions, and this node's part |
-//! | `zone_choice` | which daemons of a zone do something for the others there |
-//! | `line_limit` | how many lines of one kind reach the log |
-//! | `members` | which daemons are there, and where groups are |
-//! | `upkeep` | replicas that are gone or leave are replaced |
-//! | `engines` | what is known of engines |
-//! | `engine_sources` | which engines there are, and which leave |
-//! | `configuration` | the operators' configuration in force, and changes of it |
-//! | `key_value` | steps with the configuration's key |
-//! | `orders` | orders to engines that follow from the configuration |
+//! | `node` | dispatches each event to the module that handles it |
+//! | `durable` | restarts from the groups found on disk |
+//! | `group` | one local replica group: its replica, programs and proposals |
+//! | `outputs` | processes replica outputs: entries to apply, snapshots, ownership changes |
+//! | `owner` | handles applied commands at the group owner |
+//! | `attempts` | records intents, dispatches attempts and records their outcomes |
+//! | `answer` | reads an answer at a gateway, across failover |
+//! | `release` | frees program memory at engines |
+//! | `recovery` | gains and gives up ownership of a group |
+//! | `requests` | serves requests from operators and gateways at the owner |
+//! | `routing` | tracks requests on their way to the owner |
+//! | `ledger` | routes and serves requests to ledgers of caller-named programs |
+//! | `limits` | serves rate limits at the group owner |
+//! | `zone_liveness`, `reach` | detects silent zones and cut-off daemons: decisions, and their use in the node |
+//! | `helpers` | forwards ledger commands through another daemon |
+//! | `bootstrap` | creates and reads the first layout of groups |
+//! | `history` | moves old turns to store daemons' disks and reads them back |
+//! | `feed`, `source` | shares an external source that only a few daemons read: decisions, and their use in the node |
+//! | `load_sharing`, `loads` | exchanges load reports between daemons: decisions, and their use in the node |
+//! | `zone_choice` | chooses the daemons that do a task for their whole zone |
+//! | `line_limit` | limits log lines of one kind |
+//! | `members` | tracks daemons and the locations of groups |
+//! | `upkeep` | replaces replicas that are lost or leaving |
+//! | `engines` | records engine reports |
+//! | `engine_sources` | tracks which engines exist and which are leaving |
+//! | `configuration` | follows and changes the operators' configuration |
+//! | `key_value` | operations on the configuration key |
+//! | `orders` | plans engine orders from the configuration |
 
 mod answer;
 mod attempts;
--- a/crates/node/src/members.rs
+++ b/crates/node/src/members.rs
@@ -1,4 +1,4 @@
-//! Which daemons are there, and where groups are.
+//! Tracks the daemons of the system and the locations of groups.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,22 +15,22 @@
 use crate::wire::PeerMessage;
 use crate::{Action, BackendFailure, SharedDocument};
 
-/// Lines a minute on members that come, change and go; beyond, only their number is told.
+/// Maximum number of log lines per minute on member changes. Further lines are only counted.
 pub(crate) const MAX_MEMBER_LINES_PER_MINUTE: u32 = 300;
 
-/// A daemon as operators see it.
+/// A daemon as reported to operators.
 #[derive(Debug, Clone)]
 pub struct DaemonView {
-    /// What membership holds of it.
+    /// Its membership record.
     pub member: Member,
-    /// Groups that it is thought to own.
+    /// Number of groups that it probably owns.
     pub groups_led: u32,
-    /// The generation of the configuration that it last told of; none when it has not lately.
+    /// The configuration generation that it last reported; none if it has not reported any.
     pub generation: Option<Generation>,
 }
 
 impl Node {
-    /// Feeds membership and carries out what it asks for.
+    /// Passes an event to membership and performs the resulting actions.
     pub(crate) fn membership_event(&mut self, event: MembershipEvent, now: Timestamp) {
         for action in self.membership.handle(event, now) {
             match action {
@@ -61,32 +61,34 @@
         }
     }
 
-    /// Keeps a document for daemons that cannot read it themselves.
+    /// Publishes a document for daemons that cannot read it themselves.
     pub(crate) fn share_document(&mut self, document: SharedDocument) {
         let SharedDocument { number, version, bytes } = document;
         self.membership.publish(FactKey::Document(number), version, bytes);
     }
 
-    /// Keeps a document that others have by the same way.
+    /// Keeps a document that other daemons obtain in the same way, without spreading it.
     pub(crate) fn keep_document(&mut self, document: SharedDocument) {
         let SharedDocument { number, version, bytes } = document;
         self.membership.publish_without_spreading(FactKey::Document(number), version, bytes);
     }
 
-    /// Tells others of attempts at a back end that failed here.
+    /// Reports this daemon's failed attempts at a back end to other daemons.
     pub(crate) fn report_backend_failure(&mut self, failure: &BackendFailure) {
-        // A later life of this daemon begins above all versions of this one.
-        const REPORTS_PER_LIFE_BITS: u32 = 20;
+        // Versions of a later incarnation are higher than all versions of this one.
+        const REPORTS_PER_INCARNATION_BITS: u32 = 20;
         self.failure_report_count += 1;
         let own = self.settings.own;
-        let version = (own.incarnation.0 << REPORTS_PER_LIFE_BITS) + self.failure_report_count;
+        let version =
+            (own.incarnation.0 << REPORTS_PER_INCARNATION_BITS) + self.failure_report_count;
         let backend = failure.backend.clone();
         let key = FactKey::BackendFailure { backend, reporter: own.daemon };
         self.membership.publish(key, version, vec![failure.failures]);
     }
 
-    /// A voter whose daemon lost its memory or its disk is replaced without waiting for the next
-    /// regular look, and one that can be reached now is asked for its vote.
+    /// Handles a known incarnation of a daemon. A voter whose daemon lost its memory or disk is replaced
+    /// without waiting for the next regular upkeep. A voter that is now reachable is asked for its
+    /// vote.
     fn handle_member_incarnation(&mut self, info: &MemberInfo, now: Timestamp) {
         for group in self.groups.values_mut() {
             group.replica.peer_address_found(info.replica(), now);
@@ -118,15 +120,15 @@
             && let Some(description) = decode(&fact.bytes)
         {
             let group = description.group;
-            // Whoever answered last may have handed over since. Without this a gateway that holds
-            // no replica would read on at the former owner for good.
+            // The daemon that answered last may have transferred leadership since. If the hint stayed,
+            // a gateway without a replica would read from the former owner forever.
             if self.directory.merge(description) {
                 self.router.drop_hint(group);
             }
         }
     }
 
-    /// Where a daemon listens.
+    /// Returns the address at which a daemon listens.
     pub(crate) fn address(&self, daemon: DaemonId) -> Option<SocketAddr> {
         if daemon == self.settings.own.daemon {
             return Some(self.settings.address);
@@ -134,14 +136,14 @@
         self.membership.member(daemon).map(|member| member.record.info.address)
     }
 
-    /// Daemons that answer and take work, this one included.
+    /// Returns the daemons that respond and accept work, including this one.
     pub(crate) fn live_members(&self) -> Vec<MemberInfo> {
         let members = self.membership.members();
         members.into_iter().filter(Member::takes_work).map(|member| member.record.info).collect()
     }
 
-    /// Other daemons that hold groups and are not known to be dead. Each group begins at another
-    /// one, so that questions are spread.
+    /// Returns other daemons that hold groups and are not known to be dead. The list starts with a
+    /// different daemon for each group to spread requests.
     pub(crate) fn other_holders(&self, group: GroupId) -> Vec<DaemonId> {
         let own = self.settings.own.daemon;
         let members = self.membership.members();
@@ -156,7 +158,7 @@
         holders
     }
 
-    /// All daemons known with the groups that each leads, as far as known here.
+    /// Returns all known daemons with the number of groups that each is known to lead.
     pub fn daemon_views(&self) -> Vec<DaemonView> {
         let mut led: BTreeMap<DaemonId, u32> = BTreeMap::new();
         for group in self.group_ids() {
@@ -175,7 +177,7 @@
         self.membership.members().into_iter().map(view).collect()
     }
 
-    /// A connection to a daemon broke: it may have died.
+    /// Handles a lost connection to a daemon, which may have died.
     pub(crate) fn connection_lost(&mut self, peer: ReplicaId, now: Timestamp) {
         self.membership_event(MembershipEvent::ConnectionLost(peer.daemon), now);
         self.router.drop_hints_to(peer.daemon);
@@ -185,7 +187,7 @@
         }
     }
 
-    /// Tells all daemons where a group is that this node owns.
+    /// Publishes the description of a group that this node owns to all daemons.
     pub(crate) fn publish_group(&mut self, id: GroupId) {
         let Some(group) = self.groups.get(&id).filter(|group| group.is_serving()) else {
             return;
@@ -201,7 +203,7 @@
         self.directory.merge(description);
     }
 
-    /// Says to all that this daemon is about to stop.
+    /// Announces to all daemons that this one is about to stop.
     pub(crate) fn announce_leaving(&mut self) {
         self.membership.set_state(MemberState::Leaving);
     }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -1,4 +1,4 @@
-//! Assembly of a node: hands each event to its part and collects the actions.
+//! The node itself: dispatches each event to its handler and collects the actions.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -34,12 +34,12 @@
 use crate::zone_liveness::ZoneLiveness;
 use crate::{Action, Event, NodeSettings};
 
-/// One daemon without its I/O.
+/// One daemon, without I/O.
 pub struct Node {
     pub(crate) settings: NodeSettings,
     pub(crate) membership: Membership,
     pub(crate) groups: BTreeMap<GroupId, Group>,
-    /// Which replicas hold each group, as far as known here.
+    /// The known replicas of each group.
     pub(crate) directory: Directory,
     pub(crate) router: Router,
     pub(crate) limit_keepers: LimitKeepers,
@@ -49,79 +49,81 @@
     pub(crate) sources: EngineSources,
     pub(crate) configuration: Configuration,
     pub(crate) engine_orders: EngineOrders,
-    /// Attempts that were taken back before they began to answer.
+    /// Attempts whose cancellation was requested before they started to answer.
     pub(crate) recalled_attempts: BTreeSet<AttemptId>,
-    /// Attempts that ended unrun by no fault of their engine, until that is recorded.
+    /// Causes of attempts that did not run through no fault of their engine, until recorded in the
+    /// log.
     pub(crate) not_run_causes: BTreeMap<AttemptId, NotRunCause>,
     pub(crate) actions: Vec<Action>,
+    /// Groups whose replica may have outputs to process.
     pub(crate) dirty: BTreeSet<GroupId>,
     pub(crate) next_upkeep: Timestamp,
-    /// Hand-overs for balance, over all groups owned here.
+    /// Limits leadership transfers for balance, over all groups owned here.
     pub(crate) balance_rate_limit: BalanceRateLimit,
-    /// Voters that each group should have, as worked out at the last upkeep.
+    /// The number of voters that each group should have, computed at the last upkeep.
     pub(crate) voter_target: VoterTarget,
     pub(crate) bootstrap: Bootstrap,
     pub(crate) coalescer: Coalescer,
-    /// Messages that need not wait for a sync.
+    /// Batches messages that may be sent before the sync.
     pub(crate) unsynced_coalescer: Coalescer,
     pub(crate) draining: bool,
-    /// None where no outside source is followed.
+    /// None if no external source is followed.
     pub(crate) feed: Option<Feed>,
-    /// None where this daemon has no part in sharing loads.
+    /// None if this daemon does not share loads.
     pub(crate) loads: Option<LoadSharing>,
-    /// None where cut-off zones are not told from silent daemons.
+    /// None if cut-off zones are not distinguished from silent daemons.
     pub(crate) zone_liveness: Option<ZoneLiveness>,
     pub(crate) zone_lists: ZoneLists,
-    /// Reports of failed back ends that this life has made.
+    /// Back-end failure reports made in this incarnation.
     pub(crate) failure_report_count: u64,
     pub(crate) member_line_limit: LineLimit,
 }
 
-/// What a node says of itself.
+/// The status that a node reports.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct NodeStatus {
     /// Whether it can route calls to owners.
     pub ready: bool,
-    /// Whether it knows somebody who owns groups or can say who does.
+    /// Whether it knows a daemon that owns groups or can name their owners.
     pub reaches_groups: bool,
-    /// What it waits for while it is not ready.
+    /// What it waits for if it is not ready.
     pub waits_for: Option<String>,
     /// The generation of the configuration that it holds.
     pub configuration_generation: u64,
-    /// Whether a planned stop is under way.
+    /// Whether a planned stop is in progress.
     pub draining: bool,
-    /// Whether it is to hold no groups, by its settings or by [`Event::Retire`], and no group known
-    /// counts it as a member.
+    /// Whether it must hold no groups, because of its settings or [`Event::Retire`], and is a member
+    /// of no known group.
     pub retired: bool,
-    /// Daemons heard of lately, this one included.
+    /// Live daemons, including this one.
     pub live_daemons: usize,
-    /// Groups that it holds a replica of.
+    /// Groups of which it holds a replica.
     pub groups_held: usize,
     /// Groups whose programs it owns.
     pub groups_led: usize,
-    /// Of these, groups that lack a voter, or have one whose memory or disk is lost.
+    /// Led groups that lack a voter or have one that lost its memory or disk.
     pub groups_short: usize,
-    /// Engines that reported lately.
+    /// Engines that reported recently.
     pub live_engines: usize,
-    /// Programs in the groups that it owns.
+    /// Programs in the groups that it leads.
     pub programs: usize,
-    /// Attempts that it runs.
+    /// Running attempts.
     pub attempts: usize,
-    /// Requests that wait for an owner's answer.
+    /// Requests that wait for a response from an owner.
     pub requests: usize,
-    /// How loads are shared with other daemons; none where this one has no part in it.
+    /// The status of load sharing; none if this daemon does not share loads.
     pub load_sharing: Option<LoadSharingStatus>,
 }
 
 impl Node {
-    /// How often the driver sends [`Event::Tick`], at least.
+    /// The longest interval between two [`Event::Tick`]s while the node has work.
     pub const TICK_INTERVAL: Duration = Duration::from_millis(20);
-    /// The same while nothing is under way: what is left then are probes, gossip and subscriptions, which
-    /// are due every 200 ms and more. A gateway that takes two requests a second is idle most of the time,
-    /// and each wake-up costs.
+    /// The tick interval while the node is idle. Only probes, gossip and subscriptions remain then, due
+    /// every 200 ms or more. A gateway with two requests a second is idle most of the time, and each
+    /// wake-up costs CPU time.
     const IDLE_TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-    /// How long after the last tick the next one is wanted.
+    /// Returns the delay until the next tick.
     pub fn tick_interval(&self) -> Duration {
         let has_work = !self.router.is_empty() || !self.groups.is_empty() || self.draining;
         let follows = self.settings.follows_configuration;
@@ -133,7 +135,7 @@
         }
     }
 
-    /// A node that knows nothing but its settings.
+    /// Creates a node from its settings alone.
     pub fn new(settings: NodeSettings, now: Timestamp) -> Self {
         let own = MemberInfo {
             daemon: settings.own.daemon,
@@ -201,7 +203,7 @@
         node
     }
 
-    /// Takes in an event. `now` must never go back.
+    /// Handles an event and returns the resulting actions. `now` must never decrease.
     pub fn handle(&mut self, event: Event, now: Timestamp) -> Vec<Action> {
         match event {
             Event::Tick => self.tick(now),
@@ -267,7 +269,7 @@
         }
     }
 
-    /// Why this node does not take calls, if it does not.
+    /// Returns why this node does not accept calls; none if it does.
     fn waits_for(&self) -> Option<&'static str> {
         if self.draining {
             return Some("a planned stop is under way");
@@ -276,8 +278,8 @@
         self.configuration.problem().or((!self.is_laid_out()).then_some(missing_layout))
     }
 
-    /// Whether the groups are known to be laid out. A group with members, recovered from the disk
-    /// before the key-value service answers, tells as much.
+    /// Whether the groups are known to be laid out. A group with members that was recovered from disk
+    /// proves it before the key-value service answers.
     pub(crate) fn is_laid_out(&self) -> bool {
         let has_members = |group: &Group| group.replica.members().all().next().is_some();
         self.bootstrap.is_done() || self.groups.values().any(has_members)
@@ -287,18 +289,18 @@
         self.is_laid_out() || !self.other_holders(GroupId(0)).is_empty()
     }
 
-    /// Where the owner of a group is thought to listen.
+    /// Returns the address of the probable owner of a group.
     pub fn owner_address(&self, group: GroupId) -> Option<SocketAddr> {
         let daemon = self.owner_hint(group)?;
         self.address(daemon)
     }
 
-    /// Whether this node may answer for a group's programs now.
+    /// Whether this node owns a group and may serve its programs now.
     pub fn owns(&self, group: GroupId) -> bool {
         self.groups.get(&group).is_some_and(Group::is_serving)
     }
 
-    /// A group for a new program: one that this node owns if there is one, else any.
+    /// Chooses a group for a new program: one that this node owns if possible, else any.
     pub fn group_for_new_program(&self, draw: u64) -> Option<GroupId> {
         let own: Vec<GroupId> =
             self.groups.values().filter(|group| group.is_serving()).map(Group::id).collect();
@@ -310,17 +312,17 @@
         Some(candidates[(draw % candidates.len() as u64) as usize])
     }
 
-    /// All groups.
+    /// Returns all known groups.
     pub fn group_ids(&self) -> Vec<GroupId> {
         self.directory.iter().map(|description| description.group).collect()
     }
 
-    /// All daemons known, the dead of late included.
+    /// Returns all known daemons, including those that died recently.
     pub fn daemons(&self) -> Vec<Member> {
         self.membership.members()
     }
 
-    /// The replicated state of a group's copy here, for checkers.
+    /// Returns the local replicated state of a group, for checkers.
     pub fn group_state(&self, group: GroupId) -> Option<&GroupState> {
         self.groups.get(&group).map(|group| &group.state)
     }
@@ -391,8 +393,9 @@
                 continue;
             }
             let id = message.group;
-            // A group that is new here wants this daemon as a learner, or the layout that names it
-            // has not been read here yet. An empty learner is safe to make in both cases.
+            // A message for an unknown group means that this daemon becomes a learner of it, or that
+            // the layout that names this daemon has not been read yet. An empty learner is safe in
+            // both cases.
             let group = self.groups.entry(id).or_insert_with(|| {
                 let settings = self.settings.group.clone();
                 let seed = self.settings.seed;
@@ -405,7 +408,7 @@
         }
     }
 
-    /// Takes work again after a drain that the configuration asked for.
+    /// Accepts work again after a drain requested by the configuration.
     pub(crate) fn end_drain(&mut self) {
         self.draining = false;
         self.membership.set_state(MemberState::Live);
@@ -422,15 +425,15 @@
             let successor =
                 group.replica.members().voters.iter().find(|voter| **voter != own).copied();
             if let Some(successor) = successor {
-                // Refused when the group is in the middle of something; the next tick of a
-                // planned stop asks again.
+                // The group may refuse while another change is in progress; the next tick of a
+                // planned stop retries.
                 let _ = group.replica.transfer_leadership(successor);
                 self.dirty.insert(group.id());
             }
         }
     }
 
-    /// Carries out what the groups ask for until none asks for more.
+    /// Processes replica outputs until no group has any left, then sends the batched messages.
     fn process_dirty_groups(&mut self, now: Timestamp) {
         while let Some(id) = self.dirty.pop_first() {
             self.handle_replica_outputs(id, now);
@@ -448,8 +451,8 @@
     }
 }
 
-/// A daemon that is kept in step with the operators' configuration takes no work before it knows
-/// which generation is in force.
+/// A daemon that follows the operators' configuration accepts no work until it knows which
+/// generation is in force.
 fn initial_state(settings: &NodeSettings) -> MemberState {
     if settings.follows_configuration { MemberState::Joining } else { MemberState::Live }
 }
--- a/crates/node/src/orders.rs
+++ b/crates/node/src/orders.rs
@@ -1,7 +1,7 @@
-//! Orders to engines that follow from the configuration in force.
+//! Plans orders to engines from the configuration in force.
 //!
-//! One node plans: the owner of the first group. Two may for a moment, around a fail-over; the
-//! generation fences their orders and each is idempotent (docs/design/configuration.md).
+//! Only the owner of the first group plans. Around a failover two nodes may plan for a moment; the
+//! generation fences their orders, and each order is idempotent (docs/design/configuration.md).
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,21 +14,21 @@
 use crate::Action;
 use crate::node::Node;
 
-/// How often the planner looks for due orders.
+/// How often the planner checks for due orders.
 const PLAN_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The planner, while this node is the one that plans.
+/// The order planner, present while this node owns the first group.
 #[derive(Debug, Default)]
 pub(crate) struct EngineOrders {
     planner: Option<OrderPlanner>,
-    /// What each engine last reported of its models and its role.
+    /// The models and role that each engine last reported.
     engine_states: BTreeMap<EngineId, EngineState>,
     blocked: Vec<BlockedChange>,
     next_plan: Timestamp,
 }
 
 impl Node {
-    /// An engine reported its models and its role.
+    /// Handles an engine's report of its models and role.
     pub(crate) fn engine_state(&mut self, engine: EngineId, state: EngineState, now: Timestamp) {
         let listed = self.sources.is_listed_leaving(&engine);
         let state = EngineState { leaving: state.leaving || listed, ..state };
@@ -36,18 +36,18 @@
         self.run_planner(PlannerEvent::EngineReported(engine, state), now);
     }
 
-    /// An engine fell silent.
+    /// Handles the loss of an engine that no longer reports.
     pub(crate) fn engine_state_lost(&mut self, engine: &EngineId, now: Timestamp) {
         self.engine_orders.engine_states.remove(engine);
         self.run_planner(PlannerEvent::EngineLost(engine.clone()), now);
     }
 
-    /// A generation came into force.
+    /// Plans for a generation that came into force.
     pub(crate) fn plan_for_generation(&mut self, record: Arc<ConfigurationRecord>, now: Timestamp) {
         self.run_planner(PlannerEvent::Activated(record), now);
     }
 
-    /// Begins or ends planning with the ownership of the first group, and looks for due orders.
+    /// Starts or stops planning with the ownership of the first group, and sends due orders.
     pub(crate) fn update_planner(&mut self, now: Timestamp) {
         if now < self.engine_orders.next_plan {
             return;
--- a/crates/node/src/outputs.rs
+++ b/crates/node/src/outputs.rs
@@ -1,4 +1,4 @@
-//! What the replicas of groups ask for: messages, committed entries, snapshots, ownership.
+//! Processes the outputs of replicas: messages, committed entries, snapshots and role changes.
 
 use dahlia_ledger::{LedgerCommand, LedgerReply};
 use dahlia_program::{Command, CommandEffect, GroupState};
@@ -10,7 +10,7 @@
 use crate::node::Node;
 use crate::request::Response;
 
-/// The owner's decision on a turn, with the epoch and the entry that it rests on.
+/// Logs the owner's decision on a turn, with the epoch and index of its entry.
 fn log_ledger_decision(id: GroupId, entry: &Entry, command: &LedgerCommand, reply: &LedgerReply) {
     let Some(turn) = command.turn() else { return };
     log::info!(
@@ -26,7 +26,7 @@
     );
 }
 
-/// A change of what this replica believes; asking for votes is none yet.
+/// Logs a role change of a replica. Candidacy is only logged at debug level.
 fn log_role_change(id: GroupId, role: Role, term: Term, leader: Option<ReplicaId>) {
     let level = match role {
         Role::PreCandidate | Role::Candidate => log::Level::Debug,
@@ -41,7 +41,7 @@
     );
 }
 
-/// How often expired programs are looked for.
+/// The interval between checks for expired programs.
 const EXPIRY_INTERVAL: Duration = Duration::from_secs(2);
 
 impl Node {
@@ -74,7 +74,7 @@
         coalescer.push(message);
     }
 
-    /// Records a group as a whole.
+    /// Records a full image of a group.
     pub(crate) fn record_image(&mut self, id: GroupId) {
         let Some(group) = self.groups.get_mut(&id) else {
             return;
@@ -90,7 +90,7 @@
         let resolved = group.resolve_proposals(entry.index, entry.term);
         let command = decode(&entry.payload);
         let Some(command) = command else {
-            // Every replica of this build skips it alike.
+            // Every replica of this build skips the entry in the same way.
             log::error!(target: "groups", "Entry {} of {id} cannot be decoded.", entry.index);
             return;
         };
@@ -112,7 +112,8 @@
         }
     }
 
-    /// A proposal whose fate is not known here any more: its asker repeats it at the owner.
+    /// Redirects the requester of a proposal whose outcome is unknown here. The requester retries at the
+    /// owner.
     pub(crate) fn redirect_lost_proposal(&mut self, id: GroupId, purpose: ProposalPurpose) {
         if let ProposalPurpose::Request(to) = purpose {
             let hint = self.owner_hint(id);
@@ -138,7 +139,8 @@
         if let Some(group) = self.groups.get_mut(&id) {
             group.members_index = index;
         }
-        // Between two steps of a replacement the group may survive less: no second is lost here.
+        // Between two steps of a replacement the group tolerates fewer losses, so the next step must
+        // not wait for the upkeep interval.
         self.next_upkeep = Timestamp::ZERO;
         self.publish_group(id);
     }
@@ -176,7 +178,7 @@
             }
             Some(served_term) if !leads || served_term != term => {
                 self.give_up_ownership(id, now);
-                // A replica can lose and win back the lead between two looks at it.
+                // A replica can lose and regain leadership between two checks.
                 if leads {
                     self.check_ownership(id, now);
                 }
@@ -199,7 +201,7 @@
         let waiting = |group: &&mut Group| !group.deferred.is_empty();
         for group in self.groups.values_mut().filter(waiting) {
             for (command, purpose) in std::mem::take(&mut group.deferred) {
-                // A purpose that comes back is a request's: the owner changed, its asker repeats.
+                // Only a request's purpose is returned: the owner changed, so its requester retries.
                 let _ = group.propose(command, purpose, now);
             }
             self.dirty.insert(group.replica.group());
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -1,4 +1,4 @@
-//! What the owner of a group does when a command was applied.
+//! Handles applied commands at the owner of a group.
 
 use dahlia_placement::{Event as PlacementEvent, HistorySegment, ReadyCall};
 use dahlia_program::{
@@ -11,16 +11,16 @@
 use crate::node::Node;
 use crate::request::{Response, refusal_error};
 
-/// Bytes of text that count as one token in the upper bound of a prompt. Real tokenisers make
-/// fewer tokens of the same text; the engine refuses a prompt above the bound unrun.
+/// Bytes of text per token in the upper bound of a prompt. Real tokenizers produce fewer tokens for
+/// the same text. An engine refuses a prompt above the bound without running it.
 const MIN_BYTES_PER_TOKEN: u64 = 3;
-/// Tokens that the form of a message may add.
+/// Tokens that the chat format may add to a message.
 const MESSAGE_OVERHEAD_TOKENS: u64 = 8;
-/// Weight of an ordinary program in placement.
+/// The default weight of a program in placement.
 const DEFAULT_WEIGHT: u32 = 100;
 
 impl Node {
-    /// Acts on the result of a command that this node's group committed while it serves.
+    /// Acts on the result of a command that a group committed while this node owns it.
     pub(crate) fn handle_applied_command(
         &mut self,
         id: GroupId,
@@ -89,7 +89,7 @@
                 let attempt = self.last_attempt(*call);
                 Response::Ended { call: *call, attempt, outcome: outcome.clone() }
             }
-            // Its text is read back when the asker waits for the outcome.
+            // The text is read back when the requester waits for the outcome.
             BeginOutcome::ReplayedFromStore(call, _) => Response::Begun { call: *call },
         };
         if let Some(ProposalPurpose::Request(to)) = purpose {
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Hands a call that may run to placement.
+    /// Passes a call that may run to placement.
     pub(crate) fn call_ready(&mut self, call: CallId, now: Timestamp) {
         let is_open = self
             .groups
@@ -210,7 +210,7 @@
     }
 }
 
-/// How many branchings lie between a chain and its program's main chain.
+/// Returns the number of branches between a chain and its program's main chain.
 fn branch_depth(program: &Program, chain: ChainId) -> u32 {
     let mut depth = 0;
     let mut current = chain;
@@ -221,7 +221,7 @@
     depth
 }
 
-/// An upper bound of a message's tokens.
+/// Returns an upper bound of a message's tokens.
 pub(crate) fn token_bound(message: &Message) -> Tokens {
     let bytes = message.content.len() as u64;
     Tokens(bytes.div_ceil(MIN_BYTES_PER_TOKEN) + MESSAGE_OVERHEAD_TOKENS)
@@ -229,7 +229,7 @@
 
 fn history_segment(message: &Message) -> HistorySegment {
     use std::hash::{DefaultHasher, Hash, Hasher};
-    // The hash never leaves this daemon, so the standard library's is enough.
+    // The hash never leaves this daemon, so the standard library's hasher suffices.
     let mut hasher = DefaultHasher::new();
     message.role.hash(&mut hasher);
     message.content.hash(&mut hasher);
--- a/crates/node/src/recovery.rs
+++ b/crates/node/src/recovery.rs
@@ -1,4 +1,4 @@
-//! What a node does when it becomes the owner of a group, and when it ceases to be.
+//! Gains and gives up ownership of a group.
 
 use dahlia_placement::Event as PlacementEvent;
 use dahlia_program::{NotRunReason, OpenAttempt, UnfinishedCall};
@@ -9,11 +9,11 @@
 use crate::node::Node;
 use crate::request::{AttemptEnd, NotRunCause, Response};
 
-/// Priority of a resumed attempt at its engine: it only reads, so any will do.
+/// Engine priority of a resumed attempt. It only reads, so any value works.
 const RESUMED_PRIORITY: u64 = 0;
 
 impl Node {
-    /// Takes up the duties of an owner. Everything that earlier owners committed is applied.
+    /// Assumes ownership of a group, after all commands that previous owners committed are applied.
     pub(crate) fn assume_ownership(&mut self, id: GroupId, now: Timestamp) {
         let Some(group) = self.groups.get(&id) else {
             return;
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Finds out about an attempt of an earlier owner: whether it ran is for the engine to say.
+    /// Resumes an attempt of a previous owner. Only the engine knows whether it ran.
     fn resume_attempt(
         &mut self,
         id: GroupId,
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Ceases to act as owner. Attempts run on at their engines; the new owner resumes them.
+    /// Gives up ownership. Attempts continue at their engines, and the new owner resumes them.
     pub(crate) fn give_up_ownership(&mut self, id: GroupId, now: Timestamp) {
         let hint = self.owner_hint(id);
         let Some(group) = self.groups.get_mut(&id) else {
@@ -118,8 +118,8 @@
         self.drop_pending_reads(&programs);
         for attempt in attempts.into_keys() {
             self.actions.push(Action::DetachAttempt { attempt });
-            // Whoever resumes the attempt reads its text from the start. If that is this daemon
-            // again, the text must not stand behind what was read before.
+            // The daemon that resumes the attempt reads its text from the beginning. If that is this
+            // daemon again, the text must not be appended to what was read before.
             self.actions.push(Action::ForgetAnswer { call: attempt.call });
         }
         let purposes = pending.into_values().map(|(_, purpose)| purpose);
--- a/crates/node/src/release.rs
+++ b/crates/node/src/release.rs
@@ -1,5 +1,5 @@
-//! Freeing engines' memory. An obligation ends only by the engine's own confirmation or by a new
-//! life of the engine.
+//! Frees program memory at engines. An obligation ends only when the engine confirms the release or
+//! restarts with a new incarnation.
 
 use dahlia_placement::Event as PlacementEvent;
 use dahlia_program::{Command, ConfirmRelease, EngineIncarnation};
@@ -12,15 +12,15 @@
 use crate::request::ReleaseEnd;
 use crate::{Action, ReleaseOrder};
 
-/// First pause after a release that was not confirmed; doubles each time.
+/// Delay before the first retry of a release that was not confirmed. It doubles with each failure.
 const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(250);
-/// Longest pause.
+/// Maximum delay between retries.
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(10);
-/// A release whose answer never came is asked again after this time.
+/// A release without a response is requested again after this time.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
 
 impl Node {
-    /// Starts to free everything that engines hold for a program.
+    /// Starts the release of a program at all engines that hold memory for it.
     pub(crate) fn release_program(&mut self, id: GroupId, program: ProgramId, now: Timestamp) {
         let Some(group) = self.groups.get_mut(&id) else {
             return;
@@ -35,7 +35,7 @@
         self.request_due_releases(id, now);
     }
 
-    /// Starts to free what one engine holds for a program.
+    /// Starts the release of a program at one engine.
     pub(crate) fn release_engine(&mut self, program: ProgramId, engine: &EngineId, now: Timestamp) {
         let id = program.group;
         let Some(group) = self.groups.get_mut(&id) else {
@@ -51,7 +51,7 @@
         self.request_due_releases(id, now);
     }
 
-    /// Asks again for releases that are due.
+    /// Sends all release requests that are due.
     pub(crate) fn retry_releases(&mut self, now: Timestamp) {
         let ids: Vec<GroupId> = self.groups.keys().copied().collect();
         for id in ids {
@@ -80,7 +80,8 @@
                 finished.push((*program, holder.clone()));
                 continue;
             }
-            // None while an attempt is open there: its end has to be known first.
+            // There is no request while an attempt is open at the engine: its end has to be known
+            // first.
             pending.due = now + INITIAL_RETRY_DELAY;
             if let Some(request) = found.and_then(|found| found.release_request(holder)) {
                 pending.awaits_response = true;
@@ -95,7 +96,7 @@
         }
     }
 
-    /// An engine confirmed, or did not.
+    /// Handles the result of a release request.
     pub(crate) fn release_ended(
         &mut self,
         program: ProgramId,
@@ -145,7 +146,7 @@
         self.dirty.insert(id);
     }
 
-    /// A confirmation is durable.
+    /// Handles a confirmation that is durable.
     pub(crate) fn release_confirmed(&mut self, command: &Command, now: Timestamp) {
         let Command::ConfirmRelease(confirmed) = command else {
             return;
@@ -162,7 +163,7 @@
         self.schedule(PlacementEvent::Released { program, engine }, now);
     }
 
-    /// A confirmation came too late: a newer intent renewed the obligation.
+    /// Handles a confirmation that was refused because a newer intent renewed the obligation.
     pub(crate) fn release_refused(&mut self, command: &Command, _now: Timestamp) {
         let Command::ConfirmRelease(confirmed) = command else {
             return;
@@ -179,7 +180,7 @@
         }
     }
 
-    /// An engine has a new life: what its earlier lives held is gone.
+    /// Confirms the release of everything that previous incarnations of a restarted engine held.
     pub(crate) fn engine_restarted(
         &mut self,
         engine: &EngineId,
--- a/crates/node/src/request.rs
+++ b/crates/node/src/request.rs
@@ -1,5 +1,5 @@
-//! Requests that a gateway or an operators' server puts to the owner of a program, and the
-//! responses. They travel inside one daemon or between two; the meaning is the same.
+//! Requests from a gateway or an operators' server to the owner of a program, and the responses.
+//! They have the same meaning within one daemon and between two daemons.
 
 use std::time::Duration;
 
@@ -13,52 +13,54 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// Names a request on the daemon that issued it. Never reused in one life of the daemon.
+/// Identifies a request on the daemon that issued it. Never reused within one incarnation of the
+/// daemon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestId(pub u64);
 
-/// What is asked of a program's owner.
+/// A request to the owner of a group.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Request {
-    /// Put a call into its chain's order and run it. Answered when it has its place.
+    /// Append a call to its chain and run it. Answered when the call is recorded in the chain's order.
     Submit {
-        /// Whose credential the request carried.
+        /// The tenant of the request's credential.
         tenant: TenantId,
         /// The validated request.
         call: CallRequest,
-        /// Whether it may run again after an attempt of unknown outcome.
+        /// Whether the call may run again after an attempt with an unknown outcome.
         repeatable: bool,
     },
-    /// Answered when the call has its final outcome.
+    /// Wait for a call's outcome. Answered when the outcome is final.
     AwaitOutcome {
-        /// Whose credential the request carried.
+        /// The tenant of the request's credential.
         tenant: TenantId,
         /// The call.
         call: CallId,
     },
     /// Create a program.
     Create {
-        /// The new program's identifier, drawn by the asking daemon so that a repeat is harmless.
+        /// The new program's identifier. The requesting daemon draws it, so that a retry is
+        /// idempotent.
         program: ProgramId,
-        /// What the operator stated.
+        /// The operator's specification.
         specification: ProgramSpecification,
     },
     /// Show a program.
     Show {
         /// The program.
         program: ProgramId,
-        /// With the calls of each chain.
+        /// Whether to include the calls of each chain.
         with_calls: bool,
     },
     /// List the programs of a group.
     List {
         /// The group.
         group: GroupId,
-        /// Only this tenant's.
+        /// List only this tenant's programs; none lists all.
         tenant: Option<TenantId>,
-        /// Also those that have ended.
+        /// Whether to include programs that have ended.
         include_closed: bool,
-        /// At most so many.
+        /// Maximum number of programs to list.
         limit: u32,
     },
     /// Raise a budget.
@@ -72,17 +74,17 @@
     Close {
         /// The program.
         program: ProgramId,
-        /// Whose credential the request carried; none for an operator's.
+        /// The tenant of the request's credential; none for an operator.
         tenant: Option<TenantId>,
     },
-    /// Put a command to a ledger of caller-named programs. Answered when it is durable.
+    /// Apply a command to a ledger of caller-named programs. Answered when it is durable.
     Ledger {
         /// The group that holds the ledger.
         group: GroupId,
-        /// The command. The owner stamps it with its own time; the asker's is ignored.
+        /// The command. The owner sets its timestamp; the requester's is ignored.
         command: LedgerCommand,
     },
-    /// Put a command to the keeper of tenants' rate limits. Nothing of it is durable.
+    /// Send a command to the keeper of tenants' rate limits. Nothing of it is durable.
     Limits {
         /// The group whose owner is the keeper.
         group: GroupId,
@@ -92,7 +94,7 @@
 }
 
 impl Request {
-    /// The group whose owner answers.
+    /// Returns the group whose owner answers.
     pub fn group(&self) -> GroupId {
         match self {
             Self::Submit { call, .. } => call.program.group,
@@ -107,21 +109,22 @@
         }
     }
 
-    /// Whether the owner answers only after an event that may take long.
+    /// Whether the owner may answer only after a long time.
     pub fn waits(&self) -> bool {
         matches!(self, Self::AwaitOutcome { .. })
     }
 
-    /// Whether a caller's turn waits for the answer, and would rather be refused than wait long.
+    /// Whether a caller's turn waits for the answer, so that a quick refusal is better than a long
+    /// wait.
     pub fn is_urgent(&self) -> bool {
         matches!(self, Self::Ledger { .. } | Self::Limits { .. })
     }
 }
 
-/// An owner's answer.
+/// The response of an owner.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Response {
-    /// The call has its place and will run; its text can be read at the owner.
+    /// The call is recorded in its chain and will run. Its text can be read at the owner.
     Begun {
         /// The call.
         call: CallId,
@@ -130,7 +133,7 @@
     Ended {
         /// The call.
         call: CallId,
-        /// The attempt that ended it; 0 when there was none.
+        /// The attempt that ended it; 0 if there was none.
         attempt: u32,
         /// The outcome.
         outcome: CallOutcome,
@@ -139,56 +142,56 @@
     Program(Box<ProgramView>),
     /// Several programs.
     Programs(Vec<ProgramView>),
-    /// What a ledger says, its refusals included.
+    /// The reply of a ledger, which may be a refusal.
     Ledger(LedgerReply),
-    /// What a keeper of rate limits says.
+    /// The reply of a keeper of rate limits.
     Limits(LimitReply),
     /// This daemon does not own the group; nothing was done.
     NotOwner {
-        /// Who may own it.
+        /// The probable owner.
         hint: Option<DaemonId>,
     },
-    /// Refused or failed.
+    /// The request was refused or failed.
     Failed(ApiError),
 }
 
-/// A program as operators see it.
+/// A program as reported to operators.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProgramView {
     /// The program.
     pub program: ProgramId,
-    /// What the operator stated.
+    /// The operator's specification.
     pub specification: ProgramSpecification,
     /// `open`, `closed` or `expired`.
     pub state: ProgramStateName,
     /// The budget's total.
     pub total: Tokens,
-    /// Charged so far.
+    /// Tokens charged so far.
     pub spent: Tokens,
-    /// Held for open attempts and for attempts of unknown outcome.
+    /// Tokens reserved for open attempts and for attempts with an unknown outcome.
     pub reserved: Tokens,
-    /// Chains, with the main one.
+    /// Number of chains, including the main chain.
     pub chains: u32,
-    /// Calls that were answered.
+    /// Number of answered calls.
     pub turns: u32,
-    /// Engines that may hold its context.
+    /// Engines that may hold its context in their caches.
     pub cache_holders: Vec<CacheHolderView>,
     /// The owner.
     pub owner: DaemonId,
     /// The owner's epoch.
     pub epoch: Term,
-    /// Calls, if asked for.
+    /// Its calls, if requested.
     pub calls: Vec<CallView>,
 }
 
-/// Where a program stands.
+/// The state of a program.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ProgramStateName {
-    /// Takes calls.
+    /// It accepts calls.
     Open,
-    /// Ended by a caller or an operator.
+    /// A caller or an operator ended it.
     Closed,
-    /// Ended by itself.
+    /// It ended by expiry.
     Expired,
 }
 
@@ -197,58 +200,58 @@
 pub struct CacheHolderView {
     /// The engine.
     pub engine: EngineId,
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: Incarnation,
 }
 
-/// A call as operators see it.
+/// A call as reported to operators.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallView {
     /// The call.
     pub call: CallId,
-    /// Where it stands.
+    /// Its state.
     pub state: CallStateName,
-    /// Attempts so far.
+    /// Number of attempts so far.
     pub attempts: u32,
     /// The last attempt's engine.
     pub engine: Option<EngineId>,
-    /// Tokens used by the attempt that answered.
+    /// Tokens used by the attempt that answered it.
     pub usage: Usage,
 }
 
-/// Where a call stands.
+/// The state of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CallStateName {
-    /// Behind another call of its chain.
+    /// It waits for an earlier call of its chain.
     Waiting,
-    /// May be dispatched.
+    /// It may be dispatched.
     Ready,
-    /// An attempt is open.
+    /// It has an open attempt.
     Running,
-    /// Answered.
+    /// It was answered.
     Answered,
-    /// Will not run.
+    /// It will not run.
     NotRun,
-    /// May have run.
+    /// It may have run.
     Unknown,
 }
 
-/// What kept an attempt from running. Placement judges engines by it.
+/// Why an attempt did not run. Placement uses it to judge engines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum NotRunCause {
-    /// Its engine could not be reached, leaves, or refused it for another reason of its own.
+    /// Its engine could not be reached, is leaving, or refused it for another reason of its own.
     Engine,
     /// Its engine has too much work.
     Overloaded,
-    /// The call is too large for the engine's memory or its own reservation: another engine of the
-    /// model would refuse it too, and the engine is not to blame.
+    /// The call is too large for the engine's memory or its own reservation. Other engines of the
+    /// model would refuse it too, so the engine is not at fault.
     Call,
 }
 
-/// How an attempt ended, as seen by the part of the daemon that talks to engines.
+/// How an attempt ended, as reported by the daemon's engine client.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AttemptEnd {
-    /// Whole answer.
+    /// It ran to a complete answer.
     Ran {
         /// The text.
         text: String,
@@ -257,40 +260,40 @@
     },
     /// The engine confirmed that it did not start and never will.
     NotRun {
-        /// What kept it from running.
+        /// Why it did not run.
         cause: NotRunCause,
-        /// Why.
+        /// The reason as text.
         reason: String,
-        /// The engine's hint when to come back.
+        /// The engine's hint when to retry.
         retry_after: Option<Duration>,
     },
-    /// The engine cut it and said what it used.
+    /// The engine cancelled it and reported its usage.
     Cut {
         /// Tokens used.
         usage: Usage,
     },
-    /// Nobody can say.
+    /// It cannot be determined whether it ran.
     Unknown {
-        /// What was seen.
+        /// What was observed.
         reason: String,
     },
 }
 
-/// What came of asking an engine to free a program's memory.
+/// The result of a request to free a program's memory at an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ReleaseEnd {
-    /// Free; this life of the engine holds nothing of it.
+    /// The memory is free; this incarnation of the engine holds nothing of the program.
     Confirmed {
-        /// The engine's life.
+        /// The engine's incarnation.
         incarnation: Incarnation,
-        /// What was freed.
+        /// Bytes that were freed.
         freed: Bytes,
     },
-    /// Not confirmed; ask again.
+    /// The release was not confirmed and must be retried.
     Failed,
 }
 
-/// Makes the error that a caller sees when a call ended as not run or unknown.
+/// Returns the error for the caller of a call that ended as not run or unknown.
 pub fn outcome_error(outcome: &CallOutcome) -> Option<ApiError> {
     match outcome {
         CallOutcome::Answered { .. } => None,
@@ -331,7 +334,7 @@
     }
 }
 
-/// Makes the error that an asker sees when a command was refused.
+/// Returns the error for the requester of a command that was refused.
 pub fn refusal_error(refusal: &CommandRefusal) -> ApiError {
     let kind = match refusal {
         CommandRefusal::NoSuchProgram { .. } | CommandRefusal::WrongGroup { .. } => {
@@ -354,14 +357,14 @@
     ApiError::new(kind, refusal.to_string())
 }
 
-/// When a caller whose call did not run may come back, unless a better estimate exists.
+/// The retry delay for a call that did not run, unless a better estimate exists.
 const NOT_RUN_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// The answer of an attempt that is being generated, by attempt.
+/// A read position in the answer of a running attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AnswerPosition {
-    /// The attempt whose text is read.
+    /// The attempt whose answer is read.
     pub attempt: AttemptId,
-    /// Bytes already received.
+    /// Number of bytes already received.
     pub offset: u64,
 }
--- a/crates/node/src/requests.rs
+++ b/crates/node/src/requests.rs
@@ -1,4 +1,4 @@
-//! Requests: on their way to an owner, and at the owner.
+//! Routes requests to the owner of their group, and serves them there.
 
 use dahlia_api::{ApiError, CallRequest, ErrorKind};
 use dahlia_program::{
@@ -16,13 +16,13 @@
 use crate::routing::ReplyTo;
 use crate::wire::PeerMessage;
 
-/// When a caller may come back after no owner answered.
+/// The retry delay for a caller when no owner answered.
 const UNAVAILABLE_RETRY_DELAY: std::time::Duration = std::time::Duration::from_secs(2);
 
 impl Node {
-    /// A request of this daemon's gateway or operators' server.
+    /// Accepts a request from this daemon's gateway or operators' server.
     pub(crate) fn accept_request(&mut self, id: RequestId, request: Request, now: Timestamp) {
-        // A ledger depends on no configuration: what it holds is named by callers.
+        // Ledgers do not depend on the configuration: callers name their contents.
         let problem = self.configuration.problem().filter(|_| !request.is_urgent());
         if let Some(problem) = problem {
             let error = ApiError::new(ErrorKind::Unavailable, problem);
@@ -34,7 +34,7 @@
         self.route_due(now);
     }
 
-    /// Sends every request that is due to whoever may own its group.
+    /// Sends every due request to the probable owner of its group.
     pub(crate) fn route_due(&mut self, now: Timestamp) {
         for id in self.router.take_expired(now) {
             let message = "no owner of the program answered in time; a call may have its place: \
@@ -53,7 +53,7 @@
                 self.route_urgent(id, request, tries, now);
                 continue;
             }
-            // A hint that did not answer for a whole timeout may name a dead daemon.
+            // If the hinted owner did not answer within a whole timeout, it may be dead.
             if tries > 0 && !request.waits() {
                 self.router.drop_hint(group);
             }
@@ -78,9 +78,9 @@
         others.get(index).copied()
     }
 
-    /// Other daemons that may own a group or know who does: its members, or while none is known all
-    /// daemons that hold groups. News of a group reach a daemon that has just started later than it
-    /// reaches the others.
+    /// Returns other daemons that may own a group or know its owner: its members, or all daemons that
+    /// hold groups while no member is known. A daemon that has just started reaches other daemons
+    /// before the descriptions of groups reach it.
     pub(crate) fn possible_owners(&self, group: GroupId) -> Vec<DaemonId> {
         let own = self.settings.own.daemon;
         let members = self.directory.route(group);
@@ -89,7 +89,7 @@
         if known.is_empty() { self.other_holders(group) } else { known }
     }
 
-    /// An owner, or somebody who is not, answered.
+    /// Handles the response to a request, from the owner or another daemon.
     pub(crate) fn handle_response(
         &mut self,
         from: ReplicaId,
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Gives the answer to a request that was on its way to whoever waits for it.
+    /// Delivers the response of a routed request to its requester.
     fn deliver_response(&mut self, reply_to: ReplyTo, response: Response) {
         match reply_to {
             ReplyTo::Peer { address, id } => {
@@ -122,12 +122,12 @@
         }
     }
 
-    /// Answers whoever asked.
+    /// Replies to a requester.
     pub(crate) fn reply(&mut self, to: ReplyTo, response: Response) {
         match to {
             ReplyTo::Peer { .. } => self.deliver_response(to, response),
             ReplyTo::Here(id) => {
-                // A request stays on its way from here until an owner has answered.
+                // A local request stays in the router until an owner has answered.
                 if matches!(response, Response::NotOwner { .. }) {
                     return;
                 }
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Serves a request as owner, or says that this node is not.
+    /// Serves a request as owner, or replies that this node is not the owner.
     pub(crate) fn serve(&mut self, to: ReplyTo, request: Request, now: Timestamp) {
         let group = request.group();
         if !self.owns(group) {
@@ -213,12 +213,12 @@
         self.propose_request(to, program.group, Command::BeginCall(begin), now);
     }
 
-    /// Clients of the chat protocol send the whole conversation each time. What is the chain's
-    /// history already is taken off; the rest is new. None when that history has to be read back
-    /// from store daemons first.
+    /// Returns the messages that are not in the chain's history yet, because clients of the chat
+    /// protocol send the whole conversation each time. None if the history has to be read back from
+    /// store daemons first.
     fn new_messages(&mut self, request: &CallRequest, now: Timestamp) -> Option<Vec<Message>> {
         let sent = &request.messages;
-        // A single message cannot repeat a turn, which has two.
+        // A turn has two messages, so a single message cannot repeat one.
         if sent.len() < 2 {
             return Some(sent.clone());
         }
@@ -259,7 +259,7 @@
         }
     }
 
-    /// The number of a call's last attempt: for an answered call the one that answered.
+    /// Returns the number of a call's last attempt. For an answered call, that attempt answered it.
     pub(crate) fn last_attempt(&self, call: CallId) -> u32 {
         let group = self.groups.get(&call.program.group);
         let program = group.and_then(|group| group.state.program(call.program));
@@ -292,7 +292,8 @@
         self.dirty.insert(id);
     }
 
-    /// Another tenant's program looks exactly like one that does not exist.
+    /// Whether a tenant may access a program. Another tenant's program is indistinguishable from one
+    /// that does not exist.
     fn may_access(&self, program: ProgramId, tenant: &TenantId) -> bool {
         let group: Option<&Group> = self.groups.get(&program.group);
         let found = group.and_then(|group| group.state.program(program));
--- a/crates/node/src/retirement.rs
+++ b/crates/node/src/retirement.rs
@@ -1,4 +1,4 @@
-//! Emptying this daemon for good: its replicas are replaced elsewhere while it serves on.
+//! Retires this daemon: its replicas are replaced elsewhere while it continues to serve.
 
 use dahlia_types::Timestamp;
 
@@ -6,17 +6,17 @@
 use crate::node::Node;
 
 impl Node {
-    /// Says to all that no replica belongs here any more. Leaders then replace those that are
-    /// here, and the groups that this node leads are handed over first.
+    /// Announces that this daemon must no longer hold replicas. Leaders then replace its replicas, and
+    /// leadership of the groups that it leads is transferred first.
     pub(crate) fn retire_daemon(&mut self, now: Timestamp) {
         self.settings.holds_groups = false;
         self.membership.set_holds_groups(false);
         self.next_upkeep = self.next_upkeep.min(now);
     }
 
-    /// Whether this daemon holds no groups, and neither a replica here nor a description counts
-    /// it as a member: its disk is needed no more. False until the groups are laid out: a layout
-    /// under way may name this daemon.
+    /// Whether this daemon must hold no groups, and no local replica or group description lists it as a
+    /// member. Its disk is then no longer needed. False until the groups are laid out, because a
+    /// pending layout may name this daemon.
     pub(crate) fn is_retired(&self) -> bool {
         !self.settings.holds_groups
             && self.is_laid_out()
@@ -24,13 +24,14 @@
             && !self.is_described_as_member()
     }
 
-    /// A removed replica is kept here empty, and knows no members.
+    /// Whether a local replica lists this daemon as a member. A removed replica is kept empty and has no
+    /// members.
     fn counts_here(&self, group: &Group) -> bool {
         group.replica.members().contains(self.settings.own)
     }
 
-    /// The groups' leaders publish committed members only. An earlier life of this daemon counts
-    /// too: it is removed by the same upkeep.
+    /// Whether a group description lists this daemon as a member. Leaders publish committed members
+    /// only. Previous incarnations count too, because the same upkeep removes them.
     fn is_described_as_member(&self) -> bool {
         let own = self.settings.own.daemon;
         let mut members = self.directory.iter().flat_map(|description| &description.members);
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -16,45 +16,46 @@
 use crate::load_sharing::LoadSharingSettings;
 use crate::zone_liveness::ZoneLivenessSettings;
 
-/// What a node is told at its start.
+/// The settings of a node, fixed at its start.
 #[derive(Debug, Clone)]
 pub struct NodeSettings {
-    /// This daemon, in this life.
+    /// This daemon and its current incarnation.
     pub own: ReplicaId,
     /// Its zone.
     pub zone: Zone,
     /// Its region.
     pub region: Region,
-    /// Where other daemons reach it.
+    /// The address at which other daemons reach it.
     pub address: SocketAddr,
-    /// Addresses of daemons to start from.
+    /// Addresses of daemons to contact first.
     pub seeds: Vec<SocketAddr>,
     /// Number of groups in the system.
     pub group_count: u32,
-    /// What may be lost at once; the voters of each group follow from it.
+    /// The losses to tolerate at the same time, which determine the number of voters of each group.
     pub tolerance: LossTolerance,
-    /// Daemons that must be live before the groups are laid out; none leaves that to `tolerance`.
+    /// Number of daemons that must be live before the groups are laid out; none derives it from
+    /// `tolerance`.
     pub bootstrap_daemons: Option<u32>,
     /// Whether replicas of groups may be placed on this daemon.
     pub holds_groups: bool,
-    /// Which process of this incarnation runs, from 1; 0 where no incarnation outlives its
-    /// process.
+    /// Number of process starts of this incarnation, from 1; 0 if no incarnation outlives its process.
     pub start_count: u32,
-    /// Timing and bounds of replica groups.
+    /// Timing and limits of replica groups.
     pub group: GroupSettings,
-    /// Timing and bounds of membership.
+    /// Timing and limits of membership.
     pub membership: MembershipSettings,
-    /// Sharing what few daemons read of an outside source; none where this one does not follow it.
+    /// Sharing of an external source that only a few daemons read; none if this daemon does not follow
+    /// it.
     pub feed: Option<FeedSettings>,
-    /// Sharing loads with other daemons; none where this one has no part in it.
+    /// Load sharing with other daemons; none if this daemon does not share loads.
     pub load_sharing: Option<LoadSharingSettings>,
-    /// Telling cut-off zones from silent daemons; none where nothing is to be made of it.
+    /// Detection of cut-off zones; none if they are not distinguished from silent daemons.
     pub zone_liveness: Option<ZoneLivenessSettings>,
-    /// Keeping tenants' rate limits.
+    /// Rate limits of tenants.
     pub rate_limits: LimitSettings,
-    /// Upkeep of groups' members.
+    /// Maintenance of group members.
     pub maintenance: MaintenanceSettings,
-    /// Whether this daemon has a store for bulk history.
+    /// Whether this daemon stores bulk history.
     pub has_store: bool,
     /// Bulk history.
     pub history: HistorySettings,
@@ -62,65 +63,65 @@
     pub limits: ProgramLimits,
     /// Placement.
     pub placement: PlacementSettings,
-    /// Which placement policy.
+    /// The placement policy.
     pub policy: PolicyKind,
-    /// Attempts of one call before it is given up.
+    /// Maximum number of attempts per call.
     pub attempts_per_call: u32,
-    /// Longest an attempt may run before it is cancelled.
+    /// How long an attempt may run before it is cancelled.
     pub attempt_limit: Duration,
-    /// How long the records of an ended program are kept, for late repeats of its calls.
+    /// How long the records of an ended program are kept, for late retries of its calls.
     pub keep_records: Duration,
-    /// How the operators' configuration spreads and is accepted.
+    /// Settings for following and changing the operators' configuration.
     pub configuration: dahlia_configuration::ConfigurationSettings,
-    /// Whether the operators' configuration is kept by the daemons. Without it a node serves from
-    /// its start, and whatever drives it answers for the configuration.
+    /// Whether the daemons keep the operators' configuration. If not, a node serves from its start, and
+    /// its driver is responsible for the configuration.
     pub follows_configuration: bool,
-    /// The document that is offered when the system has none; none leaves that to operators.
+    /// The document to propose if the system has none; none leaves that to operators.
     pub first_document: Option<String>,
-    /// Seed of all random draws.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// Mechanisms removed by tests.
+    /// Mechanisms that tests disable.
     #[doc(hidden)]
     pub faults: NodeFaults,
 }
 
 impl NodeSettings {
-    /// The state of a group before its first command.
+    /// Returns the state of a group before its first command.
     pub(crate) fn empty_state(&self, group: GroupId) -> GroupState {
         self.with_faults(GroupState::new(group, self.limits))
     }
 
-    /// Switches off in `state` what a test wants to be off. Switches are part of no snapshot.
+    /// Disables mechanisms in `state` for a test. Snapshots do not contain these switches.
     #[cfg(feature = "test-switches")]
     pub(crate) fn with_faults(&self, mut state: GroupState) -> GroupState {
         self.faults.program.iter().for_each(|mechanism| state.disable(*mechanism));
         state
     }
 
-    /// Outside of test builds nothing can be switched off.
+    /// Returns `state` unchanged: mechanisms can be disabled only in test builds.
     #[cfg(not(feature = "test-switches"))]
     pub(crate) fn with_faults(&self, state: GroupState) -> GroupState {
         state
     }
 }
 
-/// Mechanisms removed from a node, so that tests can show that each is needed. All are present by
-/// default; settings files cannot name them.
+/// Mechanisms disabled in a node, so that tests can show that each is needed. All are enabled by
+/// default, and settings files cannot disable them.
 #[doc(hidden)]
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct NodeFaults {
-    /// Attempts leave for their engine before their intent is durable.
+    /// Attempts are sent to their engine before their intent is durable.
     pub send_before_intent: bool,
-    /// A new owner takes interrupted attempts for not run instead of asking about them.
+    /// A new owner treats interrupted attempts as not run instead of querying the engine.
     pub no_enquiry: bool,
-    /// Reports of engines that leave are taken as those of serving ones.
+    /// Reports of leaving engines are treated like those of serving engines.
     pub ignore_leaving: bool,
-    /// Calls are handed to placement before the earlier ones of their chain have ended.
+    /// Calls are passed to placement before the earlier calls of their chain have ended.
     pub dispatch_waiting: bool,
-    /// Mechanisms of the program state that are switched off.
+    /// Disabled mechanisms of the program state.
     #[cfg(feature = "test-switches")]
     pub program: Vec<dahlia_program::Mechanism>,
-    /// Mechanisms of the configuration that are switched off.
+    /// Disabled mechanisms of the configuration.
     #[cfg(feature = "test-switches")]
     pub configuration: Vec<dahlia_configuration::Mechanism>,
 }
--- a/crates/node/src/upkeep.rs
+++ b/crates/node/src/upkeep.rs
@@ -1,5 +1,5 @@
-//! Upkeep of the members of groups that this daemon leads: replicas that are gone or leave are
-//! replaced, one step at a time.
+//! Maintains the members of groups that this daemon leads: replaces lost or leaving replicas, one step
+//! at a time.
 
 use dahlia_replication::maintenance::{ClusterView, MaintenanceStep};
 use dahlia_replication::membership::Member;
@@ -9,14 +9,14 @@
 use crate::group::Group;
 use crate::node::Node;
 
-/// How often a leader looks after the members of its group.
+/// How often a leader checks the members of its groups.
 const UPKEEP_INTERVAL: Duration = Duration::from_secs(1);
-/// How often it looks while the group lacks voters, exchanges one, or a member has begun another
-/// life: until it is whole again, the next death may stop it.
+/// How often it checks while a group lacks voters, replaces one, or has a member with a new
+/// incarnation. Until the group is complete again, the next failure may stop it.
 const REPAIR_INTERVAL: Duration = Duration::from_millis(200);
 
 impl Node {
-    /// Replaces members of groups that are gone, one step at a time.
+    /// Replaces lost members of groups, one step at a time.
     pub(crate) fn upkeep(&mut self, now: Timestamp) {
         if now < self.next_upkeep {
             return;
@@ -32,8 +32,8 @@
         let view = ClusterView::new(&members, &self.directory);
         for group in self.groups.values_mut().filter(|group| group.is_serving()) {
             let status = group.replica.status();
-            // A lack of daemons is no reason to do with fewer voters than there are: membership may
-            // know too few after a start, and one that is to be emptied stays until it is replaced.
+            // A lack of daemons must not reduce the present voters: membership may know too few daemons
+            // after a start, and a daemon to be emptied stays until it is replaced.
             let min_voters = status.members.voters.len().min(wanted);
             group.maintenance.set_voters(voters.max(min_voters));
             let has_learners = !status.members.learners.is_empty();
@@ -58,7 +58,7 @@
                     group.replica.transfer_leadership(to).err().map(|error| error.to_string())
                 }
             };
-            // A refused step is asked for again: nothing is remembered of it.
+            // A refused step is computed again later, because nothing of it is stored.
             if let Some(error) = refused {
                 log::debug!(target: "groups", "{}: {error}.", group.replica.group());
             }
@@ -66,17 +66,17 @@
         }
     }
 
-    /// Takes over what may be lost at once; groups get or give up voters one at a time.
+    /// Applies new losses to tolerate. Groups add or remove voters one at a time.
     pub(crate) fn change_tolerance(&mut self, tolerance: LossTolerance, now: Timestamp) {
         if self.settings.tolerance == tolerance {
             return;
         }
-        log::info!(target: "groups", "Losses to be borne at once are now {tolerance:?}.");
+        log::info!(target: "groups", "Losses to tolerate at the same time are now {tolerance:?}.");
         self.settings.tolerance = tolerance;
         self.next_upkeep = self.next_upkeep.min(now);
     }
 
-    /// Works out the voters of each group anew, and says when a declared loss cannot be borne.
+    /// Recomputes the number of voters of each group, and warns if a declared loss cannot be tolerated.
     fn update_voter_target(&mut self, members: &[Member]) {
         let target = self.settings.tolerance.target(&HolderCounts::of_members(members));
         if target.shortfalls != self.voter_target.shortfalls {
@@ -87,7 +87,7 @@
         self.voter_target = target;
     }
 
-    /// Whether a group has all its voters, none of them in an earlier life of its daemon.
+    /// Whether a group has all its voters, none of them a previous incarnation of its daemon.
     pub(crate) fn is_whole(&self, group: &Group) -> bool {
         let voters = &group.replica.members().voters;
         let is_present = |voter: &ReplicaId| {
--- a/crates/node/src/view.rs
+++ b/crates/node/src/view.rs
@@ -1,4 +1,4 @@
-//! Programs as operators see them.
+//! Builds the views of programs for operators.
 
 use dahlia_program::{Call, CallState, CloseReason, EndedCall, Lifecycle, Program};
 use dahlia_types::{CallId, GroupId, ProgramId, TenantId, Usage};
@@ -7,7 +7,7 @@
 use crate::request::{CacheHolderView, CallStateName, CallView, ProgramStateName, ProgramView};
 
 impl Node {
-    /// One program of a group that this node owns.
+    /// Returns a program of a group that this node owns.
     pub(crate) fn program_view(
         &self,
         group: GroupId,
@@ -25,7 +25,7 @@
         Some(view)
     }
 
-    /// Programs of a group that this node owns.
+    /// Returns programs of a group that this node owns.
     pub(crate) fn list_programs(
         &self,
         group: GroupId,
--- a/crates/node/src/wire.rs
+++ b/crates/node/src/wire.rs
@@ -1,4 +1,4 @@
-//! What daemons say to each other over one connection, in `bincode` frames.
+//! Messages between daemons, sent as `bincode` frames over a connection.
 
 use std::net::SocketAddr;
 
@@ -14,10 +14,10 @@
 use crate::load_sharing::LoadMessage;
 use crate::request::{Request, RequestId, Response};
 
-/// Version of this protocol. A daemon refuses a peer with another one by name.
+/// Version of this protocol. A daemon refuses a peer with another version and names the version.
 pub const PROTOCOL_VERSION: u32 = 6;
 
-/// Largest frame in bytes; a longer one ends the connection.
+/// Maximum size of a frame. A longer frame closes the connection.
 pub const MAX_FRAME_BYTES: usize = 16 * 1024 * 1024;
 
 /// The first frame of a connection.
@@ -27,136 +27,136 @@
     pub version: u32,
     /// The sender.
     pub daemon: DaemonId,
-    /// The sender's life.
+    /// The sender's incarnation.
     pub incarnation: Incarnation,
-    /// Keyed hash over the fields above: shows that the sender has the peer key.
+    /// Keyed hash over the fields above, which proves that the sender has the peer key.
     pub proof: [u8; 32],
-    /// What the connection is for.
+    /// The purpose of the connection.
     pub purpose: ConnectionPurpose,
 }
 
-/// What a connection is for.
+/// The purpose of a connection.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ConnectionPurpose {
-    /// [`PeerMessage`]s from the connecting side.
+    /// The connecting side sends [`PeerMessage`]s.
     Messages,
-    /// [`AnswerFrame`]s from the accepting side.
+    /// The accepting side sends [`AnswerFrame`]s.
     Answer(ReadAnswer),
 }
 
-/// Asks the owner for a call's answer from an offset on.
+/// A request to the owner for a call's answer, starting at an offset.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReadAnswer {
-    /// Whose credential the request carried.
+    /// The tenant of the request's credential.
     pub tenant: TenantId,
     /// The call.
     pub call: CallId,
-    /// The attempt whose text the reader has; 0 when it does not know.
+    /// The attempt whose text the reader has; 0 if unknown.
     pub attempt: u32,
-    /// Bytes of the text that the reader has.
+    /// Number of bytes of the text that the reader has.
     pub offset: u64,
 }
 
-/// A piece of an answer on its way from owner to gateway.
+/// A frame of an answer, from owner to gateway.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AnswerFrame {
-    /// Text of an attempt. A later attempt starts at offset 0 again.
+    /// Part of an attempt's text. A later attempt starts at offset 0 again.
     Piece {
         /// The attempt's number.
         attempt: u32,
-        /// Where the text starts, in bytes.
+        /// The start offset of the text in bytes.
         offset: u64,
         /// The text.
         text: String,
     },
-    /// Nothing new; the owner is there.
+    /// There is no new text, but the owner is alive.
     KeepAlive,
-    /// The final outcome, durable. An answer's whole text is in it.
+    /// The final, durable outcome. It contains an answer's full text.
     End {
-        /// The attempt that ended the call; 0 when there was none.
+        /// The attempt that ended the call; 0 if there was none.
         attempt: u32,
         /// The outcome.
         outcome: CallOutcome,
     },
-    /// This daemon does not own the program, or no longer.
+    /// This daemon does not own the program, or no longer owns it.
     NotOwner {
-        /// Who may.
+        /// The probable owner.
         hint: Option<DaemonId>,
     },
-    /// Refused.
+    /// The request was refused.
     Failed(ApiError),
 }
 
-/// One message between daemons.
+/// A message between daemons.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// Of replica groups. One frame carries all that is due to one peer.
+    /// Messages of replica groups. One frame carries all that are due to one peer.
     Groups(PeerBatch),
-    /// Of the operators' configuration.
+    /// A message about the operators' configuration.
     Configuration(dahlia_configuration::PeerMessage),
-    /// Of membership and spread facts.
+    /// A message of membership, with gossiped facts.
     Membership(Box<Envelope>),
-    /// Of bulk history.
+    /// A message about chunks of bulk history.
     Chunks(Box<ChunkMessage>),
     /// A request to the owner of a group.
     Request {
-        /// The asker's name for it.
+        /// The requester's identifier for it.
         id: RequestId,
         /// The request.
         request: Request,
-        /// Where the answer goes. An owner that has just started answers gateways that membership
-        /// has not told it of.
+        /// The address for the response. An owner that has just started must answer gateways that its
+        /// membership does not know yet.
         reply_to: SocketAddr,
     },
-    /// The answer.
+    /// The response to a request.
     Response {
-        /// The asker's name for the request.
+        /// The requester's identifier for the request.
         id: RequestId,
-        /// The answer.
+        /// The response.
         response: Response,
     },
-    /// A request to the owner of a group that the asker does not reach: the receiver puts it to the
-    /// owner by its own direct way, and passes the answer on as a [`Self::Response`].
+    /// A request to the owner of a group that the requester cannot reach. The receiver sends it directly
+    /// to the owner and forwards the answer as a [`Self::Response`].
     Forward {
-        /// The asker's name for it.
+        /// The requester's identifier for it.
         id: RequestId,
         /// The request: a command to a ledger.
         request: Request,
-        /// Where the answer goes.
+        /// The address for the response.
         reply_to: SocketAddr,
     },
-    /// Of what few daemons read of an outside source.
+    /// A message about an external source that only a few daemons read.
     Feed(FeedMessage),
-    /// Of loads. Goes by datagrams alone: builds that do not know it drop a datagram, and would end a
-    /// connection.
+    /// A message about loads. It is sent only in datagrams: builds that do not know it drop a datagram,
+    /// but would close a connection.
     Loads(LoadMessage),
 }
 
-/// What a message is about, as its bytes are counted.
+/// The kind of a message, by which its bytes are counted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MessageKind {
-    /// Replica groups.
+    /// Messages of replica groups.
     Groups,
     /// The operators' configuration.
     Configuration,
-    /// Probes and news of members, and comparisons.
+    /// Membership probes, gossip and synchronization.
     Membership,
-    /// Documents that daemons give each other.
+    /// Documents shared between daemons.
     Documents,
     /// Bulk history.
     Chunks,
     /// Requests to owners of groups.
     Requests,
-    /// Answers to these.
+    /// Responses to these requests.
     Responses,
-    /// What few daemons read of an outside source.
+    /// An external source that only a few daemons read.
     Feed,
     /// Loads.
     Loads,
 }
 
 impl MessageKind {
-    /// All of them, in the order of their declaration.
+    /// All kinds, in order of declaration.
     pub const ALL: [Self; 9] = [
         Self::Groups,
         Self::Configuration,
@@ -169,7 +169,7 @@
         Self::Loads,
     ];
 
-    /// Its name in logs and metrics.
+    /// Returns the kind's name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Groups => "groups",
@@ -185,20 +185,20 @@
     }
 }
 
-/// How a message travels between daemons.
+/// How a message is sent between daemons.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Transport {
     /// Over a connection.
     Connection,
-    /// In a datagram; over a connection when it is too long.
+    /// In a datagram, or over a connection if it is too long.
     DatagramIfFits,
-    /// In a datagram or not at all: a peer of another build may not know the message, and a connection
-    /// would end with it.
+    /// In a datagram or not at all. A peer of another build may not know the message, and would close a
+    /// connection that carried it.
     DatagramOnly,
 }
 
 impl PeerMessage {
-    /// What it is about.
+    /// Returns the message's kind.
     pub fn kind(&self) -> MessageKind {
         match self {
             Self::Groups(_) => MessageKind::Groups,
@@ -213,7 +213,7 @@
         }
     }
 
-    /// How it travels.
+    /// Returns how the message is sent.
     pub fn transport(&self) -> Transport {
         match self {
             Self::Membership(_) => Transport::DatagramIfFits,
