--- a/crates/node/tests/cluster/mod.rs
+++ b/crates/node/tests/cluster/mod.rs
@@ -1,5 +1,5 @@
-//! A few nodes in virtual time, with links that can be cut and messages that can be lost.
-#![allow(dead_code)] // Each test file uses its own part.
+//! A small cluster of nodes in virtual time, with links that can be cut and messages that can be lost.
+#![allow(dead_code)] // Each test file uses only some of the helpers.
 
 #[path = "../plain_settings/mod.rs"]
 mod plain_settings;
@@ -16,20 +16,20 @@
 use dahlia_types::{
     DaemonId, Duration, GroupId, Incarnation, LogIndex, ReplicaId, Term, Timestamp, Zone,
 };
-use plain_settings::{address, daemon_at, plain_settings};
+use plain_settings::{address, daemon_by_address, plain_settings};
 
-/// A gateway that no node has heard of.
-const STRANGER: u32 = 9;
+/// A gateway that no node knows.
+const UNKNOWN_GATEWAY: u32 = 9;
 /// The gateway, which holds no group.
 pub const GATEWAY: u32 = 4;
-/// Gateways that know each other and the stores, beside the first.
+/// Further gateways.
 pub const OTHER_GATEWAYS: [u32; 2] = [5, 6];
 /// The daemons that hold the group.
 pub const STORES: [u32; 3] = [1, 2, 3];
 /// The only group.
 pub const GROUP: GroupId = GroupId(0);
-/// One way between any two daemons.
-pub const LINK: Duration = Duration::from_millis(1);
+/// One-way delay between any two daemons.
+pub const LINK_DELAY: Duration = Duration::from_millis(1);
 
 const START: Timestamp = Timestamp(3_600_000_000);
 
@@ -39,50 +39,50 @@
     Layout,
 }
 
-/// The nodes and what is under way between them.
+/// The nodes and the events in flight between them.
 pub struct Cluster {
     pub now: Timestamp,
     nodes: BTreeMap<u32, Node>,
-    agenda: BTreeMap<(Timestamp, u64), (u32, Delivery)>,
-    cut: BTreeSet<(u32, u32)>,
-    /// By how much longer messages of these daemons take.
-    slow: BTreeMap<u32, Duration>,
+    queue: BTreeMap<(Timestamp, u64), (u32, Delivery)>,
+    cut_links: BTreeSet<(u32, u32)>,
+    /// Additional delay of messages from a daemon.
+    extra_delays: BTreeMap<u32, Duration>,
     reach: BTreeMap<u32, Reach>,
     has_zones: bool,
-    lost_responses: u32,
-    answers_to_stranger: u32,
-    answers: BTreeMap<RequestId, (Timestamp, Response)>,
+    responses_to_lose: u32,
+    responses_to_unknown_gateway: u32,
+    responses: BTreeMap<RequestId, (Timestamp, Response)>,
     sequence: u64,
-    /// Messages between daemons by kind: appends and their answers, requests, responses.
-    pub messages: Messages,
+    /// Counts of messages between daemons, by kind.
+    pub message_counts: MessageCounts,
 }
 
-/// Messages that were sent for requests.
+/// Counts of sent messages. `groups` counts the messages of replica groups.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Messages {
+pub struct MessageCounts {
     pub groups: u32,
     pub requests: u32,
     pub responses: u32,
-    /// Requests by way of another daemon.
-    pub passed_on: u32,
+    /// Requests forwarded through another daemon.
+    pub forwarded: u32,
 }
 
 impl Cluster {
-    /// Nodes that know of no group and of each other only by their seeds.
+    /// Starts nodes that know no group, and only their seeds of each other.
     pub fn starting(group: GroupSettings) -> Self {
         let mut cluster = Self {
             now: START,
             nodes: BTreeMap::new(),
-            agenda: BTreeMap::new(),
-            cut: BTreeSet::new(),
-            slow: BTreeMap::new(),
+            queue: BTreeMap::new(),
+            cut_links: BTreeSet::new(),
+            extra_delays: BTreeMap::new(),
             reach: BTreeMap::new(),
             has_zones: false,
-            lost_responses: 0,
-            answers_to_stranger: 0,
-            answers: BTreeMap::new(),
+            responses_to_lose: 0,
+            responses_to_unknown_gateway: 0,
+            responses: BTreeMap::new(),
             sequence: 0,
-            messages: Messages::default(),
+            message_counts: MessageCounts::default(),
         };
         for daemon in STORES.into_iter().chain([GATEWAY]) {
             cluster.add(daemon, &group);
@@ -90,12 +90,12 @@
         cluster
     }
 
-    /// Nodes that all know each other in three zones, each with a store and a gateway, which tell
-    /// cut-off zones from silent daemons.
+    /// Starts nodes in three zones, each with a store and a gateway, with zone liveness enabled. Returns
+    /// when all know each other.
     pub fn started_in_zones(group: GroupSettings) -> Self {
         let mut cluster = Self::starting(group.clone());
         cluster.nodes.clear();
-        cluster.agenda.clear();
+        cluster.queue.clear();
         cluster.has_zones = true;
         let gateways = OTHER_GATEWAYS.into_iter().chain([GATEWAY]);
         STORES.into_iter().chain(gateways).for_each(|daemon| cluster.add(daemon, &group));
@@ -105,34 +105,34 @@
         cluster
     }
 
-    /// Cuts the daemons of a store's zone off from all others, both ways.
+    /// Cuts all links between a store's zone and the other zones, in both directions.
     pub fn cut_zone_of(&mut self, store: u32) {
         let inside = [store, gateway_beside(store)];
         let outside: Vec<u32> =
             self.nodes.keys().copied().filter(|daemon| !inside.contains(daemon)).collect();
         for (one, other) in inside.iter().flat_map(|one| outside.iter().map(|it| (*one, *it))) {
-            self.cut.extend([(one, other), (other, one)]);
+            self.cut_links.extend([(one, other), (other, one)]);
         }
     }
 
-    /// Cuts a daemon off from all others, both ways.
+    /// Cuts all links of a daemon, in both directions.
     pub fn cut_from_all(&mut self, daemon: u32) {
         for other in self.nodes.keys().filter(|other| **other != daemon) {
-            self.cut.extend([(daemon, *other), (*other, daemon)]);
+            self.cut_links.extend([(daemon, *other), (*other, daemon)]);
         }
     }
 
-    /// Makes messages of a daemon take longer.
+    /// Delays messages from a daemon.
     pub fn slow_down(&mut self, daemon: u32, by: Duration) {
-        self.slow.insert(daemon, by);
+        self.extra_delays.insert(daemon, by);
     }
 
-    /// Whom a daemon reaches, as it said last.
+    /// Returns the reach that a daemon last reported.
     pub fn reach(&self, daemon: u32) -> Reach {
         self.reach.get(&daemon).cloned().unwrap_or_default()
     }
 
-    /// Nodes with further gateways that all know each other.
+    /// Starts nodes with further gateways. Returns when all know each other.
     pub fn started_with_other_gateways(group: GroupSettings) -> Self {
         let mut cluster = Self::starting(group.clone());
         OTHER_GATEWAYS.into_iter().for_each(|daemon| cluster.add(daemon, &group));
@@ -159,7 +159,7 @@
         nodes.all(|node| node.daemons().len() == members && !node.group_ids().is_empty())
     }
 
-    /// Nodes that have their layout, an owner of the group, and each other.
+    /// Starts nodes. Returns when the group has an owner and all nodes know it and each other.
     pub fn started(group: GroupSettings) -> Self {
         let mut cluster = Self::starting(group);
         cluster.run_until(Duration::from_secs(30), |cluster| {
@@ -168,8 +168,8 @@
         cluster
     }
 
-    /// Waits until the group has an owner and all nodes know each other. The gateway need not
-    /// know of the group yet.
+    /// Waits until the group has an owner and all nodes know each other. The gateway need not know the
+    /// group yet.
     pub fn wait_for_owner_and_members(&mut self) {
         self.run_until(Duration::from_secs(30), |cluster| {
             let members = cluster.nodes.len();
@@ -178,38 +178,41 @@
         });
     }
 
-    /// Puts a command to `owner` for a daemon that no node has heard of, and waits for the answer
-    /// to arrive there.
-    pub fn insist_as_stranger(&mut self, owner: u32, command: LedgerCommand) {
+    /// Sends a command to `owner` from a daemon that no node knows, and waits for the response there.
+    pub fn send_from_unknown_gateway(&mut self, owner: u32, command: LedgerCommand) {
         let request = Request::Ledger { group: GROUP, command };
-        let reply_to = address(STRANGER);
+        let reply_to = address(UNKNOWN_GATEWAY);
         let message = PeerMessage::Request { id: RequestId(1), request, reply_to };
-        self.push(self.now + LINK, owner, Delivery::Message { from: STRANGER, message });
-        self.run_until(Duration::from_secs(1), |cluster| cluster.answers_to_stranger > 0);
+        self.push(
+            self.now + LINK_DELAY,
+            owner,
+            Delivery::Message { from: UNKNOWN_GATEWAY, message },
+        );
+        self.run_until(Duration::from_secs(1), |cluster| cluster.responses_to_unknown_gateway > 0);
     }
 
-    /// Whether the gateway has news of the group.
-    pub fn gateway_knows_the_group(&self) -> bool {
+    /// Whether the gateway knows the group.
+    pub fn gateway_knows_group(&self) -> bool {
         !self.nodes[&GATEWAY].group_ids().is_empty()
     }
 
-    /// Waits until the gateway knows of the group.
-    pub fn wait_for_news_at_gateway(&mut self) {
+    /// Waits until the gateway knows the group.
+    pub fn wait_until_gateway_knows_group(&mut self) {
         self.run_until(Duration::from_secs(30), |cluster| {
             !cluster.nodes[&GATEWAY].group_ids().is_empty()
         });
     }
 
-    /// The daemon that owns the group.
+    /// Returns the daemon that owns the group.
     pub fn owner(&self) -> Option<u32> {
         let mut owners = self.nodes.iter().filter(|(_, node)| node.owns(GROUP));
         owners.next().map(|(daemon, _)| *daemon)
     }
 
-    /// The daemon that owns the group among those that are not `besides`.
-    pub fn other_owner(&self, besides: u32) -> Option<u32> {
+    /// Returns the daemon that owns the group, other than `excluded`.
+    pub fn other_owner(&self, excluded: u32) -> Option<u32> {
         let mut owners = self.nodes.iter().filter(|(_, node)| node.owns(GROUP));
-        owners.find(|(daemon, _)| **daemon != besides).map(|(daemon, _)| *daemon)
+        owners.find(|(daemon, _)| **daemon != excluded).map(|(daemon, _)| *daemon)
     }
 
     /// Ends a daemon's process.
@@ -217,34 +220,34 @@
         self.nodes.remove(&daemon);
     }
 
-    /// Cuts a daemon off from the other stores, both ways.
+    /// Cuts the links between a daemon and the other stores, in both directions.
     pub fn cut_from_stores(&mut self, daemon: u32) {
         for other in STORES.into_iter().filter(|other| *other != daemon) {
-            self.cut.extend([(daemon, other), (other, daemon)]);
+            self.cut_links.extend([(daemon, other), (other, daemon)]);
         }
     }
 
-    /// Cuts the way from one daemon to another.
+    /// Cuts the link from one daemon to another, in this direction only.
     pub fn cut_one_way(&mut self, from: u32, to: u32) {
-        self.cut.insert((from, to));
+        self.cut_links.insert((from, to));
     }
 
-    /// Mends all cuts.
-    pub fn mend(&mut self) {
-        self.cut.clear();
+    /// Restores all links.
+    pub fn heal_links(&mut self) {
+        self.cut_links.clear();
     }
 
-    /// Loses the next answers to requests.
+    /// Drops the next `count` responses to requests.
     pub fn lose_responses(&mut self, count: u32) {
-        self.lost_responses = count;
+        self.responses_to_lose = count;
     }
 
-    /// Puts a command to the ledger at the gateway.
-    pub fn ask(&mut self, command: LedgerCommand) -> RequestId {
+    /// Sends a ledger command from the gateway.
+    pub fn send_command(&mut self, command: LedgerCommand) -> RequestId {
         self.request(Request::Ledger { group: GROUP, command })
     }
 
-    /// Puts any request to the gateway.
+    /// Sends a request from the gateway.
     pub fn request(&mut self, request: Request) -> RequestId {
         self.sequence += 1;
         let id = RequestId(self.sequence);
@@ -252,45 +255,45 @@
         id
     }
 
-    /// Waits for the answer to a request, and gives how long it took from now.
-    pub fn answer(&mut self, id: RequestId) -> (Response, Duration) {
+    /// Waits for the response to a request, and returns it with the time waited.
+    pub fn wait_for_response(&mut self, id: RequestId) -> (Response, Duration) {
         let asked = self.now;
         let limit = Duration::from_secs(10);
-        self.run_until(limit, |cluster| cluster.answers.contains_key(&id));
-        let (at, response) = self.answers.remove(&id).expect("just seen");
+        self.run_until(limit, |cluster| cluster.responses.contains_key(&id));
+        let (at, response) = self.responses.remove(&id).expect("the response has arrived");
         (response, at.since(asked))
     }
 
-    /// Puts a command to the ledger, again after every answer that it is unavailable.
-    pub fn insist(&mut self, command: &LedgerCommand) -> LedgerReply {
+    /// Sends a ledger command until the ledger replies.
+    pub fn send_until_answered(&mut self, command: &LedgerCommand) -> LedgerReply {
         loop {
-            let id = self.ask(command.clone());
-            if let Response::Ledger(reply) = self.answer(id).0 {
+            let id = self.send_command(command.clone());
+            if let Response::Ledger(reply) = self.wait_for_response(id).0 {
                 return reply;
             }
         }
     }
 
-    /// Lets time pass.
-    pub fn pass(&mut self, length: Duration) {
+    /// Runs the cluster for a while.
+    pub fn advance(&mut self, length: Duration) {
         let end = self.now + length;
-        self.run_until(length, |cluster| cluster.next_at() > end);
+        self.run_until(length, |cluster| cluster.next_event_at() > end);
     }
 
-    /// The ledger at a daemon.
+    /// Returns a daemon's replica of the ledger.
     pub fn ledger(&self, daemon: u32) -> &dahlia_ledger::Ledger {
         self.nodes[&daemon].group_state(GROUP).expect("it holds the group").ledger()
     }
 
-    fn next_at(&self) -> Timestamp {
-        self.agenda.first_key_value().expect("nodes tick for ever").0.0
+    fn next_event_at(&self) -> Timestamp {
+        self.queue.first_key_value().expect("nodes tick for ever").0.0
     }
 
     pub fn run_until(&mut self, limit: Duration, is_done: impl Fn(&Self) -> bool) {
         let deadline = self.now + limit;
         while !is_done(self) {
             assert!(self.now <= deadline, "not within {limit:?}");
-            let ((at, _), (daemon, delivery)) = self.agenda.pop_first().expect("nodes tick");
+            let ((at, _), (daemon, delivery)) = self.queue.pop_first().expect("nodes tick");
             self.now = at;
             self.deliver(daemon, delivery);
         }
@@ -320,9 +323,9 @@
             match action {
                 Action::Send { to, message } => self.send(daemon, to, message),
                 Action::Respond { id, response } => {
-                    self.answers.insert(id, (now, response));
+                    self.responses.insert(id, (now, response));
                 }
-                Action::Layout(_) => self.push(now + LINK, daemon, Delivery::Layout),
+                Action::Layout(_) => self.push(now + LINK_DELAY, daemon, Delivery::Layout),
                 Action::ReachChanged(reach) => {
                     self.reach.insert(daemon, reach);
                 }
@@ -332,34 +335,34 @@
     }
 
     fn send(&mut self, from: u32, to: SocketAddr, message: PeerMessage) {
-        let Some(to) = daemon_at(to) else { return };
+        let Some(to) = daemon_by_address(to) else { return };
         match &message {
-            PeerMessage::Groups(_) => self.messages.groups += 1,
-            PeerMessage::Request { .. } => self.messages.requests += 1,
-            PeerMessage::Response { .. } => self.messages.responses += 1,
-            PeerMessage::Forward { .. } => self.messages.passed_on += 1,
+            PeerMessage::Groups(_) => self.message_counts.groups += 1,
+            PeerMessage::Request { .. } => self.message_counts.requests += 1,
+            PeerMessage::Response { .. } => self.message_counts.responses += 1,
+            PeerMessage::Forward { .. } => self.message_counts.forwarded += 1,
             _ => {}
         }
-        if to == STRANGER && matches!(message, PeerMessage::Response { .. }) {
-            self.answers_to_stranger += 1;
+        if to == UNKNOWN_GATEWAY && matches!(message, PeerMessage::Response { .. }) {
+            self.responses_to_unknown_gateway += 1;
         }
-        if matches!(message, PeerMessage::Response { .. }) && self.lost_responses > 0 {
-            self.lost_responses -= 1;
+        if matches!(message, PeerMessage::Response { .. }) && self.responses_to_lose > 0 {
+            self.responses_to_lose -= 1;
             return;
         }
-        if !self.cut.contains(&(from, to)) {
-            let longer = self.slow.get(&from).copied().unwrap_or_default();
-            self.push(self.now + LINK + longer, to, Delivery::Message { from, message });
+        if !self.cut_links.contains(&(from, to)) {
+            let extra_delay = self.extra_delays.get(&from).copied().unwrap_or_default();
+            self.push(self.now + LINK_DELAY + extra_delay, to, Delivery::Message { from, message });
         }
     }
 
     fn push(&mut self, at: Timestamp, daemon: u32, delivery: Delivery) {
         self.sequence += 1;
-        self.agenda.insert((at, self.sequence), (daemon, delivery));
+        self.queue.insert((at, self.sequence), (daemon, delivery));
     }
 }
 
-/// The gateway in a store's zone.
+/// Returns the gateway in a store's zone.
 pub fn gateway_beside(store: u32) -> u32 {
     match store {
         1 => OTHER_GATEWAYS[0],
--- a/crates/node/tests/failure_reports.rs
+++ b/crates/node/tests/failure_reports.rs
@@ -20,14 +20,14 @@
     let mut heard = 0;
     for seed in 0..10 {
         let tolerance = LossTolerance::of_machines(1);
-        let mut system = Stores::started_with(&daemons, tolerance, seed);
-        system.pass(Duration::from_secs(5));
-        system.tell(7, Event::BackendFailed(failure("grey", 2)));
-        system.tell(11, Event::BackendFailed(failure("grey", 1)));
-        system.pass(Duration::from_secs(2));
-        let reports = system.heard.values().flatten();
+        let mut system = Stores::started_with_seed(&daemons, tolerance, seed);
+        system.advance(Duration::from_secs(5));
+        system.send_event(7, Event::BackendFailed(failure("grey", 2)));
+        system.send_event(11, Event::BackendFailed(failure("grey", 1)));
+        system.advance(Duration::from_secs(2));
+        let reports = system.reported_failures.values().flatten();
         heard += reports.inspect(|report| assert_eq!(report.backend, "grey")).count();
-        let own = |daemon: u32| system.heard.get(&daemon).map_or(0, Vec::len);
+        let own = |daemon: u32| system.reported_failures.get(&daemon).map_or(0, Vec::len);
         assert!(own(7) <= 1 && own(11) <= 1, "nobody hears its own report");
     }
     let all = 10 * 2 * (daemons.len() - 1);
@@ -38,10 +38,10 @@
 #[test]
 fn each_report_of_one_daemon_is_heard_once() {
     let mut system = Stores::started(&[1, 2, 3], LossTolerance::of_machines(1));
-    system.pass(Duration::from_secs(5));
+    system.advance(Duration::from_secs(5));
     for _ in 0..3 {
-        system.tell(1, Event::BackendFailed(failure("grey", 1)));
-        system.pass(Duration::from_secs(2));
+        system.send_event(1, Event::BackendFailed(failure("grey", 1)));
+        system.advance(Duration::from_secs(2));
     }
-    assert_eq!(system.heard[&2], vec![failure("grey", 1); 3]);
+    assert_eq!(system.reported_failures[&2], vec![failure("grey", 1); 3]);
 }
--- a/crates/node/tests/limits.rs
+++ b/crates/node/tests/limits.rs
@@ -2,7 +2,7 @@
 
 mod cluster;
 
-use cluster::{Cluster, GATEWAY, GROUP, LINK, OTHER_GATEWAYS};
+use cluster::{Cluster, GATEWAY, GROUP, LINK_DELAY, OTHER_GATEWAYS};
 use dahlia_limits::{
     KeeperTerm, LimitCommand, LimitReply, ProgramKey, RateLimit, TenantUsage, UsageReport, Verdict,
     VersionedLimit,
@@ -12,7 +12,7 @@
 use dahlia_types::{DaemonId, Duration, Incarnation, TenantId};
 
 /// To the owner and back.
-const TWO_LINKS: Duration = Duration::from_micros(2 * LINK.as_micros());
+const TWO_LINKS: Duration = Duration::from_micros(2 * LINK_DELAY.as_micros());
 
 fn known() -> VersionedLimit {
     let limit = RateLimit::new(10.0, 100.0).expect("a limit").expect("some");
@@ -50,7 +50,7 @@
 
 fn ask(cluster: &mut Cluster) -> (Verdict, KeeperTerm, Duration) {
     let id = put(cluster, question());
-    let (response, took) = cluster.answer(id);
+    let (response, took) = cluster.wait_for_response(id);
     let LimitReply::Answer { verdict, keeper, .. } = reply(response) else {
         panic!("a question has an answer");
     };
@@ -70,9 +70,9 @@
 fn what_a_gateway_reported_is_counted_for_all() {
     let mut cluster = Cluster::started(GroupSettings::default());
     // A keeper that has been there for ten seconds takes the bucket for full.
-    cluster.pass(Duration::from_secs(10));
+    cluster.advance(Duration::from_secs(10));
     let id = put(&mut cluster, report(100));
-    let LimitReply::Counted { scarce, .. } = reply(cluster.answer(id).0) else {
+    let LimitReply::Counted { scarce, .. } = reply(cluster.wait_for_response(id).0) else {
         panic!("a report is counted");
     };
     assert_eq!(scarce, [TenantId::new("oak")]);
--- a/crates/node/tests/plain_settings/mod.rs
+++ b/crates/node/tests/plain_settings/mod.rs
@@ -1,4 +1,4 @@
-//! Settings of a node that tests start from.
+//! Base settings of a node for tests.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
@@ -13,20 +13,20 @@
 
 const PORT: u16 = 7_000;
 
-/// Where a daemon is reached; its number is the last part.
+/// Returns a daemon's address. Its last octet is the daemon's number.
 pub fn address(daemon: u32) -> SocketAddr {
     SocketAddr::new(IpAddr::V4(Ipv4Addr::new(10, 0, 0, daemon as u8)), PORT)
 }
 
-/// The daemon that is reached there.
-pub fn daemon_at(address: SocketAddr) -> Option<u32> {
+/// Returns the daemon with this address.
+pub fn daemon_by_address(address: SocketAddr) -> Option<u32> {
     match address.ip() {
         IpAddr::V4(ip) => Some(u32::from(ip.octets()[3])),
         IpAddr::V6(_) => None,
     }
 }
 
-/// A daemon that holds groups, keeps nothing on a disk and follows no configuration.
+/// Returns settings of a daemon that holds groups, has no disk and follows no configuration.
 pub fn plain_settings(own: ReplicaId) -> NodeSettings {
     NodeSettings {
         own,
--- a/crates/node/tests/wire_forms.rs
+++ b/crates/node/tests/wire_forms.rs
@@ -1,12 +1,12 @@
-//! The bytes of what daemons say to each other and write into their logs. While machines are upgraded one
-//! after the other, daemons of two builds serve together: a build must read what the one before writes,
-//! and write what that one reads.
+//! Tests the encoding of messages between daemons and of log entries. During a rolling upgrade, daemons
+//! of two builds serve together, so a build must read what the previous build writes, and write what
+//! the previous build reads.
 //!
-//! `wire_forms/6.txt` holds a sample of each kind as the build with protocol version 6 writes it, a name and
-//! hexadecimal bytes a line. It was written by the first build that has to be upgraded from, and is never
-//! written anew: a form that changes needs a version of its own, and a file beside this one.
-//! `wire_forms/6-datagrams.txt` holds kinds that came later under that version. Builds without them drop the
-//! datagram that brings one; over a connection they would end it.
+//! `wire_forms/6.txt` holds a sample of each kind as the build with protocol version 6 writes it, with a
+//! name and hexadecimal bytes per line. The first build from which upgrades are supported wrote it, and
+//! it must never be regenerated: a changed encoding needs a new version and a new file.
+//! `wire_forms/6-datagrams.txt` holds kinds added later under that version. Builds without such a kind
+//! drop its datagram, but would close a connection that carried it.
 
 use std::collections::BTreeMap;
 use std::fmt::{Debug, Write};
@@ -41,43 +41,50 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-const GOLDEN: [&str; 2] =
+const SAMPLE_FILES: [&str; 2] =
     [include_str!("wire_forms/6.txt"), include_str!("wire_forms/6-datagrams.txt")];
-const CONFIG: bincode::config::Configuration = bincode::config::standard();
+const ENCODING: bincode::config::Configuration = bincode::config::standard();
 
-fn golden() -> BTreeMap<&'static str, &'static str> {
-    GOLDEN.iter().flat_map(|held| held.lines()).filter_map(|line| line.split_once(' ')).collect()
+fn stored_samples() -> BTreeMap<&'static str, &'static str> {
+    SAMPLE_FILES
+        .iter()
+        .flat_map(|stored| stored.lines())
+        .filter_map(|line| line.split_once(' '))
+        .collect()
 }
 
-/// Checks samples, and gathers what they look like now.
+/// Compares samples with the stored bytes, and collects the current encodings.
 #[derive(Default)]
-struct Checker {
-    found: String,
-    wrong: Vec<String>,
+struct SampleChecker {
+    encoded: String,
+    mismatches: Vec<String>,
 }
 
-impl Checker {
+impl SampleChecker {
     fn check<T: Serialize + DeserializeOwned + PartialEq + Debug>(
         &mut self,
         name: &str,
         sample: T,
     ) {
-        let bytes = bincode::serde::encode_to_vec(&sample, CONFIG).expect("samples can be encoded");
+        let bytes =
+            bincode::serde::encode_to_vec(&sample, ENCODING).expect("samples can be encoded");
         let mut hex = String::new();
-        bytes.iter().for_each(|byte| write!(hex, "{byte:02x}").expect("texts take all"));
-        writeln!(self.found, "{name} {hex}").expect("texts take all");
-        let Some(held) = golden().get(name).copied() else {
-            return self.wrong.push(format!("{name}: no sample is held"));
+        bytes
+            .iter()
+            .for_each(|byte| write!(hex, "{byte:02x}").expect("writing to a string succeeds"));
+        writeln!(self.encoded, "{name} {hex}").expect("writing to a string succeeds");
+        let Some(stored) = stored_samples().get(name).copied() else {
+            return self.mismatches.push(format!("{name}: no sample is stored"));
         };
-        if held != hex {
-            self.wrong.push(format!("{name}: written {hex}, held {held}"));
+        if stored != hex {
+            self.mismatches.push(format!("{name}: encoded as {hex}, stored {stored}"));
         }
-        let held: Vec<u8> = (0..held.len() / 2)
-            .map(|place| u8::from_str_radix(&held[2 * place..2 * place + 2], 16).expect("hex"))
+        let stored: Vec<u8> = (0..stored.len() / 2)
+            .map(|index| u8::from_str_radix(&stored[2 * index..2 * index + 2], 16).expect("hex"))
             .collect();
-        let read = bincode::serde::decode_from_slice::<T, _>(&held, CONFIG).ok();
+        let read = bincode::serde::decode_from_slice::<T, _>(&stored, ENCODING).ok();
         if read.is_none_or(|(read, _)| read != sample) {
-            self.wrong.push(format!("{name}: what is held is read as something else"));
+            self.mismatches.push(format!("{name}: the stored sample decodes to another value"));
         }
     }
 }
@@ -172,7 +179,7 @@
     Members { voters: [replica(7), replica(8)].into(), learners: [replica(9)].into() }
 }
 
-fn check_membership(checker: &mut Checker) {
+fn check_membership(checker: &mut SampleChecker) {
     let ping =
         MemberMessage::Ping { sequence: 300, to: replica(8), on_behalf_of: Some(DaemonId(9)) };
     let ack = MemberMessage::Ack { sequence: 300, answering: replica(8), on_behalf_of: None };
@@ -195,7 +202,7 @@
     checker.check("membership-sync-chunk", envelope(MemberMessage::SyncChunk(chunk), vec![]));
 }
 
-fn check_groups(checker: &mut Checker) {
+fn check_groups(checker: &mut SampleChecker) {
     let entry = |index, data| LogEntry { index: LogIndex(index), term: Term(9), data };
     let append = Append {
         session: LogIndex(2),
@@ -247,7 +254,7 @@
     }
 }
 
-fn check_ledger(checker: &mut Checker) {
+fn check_ledger(checker: &mut SampleChecker) {
     let whole = TurnEnd::Completed {
         generated: Tokens(63),
         output: b"Done.\n".to_vec(),
@@ -287,13 +294,13 @@
     let not_owner = Response::NotOwner { hint: Some(DaemonId(7)) };
     let not_owner = PeerMessage::Response { id: RequestId(77), response: not_owner };
     checker.check("reply-not-owner", not_owner);
-    // As entries of a group's log, on the disks of stores too.
+    // Entries of a group's log are also stored on the disks of stores.
     checker.check("log-open", Command::Ledger(open()));
     checker.check("log-close", Command::Ledger(close(whole)));
     checker.check("log-expire", Command::Ledger(LedgerCommand::Expire { now: Timestamp(9) }));
 }
 
-fn check_limits(checker: &mut Checker) {
+fn check_limits(checker: &mut SampleChecker) {
     let limit = RateLimit::new(12.5, 20.0).expect("a limit can be kept").expect("there is one");
     let limit = VersionedLimit { generation: 4, limit };
     let tenant = TenantId::new("bayou");
@@ -334,7 +341,7 @@
     }
 }
 
-fn check_feed(checker: &mut Checker) {
+fn check_feed(checker: &mut SampleChecker) {
     let report = SourceReport {
         after: 1 << 33,
         at: (1 << 33) + 7,
@@ -369,17 +376,17 @@
         .map(|(name, message)| (name, PeerMessage::Loads(message)))
 }
 
-fn check_loads(checker: &mut Checker) {
+fn check_loads(checker: &mut SampleChecker) {
     loads().into_iter().for_each(|(name, message)| checker.check(name, message));
 }
 
-/// A kind that came after the first build of this version ends a connection to such a build.
+/// A kind that was added after the first build of this version would close a connection to that build.
 #[test]
-fn a_kind_that_came_later_never_goes_over_a_connection() {
+fn kinds_added_later_are_sent_only_in_datagrams() {
     for (name, message) in loads() {
         assert_eq!(message.transport(), Transport::DatagramOnly, "{name}");
     }
-    // Whatever else is sent is among the samples of that build, or older.
+    // All other kinds are among the samples of that build, or older.
     let envelope = envelope(MemberMessage::Gossip, Vec::new());
     assert_eq!(envelope.transport(), Transport::DatagramIfFits);
     let subscribe = FeedMessage::Subscribe { known: 1, reply_to: address() };
@@ -387,8 +394,8 @@
 }
 
 #[test]
-fn builds_that_serve_together_read_each_other() {
-    let mut checker = Checker::default();
+fn encodings_match_the_stored_samples() {
+    let mut checker = SampleChecker::default();
     let hello = Hello {
         version: 6,
         daemon: DaemonId(3_310_598_380),
@@ -403,18 +410,18 @@
     check_limits(&mut checker);
     check_feed(&mut checker);
     check_loads(&mut checker);
-    let held = golden().len();
-    let found = checker.found.lines().count();
+    let stored = stored_samples().len();
+    let found = checker.encoded.lines().count();
     assert!(
-        checker.wrong.is_empty() && held == found,
-        "{held} held, {found} checked\n{}\nas found:\n{}",
-        checker.wrong.join("\n"),
-        checker.found
+        checker.mismatches.is_empty() && stored == found,
+        "{stored} stored, {found} checked\n{}\nas found:\n{}",
+        checker.mismatches.join("\n"),
+        checker.encoded
     );
 }
 
-/// A peer with another version is refused by name, so a new version needs a bridge first.
+/// A peer with another version is refused, so a new version first needs a build that accepts both.
 #[test]
-fn the_version_is_the_one_whose_samples_are_held() {
+fn the_protocol_version_matches_the_stored_samples() {
     assert_eq!(PROTOCOL_VERSION, 6);
 }
--- a/crates/node/tests/zone_cuts.rs
+++ b/crates/node/tests/zone_cuts.rs
@@ -55,7 +55,7 @@
 /// that asks.
 fn serving() -> (Cluster, u32) {
     let mut cluster = Cluster::started_in_zones(groups());
-    cluster.insist(&open("first"));
+    cluster.send_until_answered(&open("first"));
     let owner = cluster.owner().expect("it has served a turn");
     assert_ne!(gateway_beside(owner), GATEWAY);
     (cluster, owner)
@@ -69,18 +69,18 @@
     let (mut cluster, _) = serving();
     cluster.cut_zone_of(STORE_BESIDE);
     let cut_at = cluster.now;
-    cluster.ask(open("inside"));
+    cluster.send_command(open("inside"));
     cluster.run_until(CUT_IS_KNOWN, |cluster| cluster.reach(GATEWAY).cut_off.is_some());
     let cut = cluster.reach(GATEWAY).cut_off.expect("just seen");
     assert!(!cut.is_alone, "the store of its zone answers");
     assert!(cut.since >= cut_at);
-    cluster.pass(Duration::from_secs(3));
+    cluster.advance(Duration::from_secs(3));
     for store in [STORES[0], STORES[1]] {
         let reach = cluster.reach(gateway_beside(store));
         assert_eq!(reach.silent_zones, zone_of(STORE_BESIDE));
         assert_eq!(reach.cut_off, None);
     }
-    cluster.mend();
+    cluster.heal_links();
     let is_back = |cluster: &Cluster| cluster.reach(GATEWAY) == Reach::default();
     cluster.run_until(Duration::from_secs(1), is_back);
 }
@@ -89,9 +89,9 @@
 fn a_gateway_that_is_cut_off_alone_says_so() {
     let (mut cluster, _) = serving();
     cluster.cut_from_all(GATEWAY);
-    cluster.ask(open("inside"));
+    cluster.send_command(open("inside"));
     cluster.run_until(CUT_IS_KNOWN, |cluster| cluster.reach(GATEWAY).cut_off.is_some());
-    cluster.pass(Duration::from_millis(200));
+    cluster.advance(Duration::from_millis(200));
     assert!(cluster.reach(GATEWAY).cut_off.expect("still").is_alone);
 }
 
@@ -99,9 +99,9 @@
 fn a_gateway_that_is_cut_off_from_stores_only_stays_in() {
     let (mut cluster, _) = serving();
     cluster.cut_from_stores(GATEWAY);
-    let id = cluster.ask(open("by way of another"));
-    assert!(is_opened(&cluster.answer(id).0));
-    cluster.pass(Duration::from_secs(3));
+    let id = cluster.send_command(open("by way of another"));
+    assert!(is_opened(&cluster.wait_for_response(id).0));
+    cluster.advance(Duration::from_secs(3));
     assert_eq!(cluster.reach(GATEWAY).cut_off, None);
 }
 
@@ -111,8 +111,8 @@
     let (mut cluster, _) = serving();
     STORES.into_iter().for_each(|store| cluster.kill(store));
     for round in 0..5 {
-        cluster.ask(open(&format!("turn-{round}")));
-        cluster.pass(Duration::from_secs(1));
+        cluster.send_command(open(&format!("turn-{round}")));
+        cluster.advance(Duration::from_secs(1));
         for store in STORES {
             assert_eq!(cluster.reach(gateway_beside(store)), Reach::default());
         }
@@ -123,10 +123,10 @@
 fn turns_go_on_within_half_a_second_when_the_zone_of_their_owner_is_cut_off() {
     for offset in 0..40 {
         let (mut cluster, owner) = serving();
-        cluster.pass(Duration::from_millis(1_000 + offset * 7));
+        cluster.advance(Duration::from_millis(1_000 + offset * 7));
         cluster.cut_zone_of(owner);
-        let id = cluster.ask(open("outside"));
-        let (response, took) = cluster.answer(id);
+        let id = cluster.send_command(open("outside"));
+        let (response, took) = cluster.wait_for_response(id);
         assert!(is_opened(&response), "cut {offset}: {response:?}");
         assert!(took <= GOES_ON, "cut {offset}: it took {took:?}");
     }
@@ -137,7 +137,7 @@
 fn an_owner_that_falls_silent_alone_keeps_its_time() {
     let (mut cluster, owner) = serving();
     cluster.cut_from_all(owner);
-    cluster.pass(Duration::from_millis(ELECTION_TIMEOUT_MS - HEARTBEAT_MS));
+    cluster.advance(Duration::from_millis(ELECTION_TIMEOUT_MS - HEARTBEAT_MS));
     assert_eq!(cluster.other_owner(owner), None);
     cluster.run_until(Duration::from_secs(3), |cluster| cluster.other_owner(owner).is_some());
 }
@@ -150,9 +150,9 @@
         cluster.slow_down(daemon, Duration::from_millis(80));
     }
     for round in 0..20 {
-        let id = cluster.ask(open(&format!("turn-{round}")));
-        assert!(is_opened(&cluster.answer(id).0));
-        cluster.pass(Duration::from_millis(300));
+        let id = cluster.send_command(open(&format!("turn-{round}")));
+        assert!(is_opened(&cluster.wait_for_response(id).0));
+        cluster.advance(Duration::from_millis(300));
         assert_eq!(cluster.owner(), Some(owner));
         assert_eq!(cluster.other_owner(owner), None);
     }
@@ -164,12 +164,12 @@
     for offset in 0..20 {
         let (mut cluster, owner) = serving();
         cluster.cut_zone_of(owner);
-        cluster.pass(Duration::from_millis(250 + offset * 20));
-        cluster.mend();
+        cluster.advance(Duration::from_millis(250 + offset * 20));
+        cluster.heal_links();
         let others = STORES.into_iter().filter(|store| ![owner, STORE_BESIDE].contains(store));
         others.for_each(|store| cluster.cut_zone_of(store));
-        let id = cluster.ask(open("outside"));
-        let (response, _) = cluster.answer(id);
+        let id = cluster.send_command(open("outside"));
+        let (response, _) = cluster.wait_for_response(id);
         assert!(is_opened(&response), "cut {offset}: {response:?}");
     }
 }
@@ -177,10 +177,10 @@
 /// Cuts of zones and of single ways, in a row and during the elections that they cause.
 fn cut_something(cluster: &mut Cluster, random: &mut ChaCha8Rng) {
     match random.random_range(0..4) {
-        0 => cluster.mend(),
+        0 => cluster.heal_links(),
         1 | 2 => {
             if random.random_bool(0.5) {
-                cluster.mend();
+                cluster.heal_links();
             }
             cluster.cut_zone_of(STORES[random.random_range(0..STORES.len())]);
         }
@@ -207,18 +207,20 @@
         let mut asked = Vec::new();
         for turn in 0..TURNS {
             cut_something(&mut cluster, &mut random);
-            asked.push((turn, cluster.ask(command(turn))));
-            cluster.pass(Duration::from_millis(random.random_range(1..700)));
+            asked.push((turn, cluster.send_command(command(turn))));
+            cluster.advance(Duration::from_millis(random.random_range(1..700)));
         }
-        cluster.mend();
-        cluster.pass(Duration::from_secs(4));
+        cluster.heal_links();
+        cluster.advance(Duration::from_secs(4));
         let mut told = Vec::new();
         for (turn, id) in asked {
-            if is_opened(&cluster.answer(id).0) {
+            if is_opened(&cluster.wait_for_response(id).0) {
                 told.push(turn);
             }
         }
-        let stands = |turn: &u64| matches!(cluster.insist(&command(*turn)), LedgerReply::Opened(_));
+        let stands = |turn: &u64| {
+            matches!(cluster.send_until_answered(&command(*turn)), LedgerReply::Opened(_))
+        };
         let standing: Vec<u64> = (0..TURNS).filter(stands).collect();
         assert!(standing.len() <= BORNE, "seed {seed}: {standing:?} are opened");
         let is_lost = |turn: &&u64| !standing.contains(turn);
