--- a/crates/node/src/answer.rs
+++ b/crates/node/src/answer.rs
@@ -174,8 +174,11 @@
     /// Whether the caller's text is from another attempt than `attempt`. Only the caller has the text
     /// before the start, so it can be compared by the attempt's number alone.
     fn is_other_attempt(&self, attempt: u32) -> bool {
-        let held = self.start.attempt;
-        self.start.offset > 0 && held != 0 && attempt != held && !self.is_comparison_disabled()
+        let caller_attempt = self.start.attempt;
+        self.start.offset > 0
+            && caller_attempt != 0
+            && attempt != caller_attempt
+            && !self.is_comparison_disabled()
     }
 
     fn pass_on(&mut self, text: String) -> Option<AnswerEvent> {
--- a/crates/node/src/history/holders.rs
+++ b/crates/node/src/history/holders.rs
@@ -52,9 +52,9 @@
     let mut chosen: Vec<&StoreDaemon> = Vec::new();
     for is_spread in [true, false] {
         for store in &ranked {
-            let same_zone = chosen.iter().any(|held| held.zone == store.zone);
-            let taken = chosen.iter().any(|held| held.daemon == store.daemon);
-            if chosen.len() < copies && !taken && !(is_spread && same_zone) {
+            let shares_zone = chosen.iter().any(|other| other.zone == store.zone);
+            let is_chosen = chosen.iter().any(|other| other.daemon == store.daemon);
+            if chosen.len() < copies && !is_chosen && !(is_spread && shares_zone) {
                 chosen.push(store);
             }
         }
--- a/crates/node/src/history/reading.rs
+++ b/crates/node/src/history/reading.rs
@@ -57,12 +57,12 @@
         let mut missing = Vec::new();
         for part in found.history_parts(chain) {
             match part {
-                HistoryPart::Messages(held) => messages.extend_from_slice(held),
+                HistoryPart::Messages(inline) => messages.extend_from_slice(inline),
                 HistoryPart::Chunk(reference) => {
                     let key = ChunkKey { program, digest: reference.digest };
                     match self.history.cache.get(&key) {
-                        Some(held) => {
-                            messages.extend_from_slice(held);
+                        Some(cached) => {
+                            messages.extend_from_slice(cached);
                             used.push(key);
                         }
                         None => missing.push(*reference),
@@ -104,12 +104,12 @@
 
     /// Drops all reads and deferred work of programs that this node no longer owns.
     pub(crate) fn drop_pending_reads(&mut self, programs: &[ProgramId]) {
-        let gone = |program: &ProgramId| programs.contains(program);
+        let is_dropped = |program: &ProgramId| programs.contains(program);
         let reads = &mut self.history.pending_reads;
-        reads.chunks.retain(|key, _| !gone(&key.program));
-        reads.calls.retain(|call| !gone(&call.program));
-        reads.answers.retain(|call| !gone(&call.program));
-        reads.requests.retain(|program, _| !gone(program));
+        reads.chunks.retain(|key, _| !is_dropped(&key.program));
+        reads.calls.retain(|call| !is_dropped(&call.program));
+        reads.answers.retain(|call| !is_dropped(&call.program));
+        reads.requests.retain(|program, _| !is_dropped(program));
     }
 
     fn request_chunk(&mut self, program: ProgramId, reference: ChunkReference, now: Timestamp) {
@@ -128,7 +128,7 @@
             return;
         }
         let stores = self.store_daemons();
-        let mut asked: Vec<(DaemonId, ChunkKey)> = Vec::new();
+        let mut requests_to_send: Vec<(DaemonId, ChunkKey)> = Vec::new();
         for (key, read) in &mut self.history.pending_reads.chunks {
             if read.next_attempt > now {
                 continue;
@@ -136,11 +136,11 @@
             read.next_attempt = now + RESPONSE_TIMEOUT;
             let ranked = ranked(key, &stores);
             if !ranked.is_empty() {
-                asked.push((ranked[read.attempts % ranked.len()].daemon, *key));
+                requests_to_send.push((ranked[read.attempts % ranked.len()].daemon, *key));
             }
             read.attempts += 1;
         }
-        for (daemon, key) in asked {
+        for (daemon, key) in requests_to_send {
             self.send_chunk(daemon, ChunkMessage::Get { key });
         }
     }
--- a/crates/node/src/history/repair.rs
+++ b/crates/node/src/history/repair.rs
@@ -45,13 +45,13 @@
             return;
         }
         let stores = self.store_daemons();
-        let mut asked: BTreeMap<DaemonId, Vec<ChunkKey>> = BTreeMap::new();
+        let mut keys_by_holder: BTreeMap<DaemonId, Vec<ChunkKey>> = BTreeMap::new();
         for key in keys {
             for holder in holders(&key, &stores, self.settings.history.copies) {
-                asked.entry(holder).or_default().push(key);
+                keys_by_holder.entry(holder).or_default().push(key);
             }
         }
-        for (holder, keys) in asked {
+        for (holder, keys) in keys_by_holder {
             self.send_chunk(holder, ChunkMessage::Check { keys });
         }
     }
--- a/crates/node/src/members.rs
+++ b/crates/node/src/members.rs
@@ -54,7 +54,7 @@
                 }
                 MembershipAction::FactChanged(fact) => self.fact_changed(&fact),
                 MembershipAction::Superseded { by } => {
-                    log::error!(target: "members", "A later life of this daemon runs: {by}.");
+                    log::error!(target: "members", "A later incarnation of this daemon runs: {by}.");
                     self.actions.push(Action::Stop { superseded_by: by });
                 }
             }
@@ -86,7 +86,7 @@
         self.membership.publish(key, version, vec![failure.failures]);
     }
 
-    /// Handles a known incarnation of a daemon. A voter whose daemon lost its memory or disk is replaced
+    /// Handles a changed member record. A voter whose daemon lost its memory or disk is replaced
     /// without waiting for the next regular upkeep. A voter that is now reachable is asked for its
     /// vote.
     fn handle_member_incarnation(&mut self, info: &MemberInfo, now: Timestamp) {
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -247,7 +247,7 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// What this node says of itself.
+    /// Returns the node's status.
     pub fn status(&self, now: Timestamp) -> NodeStatus {
         let led = || self.groups.values().filter(|group| group.is_serving());
         NodeStatus {
@@ -331,7 +331,7 @@
         if self.owns(group) {
             return Some(self.settings.own.daemon);
         }
-        let leader = self.groups.get(&group).and_then(|held| held.replica.leader());
+        let leader = self.groups.get(&group).and_then(|group| group.replica.leader());
         let leader = leader.filter(|leader| *leader != self.settings.own);
         let known = || self.router.hint(group).or(self.directory.leader(group).map(|it| it.daemon));
         leader.map(|leader| leader.daemon).or_else(known)
--- a/crates/node/src/recovery.rs
+++ b/crates/node/src/recovery.rs
@@ -78,7 +78,7 @@
         group.live.insert(attempt, live);
         group.taken_over.insert(attempt);
         if self.settings.faults.no_enquiry {
-            let reason = "a test's fault: nobody asked the engine".to_owned();
+            let reason = "a test disabled the query to the engine".to_owned();
             let cause = NotRunCause::Engine;
             let end = AttemptEnd::NotRun { cause, reason, retry_after: None };
             self.attempt_ended(attempt, epoch, end, now);
@@ -104,7 +104,7 @@
         let Some(group) = self.groups.get_mut(&id) else {
             return;
         };
-        log::info!(target: "groups", group:% = id; "This daemon owns a group no longer.");
+        log::info!(target: "groups", group:% = id; "This daemon no longer owns a group.");
         group.serving = None;
         self.recalled_attempts.retain(|attempt| attempt.call.program.group != id);
         self.not_run_causes.retain(|attempt, _| attempt.call.program.group != id);
--- a/crates/node/src/release.rs
+++ b/crates/node/src/release.rs
@@ -107,8 +107,8 @@
     ) {
         match end {
             ReleaseEnd::Confirmed { incarnation, freed } => {
-                let life = EngineIncarnation { engine: holder.engine.clone(), incarnation };
-                self.confirm_release(program, life, covers, freed, now);
+                let holder = EngineIncarnation { engine: holder.engine.clone(), incarnation };
+                self.confirm_release(program, holder, covers, freed, now);
             }
             ReleaseEnd::Failed => {
                 let group = self.groups.get_mut(&program.group);
@@ -126,7 +126,7 @@
     fn confirm_release(
         &mut self,
         program: ProgramId,
-        life: EngineIncarnation,
+        holder: EngineIncarnation,
         covers: LogIndex,
         freed: Bytes,
         now: Timestamp,
@@ -137,8 +137,8 @@
         };
         let command = ConfirmRelease {
             program,
-            engine: life.engine,
-            incarnation: life.incarnation,
+            engine: holder.engine,
+            incarnation: holder.incarnation,
             covers,
             freed,
         };
@@ -153,8 +153,8 @@
         };
         let program = confirmed.program;
         if let Some(group) = self.groups.get_mut(&program.group) {
-            group.releases.retain(|(held, holder), _| {
-                *held != program
+            group.releases.retain(|(released, holder), _| {
+                *released != program
                     || holder.engine != confirmed.engine
                     || holder.incarnation > confirmed.incarnation
             });
@@ -199,8 +199,8 @@
             }
         }
         for program in affected {
-            let life = EngineIncarnation { engine: engine.clone(), incarnation };
-            self.confirm_release(program, life, LogIndex(0), Bytes::ZERO, now);
+            let holder = EngineIncarnation { engine: engine.clone(), incarnation };
+            self.confirm_release(program, holder, LogIndex(0), Bytes::ZERO, now);
         }
     }
 }
--- a/crates/node/src/request.rs
+++ b/crates/node/src/request.rs
@@ -329,7 +329,7 @@
             (ErrorKind::Overloaded, "the call would have to wait for too long; it was not run")
         }
         NotRunReason::AttemptsFailed => {
-            (ErrorKind::NotRun, "every engine that was tried refused the call unrun")
+            (ErrorKind::NotRun, "every engine that was tried refused the call without running it")
         }
     }
 }
--- a/crates/node/src/requests.rs
+++ b/crates/node/src/requests.rs
@@ -37,8 +37,8 @@
     /// Sends every due request to the probable owner of its group.
     pub(crate) fn route_due(&mut self, now: Timestamp) {
         for id in self.router.take_expired(now) {
-            let message = "no owner of the program answered in time; a call may have its place: \
-                           ask again with the same key or number";
+            let message = "no owner of the program answered in time; the call may have been \
+                           accepted: retry with the same key or number";
             let error = ApiError::new(ErrorKind::Unavailable, message);
             let response = Response::Failed(error.with_retry_after(UNAVAILABLE_RETRY_DELAY));
             self.actions.push(Action::Respond { id, response });
@@ -222,10 +222,10 @@
         if sent.len() < 2 {
             return Some(sent.clone());
         }
-        let held = self.compose_history(request.program, request.chain, now)?;
-        let longer = !held.is_empty() && held.len() < sent.len();
-        let repeated = longer && held.iter().zip(sent).all(|(held, sent)| held == sent);
-        Some(if repeated { sent[held.len()..].to_vec() } else { sent.clone() })
+        let history = self.compose_history(request.program, request.chain, now)?;
+        let is_longer = !history.is_empty() && history.len() < sent.len();
+        let repeats_history = is_longer && history.iter().zip(sent).all(|(old, sent)| old == sent);
+        Some(if repeats_history { sent[history.len()..].to_vec() } else { sent.clone() })
     }
 
     fn await_outcome(&mut self, to: ReplyTo, tenant: &TenantId, call: CallId, now: Timestamp) {
--- a/crates/node/src/upkeep.rs
+++ b/crates/node/src/upkeep.rs
@@ -54,7 +54,7 @@
                 }
                 Some(MaintenanceStep::Transfer(to)) => {
                     let id = group.replica.group();
-                    log::info!(target: "groups", group:% = id, to:% = to; "Leadership handed over.");
+                    log::info!(target: "groups", group:% = id, to:% = to; "Leadership is transferred.");
                     group.replica.transfer_leadership(to).err().map(|error| error.to_string())
                 }
             };
--- a/crates/node/src/view.rs
+++ b/crates/node/src/view.rs
@@ -63,9 +63,9 @@
         turns: program.calls().filter(|(_, call)| answered(call)).count() as u32,
         cache_holders: program
             .obligations()
-            .map(|(life, _)| CacheHolderView {
-                engine: life.engine.clone(),
-                incarnation: life.incarnation,
+            .map(|(holder, _)| CacheHolderView {
+                engine: holder.engine.clone(),
+                incarnation: holder.incarnation,
             })
             .collect(),
         owner: Default::default(),
--- a/crates/node/tests/cluster/mod.rs
+++ b/crates/node/tests/cluster/mod.rs
@@ -257,11 +257,11 @@
 
     /// Waits for the response to a request, and returns it with the time waited.
     pub fn wait_for_response(&mut self, id: RequestId) -> (Response, Duration) {
-        let asked = self.now;
+        let waiting_since = self.now;
         let limit = Duration::from_secs(10);
         self.run_until(limit, |cluster| cluster.responses.contains_key(&id));
         let (at, response) = self.responses.remove(&id).expect("the response has arrived");
-        (response, at.since(asked))
+        (response, at.since(waiting_since))
     }
 
     /// Sends a ledger command until the ledger replies.
--- a/crates/node/tests/ledger.rs
+++ b/crates/node/tests/ledger.rs
@@ -83,9 +83,9 @@
     expect_opened(cluster.send_until_answered(&open("two", Some("one"), 40)));
     let owner = cluster.owner().expect("an owner");
     cluster.kill(owner);
-    let asked = cluster.now;
+    let sent_at = cluster.now;
     assert_eq!(cluster.send_until_answered(&close("two", 20)), LedgerReply::Closed);
-    let elapsed = cluster.now.since(asked);
+    let elapsed = cluster.now.since(sent_at);
     assert!(elapsed <= REQUEST_TIMEOUT, "the new owner answered after {elapsed:?}");
     let three = expect_opened(cluster.send_until_answered(&open("three", Some("two"), 50)));
     assert_eq!(three.history, b"<oneone><twotwo>");
--- a/crates/node/tests/tolerance.rs
+++ b/crates/node/tests/tolerance.rs
@@ -16,9 +16,9 @@
     let mut stores = Stores::started(&[1, 2, 3, 4, 5, 6, 7, 8], LossTolerance::of_machines(2));
     stores.wait_until_whole(Duration::from_secs(10));
     assert_eq!(stores.initial_voter_counts(), vec![5; GROUP_COUNT as usize]);
-    let held = stores.groups_held();
-    let (min, max) = (held.iter().min().copied(), held.iter().max().copied());
-    assert!(max <= min.map(|min| min + 2), "replicas are spread over all stores: {held:?}");
+    let replicas = stores.groups_held();
+    let (min, max) = (replicas.iter().min().copied(), replicas.iter().max().copied());
+    assert!(max <= min.map(|min| min + 2), "replicas are spread over all stores: {replicas:?}");
 }
 
 #[test]
