--- a/crates/node/src/answer.rs
+++ b/crates/node/src/answer.rs
@@ -60,7 +60,7 @@
     call: CallId,
     start: StartPosition,
     attempt: u32,
-    passed_on: String,
+    delivered: String,
     ended: bool,
     #[cfg(feature = "test-switches")]
     is_comparison_disabled: bool,
@@ -74,7 +74,7 @@
             call,
             start,
             attempt: start.attempt,
-            passed_on: String::new(),
+            delivered: String::new(),
             ended: false,
             #[cfg(feature = "test-switches")]
             is_comparison_disabled: false,
@@ -114,13 +114,13 @@
             AnswerFrame::NotOwner { .. } => FrameOutcome::FindOwner,
             AnswerFrame::Failed(error) => FrameOutcome::Events(vec![self.fail(error)]),
             AnswerFrame::Piece { attempt, offset, text } => {
-                match self.take_piece(attempt, offset, &text) {
+                match self.handle_piece(attempt, offset, &text) {
                     None => FrameOutcome::Nothing,
-                    Some(followed) => FrameOutcome::Events(vec![followed]),
+                    Some(event) => FrameOutcome::Events(vec![event]),
                 }
             }
             AnswerFrame::End { attempt, outcome } => {
-                FrameOutcome::Events(self.take_end(attempt, outcome))
+                FrameOutcome::Events(self.handle_end(attempt, outcome))
             }
         }
     }
@@ -132,15 +132,15 @@
     }
 
     fn position(&self) -> u64 {
-        self.start.offset + self.passed_on.len() as u64
+        self.start.offset + self.delivered.len() as u64
     }
 
-    fn take_piece(&mut self, attempt: u32, offset: u64, text: &str) -> Option<AnswerEvent> {
+    fn handle_piece(&mut self, attempt: u32, offset: u64, text: &str) -> Option<AnswerEvent> {
         match self.unseen_part(attempt, offset, text) {
             Ok(unseen) => {
                 let unseen = unseen.to_owned();
                 self.attempt = attempt;
-                self.pass_on(unseen)
+                self.deliver(unseen)
             }
             Err(error) => Some(self.fail(error)),
         }
@@ -156,17 +156,17 @@
     ) -> Result<&'a str, ApiError> {
         let position = self.position();
         if offset > position || self.is_other_attempt(attempt) {
-            return Err(replaced());
+            return Err(replaced_answer_error());
         }
         let start = self.start.offset;
         let from = offset.max(start);
-        let seen = &self.passed_on[(from - start) as usize..];
+        let seen = &self.delivered[(from - start) as usize..];
         let comparable = text.get((from - offset) as usize..).unwrap_or_default();
         let length = seen.len().min(comparable.len());
         if seen.as_bytes()[..length] != comparable.as_bytes()[..length]
             && !self.is_comparison_disabled()
         {
-            return Err(replaced());
+            return Err(replaced_answer_error());
         }
         Ok(comparable.get(seen.len()..).unwrap_or_default())
     }
@@ -181,16 +181,16 @@
             && !self.is_comparison_disabled()
     }
 
-    fn pass_on(&mut self, text: String) -> Option<AnswerEvent> {
+    fn deliver(&mut self, text: String) -> Option<AnswerEvent> {
         if text.is_empty() {
             return None;
         }
         let offset = self.position();
-        self.passed_on.push_str(&text);
+        self.delivered.push_str(&text);
         Some(AnswerEvent::Text { attempt: self.attempt, offset, text })
     }
 
-    fn take_end(&mut self, attempt: u32, outcome: CallOutcome) -> Vec<AnswerEvent> {
+    fn handle_end(&mut self, attempt: u32, outcome: CallOutcome) -> Vec<AnswerEvent> {
         if let Some(error) = outcome_error(&outcome) {
             return vec![self.fail(error)];
         }
@@ -199,14 +199,14 @@
             return vec![self.fail(error)];
         };
         if (answer.content.len() as u64) < self.position() {
-            return vec![self.fail(replaced())];
+            return vec![self.fail(replaced_answer_error())];
         }
         match self.unseen_part(attempt, 0, &answer.content).map(str::to_owned) {
             Err(error) => vec![self.fail(error)],
             Ok(rest) => {
                 self.attempt = attempt;
                 self.ended = true;
-                let text = self.pass_on(rest);
+                let text = self.deliver(rest);
                 text.into_iter().chain([AnswerEvent::End { usage }]).collect()
             }
         }
@@ -223,7 +223,7 @@
     }
 }
 
-fn replaced() -> ApiError {
+fn replaced_answer_error() -> ApiError {
     let message = "the attempt that you read was lost and another one answered differently; read \
                    the call's answer again from offset 0";
     ApiError::new(ErrorKind::AnswerReplaced, message)
--- a/crates/node/src/attempts.rs
+++ b/crates/node/src/attempts.rs
@@ -106,7 +106,7 @@
         }
         let epoch = group.replica.term();
         let live = LiveAttempt { epoch, cancel_at: now + limit };
-        group.live.insert(intent.attempt, live);
+        group.live_attempts.insert(intent.attempt, live);
         if !self.may_use(&intent.holder.engine, now) {
             // The engine was taken out of service while the intent was on its way to a quorum. No
             // byte has left, and only this owner could have sent one in this epoch.
@@ -141,7 +141,7 @@
         };
         let epoch = group.replica.term();
         let live = LiveAttempt { epoch, cancel_at: now + limit };
-        group.live.insert(intent.attempt, live);
+        group.live_attempts.insert(intent.attempt, live);
         let found = group.state.program(call.program).and_then(|program| program.call(call));
         let wish = found.map_or(Tokens::ZERO, |call| call.max_generated());
         let prompt = self.compose_prompt(call, now);
@@ -244,11 +244,11 @@
             return;
         };
         // A reader of an earlier ownership reports late: the present owner finds out by itself.
-        let current = group.live.get(&attempt).is_some_and(|live| live.epoch == epoch);
+        let current = group.live_attempts.get(&attempt).is_some_and(|live| live.epoch == epoch);
         if !current || !group.is_serving() {
             return;
         }
-        group.live.remove(&attempt);
+        group.live_attempts.remove(&attempt);
         let outcome = match end {
             AttemptEnd::Ran { text, usage } => {
                 let answer = Message { role: Role::Assistant, content: text };
@@ -280,7 +280,7 @@
         self.recalled_attempts.remove(&attempt);
         self.not_run_causes.remove(&attempt);
         if let Some(group) = self.groups.get_mut(&attempt.call.program.group) {
-            group.taken_over.remove(&attempt);
+            group.resumed_attempts.remove(&attempt);
         }
         let event = match &recorded.outcome {
             AttemptOutcome::Ran { usage, .. } => {
@@ -321,7 +321,7 @@
             return;
         }
         let group = self.groups.get_mut(&call.program.group);
-        if group.is_some_and(|group| group.taken_over.remove(&attempt)) {
+        if group.is_some_and(|group| group.resumed_attempts.remove(&attempt)) {
             self.call_ready(call, now);
             return;
         }
@@ -344,7 +344,7 @@
     /// Cancels attempts that have run for too long, and again those that did not end by it.
     pub(crate) fn check_attempts(&mut self, now: Timestamp) {
         for group in self.groups.values_mut() {
-            for (attempt, live) in &mut group.live {
+            for (attempt, live) in &mut group.live_attempts {
                 if live.cancel_at <= now {
                     // A cancel may be lost on its way, and an engine that hangs ends nothing by
                     // itself: only the attempt's end stops the repetition.
@@ -361,7 +361,7 @@
         let Some(group) = self.groups.get_mut(&id) else {
             return;
         };
-        for (attempt, live) in &mut group.live {
+        for (attempt, live) in &mut group.live_attempts {
             if attempt.call.program == program {
                 live.cancel_at = live.cancel_at.min(now);
             }
@@ -371,7 +371,7 @@
 
     fn recall(&mut self, attempt: AttemptId) {
         let group = self.groups.get(&attempt.call.program.group);
-        if let Some(live) = group.and_then(|group| group.live.get(&attempt)) {
+        if let Some(live) = group.and_then(|group| group.live_attempts.get(&attempt)) {
             let epoch = live.epoch;
             self.recalled_attempts.insert(attempt);
             self.actions.push(Action::RecallAttempt { attempt, epoch });
--- a/crates/node/src/group.rs
+++ b/crates/node/src/group.rs
@@ -66,19 +66,19 @@
     pub(crate) replica: Replica,
     pub(crate) state: GroupState,
     /// Proposals of this node by log index.
-    pub(crate) pending: BTreeMap<LogIndex, (Term, ProposalPurpose)>,
+    pub(crate) pending_proposals: BTreeMap<LogIndex, (Term, ProposalPurpose)>,
     /// Commands that the replica could not accept yet.
-    pub(crate) deferred: Vec<(Command, ProposalPurpose)>,
+    pub(crate) deferred_commands: Vec<(Command, ProposalPurpose)>,
     /// Attempts that this node runs.
-    pub(crate) live: BTreeMap<AttemptId, LiveAttempt>,
-    /// Attempts taken over from a previous owner, unknown to placement on this daemon.
-    pub(crate) taken_over: BTreeSet<AttemptId>,
+    pub(crate) live_attempts: BTreeMap<AttemptId, LiveAttempt>,
+    /// Attempts resumed from a previous owner, unknown to placement on this daemon.
+    pub(crate) resumed_attempts: BTreeSet<AttemptId>,
     /// Requests that wait for a call's outcome.
     pub(crate) waiters: BTreeMap<CallId, BTreeSet<ReplyTo>>,
     /// Releases that are due or in progress.
     pub(crate) releases: BTreeMap<(ProgramId, EngineIncarnation), PendingRelease>,
     /// The term in which this node assumed ownership, if it has.
-    pub(crate) serving: Option<Term>,
+    pub(crate) serving_term: Option<Term>,
     /// When to check next for expired programs.
     pub(crate) next_expiry: Timestamp,
     /// When to propose the next expiry of the ledger.
@@ -95,13 +95,13 @@
         Self {
             replica,
             state,
-            pending: BTreeMap::new(),
-            deferred: Vec::new(),
-            live: BTreeMap::new(),
-            taken_over: BTreeSet::new(),
+            pending_proposals: BTreeMap::new(),
+            deferred_commands: Vec::new(),
+            live_attempts: BTreeMap::new(),
+            resumed_attempts: BTreeSet::new(),
             waiters: BTreeMap::new(),
             releases: BTreeMap::new(),
-            serving: None,
+            serving_term: None,
             next_expiry: Timestamp::ZERO,
             next_ledger_expiry: Timestamp::ZERO,
             maintenance,
@@ -115,13 +115,13 @@
     }
 
     /// Takes the change that must be durable before any replica output since the last call is used.
-    pub(crate) fn take_durable(&mut self) -> Option<Action> {
+    pub(crate) fn take_durable_change(&mut self) -> Option<Action> {
         self.replica.take_durable_change().map(|change| Action::Persist(Box::new(change)))
     }
 
     /// Whether this node may act as the owner of the group's programs.
     pub(crate) fn is_serving(&self) -> bool {
-        self.serving == Some(self.replica.term()) && self.replica.is_leader_ready()
+        self.serving_term == Some(self.replica.term()) && self.replica.is_leader_ready()
     }
 
     /// Proposes a command for the log. Returns the purpose if this replica does not lead.
@@ -133,11 +133,11 @@
     ) -> Result<(), ProposalPurpose> {
         match self.replica.propose(encode(&command), now) {
             Ok(Proposal { index, term }) => {
-                self.pending.insert(index, (term, purpose));
+                self.pending_proposals.insert(index, (term, purpose));
                 Ok(())
             }
             Err(ProposeError::Overloaded { .. }) => {
-                self.deferred.push((command, purpose));
+                self.deferred_commands.push((command, purpose));
                 Ok(())
             }
             // A leader refuses proposals during a leadership transfer, but may remain leader. Its
@@ -146,7 +146,7 @@
                 if self.replica.role() == Role::Leader
                     && !matches!(purpose, ProposalPurpose::Request(_)) =>
             {
-                self.deferred.push((command, purpose));
+                self.deferred_commands.push((command, purpose));
                 Ok(())
             }
             Err(ProposeError::NotLeader { .. } | ProposeError::TooLarge { .. }) => Err(purpose),
@@ -183,11 +183,12 @@
     /// because another entry was committed at or after their index.
     pub(crate) fn resolve_proposals(&mut self, index: LogIndex, term: Term) -> ResolvedProposals {
         let mut resolved = ResolvedProposals::default();
-        while let Some((oldest, _)) = self.pending.first_key_value() {
+        while let Some((oldest, _)) = self.pending_proposals.first_key_value() {
             if *oldest > index {
                 break;
             }
-            let Some((oldest, (proposed_term, purpose))) = self.pending.pop_first() else {
+            let Some((oldest, (proposed_term, purpose))) = self.pending_proposals.pop_first()
+            else {
                 break;
             };
             if oldest == index && proposed_term == term {
--- a/crates/node/src/history/moving.rs
+++ b/crates/node/src/history/moving.rs
@@ -30,7 +30,7 @@
 /// The turns that are being moved to store daemons.
 #[derive(Debug, Default)]
 pub(crate) struct PendingMoves {
-    pending: BTreeMap<ChunkKey, PendingMove>,
+    turns: BTreeMap<ChunkKey, PendingMove>,
     next_scan: Timestamp,
 }
 
@@ -49,12 +49,12 @@
             return;
         }
         self.history.pending_moves.next_scan = now + SCAN_INTERVAL;
-        self.history.pending_moves.pending.retain(|_, pending_move| pending_move.deadline > now);
+        self.history.pending_moves.turns.retain(|_, pending_move| pending_move.deadline > now);
         let stores = self.store_daemons();
         if stores.len() < self.settings.history.copies {
             return;
         }
-        let free_slots = MAX_PENDING_MOVES.saturating_sub(self.history.pending_moves.pending.len());
+        let free_slots = MAX_PENDING_MOVES.saturating_sub(self.history.pending_moves.turns.len());
         for candidate in self.movable_turns(free_slots) {
             let bytes = encode_chunk(&candidate.messages);
             let chunk = ChunkReference::of(&candidate.messages, Tokens::ZERO);
@@ -66,7 +66,7 @@
                 unconfirmed_holders: targets.iter().copied().collect(),
                 deadline: now + MOVE_TIMEOUT,
             };
-            self.history.pending_moves.pending.insert(key, pending_move);
+            self.history.pending_moves.turns.insert(key, pending_move);
             for target in targets {
                 self.send_chunk(target, ChunkMessage::Put { key, bytes: bytes.clone() });
             }
@@ -79,7 +79,7 @@
         let programs = serving.flat_map(|group| group.state.programs());
         let candidates = programs.flat_map(|program| movable_turns(program, limit));
         let is_new = |candidate: &MoveCandidate| {
-            !self.history.pending_moves.pending.values().any(|pending_move| {
+            !self.history.pending_moves.turns.values().any(|pending_move| {
                 let command = &pending_move.command;
                 (command.program, command.chain, command.turn)
                     == (candidate.program, candidate.chain, candidate.turn)
@@ -90,7 +90,7 @@
 
     /// Handles a store daemon's confirmation that a chunk is durable.
     pub(super) fn chunk_stored(&mut self, from: DaemonId, key: ChunkKey, now: Timestamp) {
-        let Some(pending_move) = self.history.pending_moves.pending.get_mut(&key) else {
+        let Some(pending_move) = self.history.pending_moves.turns.get_mut(&key) else {
             return;
         };
         pending_move.unconfirmed_holders.remove(&from);
@@ -98,7 +98,7 @@
             return;
         }
         // Every copy is durable before the replicas drop theirs.
-        let Some(finished) = self.history.pending_moves.pending.remove(&key) else {
+        let Some(finished) = self.history.pending_moves.turns.remove(&key) else {
             return;
         };
         let id: GroupId = key.program.group;
--- a/crates/node/src/members.rs
+++ b/crates/node/src/members.rs
@@ -50,7 +50,7 @@
                             "A member changed."
                         );
                     }
-                    self.handle_member_incarnation(&record.info, now);
+                    self.handle_member_change(&record.info, now);
                 }
                 MembershipAction::FactChanged(fact) => self.fact_changed(&fact),
                 MembershipAction::Superseded { by } => {
@@ -89,7 +89,7 @@
     /// Handles a changed member record. A voter whose daemon lost its memory or disk is replaced
     /// without waiting for the next regular upkeep. A voter that is now reachable is asked for its
     /// vote.
-    fn handle_member_incarnation(&mut self, info: &MemberInfo, now: Timestamp) {
+    fn handle_member_change(&mut self, info: &MemberInfo, now: Timestamp) {
         for group in self.groups.values_mut() {
             group.replica.peer_address_found(info.replica(), now);
         }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -263,7 +263,7 @@
             groups_short: led().filter(|group| !self.is_whole(group)).count(),
             live_engines: self.engines.live(now),
             programs: led().map(|group| group.state.programs().count()).sum(),
-            attempts: self.groups.values().map(|group| group.live.len()).sum(),
+            attempts: self.groups.values().map(|group| group.live_attempts.len()).sum(),
             requests: self.router.len(),
             load_sharing: self.load_sharing_status(now),
         }
--- a/crates/node/src/outputs.rs
+++ b/crates/node/src/outputs.rs
@@ -49,7 +49,7 @@
         let Some(group) = self.groups.get_mut(&id) else {
             return;
         };
-        self.actions.extend(group.take_durable());
+        self.actions.extend(group.take_durable_change());
         for output in group.replica.take_outputs() {
             match output {
                 Output::Send(message) => self.send_to_replica(message),
@@ -170,9 +170,9 @@
         };
         let term = group.replica.term();
         let leads = group.replica.is_leader_ready();
-        match group.serving {
+        match group.serving_term {
             None if leads => {
-                group.serving = Some(term);
+                group.serving_term = Some(term);
                 self.publish_group(id);
                 self.assume_ownership(id, now);
             }
@@ -198,9 +198,9 @@
     }
 
     pub(crate) fn propose_deferred(&mut self, now: Timestamp) {
-        let waiting = |group: &&mut Group| !group.deferred.is_empty();
+        let waiting = |group: &&mut Group| !group.deferred_commands.is_empty();
         for group in self.groups.values_mut().filter(waiting) {
-            for (command, purpose) in std::mem::take(&mut group.deferred) {
+            for (command, purpose) in std::mem::take(&mut group.deferred_commands) {
                 // Only a request's purpose is returned: the owner changed, so its requester retries.
                 let _ = group.propose(command, purpose, now);
             }
--- a/crates/node/src/recovery.rs
+++ b/crates/node/src/recovery.rs
@@ -75,8 +75,8 @@
         };
         let epoch = group.replica.term();
         let live = LiveAttempt { epoch, cancel_at: now + limit };
-        group.live.insert(attempt, live);
-        group.taken_over.insert(attempt);
+        group.live_attempts.insert(attempt, live);
+        group.resumed_attempts.insert(attempt);
         if self.settings.faults.no_enquiry {
             let reason = "a test disabled the query to the engine".to_owned();
             let cause = NotRunCause::Engine;
@@ -105,15 +105,15 @@
             return;
         };
         log::info!(target: "groups", group:% = id; "This daemon no longer owns a group.");
-        group.serving = None;
+        group.serving_term = None;
         self.recalled_attempts.retain(|attempt| attempt.call.program.group != id);
         self.not_run_causes.retain(|attempt, _| attempt.call.program.group != id);
-        let attempts = std::mem::take(&mut group.live);
-        let pending = std::mem::take(&mut group.pending);
-        let deferred = std::mem::take(&mut group.deferred);
+        let attempts = std::mem::take(&mut group.live_attempts);
+        let pending = std::mem::take(&mut group.pending_proposals);
+        let deferred = std::mem::take(&mut group.deferred_commands);
         let waiters = std::mem::take(&mut group.waiters);
         group.releases.clear();
-        group.taken_over.clear();
+        group.resumed_attempts.clear();
         let programs: Vec<ProgramId> = group.state.programs().map(|program| program.id()).collect();
         self.drop_pending_reads(&programs);
         for attempt in attempts.into_keys() {
