--- a/crates/node/src/bootstrap.rs
+++ b/crates/node/src/bootstrap.rs
@@ -90,7 +90,7 @@
     }
 
     /// Records that the key is missing.
-    pub(crate) fn note_missing(&mut self) {
+    pub(crate) fn record_missing(&mut self) {
         self.is_missing = true;
     }
 
@@ -171,7 +171,7 @@
 
     pub(crate) fn handle_layout_step(&mut self, step: LayoutStep, now: Timestamp) {
         match step {
-            LayoutStep::Read => self.bootstrap.note_missing(),
+            LayoutStep::Read => self.bootstrap.record_missing(),
             LayoutStep::Failed => {}
             LayoutStep::Value(bytes) if !self.bootstrap.is_done() => match decode_layout(&bytes) {
                 Some(layout) => self.adopt_layout(layout, now),
--- a/crates/node/src/configuration/changes.rs
+++ b/crates/node/src/configuration/changes.rs
@@ -15,7 +15,7 @@
 /// The daemons of one system propose the first document one after another, at this interval.
 const FIRST_DOCUMENT_STAGGER: Duration = Duration::from_millis(300);
 /// Delay before the first document is proposed again.
-const FIRST_DOCUMENT_RETRY: Duration = Duration::from_secs(2);
+const FIRST_DOCUMENT_RETRY_DELAY: Duration = Duration::from_secs(2);
 /// Author of the first document.
 const FIRST_DOCUMENT_AUTHOR: &str = "settings";
 
@@ -105,7 +105,7 @@
         if now < at || configuration.change_writer.is_busy() {
             return;
         }
-        self.configuration.next_first_document_offer = Some(now + FIRST_DOCUMENT_RETRY);
+        self.configuration.next_first_document_offer = Some(now + FIRST_DOCUMENT_RETRY_DELAY);
         let digest = Digest::of(document.as_bytes()).to_string();
         let proposal = ChangeProposal {
             change: ChangeId(format!("first-{}", &digest[..16])),
--- a/crates/node/src/history/holders.rs
+++ b/crates/node/src/history/holders.rs
@@ -9,7 +9,7 @@
 use crate::node::Node;
 
 /// The contents of the fact that announces a daemon's store.
-const HAS_STORE: &[u8] = b"store";
+const STORE_FACT: &[u8] = b"store";
 
 /// A live store daemon.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -23,7 +23,7 @@
     pub(crate) fn publish_store(&mut self) {
         let own = self.settings.own;
         let key = FactKey::Other(own.daemon.0);
-        self.membership.publish(key, own.incarnation.0, HAS_STORE.to_vec());
+        self.membership.publish(key, own.incarnation.0, STORE_FACT.to_vec());
     }
 
     /// Returns the live store daemons, ordered by daemon id.
@@ -32,7 +32,7 @@
             let key = FactKey::Other(member.record.info.daemon.0);
             let incarnation = member.record.info.incarnation.0;
             let fact = self.membership.fact(&key);
-            fact.is_some_and(|fact| fact.version == incarnation && fact.bytes == HAS_STORE)
+            fact.is_some_and(|fact| fact.version == incarnation && fact.bytes == STORE_FACT)
         };
         let members = self.membership.members().into_iter();
         members
@@ -65,14 +65,14 @@
 /// Returns all store daemons, the most likely holders first.
 pub(super) fn ranked<'a>(key: &ChunkKey, stores: &'a [StoreDaemon]) -> Vec<&'a StoreDaemon> {
     let mut ranked: Vec<&StoreDaemon> = stores.iter().collect();
-    ranked.sort_by_key(|store| std::cmp::Reverse((weight(key, store.daemon), store.daemon)));
+    ranked.sort_by_key(|store| std::cmp::Reverse((rank(key, store.daemon), store.daemon)));
     ranked
 }
 
 /// Returns the rank of a daemon for a chunk. `DefaultHasher::new` has fixed keys. Daemons of different
 /// builds may disagree during an upgrade; repair then copies a few more chunks, and readers ask all
 /// store daemons.
-fn weight(key: &ChunkKey, daemon: DaemonId) -> u64 {
+fn rank(key: &ChunkKey, daemon: DaemonId) -> u64 {
     let mut hasher = DefaultHasher::new();
     (key, daemon).hash(&mut hasher);
     hasher.finish()
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -260,7 +260,7 @@
             live_daemons: self.live_members().len(),
             groups_held: self.groups.len(),
             groups_led: led().count(),
-            groups_short: led().filter(|group| !self.is_whole(group)).count(),
+            groups_short: led().filter(|group| !self.is_complete(group)).count(),
             live_engines: self.engines.live(now),
             programs: led().map(|group| group.state.programs().count()).sum(),
             attempts: self.groups.values().map(|group| group.live_attempts.len()).sum(),
--- a/crates/node/src/requests.rs
+++ b/crates/node/src/requests.rs
@@ -57,7 +57,7 @@
             if tries > 0 && !request.waits() {
                 self.router.drop_hint(group);
             }
-            let Some(target) = self.target(group, tries) else {
+            let Some(target) = self.choose_target(group, tries) else {
                 continue;
             };
             if let Some(to) = self.address(target) {
@@ -68,7 +68,7 @@
         self.ask_helpers(now);
     }
 
-    fn target(&self, group: GroupId, tries: u32) -> Option<DaemonId> {
+    fn choose_target(&self, group: GroupId, tries: u32) -> Option<DaemonId> {
         let own = self.settings.own.daemon;
         if let Some(hint) = self.owner_hint(group).filter(|hint| *hint != own) {
             return Some(hint);
--- a/crates/node/src/retirement.rs
+++ b/crates/node/src/retirement.rs
@@ -20,13 +20,13 @@
     pub(crate) fn is_retired(&self) -> bool {
         !self.settings.holds_groups
             && self.is_laid_out()
-            && !self.groups.values().any(|group| self.counts_here(group))
+            && !self.groups.values().any(|group| self.lists_this_daemon(group))
             && !self.is_described_as_member()
     }
 
     /// Whether a local replica lists this daemon as a member. A removed replica is kept empty and has no
     /// members.
-    fn counts_here(&self, group: &Group) -> bool {
+    fn lists_this_daemon(&self, group: &Group) -> bool {
         group.replica.members().contains(self.settings.own)
     }
 
--- a/crates/node/src/upkeep.rs
+++ b/crates/node/src/upkeep.rs
@@ -88,7 +88,7 @@
     }
 
     /// Whether a group has all its voters, none of them a previous incarnation of its daemon.
-    pub(crate) fn is_whole(&self, group: &Group) -> bool {
+    pub(crate) fn is_complete(&self, group: &Group) -> bool {
         let voters = &group.replica.members().voters;
         let is_present = |voter: &ReplicaId| {
             let member = self.membership.member(voter.daemon);
--- a/crates/node/src/view.rs
+++ b/crates/node/src/view.rs
@@ -16,11 +16,11 @@
     ) -> Option<ProgramView> {
         let hosted = self.groups.get(&group)?;
         let found = hosted.state.program(program)?;
-        let mut view = view_of(found);
+        let mut view = build_program_view(found);
         view.owner = self.settings.own.daemon;
         view.epoch = hosted.replica.term();
         if with_calls {
-            view.calls = found.calls().map(|(id, call)| call_view(id, call, found)).collect();
+            view.calls = found.calls().map(|(id, call)| build_call_view(id, call, found)).collect();
         }
         Some(view)
     }
@@ -45,7 +45,7 @@
     }
 }
 
-fn view_of(program: &Program) -> ProgramView {
+fn build_program_view(program: &Program) -> ProgramView {
     let budget = program.budget();
     let answered = |call: &Call| matches!(call.ended(), Some(EndedCall::Answered { .. }));
     ProgramView {
@@ -74,7 +74,7 @@
     }
 }
 
-fn call_view(id: CallId, call: &Call, program: &Program) -> CallView {
+fn build_call_view(id: CallId, call: &Call, program: &Program) -> CallView {
     let first = program.chain(id.chain).and_then(|chain| chain.first_open());
     let (state, usage) = match call.state() {
         CallState::Open(_) if call.open_attempt().is_some() => {
--- a/crates/node/tests/cluster/mod.rs
+++ b/crates/node/tests/cluster/mod.rs
@@ -69,7 +69,7 @@
 
 impl Cluster {
     /// Starts nodes that know no group, and only their seeds of each other.
-    pub fn starting(group: GroupSettings) -> Self {
+    pub fn start_nodes(group: GroupSettings) -> Self {
         let mut cluster = Self {
             now: START,
             nodes: BTreeMap::new(),
@@ -92,8 +92,8 @@
 
     /// Starts nodes in three zones, each with a store and a gateway, with zone liveness enabled. Returns
     /// when all know each other.
-    pub fn started_in_zones(group: GroupSettings) -> Self {
-        let mut cluster = Self::starting(group.clone());
+    pub fn start_in_zones(group: GroupSettings) -> Self {
+        let mut cluster = Self::start_nodes(group.clone());
         cluster.nodes.clear();
         cluster.queue.clear();
         cluster.has_zones = true;
@@ -133,8 +133,8 @@
     }
 
     /// Starts nodes with further gateways. Returns when all know each other.
-    pub fn started_with_other_gateways(group: GroupSettings) -> Self {
-        let mut cluster = Self::starting(group.clone());
+    pub fn start_with_other_gateways(group: GroupSettings) -> Self {
+        let mut cluster = Self::start_nodes(group.clone());
         OTHER_GATEWAYS.into_iter().for_each(|daemon| cluster.add(daemon, &group));
         cluster.run_until(Duration::from_secs(30), |cluster| {
             cluster.owner().is_some() && cluster.knows_all()
@@ -160,8 +160,8 @@
     }
 
     /// Starts nodes. Returns when the group has an owner and all nodes know it and each other.
-    pub fn started(group: GroupSettings) -> Self {
-        let mut cluster = Self::starting(group);
+    pub fn start_and_wait(group: GroupSettings) -> Self {
+        let mut cluster = Self::start_nodes(group);
         cluster.run_until(Duration::from_secs(30), |cluster| {
             cluster.owner().is_some() && cluster.knows_all()
         });
--- a/crates/node/tests/failure_reports.rs
+++ b/crates/node/tests/failure_reports.rs
@@ -20,7 +20,7 @@
     let mut heard = 0;
     for seed in 0..10 {
         let tolerance = LossTolerance::of_machines(1);
-        let mut system = Stores::started_with_seed(&daemons, tolerance, seed);
+        let mut system = Stores::start_all_with_seed(&daemons, tolerance, seed);
         system.advance(Duration::from_secs(5));
         system.send_event(7, Event::BackendFailed(failure("grey", 2)));
         system.send_event(11, Event::BackendFailed(failure("grey", 1)));
@@ -37,7 +37,7 @@
 
 #[test]
 fn each_report_of_one_daemon_is_heard_once() {
-    let mut system = Stores::started(&[1, 2, 3], LossTolerance::of_machines(1));
+    let mut system = Stores::start_all(&[1, 2, 3], LossTolerance::of_machines(1));
     system.advance(Duration::from_secs(5));
     for _ in 0..3 {
         system.send_event(1, Event::BackendFailed(failure("grey", 1)));
--- a/crates/node/tests/ledger.rs
+++ b/crates/node/tests/ledger.rs
@@ -60,7 +60,7 @@
 
 #[test]
 fn a_response_takes_four_link_delays_and_no_tick() {
-    let mut cluster = Cluster::started(GroupSettings::default());
+    let mut cluster = Cluster::start_and_wait(GroupSettings::default());
     // The first command may arrive while the followers still receive earlier entries.
     expect_opened(cluster.send_until_answered(&open("first", None, 1)));
     for (turn, offset) in [("a", 0), ("b", 7), ("c", 13), ("d", 19)] {
@@ -77,7 +77,7 @@
 
 #[test]
 fn budget_and_turns_survive_the_loss_of_the_owner() {
-    let mut cluster = Cluster::started(GroupSettings::default());
+    let mut cluster = Cluster::start_and_wait(GroupSettings::default());
     expect_opened(cluster.send_until_answered(&open("one", None, 40)));
     assert_eq!(cluster.send_until_answered(&close("one", 30)), LedgerReply::Closed);
     expect_opened(cluster.send_until_answered(&open("two", Some("one"), 40)));
@@ -101,7 +101,7 @@
 
 #[test]
 fn a_command_with_a_lost_response_is_retried_and_charged_once() {
-    let mut cluster = Cluster::started(GroupSettings::default());
+    let mut cluster = Cluster::start_and_wait(GroupSettings::default());
     cluster.lose_responses(1);
     let id = cluster.send_command(open("one", None, 60));
     let (response, elapsed) = cluster.wait_for_response(id);
@@ -113,7 +113,7 @@
 
 #[test]
 fn a_request_for_an_unknown_group_is_sent_when_the_group_becomes_known() {
-    let mut cluster = Cluster::starting(GroupSettings::default());
+    let mut cluster = Cluster::start_nodes(GroupSettings::default());
     cluster.wait_for_owner_and_members();
     let id = cluster.send_command(open("one", None, 1));
     cluster.wait_until_gateway_knows_group();
@@ -124,14 +124,14 @@
 
 #[test]
 fn an_owner_answers_a_gateway_unknown_to_membership() {
-    let mut cluster = Cluster::started(GroupSettings::default());
+    let mut cluster = Cluster::start_and_wait(GroupSettings::default());
     let owner = cluster.owner().expect("an owner");
     cluster.send_from_unknown_gateway(owner, open("one", None, 40));
 }
 
 #[test]
 fn a_request_without_any_store_fails_in_time() {
-    let mut cluster = Cluster::started(GroupSettings::default());
+    let mut cluster = Cluster::start_and_wait(GroupSettings::default());
     STORES.into_iter().for_each(|store| cluster.kill(store));
     let id = cluster.send_command(open("one", None, 1));
     let (response, elapsed) = cluster.wait_for_response(id);
@@ -142,7 +142,7 @@
 /// Opens a turn of 60 tokens at an owner that is cut off from its followers, then at the owner that
 /// they elect. Returns how many turns were opened.
 fn count_opened_around_cut(settings: GroupSettings) -> usize {
-    let mut cluster = Cluster::started(settings);
+    let mut cluster = Cluster::start_and_wait(settings);
     let old = cluster.owner().expect("an owner");
     cluster.cut_from_stores(old);
     let id = cluster.send_command(open("cut-off", None, 60));
@@ -168,7 +168,7 @@
 
 #[test]
 fn owners_expire_turns_after_their_retention() {
-    let mut cluster = Cluster::started(GroupSettings::default());
+    let mut cluster = Cluster::start_and_wait(GroupSettings::default());
     expect_opened(cluster.send_until_answered(&open("one", None, 60)));
     assert_eq!(cluster.send_until_answered(&close("one", 10)), LedgerReply::Closed);
     cluster.advance(RETENTION);
@@ -212,7 +212,7 @@
 
 #[test]
 fn a_gateway_that_does_not_know_a_group_asks_any_daemon_that_holds_groups() {
-    let mut cluster = Cluster::starting(GroupSettings::default());
+    let mut cluster = Cluster::start_nodes(GroupSettings::default());
     cluster.wait_for_owner_and_members();
     assert!(!cluster.gateway_knows_group(), "the gateway must not know the group yet");
     let id = cluster.send_command(open("one", None, 1));
@@ -259,13 +259,13 @@
             name: "one helper is cut off as well",
             cuts: |_| {
                 let cut_off = [GATEWAY, OTHER_GATEWAYS[0]];
-                let ways = cut_off.iter().flat_map(|one| STORES.map(|store| (*one, store)));
-                ways.flat_map(|(one, store)| [(one, store), (store, one)]).collect()
+                let links = cut_off.iter().flat_map(|one| STORES.map(|store| (*one, store)));
+                links.flat_map(|(one, store)| [(one, store), (store, one)]).collect()
             },
         },
     ];
     for case in cases {
-        let mut cluster = Cluster::started_with_other_gateways(GroupSettings::default());
+        let mut cluster = Cluster::start_with_other_gateways(GroupSettings::default());
         expect_opened(cluster.send_until_answered(&open("first", None, 1)));
         let owner = cluster.owner().expect("an owner");
         for (from, to) in (case.cuts)(owner) {
@@ -278,7 +278,7 @@
             let (response, elapsed) = cluster.wait_for_response(id);
             let is_opened = matches!(response, Response::Ledger(LedgerReply::Opened(_)));
             assert!(is_opened, "{}: {response:?}", case.name);
-            assert!(elapsed <= limit, "{}: command {number} elapsed {elapsed:?}", case.name);
+            assert!(elapsed <= limit, "{}: command {number} took {elapsed:?}", case.name);
             assert_eq!(
                 cluster.send_until_answered(&close(&format!("turn-{number}"), 10)),
                 LedgerReply::Closed
@@ -309,7 +309,7 @@
 /// during an election.
 #[test]
 fn few_helpers_are_asked_while_a_group_has_no_owner() {
-    let mut cluster = Cluster::started_with_other_gateways(GroupSettings::default());
+    let mut cluster = Cluster::start_with_other_gateways(GroupSettings::default());
     expect_opened(cluster.send_until_answered(&open("first", None, 1)));
     let owner = cluster.owner().expect("an owner");
     cluster.kill(owner);
--- a/crates/node/tests/limits.rs
+++ b/crates/node/tests/limits.rs
@@ -59,7 +59,7 @@
 
 #[test]
 fn the_owner_answers_without_its_log() {
-    let mut cluster = Cluster::started(GroupSettings::default());
+    let mut cluster = Cluster::start_and_wait(GroupSettings::default());
     let before = cluster.ledger(cluster.owner().expect("an owner")).size();
     let (verdict, _, took) = ask(&mut cluster);
     assert_eq!((verdict, took), (Verdict::Pass { after: Duration::ZERO }, TWO_LINKS));
@@ -68,7 +68,7 @@
 
 #[test]
 fn what_a_gateway_reported_is_counted_for_all() {
-    let mut cluster = Cluster::started(GroupSettings::default());
+    let mut cluster = Cluster::start_and_wait(GroupSettings::default());
     // A keeper that has been there for ten seconds takes the bucket for full.
     cluster.advance(Duration::from_secs(10));
     let id = put(&mut cluster, report(100));
@@ -82,7 +82,7 @@
 
 #[test]
 fn another_owner_keeps_the_limit_under_another_term() {
-    let mut cluster = Cluster::started(GroupSettings::default());
+    let mut cluster = Cluster::start_and_wait(GroupSettings::default());
     let (_, first, _) = ask(&mut cluster);
     let owner = cluster.owner().expect("an owner");
     cluster.kill(owner);
@@ -93,7 +93,7 @@
 
 #[test]
 fn a_gateway_that_is_cut_off_reaches_the_keeper_by_way_of_another() {
-    let mut cluster = Cluster::started_with_other_gateways(GroupSettings::default());
+    let mut cluster = Cluster::start_with_other_gateways(GroupSettings::default());
     ask(&mut cluster);
     assert!(!OTHER_GATEWAYS.is_empty());
     cluster.cut_from_stores(GATEWAY);
--- a/crates/node/tests/stores/mod.rs
+++ b/crates/node/tests/stores/mod.rs
@@ -50,12 +50,12 @@
 
 impl Stores {
     /// Starts daemons at the same time and waits for the first layout.
-    pub fn started(daemons: &[u32], tolerance: LossTolerance) -> Self {
-        Self::started_with_seed(daemons, tolerance, 0)
+    pub fn start_all(daemons: &[u32], tolerance: LossTolerance) -> Self {
+        Self::start_all_with_seed(daemons, tolerance, 0)
     }
 
-    /// Like [`Self::started`], with a seed for all random choices.
-    pub fn started_with_seed(daemons: &[u32], tolerance: LossTolerance, seed: u64) -> Self {
+    /// Like [`Self::start_all`], with a seed for all random choices.
+    pub fn start_all_with_seed(daemons: &[u32], tolerance: LossTolerance, seed: u64) -> Self {
         let mut stores = Self {
             now: START,
             nodes: BTreeMap::new(),
@@ -122,7 +122,7 @@
     }
 
     /// Waits until each group has an owner and all its voters.
-    pub fn wait_until_whole(&mut self, limit: Duration) {
+    pub fn wait_until_complete(&mut self, limit: Duration) {
         self.run_until(limit, |stores| {
             let statuses: Vec<_> =
                 stores.nodes.values().map(|node| node.status(stores.now)).collect();
@@ -135,7 +135,7 @@
     /// Waits until all daemons together hold this number of replicas and all groups are complete.
     pub fn wait_until_replicas(&mut self, replicas: usize, limit: Duration) {
         self.run_until(limit, |stores| stores.groups_held().iter().sum::<usize>() == replicas);
-        self.wait_until_whole(limit);
+        self.wait_until_complete(limit);
     }
 
     /// Runs the system for a while.
--- a/crates/node/tests/tolerance.rs
+++ b/crates/node/tests/tolerance.rs
@@ -13,8 +13,8 @@
 
 #[test]
 fn the_first_layout_has_the_voters_that_the_tolerance_needs() {
-    let mut stores = Stores::started(&[1, 2, 3, 4, 5, 6, 7, 8], LossTolerance::of_machines(2));
-    stores.wait_until_whole(Duration::from_secs(10));
+    let mut stores = Stores::start_all(&[1, 2, 3, 4, 5, 6, 7, 8], LossTolerance::of_machines(2));
+    stores.wait_until_complete(Duration::from_secs(10));
     assert_eq!(stores.initial_voter_counts(), vec![5; GROUP_COUNT as usize]);
     let replicas = stores.groups_held();
     let (min, max) = (replicas.iter().min().copied(), replicas.iter().max().copied());
@@ -23,8 +23,8 @@
 
 #[test]
 fn groups_laid_out_on_too_few_daemons_grow_when_others_join() {
-    let mut stores = Stores::started(&[1, 2, 3], LossTolerance::of_machines(2));
-    stores.wait_until_whole(Duration::from_secs(10));
+    let mut stores = Stores::start_all(&[1, 2, 3], LossTolerance::of_machines(2));
+    stores.wait_until_complete(Duration::from_secs(10));
     assert_eq!(
         stores.initial_voter_counts(),
         vec![3; GROUP_COUNT as usize],
@@ -37,8 +37,8 @@
 
 #[test]
 fn a_raised_tolerance_adds_voters_while_the_system_runs() {
-    let mut stores = Stores::started(&[1, 2, 3, 4, 5], LossTolerance::of_machines(1));
-    stores.wait_until_whole(Duration::from_secs(10));
+    let mut stores = Stores::start_all(&[1, 2, 3, 4, 5], LossTolerance::of_machines(1));
+    stores.wait_until_complete(Duration::from_secs(10));
     assert_eq!(stores.initial_voter_counts(), vec![3; GROUP_COUNT as usize]);
     stores.send_event_to_all(|| Event::ToleranceChanged(LossTolerance::of_machines(2)));
     stores.wait_until_replicas(5 * GROUP_COUNT as usize, Duration::from_secs(20));
@@ -48,14 +48,14 @@
 fn two_stores_that_lose_their_disks_are_voters_again_within_the_sync_bound() {
     for seed in 0..8 {
         let mut stores =
-            Stores::started_with_seed(&[1, 2, 3, 4, 5, 6], LossTolerance::of_machines(2), seed);
-        stores.wait_until_whole(Duration::from_secs(10));
+            Stores::start_all_with_seed(&[1, 2, 3, 4, 5, 6], LossTolerance::of_machines(2), seed);
+        stores.wait_until_complete(Duration::from_secs(10));
         for losses in [[1, 2], [3, 4], [5, 6], [1, 4]] {
             let lost = stores.now;
             losses.into_iter().for_each(|store| stores.lose_disk(store));
             stores.advance(Duration::from_secs(1));
             losses.into_iter().for_each(|store| stores.start(store));
-            stores.wait_until_whole(SYNC_BOUND);
+            stores.wait_until_complete(SYNC_BOUND);
             let elapsed = stores.now.since(lost);
             assert!(
                 elapsed <= SYNC_BOUND,
@@ -73,8 +73,9 @@
 #[test]
 fn a_store_lost_for_good_is_replaced_within_the_sync_bound() {
     for seed in 0..8 {
-        let mut stores = Stores::started_with_seed(&[1, 2, 3], LossTolerance::of_machines(1), seed);
-        stores.wait_until_whole(Duration::from_secs(10));
+        let mut stores =
+            Stores::start_all_with_seed(&[1, 2, 3], LossTolerance::of_machines(1), seed);
+        stores.wait_until_complete(Duration::from_secs(10));
         // One machine after another is replaced by a machine with another address.
         for (lost, successor) in [(1, 4), (2, 5), (3, 6)] {
             stores.lose_disk(lost);
--- a/crates/node/tests/zone_cuts.rs
+++ b/crates/node/tests/zone_cuts.rs
@@ -54,7 +54,7 @@
 /// A system whose group has served a turn, and the group's owner, which isn't in the zone of the gateway
 /// that asks.
 fn serving() -> (Cluster, u32) {
-    let mut cluster = Cluster::started_in_zones(groups());
+    let mut cluster = Cluster::start_in_zones(groups());
     cluster.send_until_answered(&open("first"));
     let owner = cluster.owner().expect("it has served a turn");
     assert_ne!(gateway_beside(owner), GATEWAY);
