--- a/crates/node/src/answer.rs
+++ b/crates/node/src/answer.rs
@@ -1,8 +1,8 @@
-//! Reading one call's answer at its owner, across fail-over, without I/O.
+//! Reads one call's answer from its owner, across failover, without I/O.
 //!
-//! The reader keeps the text it has passed on. When the owner changes, or another attempt takes
-//! over, it compares the new text with what was passed on: nothing is missing or doubled, and an
-//! answer that turns out different is ended with an error instead of being glued.
+//! The reader keeps the text that it has delivered. When the owner or the attempt changes, it
+//! compares the new text with the delivered text, so that nothing is missing or duplicated. If they
+//! differ, it ends the answer with an error instead of joining two different texts.
 
 use dahlia_api::{ApiError, ErrorKind};
 use dahlia_program::CallOutcome;
@@ -11,93 +11,93 @@
 use crate::request::outcome_error;
 use crate::wire::{AnswerFrame, ReadAnswer};
 
-/// What a reader yields.
+/// An event of an answer, for the caller.
 #[derive(Debug, Clone, PartialEq)]
 pub enum AnswerEvent {
-    /// The next piece of the text.
+    /// The next part of the text.
     Text {
-        /// The attempt that it belongs to.
+        /// The attempt that generated it.
         attempt: u32,
-        /// Where it starts, in bytes.
+        /// Its start offset in bytes.
         offset: u64,
         /// The text.
         text: String,
     },
-    /// The answer is whole and durable.
+    /// The answer is complete and durable.
     End {
         /// Tokens used.
         usage: Usage,
     },
-    /// The call has no answer, or it cannot be had here now.
+    /// The call has no answer, or the answer is not available here now.
     Failed(ApiError),
 }
 
-/// Where a reader starts.
+/// The position at which a reader starts.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct StartPosition {
-    /// The attempt whose text the caller has; 0 when unknown.
+    /// The attempt whose text the caller has; 0 if unknown.
     pub attempt: u32,
-    /// Bytes that the caller has.
+    /// Number of bytes that the caller has.
     pub offset: u64,
 }
 
-/// What became of a frame.
+/// The result of handling a frame.
 #[derive(Debug, Clone, PartialEq)]
 pub enum FrameOutcome {
-    /// Nothing for the caller.
+    /// There is nothing to deliver.
     Nothing,
-    /// For the caller, in this order.
+    /// Events to deliver to the caller, in order.
     Events(Vec<AnswerEvent>),
-    /// The sender does not own the program: find the owner and ask it with
+    /// The sender does not own the program: find the owner and send it
     /// [`AnswerReader::request`].
     FindOwner,
 }
 
-/// Puts one call's answer together from the frames of its owners.
+/// Assembles one call's answer from the frames of its owners.
 #[derive(Debug, Clone)]
 pub struct AnswerReader {
     tenant: TenantId,
     call: CallId,
     start: StartPosition,
     attempt: u32,
-    passed_on: String,
+    delivered: String,
     ended: bool,
     #[cfg(feature = "test-switches")]
     is_comparison_disabled: bool,
 }
 
 impl AnswerReader {
-    /// A reader that will yield what comes after `start`.
+    /// Creates a reader of the answer after `start`.
     pub fn new(tenant: TenantId, call: CallId, start: StartPosition) -> Self {
         Self {
             tenant,
             call,
             start,
             attempt: start.attempt,
-            passed_on: String::new(),
+            delivered: String::new(),
             ended: false,
             #[cfg(feature = "test-switches")]
             is_comparison_disabled: false,
         }
     }
 
-    /// Switches the comparison of attempts off, to show that a checker notices.
+    /// Disables the comparison of attempts, to test that a checker detects its absence.
     #[cfg(feature = "test-switches")]
     pub fn disable_comparison(&mut self) {
         self.is_comparison_disabled = true;
     }
 
-    /// The call.
+    /// Returns the call whose answer is read.
     pub fn call(&self) -> CallId {
         self.call
     }
 
-    /// Whether nothing follows.
+    /// Whether the answer has ended, so that no event follows.
     pub fn is_ended(&self) -> bool {
         self.ended
     }
 
-    /// What to ask the owner for.
+    /// Returns the request to send to the owner.
     pub fn request(&self) -> ReadAnswer {
         ReadAnswer {
             tenant: self.tenant.clone(),
@@ -107,46 +107,47 @@
         }
     }
 
-    /// Takes in a frame of the owner that was asked last.
+    /// Handles a frame from the owner that was asked last.
     pub fn handle_frame(&mut self, frame: AnswerFrame) -> FrameOutcome {
         match frame {
             AnswerFrame::KeepAlive => FrameOutcome::Nothing,
             AnswerFrame::NotOwner { .. } => FrameOutcome::FindOwner,
             AnswerFrame::Failed(error) => FrameOutcome::Events(vec![self.fail(error)]),
             AnswerFrame::Piece { attempt, offset, text } => {
-                match self.take_piece(attempt, offset, &text) {
+                match self.handle_piece(attempt, offset, &text) {
                     None => FrameOutcome::Nothing,
-                    Some(followed) => FrameOutcome::Events(vec![followed]),
+                    Some(event) => FrameOutcome::Events(vec![event]),
                 }
             }
             AnswerFrame::End { attempt, outcome } => {
-                FrameOutcome::Events(self.take_end(attempt, outcome))
+                FrameOutcome::Events(self.handle_end(attempt, outcome))
             }
         }
     }
 
-    /// Ends with an error.
+    /// Ends the answer with an error.
     pub fn fail(&mut self, error: ApiError) -> AnswerEvent {
         self.ended = true;
         AnswerEvent::Failed(error)
     }
 
     fn position(&self) -> u64 {
-        self.start.offset + self.passed_on.len() as u64
+        self.start.offset + self.delivered.len() as u64
     }
 
-    fn take_piece(&mut self, attempt: u32, offset: u64, text: &str) -> Option<AnswerEvent> {
+    fn handle_piece(&mut self, attempt: u32, offset: u64, text: &str) -> Option<AnswerEvent> {
         match self.unseen_part(attempt, offset, text) {
             Ok(unseen) => {
                 let unseen = unseen.to_owned();
                 self.attempt = attempt;
-                self.pass_on(unseen)
+                self.deliver(unseen)
             }
             Err(error) => Some(self.fail(error)),
         }
     }
 
-    /// The end of `text` that was not passed on yet, after checking the part that was.
+    /// Returns the part of `text` that was not delivered yet, after checking that the rest matches what
+    /// was delivered.
     fn unseen_part<'a>(
         &self,
         attempt: u32,
@@ -155,38 +156,41 @@
     ) -> Result<&'a str, ApiError> {
         let position = self.position();
         if offset > position || self.is_other_attempt(attempt) {
-            return Err(replaced());
+            return Err(replaced_answer_error());
         }
         let start = self.start.offset;
         let from = offset.max(start);
-        let seen = &self.passed_on[(from - start) as usize..];
+        let seen = &self.delivered[(from - start) as usize..];
         let comparable = text.get((from - offset) as usize..).unwrap_or_default();
         let length = seen.len().min(comparable.len());
         if seen.as_bytes()[..length] != comparable.as_bytes()[..length]
             && !self.is_comparison_disabled()
         {
-            return Err(replaced());
+            return Err(replaced_answer_error());
         }
         Ok(comparable.get(seen.len()..).unwrap_or_default())
     }
 
-    /// Whether what the caller has is of another attempt than `attempt`. The part before the
-    /// start is held by the caller only, so it can be compared by the attempt's number alone.
+    /// Whether the caller's text is from another attempt than `attempt`. Only the caller has the text
+    /// before the start, so it can be compared by the attempt's number alone.
     fn is_other_attempt(&self, attempt: u32) -> bool {
-        let held = self.start.attempt;
-        self.start.offset > 0 && held != 0 && attempt != held && !self.is_comparison_disabled()
+        let caller_attempt = self.start.attempt;
+        self.start.offset > 0
+            && caller_attempt != 0
+            && attempt != caller_attempt
+            && !self.is_comparison_disabled()
     }
 
-    fn pass_on(&mut self, text: String) -> Option<AnswerEvent> {
+    fn deliver(&mut self, text: String) -> Option<AnswerEvent> {
         if text.is_empty() {
             return None;
         }
         let offset = self.position();
-        self.passed_on.push_str(&text);
+        self.delivered.push_str(&text);
         Some(AnswerEvent::Text { attempt: self.attempt, offset, text })
     }
 
-    fn take_end(&mut self, attempt: u32, outcome: CallOutcome) -> Vec<AnswerEvent> {
+    fn handle_end(&mut self, attempt: u32, outcome: CallOutcome) -> Vec<AnswerEvent> {
         if let Some(error) = outcome_error(&outcome) {
             return vec![self.fail(error)];
         }
@@ -195,14 +199,14 @@
             return vec![self.fail(error)];
         };
         if (answer.content.len() as u64) < self.position() {
-            return vec![self.fail(replaced())];
+            return vec![self.fail(replaced_answer_error())];
         }
         match self.unseen_part(attempt, 0, &answer.content).map(str::to_owned) {
             Err(error) => vec![self.fail(error)],
             Ok(rest) => {
                 self.attempt = attempt;
                 self.ended = true;
-                let text = self.pass_on(rest);
+                let text = self.deliver(rest);
                 text.into_iter().chain([AnswerEvent::End { usage }]).collect()
             }
         }
@@ -219,7 +223,7 @@
     }
 }
 
-fn replaced() -> ApiError {
+fn replaced_answer_error() -> ApiError {
     let message = "the attempt that you read was lost and another one answered differently; read \
                    the call's answer again from offset 0";
     ApiError::new(ErrorKind::AnswerReplaced, message)
--- a/crates/node/src/attempts.rs
+++ b/crates/node/src/attempts.rs
@@ -12,7 +12,7 @@
     Term, Timestamp, Tokens,
 };
 
-use crate::group::{IntentPurpose, LiveAttempt, Purpose};
+use crate::group::{IntentPurpose, LiveAttempt, ProposalPurpose};
 use crate::node::Node;
 use crate::owner::token_bound;
 use crate::request::{AttemptEnd, NotRunCause};
@@ -61,7 +61,7 @@
             // Its chunks were dropped while it waited for an engine. Placement counts the attempt
             // as dispatched: unless it is taken back, the call is known there and never placed.
             self.schedule(PlacementEvent::AttemptWithdrawn(attempt), now);
-            self.wait_for_prompt(attempt.call);
+            self.defer_call(attempt.call);
             return;
         };
         let bound = |sum: Tokens, message: &Message| sum.saturating_add(token_bound(message));
@@ -76,7 +76,7 @@
         let Some(group) = self.groups.get_mut(&id) else {
             return;
         };
-        let purpose = Purpose::Intent(intent);
+        let purpose = ProposalPurpose::Intent(intent);
         // Not leading any more is fine: the next owner dispatches the call.
         let proposed = group.propose(Command::RecordIntent(command), purpose, now);
         self.dirty.insert(id);
@@ -91,10 +91,10 @@
         &mut self,
         id: GroupId,
         terms: TokenReservation,
-        purpose: Option<Purpose>,
+        purpose: Option<ProposalPurpose>,
         now: Timestamp,
     ) {
-        let Some(Purpose::Intent(intent)) = purpose else {
+        let Some(ProposalPurpose::Intent(intent)) = purpose else {
             return;
         };
         let limit = self.settings.attempt_limit;
@@ -106,11 +106,11 @@
         }
         let epoch = group.replica.term();
         let live = LiveAttempt { epoch, cancel_at: now + limit };
-        group.live.insert(intent.attempt, live);
+        group.live_attempts.insert(intent.attempt, live);
         if !self.may_use(&intent.holder.engine, now) {
             // The engine was taken out of service while the intent was on its way to a quorum. No
             // byte has left, and only this owner could have sent one in this epoch.
-            self.recalled.insert(intent.attempt);
+            self.recalled_attempts.insert(intent.attempt);
             let reason = "the engine was taken out of service before the attempt was sent";
             let end = not_run(reason);
             self.attempt_ended(intent.attempt, epoch, end, now);
@@ -141,7 +141,7 @@
         };
         let epoch = group.replica.term();
         let live = LiveAttempt { epoch, cancel_at: now + limit };
-        group.live.insert(intent.attempt, live);
+        group.live_attempts.insert(intent.attempt, live);
         let found = group.state.program(call.program).and_then(|program| program.call(call));
         let wish = found.map_or(Tokens::ZERO, |call| call.max_generated());
         let prompt = self.compose_prompt(call, now);
@@ -227,7 +227,7 @@
             CallOutcome::NotRun { reason, retry_after }
         };
         let command = Command::AbandonCall(AbandonCall { call, outcome, at: now });
-        let _ = group.propose(command, Purpose::Housekeeping, now);
+        let _ = group.propose(command, ProposalPurpose::Housekeeping, now);
         self.dirty.insert(id);
     }
 
@@ -244,11 +244,11 @@
             return;
         };
         // A reader of an earlier ownership reports late: the present owner finds out by itself.
-        let current = group.live.get(&attempt).is_some_and(|live| live.epoch == epoch);
+        let current = group.live_attempts.get(&attempt).is_some_and(|live| live.epoch == epoch);
         if !current || !group.is_serving() {
             return;
         }
-        group.live.remove(&attempt);
+        group.live_attempts.remove(&attempt);
         let outcome = match end {
             AttemptEnd::Ran { text, usage } => {
                 let answer = Message { role: Role::Assistant, content: text };
@@ -257,7 +257,7 @@
             AttemptEnd::Cut { usage } => AttemptOutcome::Cut { usage },
             AttemptEnd::NotRun { cause, .. } => {
                 if cause != NotRunCause::Engine {
-                    self.refusals.insert(attempt, cause);
+                    self.not_run_causes.insert(attempt, cause);
                 }
                 AttemptOutcome::NotRun
             }
@@ -267,7 +267,7 @@
             }
         };
         let command = Command::RecordOutcome(RecordOutcome { attempt, outcome, at: now });
-        let _ = group.propose(command, Purpose::Housekeeping, now);
+        let _ = group.propose(command, ProposalPurpose::Housekeeping, now);
         self.dirty.insert(id);
     }
 
@@ -277,10 +277,10 @@
             return;
         };
         let attempt = recorded.attempt;
-        self.recalled.remove(&attempt);
-        self.refusals.remove(&attempt);
+        self.recalled_attempts.remove(&attempt);
+        self.not_run_causes.remove(&attempt);
         if let Some(group) = self.groups.get_mut(&attempt.call.program.group) {
-            group.taken_over.remove(&attempt);
+            group.resumed_attempts.remove(&attempt);
         }
         let event = match &recorded.outcome {
             AttemptOutcome::Ran { usage, .. } => {
@@ -301,8 +301,8 @@
             return;
         };
         let attempt = recorded.attempt;
-        let was_recalled = self.recalled.remove(&attempt);
-        let cause = self.refusals.remove(&attempt);
+        let was_recalled = self.recalled_attempts.remove(&attempt);
+        let cause = self.not_run_causes.remove(&attempt);
         if !self.is_open_program(call.program) {
             self.abandon(call, NotRunReason::ProgramClosed, None, now);
             return;
@@ -321,7 +321,7 @@
             return;
         }
         let group = self.groups.get_mut(&call.program.group);
-        if group.is_some_and(|group| group.taken_over.remove(&attempt)) {
+        if group.is_some_and(|group| group.resumed_attempts.remove(&attempt)) {
             self.call_ready(call, now);
             return;
         }
@@ -344,7 +344,7 @@
     /// Cancels attempts that have run for too long, and again those that did not end by it.
     pub(crate) fn check_attempts(&mut self, now: Timestamp) {
         for group in self.groups.values_mut() {
-            for (attempt, live) in &mut group.live {
+            for (attempt, live) in &mut group.live_attempts {
                 if live.cancel_at <= now {
                     // A cancel may be lost on its way, and an engine that hangs ends nothing by
                     // itself: only the attempt's end stops the repetition.
@@ -361,7 +361,7 @@
         let Some(group) = self.groups.get_mut(&id) else {
             return;
         };
-        for (attempt, live) in &mut group.live {
+        for (attempt, live) in &mut group.live_attempts {
             if attempt.call.program == program {
                 live.cancel_at = live.cancel_at.min(now);
             }
@@ -371,9 +371,9 @@
 
     fn recall(&mut self, attempt: AttemptId) {
         let group = self.groups.get(&attempt.call.program.group);
-        if let Some(live) = group.and_then(|group| group.live.get(&attempt)) {
+        if let Some(live) = group.and_then(|group| group.live_attempts.get(&attempt)) {
             let epoch = live.epoch;
-            self.recalled.insert(attempt);
+            self.recalled_attempts.insert(attempt);
             self.actions.push(Action::RecallAttempt { attempt, epoch });
         }
     }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -1,4 +1,4 @@
-//! Assembly of a node: hands each event to its part and collects the actions.
+//! The node itself: dispatches each event to its handler and collects the actions.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -25,8 +25,8 @@
 use crate::limits::LimitKeepers;
 use crate::line_limit::LogLineLimit;
 use crate::load_sharing::{LoadSharing, LoadSharingStatus};
-use crate::members::MOST_MEMBER_LINES;
-use crate::orders::Orders;
+use crate::members::MAX_MEMBER_LINES_PER_MINUTE;
+use crate::orders::EngineOrders;
 use crate::reach::ZoneLists;
 use crate::request::NotRunCause;
 use crate::routing::{ReplyTo, Router};
@@ -34,12 +34,12 @@
 use crate::zone_liveness::ZoneLiveness;
 use crate::{Action, Event, NodeSettings};
 
-/// One daemon without its I/O.
+/// One daemon, without I/O.
 pub struct Node {
     pub(crate) settings: NodeSettings,
     pub(crate) membership: Membership,
     pub(crate) groups: BTreeMap<GroupId, Group>,
-    /// Which replicas hold each group, as far as known here.
+    /// The known replicas of each group.
     pub(crate) directory: Directory,
     pub(crate) router: Router,
     pub(crate) limit_keepers: LimitKeepers,
@@ -48,80 +48,82 @@
     pub(crate) history: History,
     pub(crate) sources: EngineSources,
     pub(crate) configuration: Configuration,
-    pub(crate) orders: Orders,
-    /// Attempts that were taken back before they began to answer.
-    pub(crate) recalled: BTreeSet<AttemptId>,
-    /// Attempts that ended unrun by no fault of their engine, until that is recorded.
-    pub(crate) refusals: BTreeMap<AttemptId, NotRunCause>,
+    pub(crate) engine_orders: EngineOrders,
+    /// Attempts whose cancellation was requested before they started to answer.
+    pub(crate) recalled_attempts: BTreeSet<AttemptId>,
+    /// Causes of attempts that did not run through no fault of their engine, until recorded in the
+    /// log.
+    pub(crate) not_run_causes: BTreeMap<AttemptId, NotRunCause>,
     pub(crate) actions: Vec<Action>,
+    /// Groups whose replica may have outputs to process.
     pub(crate) dirty: BTreeSet<GroupId>,
     pub(crate) next_upkeep: Timestamp,
-    /// Hand-overs for balance, over all groups owned here.
-    pub(crate) balance_pace: BalanceRateLimit,
-    /// Voters that each group should have, as worked out at the last upkeep.
+    /// Limits leadership transfers for balance, over all groups owned here.
+    pub(crate) balance_rate_limit: BalanceRateLimit,
+    /// The number of voters that each group should have, computed at the last upkeep.
     pub(crate) voter_target: VoterTarget,
     pub(crate) bootstrap: Bootstrap,
     pub(crate) coalescer: Coalescer,
-    /// Messages that need not wait for a sync.
-    pub(crate) unsynced: Coalescer,
+    /// Batches messages that may be sent before the sync.
+    pub(crate) unsynced_coalescer: Coalescer,
     pub(crate) draining: bool,
-    /// None where no outside source is followed.
+    /// None if no external source is followed.
     pub(crate) feed: Option<Feed>,
-    /// None where this daemon has no part in sharing loads.
+    /// None if this daemon does not share loads.
     pub(crate) loads: Option<LoadSharing>,
-    /// None where cut-off zones are not told from silent daemons.
+    /// None if cut-off zones are not distinguished from silent daemons.
     pub(crate) zone_liveness: Option<ZoneLiveness>,
     pub(crate) zone_lists: ZoneLists,
-    /// Reports of failed back ends that this life has made.
-    pub(crate) failure_reports: u64,
-    pub(crate) member_lines: LogLineLimit,
+    /// Back-end failure reports made in this incarnation.
+    pub(crate) failure_report_count: u64,
+    pub(crate) member_line_limit: LogLineLimit,
 }
 
-/// What a node says of itself.
+/// The status that a node reports.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct NodeStatus {
     /// Whether it can route calls to owners.
     pub ready: bool,
-    /// Whether it knows somebody who owns groups or can say who does.
+    /// Whether it knows a daemon that owns groups or can name their owners.
     pub reaches_groups: bool,
-    /// What it waits for while it is not ready.
+    /// What it waits for if it is not ready.
     pub waits_for: Option<String>,
     /// The generation of the configuration that it holds.
     pub configuration_generation: u64,
-    /// Whether a planned stop is under way.
+    /// Whether a planned stop is in progress.
     pub draining: bool,
-    /// Whether it is to hold no groups, by its settings or by [`Event::Retire`], and no group known
-    /// counts it as a member.
+    /// Whether it must hold no groups, because of its settings or [`Event::Retire`], and is a member
+    /// of no known group.
     pub retired: bool,
-    /// Daemons heard of lately, this one included.
+    /// Live daemons, including this one.
     pub live_daemons: usize,
-    /// Groups that it holds a replica of.
+    /// Groups of which it holds a replica.
     pub groups_held: usize,
     /// Groups whose programs it owns.
     pub groups_led: usize,
-    /// Of these, groups that lack a voter, or have one whose memory or disk is lost.
+    /// Led groups that lack a voter or have one that lost its memory or disk.
     pub groups_short: usize,
-    /// Engines that reported lately.
+    /// Engines that reported recently.
     pub live_engines: usize,
-    /// Programs in the groups that it owns.
+    /// Programs in the groups that it leads.
     pub programs: usize,
-    /// Attempts that it runs.
+    /// Running attempts.
     pub attempts: usize,
-    /// Requests that wait for an owner's answer.
+    /// Requests that wait for a response from an owner.
     pub requests: usize,
-    /// How loads are shared with other daemons; none where this one has no part in it.
+    /// The status of load sharing; none if this daemon does not share loads.
     pub load_sharing: Option<LoadSharingStatus>,
 }
 
 impl Node {
-    /// How often the driver sends [`Event::Tick`], at least.
+    /// The longest interval between two [`Event::Tick`]s while the node has work.
     pub const TICK_INTERVAL: Duration = Duration::from_millis(20);
-    /// The same while nothing is under way: what is left then are probes, gossip and subscriptions, which
-    /// are due every 200 ms and more. A gateway that takes two requests a second is idle most of the time,
-    /// and each wake-up costs.
+    /// The tick interval while the node is idle. Only probes, gossip and subscriptions remain then, due
+    /// every 200 ms or more. A gateway with two requests a second is idle most of the time, and each
+    /// wake-up costs CPU time.
     const IDLE_TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-    /// How long after the last tick the next one is wanted.
+    /// Returns the delay until the next tick.
     pub fn tick_interval(&self) -> Duration {
         let has_work = !self.router.is_empty() || !self.groups.is_empty() || self.draining;
         let follows = self.settings.follows_configuration;
@@ -133,7 +135,7 @@
         }
     }
 
-    /// A node that knows nothing but its settings.
+    /// Creates a node from its settings alone.
     pub fn new(settings: NodeSettings, now: Timestamp) -> Self {
         let own = MemberInfo {
             daemon: settings.own.daemon,
@@ -141,7 +143,7 @@
             address: settings.address,
             zone: settings.zone.clone(),
             region: settings.region.clone(),
-            state: first_state(&settings),
+            state: initial_state(&settings),
             holds_groups: settings.holds_groups,
         };
         let mut membership = Membership::new(
@@ -155,7 +157,7 @@
         let voters = settings.tolerance.wanted_voters();
         let voter_target = VoterTarget { voters, shortfalls: Vec::new() };
         let scheduler = Scheduler::new(settings.placement.clone(), settings.policy, settings.seed);
-        let balance_pace = BalanceRateLimit::new(&settings.maintenance, now);
+        let balance_rate_limit = BalanceRateLimit::new(&settings.maintenance, now);
         let feed = settings.feed.clone();
         let feed = feed.map(|feed| Feed::new(feed, settings.own.daemon, settings.address));
         let loads = settings.load_sharing.clone();
@@ -175,9 +177,9 @@
             history: History::default(),
             sources: EngineSources::default(),
             configuration: Configuration::new(&settings, now),
-            orders: Orders::default(),
-            recalled: BTreeSet::new(),
-            refusals: BTreeMap::new(),
+            engine_orders: EngineOrders::default(),
+            recalled_attempts: BTreeSet::new(),
+            not_run_causes: BTreeMap::new(),
             settings,
             groups: BTreeMap::new(),
             directory: Directory::new(),
@@ -186,14 +188,14 @@
             actions: Vec::new(),
             dirty: BTreeSet::new(),
             next_upkeep: Timestamp::ZERO,
-            balance_pace,
+            balance_rate_limit,
             voter_target,
             bootstrap: Bootstrap::default(),
             coalescer: Coalescer::new(),
-            unsynced: Coalescer::new(),
+            unsynced_coalescer: Coalescer::new(),
             draining: false,
-            failure_reports: 0,
-            member_lines: LogLineLimit::new(MOST_MEMBER_LINES),
+            failure_report_count: 0,
+            member_line_limit: LogLineLimit::new(MAX_MEMBER_LINES_PER_MINUTE),
         };
         if node.settings.has_store {
             node.publish_store();
@@ -201,13 +203,13 @@
         node
     }
 
-    /// Takes in an event. `now` must never go back.
+    /// Handles an event and returns the resulting actions. `now` must never decrease.
     pub fn handle(&mut self, event: Event, now: Timestamp) -> Vec<Action> {
         match event {
             Event::Tick => self.tick(now),
-            Event::Message { from, message } => self.message(from, message, now),
+            Event::Message { from, message } => self.handle_message(from, message, now),
             Event::ConnectionLost(peer) => self.connection_lost(peer, now),
-            Event::Request { id, request } => self.take_request(id, request, now),
+            Event::Request { id, request } => self.accept_request(id, request, now),
             Event::AttemptEnded { attempt, epoch, end } => {
                 self.attempt_ended(attempt, epoch, end, now);
             }
@@ -223,15 +225,15 @@
                 self.engine_refuses_work(&engine, incarnation, now);
             }
             Event::Machines(listing) => self.machine_listing(listing, now),
-            Event::KeyValue(event) => self.key_value(event, now),
+            Event::KeyValue(event) => self.handle_key_value_event(event, now),
             Event::ProposeChange { id, proposal } => self.propose_change(id, proposal, now),
-            Event::Layout(step) => self.layout(step, now),
+            Event::Layout(step) => self.handle_layout_step(step, now),
             Event::StoreEnded(result) => self.store_ended(*result),
             Event::SeedsFound(addresses) => self.membership.add_seeds(addresses),
             Event::PreviousPeers(addresses) => self.membership.contact_previous_peers(addresses),
             Event::ToleranceChanged(tolerance) => self.change_tolerance(tolerance, now),
-            Event::ShareDocument(document) => self.share(document),
-            Event::KeepDocument(document) => self.hold_document(document),
+            Event::ShareDocument(document) => self.share_document(document),
+            Event::KeepDocument(document) => self.keep_document(document),
             Event::RequestDocuments => self.membership.request_holder_documents(),
             Event::SourceRead(report) => self.source_read(report, now),
             Event::BackendFailed(failure) => self.report_backend_failure(&failure),
@@ -241,11 +243,11 @@
             Event::Retire => self.retire_daemon(now),
             Event::Drain => self.drain(now),
         }
-        self.settle(now);
+        self.process_dirty_groups(now);
         std::mem::take(&mut self.actions)
     }
 
-    /// What this node says of itself.
+    /// Returns the node's status.
     pub fn status(&self, now: Timestamp) -> NodeStatus {
         let led = || self.groups.values().filter(|group| group.is_serving());
         NodeStatus {
@@ -258,26 +260,26 @@
             live_daemons: self.live_members().len(),
             groups_held: self.groups.len(),
             groups_led: led().count(),
-            groups_short: led().filter(|group| !self.is_whole(group)).count(),
+            groups_short: led().filter(|group| !self.is_complete(group)).count(),
             live_engines: self.engines.live(now),
             programs: led().map(|group| group.state.programs().count()).sum(),
-            attempts: self.groups.values().map(|group| group.live.len()).sum(),
+            attempts: self.groups.values().map(|group| group.live_attempts.len()).sum(),
             requests: self.router.len(),
             load_sharing: self.load_sharing_status(now),
         }
     }
 
-    /// Why this node does not take calls, if it does not.
+    /// Returns why this node does not accept calls; none if it does.
     fn waits_for(&self) -> Option<&'static str> {
         if self.draining {
             return Some("a planned stop is under way");
         }
-        let unlaid = "the replica groups are not laid out yet";
-        self.configuration.problem().or((!self.is_laid_out()).then_some(unlaid))
+        let missing_layout = "the replica groups are not laid out yet";
+        self.configuration.problem().or((!self.is_laid_out()).then_some(missing_layout))
     }
 
-    /// Whether the groups are known to be laid out. A group with members, recovered from the disk
-    /// before the key-value service answers, tells as much.
+    /// Whether the groups are known to be laid out. A group with members that was recovered from disk
+    /// proves it before the key-value service answers.
     pub(crate) fn is_laid_out(&self) -> bool {
         let has_members = |group: &Group| group.replica.members().all().next().is_some();
         self.bootstrap.is_done() || self.groups.values().any(has_members)
@@ -287,18 +289,18 @@
         self.is_laid_out() || !self.other_holders(GroupId(0)).is_empty()
     }
 
-    /// Where the owner of a group is thought to listen.
+    /// Returns the address of the probable owner of a group.
     pub fn owner_address(&self, group: GroupId) -> Option<SocketAddr> {
         let daemon = self.owner_hint(group)?;
         self.address(daemon)
     }
 
-    /// Whether this node may answer for a group's programs now.
+    /// Whether this node owns a group and may serve its programs now.
     pub fn owns(&self, group: GroupId) -> bool {
         self.groups.get(&group).is_some_and(Group::is_serving)
     }
 
-    /// A group for a new program: one that this node owns if there is one, else any.
+    /// Chooses a group for a new program: one that this node owns if possible, else any.
     pub fn group_for_new_program(&self, draw: u64) -> Option<GroupId> {
         let own: Vec<GroupId> =
             self.groups.values().filter(|group| group.is_serving()).map(Group::id).collect();
@@ -310,17 +312,17 @@
         Some(candidates[(draw % candidates.len() as u64) as usize])
     }
 
-    /// All groups.
+    /// Returns all known groups.
     pub fn group_ids(&self) -> Vec<GroupId> {
         self.directory.iter().map(|description| description.group).collect()
     }
 
-    /// All daemons known, the dead of late included.
+    /// Returns all known daemons, including those that died recently.
     pub fn daemons(&self) -> Vec<Member> {
         self.membership.members()
     }
 
-    /// The replicated state of a group's copy here, for checkers.
+    /// Returns the local replicated state of a group, for checkers.
     pub fn group_state(&self, group: GroupId) -> Option<&GroupState> {
         self.groups.get(&group).map(|group| &group.state)
     }
@@ -329,7 +331,7 @@
         if self.owns(group) {
             return Some(self.settings.own.daemon);
         }
-        let leader = self.groups.get(&group).and_then(|held| held.replica.leader());
+        let leader = self.groups.get(&group).and_then(|group| group.replica.leader());
         let leader = leader.filter(|leader| *leader != self.settings.own);
         let known = || self.router.hint(group).or(self.directory.leader(group).map(|it| it.daemon));
         leader.map(|leader| leader.daemon).or_else(known)
@@ -350,33 +352,33 @@
         }
         self.schedule(dahlia_placement::Event::Tick, now);
         self.check_engines(now);
-        self.plan_due(now);
+        self.update_planner(now);
         self.check_attempts(now);
         self.retry_releases(now);
         self.expire_programs(now);
         self.move_history(now);
-        self.ask_due_chunks(now);
+        self.request_due_chunks(now);
         self.check_copies(now);
         self.propose_deferred(now);
         self.review_limit_keepers(now);
         self.route_due(now);
     }
 
-    fn message(&mut self, from: ReplicaId, message: PeerMessage, now: Timestamp) {
+    fn handle_message(&mut self, from: ReplicaId, message: PeerMessage, now: Timestamp) {
         self.hear(from.daemon, now);
         match message {
             PeerMessage::Membership(envelope) => {
                 self.membership_event(MembershipEvent::Received(*envelope), now);
             }
             PeerMessage::Configuration(message) => {
-                self.configuration_message(from.daemon, message, now);
+                self.handle_configuration_message(from.daemon, message, now);
             }
-            PeerMessage::Groups(batch) => self.group_messages(batch, now),
-            PeerMessage::Chunks(message) => self.chunk_message(from, *message, now),
+            PeerMessage::Groups(batch) => self.handle_group_messages(batch, now),
+            PeerMessage::Chunks(message) => self.handle_chunk_message(from, *message, now),
             PeerMessage::Request { id, request, reply_to } => {
                 self.serve(ReplyTo::Peer { address: reply_to, id }, request, now);
             }
-            PeerMessage::Response { id, response } => self.response(from, id, response, now),
+            PeerMessage::Response { id, response } => self.handle_response(from, id, response, now),
             PeerMessage::Forward { id, request, reply_to } => {
                 self.take_for_other(ReplyTo::Peer { address: reply_to, id }, request, now);
             }
@@ -385,14 +387,15 @@
         }
     }
 
-    fn group_messages(&mut self, batch: PeerBatch, now: Timestamp) {
+    fn handle_group_messages(&mut self, batch: PeerBatch, now: Timestamp) {
         for message in batch.into_messages() {
             if message.to != self.settings.own {
                 continue;
             }
             let id = message.group;
-            // A group that is new here wants this daemon as a learner, or the layout that names it
-            // has not been read here yet. An empty learner is safe to make in both cases.
+            // A message for an unknown group means that this daemon becomes a learner of it, or that
+            // the layout that names this daemon has not been read yet. An empty learner is safe in
+            // both cases.
             let group = self.groups.entry(id).or_insert_with(|| {
                 let settings = self.settings.group.clone();
                 let seed = self.settings.seed;
@@ -405,7 +408,7 @@
         }
     }
 
-    /// Takes work again after a drain that the configuration asked for.
+    /// Accepts work again after a drain requested by the configuration.
     pub(crate) fn end_drain(&mut self) {
         self.draining = false;
         self.membership.set_state(MemberState::Live);
@@ -419,22 +422,23 @@
                 continue;
             }
             let own = self.settings.own;
-            let heir = group.replica.members().voters.iter().find(|voter| **voter != own).copied();
-            if let Some(heir) = heir {
-                // Refused when the group is in the middle of something; the next tick of a
-                // planned stop asks again.
-                let _ = group.replica.transfer_leadership(heir);
+            let successor =
+                group.replica.members().voters.iter().find(|voter| **voter != own).copied();
+            if let Some(successor) = successor {
+                // The group may refuse while another change is in progress; the next tick of a
+                // planned stop retries.
+                let _ = group.replica.transfer_leadership(successor);
                 self.dirty.insert(group.id());
             }
         }
     }
 
-    /// Carries out what the groups ask for until none asks for more.
-    fn settle(&mut self, now: Timestamp) {
+    /// Processes replica outputs until no group has any left, then sends the batched messages.
+    fn process_dirty_groups(&mut self, now: Timestamp) {
         while let Some(id) = self.dirty.pop_first() {
-            self.take_outputs(id, now);
+            self.handle_replica_outputs(id, now);
         }
-        for (daemon, batch) in self.unsynced.take() {
+        for (daemon, batch) in self.unsynced_coalescer.take() {
             if let Some(to) = self.address(daemon) {
                 self.actions.push(Action::SendUnsynced { to, message: PeerMessage::Groups(batch) });
             }
@@ -447,8 +451,8 @@
     }
 }
 
-/// A daemon that is kept in step with the operators' configuration takes no work before it knows
-/// which generation is in force.
-fn first_state(settings: &NodeSettings) -> MemberState {
+/// A daemon that follows the operators' configuration accepts no work until it knows which
+/// generation is in force.
+fn initial_state(settings: &NodeSettings) -> MemberState {
     if settings.follows_configuration { MemberState::Joining } else { MemberState::Live }
 }
--- a/crates/node/src/outputs.rs
+++ b/crates/node/src/outputs.rs
@@ -1,4 +1,4 @@
-//! What the replicas of groups ask for: messages, committed entries, snapshots, ownership.
+//! Processes the outputs of replicas: messages, committed entries, snapshots and role changes.
 
 use dahlia_ledger::{LedgerCommand, LedgerReply};
 use dahlia_program::{Command, CommandEffect, GroupState};
@@ -6,12 +6,12 @@
 use dahlia_types::{Duration, GroupId, LogIndex, ReplicaId, Term, Timestamp};
 
 use crate::Action;
-use crate::group::{Group, Purpose, decode};
+use crate::group::{Group, ProposalPurpose, decode};
 use crate::node::Node;
 use crate::request::Response;
 
-/// The owner's decision on a turn, with the epoch and the entry that it rests on.
-fn note_ledger(id: GroupId, entry: &Entry, command: &LedgerCommand, reply: &LedgerReply) {
+/// Logs the owner's decision on a turn, with the epoch and index of its entry.
+fn log_ledger_decision(id: GroupId, entry: &Entry, command: &LedgerCommand, reply: &LedgerReply) {
     let Some(turn) = command.turn() else { return };
     log::info!(
         target: "ledger",
@@ -26,8 +26,8 @@
     );
 }
 
-/// A change of what this replica believes; asking for votes is none yet.
-fn note_role(id: GroupId, role: Role, term: Term, leader: Option<ReplicaId>) {
+/// Logs a role change of a replica. Candidacy is only logged at debug level.
+fn log_role_change(id: GroupId, role: Role, term: Term, leader: Option<ReplicaId>) {
     let level = match role {
         Role::PreCandidate | Role::Candidate => log::Level::Debug,
         Role::Leader | Role::Follower | Role::Learner => log::Level::Info,
@@ -41,26 +41,26 @@
     );
 }
 
-/// How often expired programs are looked for.
+/// The interval between checks for expired programs.
 const EXPIRY_INTERVAL: Duration = Duration::from_secs(2);
 
 impl Node {
-    pub(crate) fn take_outputs(&mut self, id: GroupId, now: Timestamp) {
+    pub(crate) fn handle_replica_outputs(&mut self, id: GroupId, now: Timestamp) {
         let Some(group) = self.groups.get_mut(&id) else {
             return;
         };
-        self.actions.extend(group.take_durable());
+        self.actions.extend(group.take_durable_change());
         for output in group.replica.take_outputs() {
             match output {
                 Output::Send(message) => self.send_to_replica(message),
-                Output::Committed(entry) => self.apply(id, &entry, now),
-                Output::Restore(snapshot) => self.restore(id, &snapshot),
+                Output::Committed(entry) => self.apply_entry(id, &entry, now),
+                Output::Restore(snapshot) => self.restore_snapshot(id, &snapshot),
                 Output::RoleChanged { role, term, leader } => {
-                    note_role(id, role, term, leader);
+                    log_role_change(id, role, term, leader);
                 }
                 Output::MembersChanged { index, .. } => self.members_changed(id, index),
-                Output::SnapshotWanted => self.compact(id),
-                Output::Removed { .. } => self.retire(id, now),
+                Output::SnapshotWanted => self.compact_log(id),
+                Output::Removed { .. } => self.retire_replica(id, now),
             }
         }
         self.check_ownership(id, now);
@@ -68,12 +68,13 @@
 
     fn send_to_replica(&mut self, message: GroupMessage) {
         let sender = self.groups.get(&message.group).filter(|_| self.settings.group.is_durable);
-        let leaves_early = sender.is_some_and(|group| group.replica.may_send_unsynced(&message));
-        let coalescer = if leaves_early { &mut self.unsynced } else { &mut self.coalescer };
+        let may_skip_sync = sender.is_some_and(|group| group.replica.may_send_unsynced(&message));
+        let coalescer =
+            if may_skip_sync { &mut self.unsynced_coalescer } else { &mut self.coalescer };
         coalescer.push(message);
     }
 
-    /// Records a group as a whole.
+    /// Records a full image of a group.
     pub(crate) fn record_image(&mut self, id: GroupId) {
         let Some(group) = self.groups.get_mut(&id) else {
             return;
@@ -82,14 +83,14 @@
         self.actions.extend(image.map(|image| Action::Persist(Box::new(image))));
     }
 
-    fn apply(&mut self, id: GroupId, entry: &Entry, now: Timestamp) {
+    fn apply_entry(&mut self, id: GroupId, entry: &Entry, now: Timestamp) {
         let Some(group) = self.groups.get_mut(&id) else {
             return;
         };
-        let settled = group.settle(entry.index, entry.term);
+        let resolved = group.resolve_proposals(entry.index, entry.term);
         let command = decode(&entry.payload);
         let Some(command) = command else {
-            // Every replica of this build skips it alike.
+            // Every replica of this build skips the entry in the same way.
             log::error!(target: "groups", "Entry {} of {id} cannot be decoded.", entry.index);
             return;
         };
@@ -97,29 +98,30 @@
         if let (Command::Ledger(ledger), Ok(CommandEffect::Ledger(reply)), true) =
             (&command, &result, group.is_serving())
         {
-            note_ledger(id, entry, ledger, reply);
+            log_ledger_decision(id, entry, ledger, reply);
         }
         let serving = group.is_serving();
-        for purpose in settled.lost {
-            self.lost(id, purpose);
+        for purpose in resolved.lost {
+            self.redirect_lost_proposal(id, purpose);
         }
-        let own = settled.own;
+        let own = resolved.committed;
         if serving {
-            self.applied(id, &command, result, own, now);
+            self.handle_applied_command(id, &command, result, own, now);
         } else if let Some(purpose) = own {
-            self.lost(id, purpose);
+            self.redirect_lost_proposal(id, purpose);
         }
     }
 
-    /// A proposal whose fate is not known here any more: its asker repeats it at the owner.
-    pub(crate) fn lost(&mut self, id: GroupId, purpose: Purpose) {
-        if let Purpose::Request(to) = purpose {
+    /// Redirects the requester of a proposal whose outcome is unknown here. The requester retries at the
+    /// owner.
+    pub(crate) fn redirect_lost_proposal(&mut self, id: GroupId, purpose: ProposalPurpose) {
+        if let ProposalPurpose::Request(to) = purpose {
             let hint = self.owner_hint(id);
             self.reply(to, Response::NotOwner { hint });
         }
     }
 
-    fn restore(&mut self, id: GroupId, snapshot: &Snapshot) {
+    fn restore_snapshot(&mut self, id: GroupId, snapshot: &Snapshot) {
         let Some(group) = self.groups.get_mut(&id) else {
             return;
         };
@@ -127,9 +129,9 @@
             Ok(state) => group.state = self.settings.with_faults(state),
             Err(error) => log::error!(target: "groups", "Snapshot of {id} refused: {error}."),
         }
-        let settled = group.settle(snapshot.index, snapshot.term);
-        for purpose in settled.own.into_iter().chain(settled.lost) {
-            self.lost(id, purpose);
+        let resolved = group.resolve_proposals(snapshot.index, snapshot.term);
+        for purpose in resolved.committed.into_iter().chain(resolved.lost) {
+            self.redirect_lost_proposal(id, purpose);
         }
     }
 
@@ -137,12 +139,13 @@
         if let Some(group) = self.groups.get_mut(&id) {
             group.members_index = index;
         }
-        // Between two steps of a replacement the group may survive less: no second is lost here.
+        // Between two steps of a replacement the group tolerates fewer losses, so the next step must
+        // not wait for the upkeep interval.
         self.next_upkeep = Timestamp::ZERO;
         self.publish_group(id);
     }
 
-    fn compact(&mut self, id: GroupId) {
+    fn compact_log(&mut self, id: GroupId) {
         if let Some(group) = self.groups.get_mut(&id) {
             let applied = group.replica.applied();
             let snapshot = group.state.snapshot();
@@ -151,7 +154,7 @@
         }
     }
 
-    fn retire(&mut self, id: GroupId, now: Timestamp) {
+    fn retire_replica(&mut self, id: GroupId, now: Timestamp) {
         if let Some(group) = self.groups.get_mut(&id) {
             group.replica.retire(now);
             group.state = self.settings.empty_state(id);
@@ -167,15 +170,15 @@
         };
         let term = group.replica.term();
         let leads = group.replica.is_leader_ready();
-        match group.serving {
+        match group.serving_term {
             None if leads => {
-                group.serving = Some(term);
+                group.serving_term = Some(term);
                 self.publish_group(id);
-                self.take_up(id, now);
+                self.assume_ownership(id, now);
             }
-            Some(served) if !leads || served != term => {
-                self.step_down(id, now);
-                // A replica can lose and win back the lead between two looks at it.
+            Some(served_term) if !leads || served_term != term => {
+                self.give_up_ownership(id, now);
+                // A replica can lose and regain leadership between two checks.
                 if leads {
                     self.check_ownership(id, now);
                 }
@@ -195,10 +198,10 @@
     }
 
     pub(crate) fn propose_deferred(&mut self, now: Timestamp) {
-        let waiting = |group: &&mut Group| !group.deferred.is_empty();
+        let waiting = |group: &&mut Group| !group.deferred_commands.is_empty();
         for group in self.groups.values_mut().filter(waiting) {
-            for (command, purpose) in std::mem::take(&mut group.deferred) {
-                // A purpose that comes back is a request's: the owner changed, its asker repeats.
+            for (command, purpose) in std::mem::take(&mut group.deferred_commands) {
+                // Only a request's purpose is returned: the owner changed, so its requester retries.
                 let _ = group.propose(command, purpose, now);
             }
             self.dirty.insert(group.replica.group());
--- a/crates/node/src/recovery.rs
+++ b/crates/node/src/recovery.rs
@@ -1,20 +1,20 @@
-//! What a node does when it becomes the owner of a group, and when it ceases to be.
+//! Gains and gives up ownership of a group.
 
 use dahlia_placement::Event as PlacementEvent;
 use dahlia_program::{NotRunReason, OpenAttempt, UnfinishedCall};
 use dahlia_types::{AttemptId, CallId, GroupId, ProgramId, Timestamp};
 
 use crate::Action;
-use crate::group::{IntentPurpose, LiveAttempt, Purpose};
+use crate::group::{IntentPurpose, LiveAttempt, ProposalPurpose};
 use crate::node::Node;
 use crate::request::{AttemptEnd, NotRunCause, Response};
 
-/// Priority of a resumed attempt at its engine: it only reads, so any will do.
+/// Engine priority of a resumed attempt. It only reads, so any value works.
 const RESUMED_PRIORITY: u64 = 0;
 
 impl Node {
-    /// Takes up the duties of an owner. Everything that earlier owners committed is applied.
-    pub(crate) fn take_up(&mut self, id: GroupId, now: Timestamp) {
+    /// Assumes ownership of a group, after all commands that previous owners committed are applied.
+    pub(crate) fn assume_ownership(&mut self, id: GroupId, now: Timestamp) {
         let Some(group) = self.groups.get(&id) else {
             return;
         };
@@ -33,9 +33,9 @@
             .collect();
         for unfinished in group.state.unfinished_calls() {
             match unfinished {
-                UnfinishedCall::Ready(attempt) => self.take_up_ready(attempt.call, now),
+                UnfinishedCall::Ready(attempt) => self.restart_ready_call(attempt.call, now),
                 UnfinishedCall::Interrupted { attempt, open, .. } => {
-                    self.resume(id, attempt, &open, now);
+                    self.resume_attempt(id, attempt, &open, now);
                 }
             }
         }
@@ -49,7 +49,7 @@
         }
     }
 
-    fn take_up_ready(&mut self, call: CallId, now: Timestamp) {
+    fn restart_ready_call(&mut self, call: CallId, now: Timestamp) {
         let group = self.groups.get(&call.program.group);
         let open = group
             .and_then(|group| group.state.program(call.program))
@@ -61,18 +61,24 @@
         }
     }
 
-    /// Finds out about an attempt of an earlier owner: whether it ran is for the engine to say.
-    fn resume(&mut self, id: GroupId, attempt: AttemptId, open: &OpenAttempt, now: Timestamp) {
+    /// Resumes an attempt of a previous owner. Only the engine knows whether it ran.
+    fn resume_attempt(
+        &mut self,
+        id: GroupId,
+        attempt: AttemptId,
+        open: &OpenAttempt,
+        now: Timestamp,
+    ) {
         let limit = self.settings.attempt_limit;
         let Some(group) = self.groups.get_mut(&id) else {
             return;
         };
         let epoch = group.replica.term();
         let live = LiveAttempt { epoch, cancel_at: now + limit };
-        group.live.insert(attempt, live);
-        group.taken_over.insert(attempt);
+        group.live_attempts.insert(attempt, live);
+        group.resumed_attempts.insert(attempt);
         if self.settings.faults.no_enquiry {
-            let reason = "a test's fault: nobody asked the engine".to_owned();
+            let reason = "a test disabled the query to the engine".to_owned();
             let cause = NotRunCause::Engine;
             let end = AttemptEnd::NotRun { cause, reason, retry_after: None };
             self.attempt_ended(attempt, epoch, end, now);
@@ -92,33 +98,33 @@
         }
     }
 
-    /// Ceases to act as owner. Attempts run on at their engines; the new owner resumes them.
-    pub(crate) fn step_down(&mut self, id: GroupId, now: Timestamp) {
+    /// Gives up ownership. Attempts continue at their engines, and the new owner resumes them.
+    pub(crate) fn give_up_ownership(&mut self, id: GroupId, now: Timestamp) {
         let hint = self.owner_hint(id);
         let Some(group) = self.groups.get_mut(&id) else {
             return;
         };
-        log::info!(target: "groups", group:% = id; "This daemon owns a group no longer.");
-        group.serving = None;
-        self.recalled.retain(|attempt| attempt.call.program.group != id);
-        self.refusals.retain(|attempt, _| attempt.call.program.group != id);
-        let attempts = std::mem::take(&mut group.live);
-        let pending = std::mem::take(&mut group.pending);
-        let deferred = std::mem::take(&mut group.deferred);
+        log::info!(target: "groups", group:% = id; "This daemon no longer owns a group.");
+        group.serving_term = None;
+        self.recalled_attempts.retain(|attempt| attempt.call.program.group != id);
+        self.not_run_causes.retain(|attempt, _| attempt.call.program.group != id);
+        let attempts = std::mem::take(&mut group.live_attempts);
+        let pending = std::mem::take(&mut group.pending_proposals);
+        let deferred = std::mem::take(&mut group.deferred_commands);
         let waiters = std::mem::take(&mut group.waiters);
         group.releases.clear();
-        group.taken_over.clear();
+        group.resumed_attempts.clear();
         let programs: Vec<ProgramId> = group.state.programs().map(|program| program.id()).collect();
-        self.drop_reads(&programs);
+        self.drop_pending_reads(&programs);
         for attempt in attempts.into_keys() {
             self.actions.push(Action::DetachAttempt { attempt });
-            // Whoever resumes the attempt reads its text from the start. If that is this daemon
-            // again, the text must not stand behind what was read before.
+            // The daemon that resumes the attempt reads its text from the beginning. If that is this
+            // daemon again, the text must not be appended to what was read before.
             self.actions.push(Action::ForgetAnswer { call: attempt.call });
         }
         let purposes = pending.into_values().map(|(_, purpose)| purpose);
         for purpose in purposes.chain(deferred.into_iter().map(|(_, purpose)| purpose)) {
-            if let Purpose::Request(to) = purpose {
+            if let ProposalPurpose::Request(to) = purpose {
                 self.reply(to, Response::NotOwner { hint });
             }
         }
--- a/crates/node/src/release.rs
+++ b/crates/node/src/release.rs
@@ -1,5 +1,5 @@
-//! Freeing engines' memory. An obligation ends only by the engine's own confirmation or by a new
-//! life of the engine.
+//! Frees program memory at engines. An obligation ends only when the engine confirms the release or
+//! restarts with a new incarnation.
 
 use dahlia_placement::Event as PlacementEvent;
 use dahlia_program::{Command, ConfirmRelease, EngineIncarnation};
@@ -7,20 +7,20 @@
     Bytes, Duration, EngineId, GroupId, Incarnation, LogIndex, ProgramId, Timestamp,
 };
 
-use crate::group::{PendingRelease, Purpose};
+use crate::group::{PendingRelease, ProposalPurpose};
 use crate::node::Node;
 use crate::request::ReleaseEnd;
 use crate::{Action, ReleaseOrder};
 
-/// First pause after a release that was not confirmed; doubles each time.
-const FIRST_RETRY: Duration = Duration::from_millis(250);
-/// Longest pause.
-const LONGEST_RETRY: Duration = Duration::from_secs(10);
-/// A release whose answer never came is asked again after this time.
-const ANSWER_LIMIT: Duration = Duration::from_secs(10);
+/// Delay before the first retry of a release that was not confirmed. It doubles with each failure.
+const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(250);
+/// Maximum delay between retries.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(10);
+/// A release without a response is requested again after this time.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
 
 impl Node {
-    /// Starts to free everything that engines hold for a program.
+    /// Starts the release of a program at all engines that hold memory for it.
     pub(crate) fn release_program(&mut self, id: GroupId, program: ProgramId, now: Timestamp) {
         let Some(group) = self.groups.get_mut(&id) else {
             return;
@@ -29,13 +29,13 @@
             return;
         };
         for (holder, _) in found.obligations() {
-            let due = PendingRelease { due: now, failures: 0, asked: false };
-            group.releases.entry((program, holder.clone())).or_insert(due);
+            let pending = PendingRelease { due: now, failures: 0, awaits_response: false };
+            group.releases.entry((program, holder.clone())).or_insert(pending);
         }
-        self.ask_due_releases(id, now);
+        self.request_due_releases(id, now);
     }
 
-    /// Starts to free what one engine holds for a program.
+    /// Starts the release of a program at one engine.
     pub(crate) fn release_engine(&mut self, program: ProgramId, engine: &EngineId, now: Timestamp) {
         let id = program.group;
         let Some(group) = self.groups.get_mut(&id) else {
@@ -45,21 +45,21 @@
             return;
         };
         for (holder, _) in found.obligations().filter(|(holder, _)| holder.engine == *engine) {
-            let due = PendingRelease { due: now, failures: 0, asked: false };
-            group.releases.entry((program, holder.clone())).or_insert(due);
+            let pending = PendingRelease { due: now, failures: 0, awaits_response: false };
+            group.releases.entry((program, holder.clone())).or_insert(pending);
         }
-        self.ask_due_releases(id, now);
+        self.request_due_releases(id, now);
     }
 
-    /// Asks again for releases that are due.
+    /// Sends all release requests that are due.
     pub(crate) fn retry_releases(&mut self, now: Timestamp) {
         let ids: Vec<GroupId> = self.groups.keys().copied().collect();
         for id in ids {
-            self.ask_due_releases(id, now);
+            self.request_due_releases(id, now);
         }
     }
 
-    fn ask_due_releases(&mut self, id: GroupId, now: Timestamp) {
+    fn request_due_releases(&mut self, id: GroupId, now: Timestamp) {
         let Some(group) = self.groups.get_mut(&id) else {
             return;
         };
@@ -73,17 +73,19 @@
                 continue;
             }
             let found = group.state.program(*program);
-            let owed =
-                found.is_some_and(|found| found.obligations().any(|(owed, _)| owed == holder));
-            if !owed {
+            let is_obligation = found.is_some_and(|found| {
+                found.obligations().any(|(obligation, _)| obligation == holder)
+            });
+            if !is_obligation {
                 finished.push((*program, holder.clone()));
                 continue;
             }
-            // None while an attempt is open there: its end has to be known first.
-            pending.due = now + FIRST_RETRY;
+            // There is no request while an attempt is open at the engine: its end has to be known
+            // first.
+            pending.due = now + INITIAL_RETRY_DELAY;
             if let Some(request) = found.and_then(|found| found.release_request(holder)) {
-                pending.asked = true;
-                pending.due = now + ANSWER_LIMIT;
+                pending.awaits_response = true;
+                pending.due = now + RESPONSE_TIMEOUT;
                 let ended = found.is_some_and(|found| !found.is_open());
                 let order = ReleaseOrder { request, epoch, ended };
                 self.actions.push(Action::Release(Box::new(order)));
@@ -94,7 +96,7 @@
         }
     }
 
-    /// An engine confirmed, or did not.
+    /// Handles the result of a release request.
     pub(crate) fn release_ended(
         &mut self,
         program: ProgramId,
@@ -105,17 +107,17 @@
     ) {
         match end {
             ReleaseEnd::Confirmed { incarnation, freed } => {
-                let life = EngineIncarnation { engine: holder.engine.clone(), incarnation };
-                self.confirm_release(program, life, covers, freed, now);
+                let holder = EngineIncarnation { engine: holder.engine.clone(), incarnation };
+                self.confirm_release(program, holder, covers, freed, now);
             }
             ReleaseEnd::Failed => {
                 let group = self.groups.get_mut(&program.group);
                 let key = (program, holder.clone());
                 if let Some(pending) = group.and_then(|group| group.releases.get_mut(&key)) {
-                    pending.asked = false;
+                    pending.awaits_response = false;
                     pending.failures += 1;
-                    let pause = FIRST_RETRY.times(1 << pending.failures.min(6));
-                    pending.due = now + pause.min(LONGEST_RETRY);
+                    let delay = INITIAL_RETRY_DELAY.times(1 << pending.failures.min(6));
+                    pending.due = now + delay.min(MAX_RETRY_DELAY);
                 }
             }
         }
@@ -124,7 +126,7 @@
     fn confirm_release(
         &mut self,
         program: ProgramId,
-        life: EngineIncarnation,
+        holder: EngineIncarnation,
         covers: LogIndex,
         freed: Bytes,
         now: Timestamp,
@@ -135,24 +137,24 @@
         };
         let command = ConfirmRelease {
             program,
-            engine: life.engine,
-            incarnation: life.incarnation,
+            engine: holder.engine,
+            incarnation: holder.incarnation,
             covers,
             freed,
         };
-        let _ = group.propose(Command::ConfirmRelease(command), Purpose::Housekeeping, now);
+        let _ = group.propose(Command::ConfirmRelease(command), ProposalPurpose::Housekeeping, now);
         self.dirty.insert(id);
     }
 
-    /// A confirmation is durable.
+    /// Handles a confirmation that is durable.
     pub(crate) fn release_confirmed(&mut self, command: &Command, now: Timestamp) {
         let Command::ConfirmRelease(confirmed) = command else {
             return;
         };
         let program = confirmed.program;
         if let Some(group) = self.groups.get_mut(&program.group) {
-            group.releases.retain(|(held, holder), _| {
-                *held != program
+            group.releases.retain(|(released, holder), _| {
+                *released != program
                     || holder.engine != confirmed.engine
                     || holder.incarnation > confirmed.incarnation
             });
@@ -161,7 +163,7 @@
         self.schedule(PlacementEvent::Released { program, engine }, now);
     }
 
-    /// A confirmation came too late: a newer intent renewed the obligation.
+    /// Handles a confirmation that was refused because a newer intent renewed the obligation.
     pub(crate) fn release_refused(&mut self, command: &Command, _now: Timestamp) {
         let Command::ConfirmRelease(confirmed) = command else {
             return;
@@ -178,27 +180,27 @@
         }
     }
 
-    /// An engine has a new life: what its earlier lives held is gone.
+    /// Confirms the release of everything that previous incarnations of a restarted engine held.
     pub(crate) fn engine_restarted(
         &mut self,
         engine: &EngineId,
         incarnation: Incarnation,
         now: Timestamp,
     ) {
-        let mut gone = Vec::new();
+        let mut affected = Vec::new();
         for group in self.groups.values().filter(|group| group.is_serving()) {
             for program in group.state.programs() {
-                let earlier = program.obligations().any(|(holder, _)| {
+                let has_earlier = program.obligations().any(|(holder, _)| {
                     holder.engine == *engine && holder.incarnation < incarnation
                 });
-                if earlier {
-                    gone.push(program.id());
+                if has_earlier {
+                    affected.push(program.id());
                 }
             }
         }
-        for program in gone {
-            let life = EngineIncarnation { engine: engine.clone(), incarnation };
-            self.confirm_release(program, life, LogIndex(0), Bytes::ZERO, now);
+        for program in affected {
+            let holder = EngineIncarnation { engine: engine.clone(), incarnation };
+            self.confirm_release(program, holder, LogIndex(0), Bytes::ZERO, now);
         }
     }
 }
--- a/crates/node/src/requests.rs
+++ b/crates/node/src/requests.rs
@@ -1,4 +1,4 @@
-//! Requests: on their way to an owner, and at the owner.
+//! Routes requests to the owner of their group, and serves them there.
 
 use dahlia_api::{ApiError, CallRequest, ErrorKind};
 use dahlia_program::{
@@ -10,23 +10,23 @@
 };
 
 use crate::Action;
-use crate::group::{Group, Purpose};
+use crate::group::{Group, ProposalPurpose};
 use crate::node::Node;
 use crate::request::{Request, RequestId, Response};
 use crate::routing::ReplyTo;
 use crate::wire::PeerMessage;
 
-/// When a caller may come back after no owner answered.
-const UNAVAILABLE_RETRY: std::time::Duration = std::time::Duration::from_secs(2);
+/// The retry delay for a caller when no owner answered.
+const UNAVAILABLE_RETRY_DELAY: std::time::Duration = std::time::Duration::from_secs(2);
 
 impl Node {
-    /// A request of this daemon's gateway or operators' server.
-    pub(crate) fn take_request(&mut self, id: RequestId, request: Request, now: Timestamp) {
-        // A ledger depends on no configuration: what it holds is named by callers.
+    /// Accepts a request from this daemon's gateway or operators' server.
+    pub(crate) fn accept_request(&mut self, id: RequestId, request: Request, now: Timestamp) {
+        // Ledgers do not depend on the configuration: callers name their contents.
         let problem = self.configuration.problem().filter(|_| !request.is_urgent());
         if let Some(problem) = problem {
             let error = ApiError::new(ErrorKind::Unavailable, problem);
-            let response = Response::Failed(error.with_retry_after(UNAVAILABLE_RETRY));
+            let response = Response::Failed(error.with_retry_after(UNAVAILABLE_RETRY_DELAY));
             self.actions.push(Action::Respond { id, response });
             return;
         }
@@ -34,13 +34,13 @@
         self.route_due(now);
     }
 
-    /// Sends every request that is due to whoever may own its group.
+    /// Sends every due request to the probable owner of its group.
     pub(crate) fn route_due(&mut self, now: Timestamp) {
         for id in self.router.take_expired(now) {
-            let message = "no owner of the program answered in time; a call may have its place: \
-                           ask again with the same key or number";
+            let message = "no owner of the program answered in time; the call may have been \
+                           accepted: retry with the same key or number";
             let error = ApiError::new(ErrorKind::Unavailable, message);
-            let response = Response::Failed(error.with_retry_after(UNAVAILABLE_RETRY));
+            let response = Response::Failed(error.with_retry_after(UNAVAILABLE_RETRY_DELAY));
             self.actions.push(Action::Respond { id, response });
         }
         for (id, request, tries) in self.router.take_due(now) {
@@ -53,11 +53,11 @@
                 self.route_urgent(id, request, tries, now);
                 continue;
             }
-            // A hint that did not answer for a whole timeout may name a dead daemon.
+            // If the hinted owner did not answer within a whole timeout, it may be dead.
             if tries > 0 && !request.waits() {
                 self.router.drop_hint(group);
             }
-            let Some(target) = self.target(group, tries) else {
+            let Some(target) = self.choose_target(group, tries) else {
                 continue;
             };
             if let Some(to) = self.address(target) {
@@ -68,19 +68,19 @@
         self.ask_helpers(now);
     }
 
-    fn target(&self, group: GroupId, tries: u32) -> Option<DaemonId> {
+    fn choose_target(&self, group: GroupId, tries: u32) -> Option<DaemonId> {
         let own = self.settings.own.daemon;
         if let Some(hint) = self.owner_hint(group).filter(|hint| *hint != own) {
             return Some(hint);
         }
         let others = self.possible_owners(group);
-        let place = (tries as usize).checked_rem(others.len())?;
-        others.get(place).copied()
+        let index = (tries as usize).checked_rem(others.len())?;
+        others.get(index).copied()
     }
 
-    /// Other daemons that may own a group or know who does: its members, or while none is known all
-    /// daemons that hold groups. News of a group reach a daemon that has just started later than it
-    /// reaches the others.
+    /// Returns other daemons that may own a group or know its owner: its members, or all daemons that
+    /// hold groups while no member is known. A daemon that has just started reaches other daemons
+    /// before the descriptions of groups reach it.
     pub(crate) fn possible_owners(&self, group: GroupId) -> Vec<DaemonId> {
         let own = self.settings.own.daemon;
         let members = self.directory.route(group);
@@ -89,8 +89,8 @@
         if known.is_empty() { self.other_holders(group) } else { known }
     }
 
-    /// An owner, or somebody who is not, answered.
-    pub(crate) fn response(
+    /// Handles the response to a request, from the owner or another daemon.
+    pub(crate) fn handle_response(
         &mut self,
         from: ReplicaId,
         id: RequestId,
@@ -107,12 +107,12 @@
         }
         if let Some(routed) = self.router.finish(id) {
             self.note_answered_by(from.daemon, &routed, now);
-            self.give_answer(routed.reply_to, response);
+            self.deliver_response(routed.reply_to, response);
         }
     }
 
-    /// Gives the answer to a request that was on its way to whoever waits for it.
-    fn give_answer(&mut self, reply_to: ReplyTo, response: Response) {
+    /// Delivers the response of a routed request to its requester.
+    fn deliver_response(&mut self, reply_to: ReplyTo, response: Response) {
         match reply_to {
             ReplyTo::Peer { address, id } => {
                 let message = PeerMessage::Response { id, response };
@@ -122,23 +122,23 @@
         }
     }
 
-    /// Answers whoever asked.
+    /// Replies to a requester.
     pub(crate) fn reply(&mut self, to: ReplyTo, response: Response) {
         match to {
-            ReplyTo::Peer { .. } => self.give_answer(to, response),
+            ReplyTo::Peer { .. } => self.deliver_response(to, response),
             ReplyTo::Here(id) => {
-                // A request stays on its way from here until an owner has answered.
+                // A local request stays in the router until an owner has answered.
                 if matches!(response, Response::NotOwner { .. }) {
                     return;
                 }
                 if let Some(routed) = self.router.finish(id) {
-                    self.give_answer(routed.reply_to, response);
+                    self.deliver_response(routed.reply_to, response);
                 }
             }
         }
     }
 
-    /// Serves a request as owner, or says that this node is not.
+    /// Serves a request as owner, or replies that this node is not the owner.
     pub(crate) fn serve(&mut self, to: ReplyTo, request: Request, now: Timestamp) {
         let group = request.group();
         if !self.owns(group) {
@@ -186,13 +186,13 @@
         now: Timestamp,
     ) {
         let program = request.program;
-        if !self.may_open(program, tenant) {
+        if !self.may_access(program, tenant) {
             self.reply(to, Response::Failed(no_such_program(program)));
             return;
         }
         let Some(messages) = self.new_messages(&request, now) else {
             let request = Request::Submit { tenant: tenant.clone(), call: request, repeatable };
-            self.wait_with_request(program, to, request);
+            self.defer_request(program, to, request);
             return;
         };
         let repeatability =
@@ -213,23 +213,23 @@
         self.propose_request(to, program.group, Command::BeginCall(begin), now);
     }
 
-    /// Clients of the chat protocol send the whole conversation each time. What is the chain's
-    /// history already is taken off; the rest is new. None when that history has to be read back
-    /// from store daemons first.
+    /// Returns the messages that are not in the chain's history yet, because clients of the chat
+    /// protocol send the whole conversation each time. None if the history has to be read back from
+    /// store daemons first.
     fn new_messages(&mut self, request: &CallRequest, now: Timestamp) -> Option<Vec<Message>> {
         let sent = &request.messages;
-        // A single message cannot repeat a turn, which has two.
+        // A turn has two messages, so a single message cannot repeat one.
         if sent.len() < 2 {
             return Some(sent.clone());
         }
-        let held = self.compose_history(request.program, request.chain, now)?;
-        let longer = !held.is_empty() && held.len() < sent.len();
-        let repeated = longer && held.iter().zip(sent).all(|(held, sent)| held == sent);
-        Some(if repeated { sent[held.len()..].to_vec() } else { sent.clone() })
+        let history = self.compose_history(request.program, request.chain, now)?;
+        let is_longer = !history.is_empty() && history.len() < sent.len();
+        let repeats_history = is_longer && history.iter().zip(sent).all(|(old, sent)| old == sent);
+        Some(if repeats_history { sent[history.len()..].to_vec() } else { sent.clone() })
     }
 
     fn await_outcome(&mut self, to: ReplyTo, tenant: &TenantId, call: CallId, now: Timestamp) {
-        if !self.may_open(call.program, tenant) {
+        if !self.may_access(call.program, tenant) {
             self.reply(to, Response::Failed(no_such_program(call.program)));
             return;
         }
@@ -259,7 +259,7 @@
         }
     }
 
-    /// The number of a call's last attempt: for an answered call the one that answered.
+    /// Returns the number of a call's last attempt. For an answered call, that attempt answered it.
     pub(crate) fn last_attempt(&self, call: CallId) -> u32 {
         let group = self.groups.get(&call.program.group);
         let program = group.and_then(|group| group.state.program(call.program));
@@ -273,7 +273,7 @@
         tenant: Option<&TenantId>,
         now: Timestamp,
     ) {
-        if tenant.is_some_and(|tenant| !self.may_open(program, tenant)) {
+        if tenant.is_some_and(|tenant| !self.may_access(program, tenant)) {
             self.reply(to, Response::Failed(no_such_program(program)));
             return;
         }
@@ -286,14 +286,15 @@
         let Some(group) = self.groups.get_mut(&id) else {
             return;
         };
-        if group.propose(command, Purpose::Request(to), now).is_err() {
+        if group.propose(command, ProposalPurpose::Request(to), now).is_err() {
             self.reply(to, Response::NotOwner { hint });
         }
         self.dirty.insert(id);
     }
 
-    /// Another tenant's program looks exactly like one that does not exist.
-    fn may_open(&self, program: ProgramId, tenant: &TenantId) -> bool {
+    /// Whether a tenant may access a program. Another tenant's program is indistinguishable from one
+    /// that does not exist.
+    fn may_access(&self, program: ProgramId, tenant: &TenantId) -> bool {
         let group: Option<&Group> = self.groups.get(&program.group);
         let found = group.and_then(|group| group.state.program(program));
         found.is_some_and(|found| found.specification().tenant == *tenant)
--- a/crates/node/src/view.rs
+++ b/crates/node/src/view.rs
@@ -1,4 +1,4 @@
-//! Programs as operators see them.
+//! Builds the views of programs for operators.
 
 use dahlia_program::{Call, CallState, CloseReason, EndedCall, Lifecycle, Program};
 use dahlia_types::{CallId, GroupId, ProgramId, TenantId, Usage};
@@ -7,25 +7,25 @@
 use crate::request::{CacheHolderView, CallStateName, CallView, ProgramStateName, ProgramView};
 
 impl Node {
-    /// One program of a group that this node owns.
+    /// Returns a program of a group that this node owns.
     pub(crate) fn program_view(
         &self,
         group: GroupId,
         program: ProgramId,
         with_calls: bool,
     ) -> Option<ProgramView> {
-        let held = self.groups.get(&group)?;
-        let found = held.state.program(program)?;
-        let mut view = view_of(found);
+        let hosted = self.groups.get(&group)?;
+        let found = hosted.state.program(program)?;
+        let mut view = build_program_view(found);
         view.owner = self.settings.own.daemon;
-        view.epoch = held.replica.term();
+        view.epoch = hosted.replica.term();
         if with_calls {
-            view.calls = found.calls().map(|(id, call)| call_view(id, call, found)).collect();
+            view.calls = found.calls().map(|(id, call)| build_call_view(id, call, found)).collect();
         }
         Some(view)
     }
 
-    /// Programs of a group that this node owns.
+    /// Returns programs of a group that this node owns.
     pub(crate) fn list_programs(
         &self,
         group: GroupId,
@@ -33,19 +33,19 @@
         include_closed: bool,
         limit: u32,
     ) -> Vec<ProgramView> {
-        let Some(held) = self.groups.get(&group) else {
+        let Some(hosted) = self.groups.get(&group) else {
             return Vec::new();
         };
         let wanted = |program: &&Program| {
             let of_tenant = tenant.is_none_or(|tenant| program.specification().tenant == *tenant);
             of_tenant && (include_closed || program.is_open())
         };
-        let found = held.state.programs().filter(wanted).take(limit as usize);
+        let found = hosted.state.programs().filter(wanted).take(limit as usize);
         found.filter_map(|program| self.program_view(group, program.id(), false)).collect()
     }
 }
 
-fn view_of(program: &Program) -> ProgramView {
+fn build_program_view(program: &Program) -> ProgramView {
     let budget = program.budget();
     let answered = |call: &Call| matches!(call.ended(), Some(EndedCall::Answered { .. }));
     ProgramView {
@@ -63,9 +63,9 @@
         turns: program.calls().filter(|(_, call)| answered(call)).count() as u32,
         cache_holders: program
             .obligations()
-            .map(|(life, _)| CacheHolderView {
-                engine: life.engine.clone(),
-                incarnation: life.incarnation,
+            .map(|(holder, _)| CacheHolderView {
+                engine: holder.engine.clone(),
+                incarnation: holder.incarnation,
             })
             .collect(),
         owner: Default::default(),
@@ -74,7 +74,7 @@
     }
 }
 
-fn call_view(id: CallId, call: &Call, program: &Program) -> CallView {
+fn build_call_view(id: CallId, call: &Call, program: &Program) -> CallView {
     let first = program.chain(id.chain).and_then(|chain| chain.first_open());
     let (state, usage) = match call.state() {
         CallState::Open(_) if call.open_attempt().is_some() => {
--- a/crates/node/tests/limits.rs
+++ b/crates/node/tests/limits.rs
@@ -2,7 +2,7 @@
 
 mod cluster;
 
-use cluster::{Cluster, GATEWAY, GROUP, LINK, OTHER_GATEWAYS};
+use cluster::{Cluster, GATEWAY, GROUP, LINK_DELAY, OTHER_GATEWAYS};
 use dahlia_limits::{
     KeeperTerm, LimitCommand, LimitReply, ProgramKey, RateLimit, TenantUsage, UsageReport, Verdict,
     VersionedLimit,
@@ -12,7 +12,7 @@
 use dahlia_types::{DaemonId, Duration, Incarnation, TenantId};
 
 /// To the owner and back.
-const TWO_LINKS: Duration = Duration::from_micros(2 * LINK.as_micros());
+const TWO_LINKS: Duration = Duration::from_micros(2 * LINK_DELAY.as_micros());
 
 fn known() -> VersionedLimit {
     let limit = RateLimit::new(10.0, 100.0).expect("a limit").expect("some");
@@ -50,7 +50,7 @@
 
 fn ask(cluster: &mut Cluster) -> (Verdict, KeeperTerm, Duration) {
     let id = put(cluster, question());
-    let (response, took) = cluster.answer(id);
+    let (response, took) = cluster.wait_for_response(id);
     let LimitReply::Answer { verdict, keeper, .. } = reply(response) else {
         panic!("a question has an answer");
     };
@@ -59,7 +59,7 @@
 
 #[test]
 fn the_owner_answers_without_its_log() {
-    let mut cluster = Cluster::started(GroupSettings::default());
+    let mut cluster = Cluster::start_and_wait(GroupSettings::default());
     let before = cluster.ledger(cluster.owner().expect("an owner")).size();
     let (verdict, _, took) = ask(&mut cluster);
     assert_eq!((verdict, took), (Verdict::Pass { after: Duration::ZERO }, TWO_LINKS));
@@ -68,11 +68,11 @@
 
 #[test]
 fn what_a_gateway_reported_is_counted_for_all() {
-    let mut cluster = Cluster::started(GroupSettings::default());
+    let mut cluster = Cluster::start_and_wait(GroupSettings::default());
     // A keeper that has been there for ten seconds takes the bucket for full.
-    cluster.pass(Duration::from_secs(10));
+    cluster.advance(Duration::from_secs(10));
     let id = put(&mut cluster, report(100));
-    let LimitReply::Counted { scarce, .. } = reply(cluster.answer(id).0) else {
+    let LimitReply::Counted { scarce, .. } = reply(cluster.wait_for_response(id).0) else {
         panic!("a report is counted");
     };
     assert_eq!(scarce, [TenantId::new("oak")]);
@@ -82,7 +82,7 @@
 
 #[test]
 fn another_owner_keeps_the_limit_under_another_term() {
-    let mut cluster = Cluster::started(GroupSettings::default());
+    let mut cluster = Cluster::start_and_wait(GroupSettings::default());
     let (_, first, _) = ask(&mut cluster);
     let owner = cluster.owner().expect("an owner");
     cluster.kill(owner);
@@ -93,7 +93,7 @@
 
 #[test]
 fn a_gateway_that_is_cut_off_reaches_the_keeper_by_way_of_another() {
-    let mut cluster = Cluster::started_with_other_gateways(GroupSettings::default());
+    let mut cluster = Cluster::start_with_other_gateways(GroupSettings::default());
     ask(&mut cluster);
     assert!(!OTHER_GATEWAYS.is_empty());
     cluster.cut_from_stores(GATEWAY);
