--- a/crates/node/src/feed.rs
+++ b/crates/node/src/feed.rs
@@ -1,15 +1,15 @@
-//! How many daemons keep up with an outside source of which each call costs: one daemon of a zone, or a
-//! few of a large one, reads it and reports what it read to the others of its zone.
+//! Lets many daemons follow an outside source whose calls are expensive. One daemon of a zone, or a few of a
+//! large zone, reads the source and reports what it read to the others of its zone.
 //!
-//! What makes that safe is the time as of which a report holds. A report says that nothing else has
-//! changed up to a revision, and how long ago the call began that found so. A daemon without a
-//! report that is fresh enough reads the source by itself until it has one again; so a reader that
-//! died, hangs, was cut off or is fed old answers costs the others no more than that bound. Only
-//! what a daemon has read itself is sent on as it comes, so that no report goes round; what it was
-//! told it keeps, for those that come to it when it reads for others.
+//! Safety rests on the time as of which a report holds. A report says that nothing else has changed up to a
+//! revision, and how long ago the call that found this began. A daemon without a fresh enough report reads the
+//! source by itself until it has one again. A reader that died, hangs, was cut off or gets old answers
+//! therefore delays the others by no more than the freshness bound. A daemon sends on only what it has read
+//! itself, so that no report circulates. It keeps reports of others for daemons that subscribe when it becomes
+//! a reader.
 //!
-//! Revisions decide what is news, never the order of arrival. A report that begins later than what
-//! is known here leaves a gap: then the source is read.
+//! Reports are ordered by revision, never by arrival. A report that begins after the last revision known here
+//! leaves a gap; then the source is read.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -17,27 +17,27 @@
 use dahlia_types::{DaemonId, Duration, InvalidSetting, Timestamp, check_range};
 use serde::{Deserialize, Serialize};
 
-use crate::zone_choice::{Purpose, chosen, serving};
+use crate::zone_choice::{ZoneRole, choose, choose_for};
 
-/// Bytes of one report; a longer one is sent without its contents, so that each daemon reads for
-/// itself. At 30 Mbit/s copies of the longest for all subscribers of a reader take 1.3 s.
-const LONGEST_REPORT: usize = 96 * 1024;
-/// Bytes of earlier reports that are kept for daemons that missed one or come new: some seven seconds
-/// of 230 changes a second, a release of a third of 10,000 servers.
-const KEPT_BYTES: usize = 512 * 1024;
-/// Renewals that a subscriber may miss.
+/// Maximum size of a report in bytes. A longer one is sent without its contents, so that each daemon reads for
+/// itself. At 30 Mbit/s, sending a report of this size to all subscribers of a reader takes 1.3 s.
+const MAX_REPORT_BYTES: usize = 96 * 1024;
+/// Bytes of earlier reports kept for daemons that missed one or are new: about seven seconds of 230 changes
+/// a second, the rate when a third of 10,000 servers is released.
+const MAX_KEPT_BYTES: usize = 512 * 1024;
+/// Number of renewals that a subscriber may miss.
 const MISSED_RENEWALS: u64 = 3;
-/// How long a reader is passed over that has reported nothing fresh.
-const PASSED_OVER: Duration = Duration::from_secs(10);
+/// How long a reader without fresh reports is passed over.
+const PASS_OVER_TIME: Duration = Duration::from_secs(10);
 
-/// Settings of sharing what is read of the source.
+/// Settings of the feed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FeedSettings {
-    /// Milliseconds after which what was reported is too old to go by.
+    /// Milliseconds after which a report is too old to rely on.
     pub freshness_ms: u64,
-    /// Daemons of a zone from which on they share a reader. A reader asks some five times as often
-    /// as a daemon that reads for itself.
+    /// Number of daemons of a zone from which on they share a reader. A reader calls the source about five times
+    /// as often as a daemon that reads for itself.
     pub fewest_sharing: usize,
     /// Milliseconds between renewals of a subscription.
     pub renewal_ms: u64,
@@ -69,64 +69,64 @@
     }
 }
 
-/// What was read of the source.
+/// Changes read from the source.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SourceReport {
-    /// The contents are all changes later than this revision.
+    /// The contents are all changes after this revision.
     pub after: u64,
-    /// And up to this one.
+    /// The contents are all changes up to this revision.
     pub at: u64,
-    /// How long ago the call began that found so.
+    /// How long ago the call that read them began.
     pub age: Duration,
     /// The driver's encoding of the changes.
     pub contents: Vec<u8>,
 }
 
-/// What daemons say to each other of the source.
+/// A message about the source between daemons.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FeedMessage {
-    /// The sender wants reports, for a few renewals from now.
+    /// The sender subscribes to reports for the next few renewal intervals.
     Subscribe {
-        /// The revision up to which it knows all.
+        /// The revision up to which the sender knows all changes.
         known: u64,
-        /// Where reports go.
+        /// Address to send reports to.
         reply_to: SocketAddr,
     },
     /// A report.
     Report(SourceReport),
 }
 
-/// Whether this daemon should read the source.
+/// Whether and how this daemon should read the source.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SourceReading {
-    /// What others report is enough.
+    /// It need not: reports of another daemon are enough.
     Paused,
-    /// It should, for itself.
+    /// It should read for itself.
     ForItself,
-    /// It should, often enough that its reports stay fresh.
+    /// It should read often enough that its reports to others stay fresh.
     ForOthers,
 }
 
-/// What the driver should do about the source.
+/// An order to the driver about the source.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FeedOrder {
-    /// Read it, or not.
+    /// Read the source in this way from now on.
     Read(SourceReading),
-    /// Take in what another daemon read. It follows on what is known here.
+    /// Apply what another daemon read. It continues from the revision known here.
     Apply(SourceReport),
-    /// Read what changed up to now, at once: what another daemon reports begins later than what is known
-    /// here ends, and so will all that it reports.
+    /// Read the changes up to now at once. The reports of the reader begin after the revision known here, and so
+    /// will all its later ones.
     CatchUp,
 }
 
-/// What the node should do for the feed.
+/// An action that the node carries out for the feed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FeedAction {
     /// Give the driver an order.
     Order(FeedOrder),
     /// Send a message; it may be lost.
     Send {
-        /// Where to.
+        /// Destination address.
         to: SocketAddr,
         /// The message.
         message: FeedMessage,
@@ -135,66 +135,68 @@
 
 struct Subscriber {
     address: SocketAddr,
-    until: Timestamp,
+    expires_at: Timestamp,
 }
 
-/// Who reports to this daemon.
+/// The daemon that this one subscribes to.
 struct Reader {
     daemon: DaemonId,
-    since: Timestamp,
+    chosen_at: Timestamp,
 }
 
-/// A report, and when it was made here.
-struct Kept {
+/// A report kept for subscribers, and when it was stored.
+struct KeptReport {
     report: SourceReport,
-    at: Timestamp,
+    stored_at: Timestamp,
 }
 
-impl Kept {
-    fn report(&self, now: Timestamp) -> SourceReport {
-        let age = self.report.age.as_micros() + now.since(self.at).as_micros();
+impl KeptReport {
+    /// Returns the report with its current age.
+    fn aged_report(&self, now: Timestamp) -> SourceReport {
+        let age = self.report.age.as_micros() + now.since(self.stored_at).as_micros();
         SourceReport { age: Duration::from_micros(age), ..self.report.clone() }
     }
 }
 
-/// This daemon's part in the feed.
+/// The state of this daemon in the feed.
 pub struct Feed {
     settings: FeedSettings,
     own: DaemonId,
     own_address: SocketAddr,
-    /// All changes up to here are known.
-    known: u64,
-    /// When this daemon last had an answer of the source.
-    read_at: Option<Timestamp>,
-    /// As of then nothing later had happened, by what others reported.
+    /// All changes up to this revision are known.
+    known_revision: u64,
+    /// When the source last answered this daemon.
+    last_read_at: Option<Timestamp>,
+    /// Time as of which reports of others are complete.
     reported_as_of: Option<Timestamp>,
     reader: Option<Reader>,
     passed_over: BTreeMap<DaemonId, Timestamp>,
     subscribers: BTreeMap<DaemonId, Subscriber>,
-    /// Reports of late, its own and others', the newest last.
-    kept: VecDeque<Kept>,
-    ordered: SourceReading,
-    /// Until then the driver is not told again to catch up.
+    /// Recent reports, its own and those of others, the newest last.
+    kept: VecDeque<KeptReport>,
+    /// The last order to the driver.
+    ordered_reading: SourceReading,
+    /// The driver is not ordered to catch up again before then.
     next_catch_up: Timestamp,
     next_review: Timestamp,
     actions: Vec<FeedAction>,
 }
 
 impl Feed {
-    /// A daemon that knows nothing yet and reads for itself.
+    /// Creates the state of a daemon that knows nothing yet and reads for itself.
     pub fn new(settings: FeedSettings, own: DaemonId, own_address: SocketAddr) -> Self {
         Self {
             settings,
             own,
             own_address,
-            known: 0,
-            read_at: None,
+            known_revision: 0,
+            last_read_at: None,
             reported_as_of: None,
             reader: None,
             passed_over: BTreeMap::new(),
             subscribers: BTreeMap::new(),
             kept: VecDeque::new(),
-            ordered: SourceReading::ForItself,
+            ordered_reading: SourceReading::ForItself,
             next_catch_up: Timestamp::ZERO,
             next_review: Timestamp::ZERO,
             actions: Vec::new(),
@@ -206,47 +208,50 @@
         now >= self.next_review
     }
 
-    /// Chooses a reader among the daemons of the zone that share one, this one included, and
-    /// renews the subscription.
+    /// Chooses a reader among the daemons of the zone that share one, including this one, and renews the
+    /// subscription.
     pub fn review(&mut self, sharing: &[(DaemonId, SocketAddr)], now: Timestamp) {
         self.next_review = now + self.settings.renewal();
-        self.subscribers.retain(|_, subscriber| now < subscriber.until);
+        self.subscribers.retain(|_, subscriber| now < subscriber.expires_at);
         self.passed_over.retain(|_, until| now < *until);
-        let is_serving = self.is_serving(now);
-        let Some((daemon, address)) = self.choose_reader(sharing).filter(|_| !is_serving) else {
+        let is_reading_for_others = self.is_reading_for_others(now);
+        let Some((daemon, address)) =
+            self.choose_reader(sharing).filter(|_| !is_reading_for_others)
+        else {
             self.reader = None;
             return;
         };
         if self.reader.as_ref().is_none_or(|reader| reader.daemon != daemon) {
-            self.reader = Some(Reader { daemon, since: now });
+            self.reader = Some(Reader { daemon, chosen_at: now });
         }
-        let message = FeedMessage::Subscribe { known: self.known, reply_to: self.own_address };
+        let message =
+            FeedMessage::Subscribe { known: self.known_revision, reply_to: self.own_address };
         self.actions.push(FeedAction::Send { to: address, message });
     }
 
-    /// Who is to report to this daemon: one of the first of its zone, in an order that all agree on, as
-    /// many as the zone's size needs. None when this daemon is one of them, or when too few share.
+    /// Chooses the reader of this daemon among the readers of the zone. None if this daemon is a reader, or if
+    /// too few daemons share.
     fn choose_reader(&self, sharing: &[(DaemonId, SocketAddr)]) -> Option<(DaemonId, SocketAddr)> {
         if sharing.len() < self.settings.fewest_sharing {
             return None;
         }
         let is_passed_over = |daemon| self.passed_over.contains_key(&daemon);
-        let readers = chosen(sharing, Purpose::ReadSource, is_passed_over);
-        serving(self.own, &readers, Purpose::ReadSource)
+        let readers = choose(sharing, ZoneRole::SourceReader, is_passed_over);
+        choose_for(self.own, &readers, ZoneRole::SourceReader)
     }
 
-    /// Decides anew whether to read.
+    /// Updates whether this daemon should read the source.
     pub fn tick(&mut self, now: Timestamp) {
         self.pass_over_silent(now);
-        let reading = self.reading(now);
-        if reading != self.ordered {
-            self.ordered = reading;
+        let reading = self.required_reading(now);
+        if reading != self.ordered_reading {
+            self.ordered_reading = reading;
             self.actions.push(FeedAction::Order(FeedOrder::Read(reading)));
         }
     }
 
-    /// Another daemon wants reports.
-    pub fn subscribed(
+    /// Handles a subscription of another daemon.
+    pub fn receive_subscription(
         &mut self,
         subscriber: DaemonId,
         known: u64,
@@ -254,55 +259,57 @@
         now: Timestamp,
     ) {
         let lifetime = Duration::from_millis(self.settings.renewal_ms * MISSED_RENEWALS);
-        let until = now + lifetime;
-        let earlier = self.subscribers.insert(subscriber, Subscriber { address, until });
-        let is_new = earlier.is_none_or(|earlier| earlier.until <= now);
+        let expires_at = now + lifetime;
+        let previous = self.subscribers.insert(subscriber, Subscriber { address, expires_at });
+        let is_new = previous.is_none_or(|previous| previous.expires_at <= now);
         let newest = self.kept.back().map_or(0, |kept| kept.report.at);
         if !is_new && known >= newest {
             return;
         }
-        // The newest one also when it is no news: it says as of when that is so.
-        let is_missing = |kept: &&Kept| kept.report.at > known || kept.report.at == newest;
+        // The newest report is sent even if it adds no changes: it carries the time as of which that holds.
+        let is_missing = |kept: &&KeptReport| kept.report.at > known || kept.report.at == newest;
         let missing: Vec<SourceReport> =
-            self.kept.iter().filter(is_missing).map(|kept| kept.report(now)).collect();
+            self.kept.iter().filter(is_missing).map(|kept| kept.aged_report(now)).collect();
         for report in missing {
             self.send(address, report);
         }
     }
 
-    /// Another daemon reported.
-    pub fn reported(&mut self, report: SourceReport, now: Timestamp) {
-        // One that is behind says nothing of what came after; and others go by what this daemon reads.
-        if report.at < self.known || self.is_serving(now) {
+    /// Handles a report of another daemon.
+    pub fn receive_report(&mut self, report: SourceReport, now: Timestamp) {
+        // An older report says nothing about later changes. While others rely on what this daemon reads, it
+        // takes no reports.
+        if report.at < self.known_revision || self.is_reading_for_others(now) {
             return;
         }
-        if report.after > self.known {
+        if report.after > self.known_revision {
             self.reported_as_of = None;
-            self.catch_up(now);
+            self.order_catch_up(now);
             return;
         }
-        self.known = report.at;
+        self.known_revision = report.at;
         let as_of = now - report.age;
         self.reported_as_of = self.reported_as_of.max(Some(as_of));
-        // For those that subscribe here next, when this daemon has become their reader.
+        // Kept for daemons that subscribe here when this daemon becomes their reader.
         self.keep(report.clone(), now);
         self.actions.push(FeedAction::Order(FeedOrder::Apply(report)));
     }
 
-    /// A source may count changes that nobody is told of. Then a read that waits for news lasts, and what
-    /// others report meanwhile never follows on what is known here.
-    fn catch_up(&mut self, now: Timestamp) {
+    /// Orders the driver to read at once. A source may count changes that it does not report. Then a read that
+    /// waits for changes takes long, and reports of others in the meantime never continue from the revision
+    /// known here.
+    fn order_catch_up(&mut self, now: Timestamp) {
         if now >= self.next_catch_up {
             self.next_catch_up = now + self.settings.freshness();
             self.actions.push(FeedAction::Order(FeedOrder::CatchUp));
         }
     }
 
-    /// This daemon has read the source.
-    pub fn read(&mut self, mut report: SourceReport, now: Timestamp) {
-        self.known = self.known.max(report.at);
-        self.read_at = Some(now);
-        if report.contents.len() > LONGEST_REPORT {
+    /// Records what this daemon has read, and reports it to subscribers.
+    pub fn record_read(&mut self, mut report: SourceReport, now: Timestamp) {
+        self.known_revision = self.known_revision.max(report.at);
+        self.last_read_at = Some(now);
+        if report.contents.len() > MAX_REPORT_BYTES {
             report.contents.clear();
             report.after = report.at;
         }
@@ -313,22 +320,22 @@
         self.keep(report, now);
     }
 
-    /// What to do since the last call.
+    /// Takes the actions that are due since the last call.
     pub fn take_actions(&mut self) -> Vec<FeedAction> {
         std::mem::take(&mut self.actions)
     }
 
     fn keep(&mut self, report: SourceReport, now: Timestamp) {
-        // Of reports without news the newest says all.
-        let is_repeat = |kept: &Kept| kept.report.after == kept.report.at;
-        if self.kept.back().is_some_and(|last| is_repeat(last) && last.report.at == report.after) {
+        // Of reports without changes, only the newest is needed.
+        let is_empty = |kept: &KeptReport| kept.report.after == kept.report.at;
+        if self.kept.back().is_some_and(|last| is_empty(last) && last.report.at == report.after) {
             self.kept.pop_back();
         }
-        self.kept.push_back(Kept { report, at: now });
-        let bytes = |kept: &VecDeque<Kept>| -> usize {
+        self.kept.push_back(KeptReport { report, stored_at: now });
+        let bytes = |kept: &VecDeque<KeptReport>| -> usize {
             kept.iter().map(|kept| kept.report.contents.len()).sum()
         };
-        while self.kept.len() > 1 && bytes(&self.kept) > KEPT_BYTES {
+        while self.kept.len() > 1 && bytes(&self.kept) > MAX_KEPT_BYTES {
             self.kept.pop_front();
         }
     }
@@ -337,20 +344,21 @@
         self.actions.push(FeedAction::Send { to, message: FeedMessage::Report(report) });
     }
 
-    /// Whether others go by what this daemon reads of the source, and it does read it. What it is told by
-    /// others meanwhile would be missing in what it reports.
-    fn is_serving(&self, now: Timestamp) -> bool {
+    /// Whether others rely on what this daemon reads, and it does read. Changes that it then took from reports of
+    /// others would be missing in its own reports.
+    fn is_reading_for_others(&self, now: Timestamp) -> bool {
         let freshness = self.settings.freshness();
-        let reads = self.read_at.is_some_and(|read_at| now.since(read_at) <= freshness);
+        let reads = self.last_read_at.is_some_and(|read_at| now.since(read_at) <= freshness);
         reads && self.current_subscribers(now).next().is_some()
     }
 
     fn current_subscribers(&self, now: Timestamp) -> impl Iterator<Item = SocketAddr> {
-        let current = self.subscribers.values().filter(move |subscriber| now < subscriber.until);
+        let current =
+            self.subscribers.values().filter(move |subscriber| now < subscriber.expires_at);
         current.map(|subscriber| subscriber.address)
     }
 
-    fn reading(&self, now: Timestamp) -> SourceReading {
+    fn required_reading(&self, now: Timestamp) -> SourceReading {
         if self.current_subscribers(now).next().is_some() {
             return SourceReading::ForOthers;
         }
@@ -364,15 +372,15 @@
         self.reported_as_of.is_some_and(|as_of| now.since(as_of) <= self.settings.freshness())
     }
 
-    /// A reader that has reported nothing fresh for long is passed over for a while.
+    /// Passes over a reader that has sent no fresh report for the freshness time.
     fn pass_over_silent(&mut self, now: Timestamp) {
         let Some(reader) = &self.reader else { return };
-        let is_new = now.since(reader.since) <= self.settings.freshness();
+        let is_new = now.since(reader.chosen_at) <= self.settings.freshness();
         if is_new || self.is_fresh(now) {
             return;
         }
-        log::info!(target: "feed", reader:% = reader.daemon; "Nothing fresh is reported.");
-        self.passed_over.insert(reader.daemon, now + PASSED_OVER);
+        log::info!(target: "feed", reader:% = reader.daemon; "The reader sends no fresh reports.");
+        self.passed_over.insert(reader.daemon, now + PASS_OVER_TIME);
         self.reader = None;
         self.next_review = now;
     }
--- a/crates/node/src/helpers.rs
+++ b/crates/node/src/forwarding.rs
@@ -1,9 +1,10 @@
-//! Commands to ledgers by way of another daemon.
+//! Forwarding of commands to ledgers through another daemon, a helper.
 //!
-//! A gateway may be cut off from the daemons that hold groups while other gateways reach them. A
-//! command that has no answer soon goes to one of those as well, which puts it to the owner by its
-//! own direct way. It may so reach the owner twice; ledgers take a repeated command for the first.
-//! Bounds: one daemon on the way, a few helpers for a command, a number of commands at a helper.
+//! A gateway may be cut off from the daemons that hold groups while other gateways reach them. A command that
+//! is not answered soon is also sent to such a gateway, which forwards it directly to the owner. The owner may
+//! therefore receive a command twice; ledgers handle a repeated command like the first.
+//!
+//! Forwarding is bounded: one helper per path, a few helpers per command, and a number of commands per helper.
 
 use dahlia_replication::membership::Health;
 use dahlia_types::{DaemonId, GroupId, Timestamp};
@@ -15,27 +16,27 @@
 use crate::wire::PeerMessage;
 
 impl Node {
-    /// Asks helpers for the commands whose direct way is silent.
+    /// Asks helpers to forward the commands that the owner has not answered directly.
     pub(crate) fn ask_helpers(&mut self, now: Timestamp) {
-        let helpless = self.router.take_helpless(now);
-        if !helpless.is_empty() {
-            self.doubt_zones(now);
+        let unanswered = self.router.take_requests_for_helpers(now);
+        if !unanswered.is_empty() {
+            self.suspect_all_zones(now);
         }
-        for (id, request) in helpless {
+        for (id, request) in unanswered {
             let candidates = self.possible_helpers(request.group());
             let Some(helper) = self.router.choose_helper(id, &candidates) else { continue };
             let Some(to) = self.address(helper) else { continue };
             log::debug!(
                 target: "ledger",
                 group:% = request.group(), helper:% = helper;
-                "A command goes by way of another daemon."
+                "A command is forwarded through another daemon."
             );
             let message = PeerMessage::PassOn { id, request, reply_to: self.settings.address };
             self.actions.push(Action::Send { to, message });
         }
     }
 
-    /// Daemons that are present and do not own the group themselves.
+    /// Live daemons that are no possible owners of the group and whose zone is not silent.
     fn possible_helpers(&self, group: GroupId) -> Vec<DaemonId> {
         let own = self.settings.own.daemon;
         let owners = self.possible_owners(group);
@@ -47,39 +48,39 @@
         others.filter(|daemon| !self.is_in_silent_zone(*daemon)).collect()
     }
 
-    /// Puts a command of another daemon to its owner.
-    pub(crate) fn take_for_other(&mut self, reply_to: ReplyTo, request: Request, now: Timestamp) {
+    /// Forwards a command of another daemon to its owner.
+    pub(crate) fn forward_command(&mut self, reply_to: ReplyTo, request: Request, now: Timestamp) {
         if !request.is_urgent() {
-            log::warn!(target: "ledger", "Asked to pass on what is no command to a ledger.");
+            log::warn!(target: "ledger", "A request to forward is not a command to a ledger: it is dropped.");
             return;
         }
         if self.owns(request.group()) {
             self.serve(reply_to, request, now);
             return;
         }
-        let life = self.settings.own.incarnation;
-        if !self.router.pass_on(request, reply_to, life, now) {
-            log::warn!(target: "ledger", "Too many commands to pass on: one is dropped.");
+        let incarnation = self.settings.own.incarnation;
+        if !self.router.add_forwarded(request, reply_to, incarnation, now) {
+            log::warn!(target: "ledger", "Too many commands to forward: one is dropped.");
             return;
         }
         self.route_due(now);
     }
 
-    /// Learns from who answered a request: its owner, or a helper while the owner is silent here.
-    pub(crate) fn note_answered_by(
+    /// Records who answered a request: its owner, or a helper while the owner is silent here.
+    pub(crate) fn record_answer_from(
         &mut self,
         daemon: DaemonId,
         routed: &RoutedRequest,
         now: Timestamp,
     ) {
         let group = routed.request.group();
-        if !routed.was_helped_by(daemon) {
+        if !routed.has_helper(daemon) {
             self.router.set_hint(group, daemon);
             return;
         }
         let owner = self.owner_hint(group);
         let was_suspect = owner.is_some_and(|owner| self.router.is_suspect(owner, now));
-        self.router.helped(daemon, owner, now);
+        self.router.record_help(daemon, owner, now);
         if !was_suspect {
             log::warn!(
                 target: "ledger",
--- a/crates/node/src/ledger.rs
+++ b/crates/node/src/ledger.rs
@@ -34,18 +34,18 @@
         let first = likely.filter(|_| suspect.is_none());
         if let Some(suspect) = suspect {
             self.router.ask_for_help_now(id, now);
-            if self.router.asks_suspect(id, now) {
+            if self.router.should_ask_suspect(id, now) {
                 self.send_request(id, request.clone(), suspect);
             }
         }
         let target = first.or_else(|| self.member_besides(group, suspect, tries, now));
         match target {
             Some(target) => {
-                self.router.note_asked(id, target);
+                self.router.record_asked(id, target);
                 self.send_request(id, request, target);
             }
             // Nobody who could know the owner is known yet; news may arrive any moment.
-            None if suspect.is_none() => self.router.ask_soon(id, now),
+            None if suspect.is_none() => self.router.retry_soon(id, now),
             None => {}
         }
     }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -20,7 +20,7 @@
 //! | `ledger` | requests to ledgers of caller-named programs |
 //! | `limits` | the owner of a group as the keeper of rate limits |
 //! | `zone_liveness`, `reach` | which zones are heard, and who is cut off: decisions, and this node's part |
-//! | `helpers` | commands to ledgers by way of another daemon |
+//! | `forwarding` | commands to ledgers by way of another daemon |
 //! | `bootstrap` | the first layout of groups |
 //! | `history` | old turns on store daemons' disks |
 //! | `feed`, `source` | sharing what few daemons read of an outside source: decisions, and this node's part |
@@ -44,8 +44,8 @@
 mod engines;
 mod event;
 pub mod feed;
+mod forwarding;
 mod group;
-mod helpers;
 pub mod history;
 mod key_value;
 mod ledger;
--- a/crates/node/src/load_sharing.rs
+++ b/crates/node/src/load_sharing.rs
@@ -1,21 +1,21 @@
-//! How daemons learn the load that others make: each tells its own to one daemon of its zone, which adds up
-//! and tells each of them what all others make.
+//! Sharing of load reports between daemons. Each daemon reports its own loads to an aggregator of its zone,
+//! which sends back the sum of the loads of all other daemons.
 //!
-//! One daemon for each fifty of a zone adds up, the first in an order that all agree on. It needs no word to
-//! do so: whoever is told loads adds up for those who tell, whatever it thinks itself. So two views of
-//! membership cost a second sum, and those who add up tell each other their sums, over all zones of the
-//! region. A daemon that adds up and says nothing is passed over.
+//! One daemon for each fifty of a zone is an aggregator. They are the first in an order that all daemons
+//! agree on, so nobody has to appoint them: a daemon that receives reports aggregates for their senders, even
+//! if it would not choose itself. Two views of membership therefore cost only a second sum. Aggregators
+//! exchange their sums across all zones of the region. An aggregator that stays silent is passed over.
 //!
-//! All figures are absolute and counted by their sender: what is lost, late, doubled or reordered is made
-//! good by the next message, and what is not renewed expires.
+//! All figures are absolute and counted by their sender. The next message corrects what was lost, delayed,
+//! duplicated or reordered, and figures that are not renewed expire.
 
 mod aggregation;
 mod byte_budget;
 mod message;
+mod reported;
 mod reporting;
 mod settings;
 mod token_times;
-mod told;
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -27,111 +27,111 @@
 pub use settings::LoadSharingSettings;
 
 use crate::line_limit::LogLineLimit;
-use crate::zone_choice::{Candidate, Purpose, chosen, serving};
+use crate::zone_choice::{Candidate, ZoneRole, choose, choose_for};
 use aggregation::Aggregation;
 use byte_budget::ByteBudget;
+use reported::{PartFreshness, PartSequence};
 use reporting::Reporting;
-use told::{PartNews, PartOrder};
 
-/// How often the members are looked at.
+/// Interval between reviews of the members.
 const REVIEW_INTERVAL: Duration = Duration::from_secs(1);
-/// How long a daemon that added up and said nothing is passed over.
-const PASSED_OVER: Duration = Duration::from_secs(30);
+/// How long a silent aggregator is passed over.
+const PASS_OVER_TIME: Duration = Duration::from_secs(30);
 
-/// The loads that all other daemons make of the items in a range. One that is not named has none.
+/// Loads that all other daemons put on the items of a range. An item that is not listed has no load.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PeerLoads {
     /// The first item of the range.
     pub first: u64,
-    /// The last one.
+    /// The last item of the range.
     pub last: u64,
-    /// How long ago the oldest of the figures were true.
+    /// Age of the oldest figures.
     pub age: Duration,
-    /// In the order of their items, each once.
+    /// Sorted by item, each item once.
     pub loads: Vec<ItemLoad>,
 }
 
-/// Daemons that share loads, as far as membership holds them for live.
+/// Daemons that share loads and that membership considers live.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct SharingMembers {
-    /// Those of the own zone, this one included.
+    /// Daemons of the own zone, including this one.
     pub zone: Vec<(DaemonId, SocketAddr)>,
-    /// Those of each other zone of the region.
+    /// Daemons of each other zone of the region.
     pub others: Vec<Vec<(DaemonId, SocketAddr)>>,
     /// Whether this daemon reaches owners of replica groups.
     pub reaches_groups: bool,
 }
 
-/// What sharing loads asks for.
+/// What load sharing asks the node to do.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LoadAction {
-    /// Take in what others make.
+    /// Apply the loads of other daemons.
     PeerLoads(PeerLoads),
     /// Send a message; it may be lost.
     Send {
-        /// Where to.
+        /// Destination address.
         to: SocketAddr,
         /// The message.
         message: LoadMessage,
     },
 }
 
-/// How the sharing of loads goes, as an operator sees it.
+/// Status of load sharing, as shown to operators.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct LoadSharingStatus {
-    /// Who adds up for this daemon; none when it does so itself.
+    /// Aggregator of this daemon; none if it aggregates for itself.
     pub aggregator: Option<DaemonId>,
-    /// Daemons that this one adds up for, itself not counted.
+    /// Daemons that this one aggregates for, without itself.
     pub followers: usize,
-    /// How old what this daemon knows of others is; none before it heard anything.
+    /// Age of the last view of other daemons' loads; none before the first view.
     pub view_age: Option<Duration>,
-    /// Daemons that added up and said nothing, so far.
+    /// How many times a silent aggregator was passed over.
     pub passed_over: u64,
-    /// Daemons of the zone that say they reach owners of replica groups: a few.
+    /// A few daemons of the zone that report that they reach owners of replica groups.
     pub reaching: Vec<DaemonId>,
 }
 
-/// Who adds up for this daemon.
+/// The aggregator of this daemon.
 #[derive(Debug, Clone)]
 struct Aggregator {
     candidate: Candidate,
-    /// Its silence counts from then on.
-    heard_at: Timestamp,
-    order: PartOrder,
+    /// When it was last heard from; its silence is measured from here.
+    last_heard_at: Timestamp,
+    sequence: PartSequence,
 }
 
-/// What was heard last.
+/// When the last view arrived, and how old it was then.
 #[derive(Debug, Clone, Copy)]
 struct LastView {
-    at: Timestamp,
+    received_at: Timestamp,
     age: Duration,
 }
 
-/// This daemon's part in sharing loads. Idle until it is given own loads, or told those of others.
+/// This daemon's state of load sharing. Idle until it is given own loads.
 pub struct LoadSharing {
     settings: LoadSharingSettings,
     own: ReplicaId,
     own_address: SocketAddr,
     members: SharingMembers,
     next_review: Timestamp,
-    /// None while this daemon adds up for itself.
+    /// None while this daemon aggregates for itself.
     aggregator: Option<Aggregator>,
     passed_over: BTreeMap<DaemonId, Timestamp>,
-    passed_over_count: u64,
+    pass_over_count: u64,
     reporting: Reporting,
     aggregation: Aggregation,
     budget: ByteBudget,
-    /// Parts that this life has sent.
-    sent: u64,
-    stepped_at: Timestamp,
+    /// Number of parts sent by this incarnation.
+    parts_sent: u64,
+    last_step_at: Timestamp,
     last_view: Option<LastView>,
     reaching: Vec<DaemonId>,
-    lines: LogLineLimit,
+    log_lines: LogLineLimit,
     actions: Vec<LoadAction>,
 }
 
 impl LoadSharing {
-    /// A daemon that has told and heard nothing.
+    /// Creates the state of a daemon that has neither sent nor received loads.
     pub fn new(settings: LoadSharingSettings, own: ReplicaId, own_address: SocketAddr) -> Self {
         Self {
             budget: ByteBudget::new(settings.most_bytes_per_second),
@@ -144,12 +144,12 @@
             next_review: Timestamp::ZERO,
             aggregator: None,
             passed_over: BTreeMap::new(),
-            passed_over_count: 0,
-            sent: 0,
-            stepped_at: Timestamp::ZERO,
+            pass_over_count: 0,
+            parts_sent: 0,
+            last_step_at: Timestamp::ZERO,
             last_view: None,
             reaching: Vec::new(),
-            lines: LogLineLimit::default(),
+            log_lines: LogLineLimit::default(),
             actions: Vec::new(),
         }
     }
@@ -159,45 +159,44 @@
         now >= self.next_review
     }
 
-    /// Takes in which daemons there are, and chooses who adds up.
+    /// Updates the members and chooses the aggregators.
     pub fn review(&mut self, members: SharingMembers, now: Timestamp) {
         self.next_review = now + REVIEW_INTERVAL;
         self.passed_over.retain(|_, until| now < *until);
         self.members = members;
-        let of_zone = |zone: &Vec<Candidate>| chosen(zone, Purpose::AddLoads, |_| false);
+        let of_zone = |zone: &Vec<Candidate>| choose(zone, ZoneRole::LoadAggregator, |_| false);
         let near = of_zone(&self.members.zone);
         let far = self.members.others.iter().flat_map(of_zone).collect::<Vec<_>>();
         self.aggregation.set_peers(&near, &far, now);
         self.choose_aggregator(now);
     }
 
-    /// Takes in this daemon's own loads, each item once, with the times of the tokens since the call before,
-    /// and does all that is due. Called every [`LoadSharingSettings::report_interval`].
-    pub fn own_loads(&mut self, loads: &[ItemLoad], now: Timestamp) {
-        self.note_own_pause(now);
+    /// Updates this daemon's own loads, each item once, with the token times since the previous call, and does
+    /// all that is due. Called every [`LoadSharingSettings::report_interval`].
+    pub fn update_own_loads(&mut self, loads: &[ItemLoad], now: Timestamp) {
+        self.handle_own_pause(now);
         self.budget.refill(now);
-        self.reporting.take(loads, self.members.reaches_groups, now);
+        self.reporting.update(loads, self.members.reaches_groups, now);
         self.aggregation.expire(&self.settings, now);
         self.pass_over_silent(now);
         match &self.aggregator {
             Some(aggregator) => {
                 let to = aggregator.candidate.1;
-                self.aggregation.forget_own();
-                self.tell(to, now);
+                self.aggregation.remove_own_loads();
+                self.report(to, now);
             }
             None => {
                 let times = self.reporting.take_times();
-                self.aggregation.take_own(loads, &times, self.members.reaches_groups, now);
+                self.aggregation.set_own_loads(loads, &times, self.members.reaches_groups, now);
             }
         }
         self.send_sums(now);
         if self.aggregator.is_none() {
-            self.take_own_sum(now);
+            self.apply_own_sum(now);
         }
     }
 
-    /// Own loads are told no more: the daemon that adds them up is told so, and all is dropped that was
-    /// heard.
+    /// Stops sharing loads. Tells the aggregator that this daemon leaves, and drops all loads of others.
     pub fn stop(&mut self) {
         if let Some(aggregator) = self.aggregator.take() {
             let leave_message = self.reporting.leave_message();
@@ -207,70 +206,71 @@
         self.aggregation = Aggregation::new(self.own.daemon, self.own_address);
         self.members = SharingMembers::default();
         self.next_review = Timestamp::ZERO;
-        self.stepped_at = Timestamp::ZERO;
+        self.last_step_at = Timestamp::ZERO;
         self.passed_over.clear();
         self.last_view = None;
         self.reaching.clear();
     }
 
-    /// Takes in a message of another daemon, unless own loads have not been told for long: nobody would
-    /// renew or expire what it says.
-    pub fn heard(&mut self, from: ReplicaId, message: LoadMessage, now: Timestamp) {
-        let is_idle = now.since(self.stepped_at) >= self.settings.expiry();
+    /// Handles a message of another daemon. Ignores it if own loads have not been updated for the expiry time:
+    /// then nothing would renew or expire its figures.
+    pub fn receive(&mut self, from: ReplicaId, message: LoadMessage, now: Timestamp) {
+        let is_idle = now.since(self.last_step_at) >= self.settings.expiry();
         if from.daemon == self.own.daemon || is_idle {
             return;
         }
-        if !message.part().is_sound() {
-            if let Some(passed_over) = self.lines.allow(now) {
+        if !message.part().is_valid() {
+            if let Some(passed_over) = self.log_lines.allow(now) {
                 log::warn!(
                     target: "loads",
                     daemon:% = from, lines_passed_over = passed_over;
-                    "What a daemon told of loads has no order or leaves its range: it is dropped."
+                    "A load message is out of order or exceeds its range: it is dropped."
                 );
             }
             return;
         }
         match message {
             LoadMessage::Report { part, state, reply_to } => {
-                self.aggregation.told(from, &part, state, reply_to, &self.settings, now);
+                self.aggregation.receive_report(from, &part, state, reply_to, &self.settings, now);
             }
             LoadMessage::Sum { part, reply_to } => {
                 let is_near = self.members.zone.iter().any(|(daemon, _)| *daemon == from.daemon);
-                self.aggregation.sum_told(from, &part, reply_to, is_near, &self.settings, now);
+                self.aggregation.receive_sum(from, &part, reply_to, is_near, &self.settings, now);
             }
-            LoadMessage::View { part, reaching } => self.view_told(from, part, reaching, now),
+            LoadMessage::View { part, reaching } => self.receive_view(from, part, reaching, now),
         }
     }
 
-    /// What to do since the last call.
+    /// Takes the actions that are due since the last call.
     pub fn take_actions(&mut self) -> Vec<LoadAction> {
         std::mem::take(&mut self.actions)
     }
 
-    /// How the sharing goes.
+    /// Status of load sharing.
     pub fn status(&self, now: Timestamp) -> LoadSharingStatus {
-        let age = |view: LastView| now.since(view.at - view.age);
+        let age = |view: LastView| now.since(view.received_at - view.age);
         LoadSharingStatus {
             aggregator: self.aggregator.as_ref().map(|aggregator| aggregator.candidate.0),
             followers: self.aggregation.followers(now),
             view_age: self.last_view.map(age),
-            passed_over: self.passed_over_count,
+            passed_over: self.pass_over_count,
             reaching: self.reaching.clone(),
         }
     }
 
-    /// After a pause of this process what others sent meanwhile is still to be read.
-    fn note_own_pause(&mut self, now: Timestamp) {
-        let paused = now.since(self.stepped_at) >= self.settings.expiry();
-        self.stepped_at = now;
+    /// After a pause of this process, messages that arrived in the meantime are still unread, so the
+    /// silence of the aggregator is measured from now.
+    fn handle_own_pause(&mut self, now: Timestamp) {
+        let paused = now.since(self.last_step_at) >= self.settings.expiry();
+        self.last_step_at = now;
         if let Some(aggregator) = self.aggregator.as_mut().filter(|_| paused) {
-            aggregator.heard_at = now;
+            aggregator.last_heard_at = now;
         }
     }
 
-    /// A sum of another daemon. That of an earlier choice is not listened to: it would alternate with the
-    /// present one's.
-    fn view_told(
+    /// Applies a view sent by the current aggregator. Views of a previous aggregator are ignored: they would
+    /// alternate with those of the current one.
+    fn receive_view(
         &mut self,
         from: ReplicaId,
         part: LoadPart,
@@ -281,24 +281,24 @@
         else {
             return;
         };
-        if aggregator.order.take(from.incarnation, part.number) == PartNews::None {
+        if aggregator.sequence.accept(from.incarnation, part.number) == PartFreshness::Stale {
             return;
         }
-        aggregator.heard_at = now;
+        aggregator.last_heard_at = now;
         self.reaching = reaching;
-        self.take_view(part, now);
+        self.apply_view(part, now);
     }
 
-    fn take_view(&mut self, part: LoadPart, now: Timestamp) {
+    fn apply_view(&mut self, part: LoadPart, now: Timestamp) {
         let LoadPart { first, last, age, loads, .. } = part;
-        self.last_view = Some(LastView { at: now, age });
+        self.last_view = Some(LastView { received_at: now, age });
         self.actions.push(LoadAction::PeerLoads(PeerLoads { first, last, age, loads }));
     }
 
     fn choose_aggregator(&mut self, now: Timestamp) {
         let is_passed_over = |daemon| self.passed_over.contains_key(&daemon);
-        let aggregators = chosen(&self.members.zone, Purpose::AddLoads, is_passed_over);
-        let next = serving(self.own.daemon, &aggregators, Purpose::AddLoads);
+        let aggregators = choose(&self.members.zone, ZoneRole::LoadAggregator, is_passed_over);
+        let next = choose_for(self.own.daemon, &aggregators, ZoneRole::LoadAggregator);
         let before = self.aggregator.as_ref().map(|aggregator| aggregator.candidate);
         if next == before {
             return;
@@ -307,46 +307,47 @@
             let leave_message = self.reporting.leave_message();
             self.send(address, leave_message);
         }
-        let order = PartOrder::default();
-        self.aggregator = next.map(|candidate| Aggregator { candidate, heard_at: now, order });
-        self.reporting.reset();
+        let sequence = PartSequence::default();
+        self.aggregator =
+            next.map(|candidate| Aggregator { candidate, last_heard_at: now, sequence });
+        self.reporting.reset_schedule();
         let name = |chosen: Option<Candidate>| chosen.map_or(self.own.daemon, |(daemon, _)| daemon);
         let (before, next) = (name(before), name(next));
-        if let Some(passed_over) = self.lines.allow(now) {
+        if let Some(passed_over) = self.log_lines.allow(now) {
             log::info!(
                 target: "loads",
                 daemon:% = next, before:% = before, lines_passed_over = passed_over;
-                "Another daemon adds up loads."
+                "The aggregator of loads has changed."
             );
         }
     }
 
-    /// A daemon that adds up and has said nothing for long is passed over for a while.
+    /// Passes over an aggregator that has been silent for the expiry time.
     fn pass_over_silent(&mut self, now: Timestamp) {
         let Some(aggregator) = &self.aggregator else { return };
-        let (daemon, heard_at) = (aggregator.candidate.0, aggregator.heard_at);
-        let (since, patience) = match self.reporting.loaded_since() {
-            Some(loaded_since) => (heard_at.max(loaded_since), self.settings.expiry()),
-            None => (heard_at, self.settings.idle_expiry()),
+        let (daemon, last_heard_at) = (aggregator.candidate.0, aggregator.last_heard_at);
+        let (silent_since, timeout) = match self.reporting.loaded_since() {
+            Some(loaded_since) => (last_heard_at.max(loaded_since), self.settings.expiry()),
+            None => (last_heard_at, self.settings.idle_expiry()),
         };
-        if now.since(since) <= patience {
+        if now.since(silent_since) <= timeout {
             return;
         }
-        if let Some(passed_over) = self.lines.allow(now) {
+        if let Some(passed_over) = self.log_lines.allow(now) {
             log::warn!(
                 target: "loads",
                 daemon:% = daemon,
-                silent_ms = now.since(heard_at).as_millis(),
+                silent_ms = now.since(last_heard_at).as_millis(),
                 lines_passed_over = passed_over;
-                "The daemon that adds up loads says nothing: it is passed over."
+                "The aggregator of loads is silent: it is passed over."
             );
         }
-        self.passed_over_count += 1;
-        self.passed_over.insert(daemon, now + PASSED_OVER);
+        self.pass_over_count += 1;
+        self.passed_over.insert(daemon, now + PASS_OVER_TIME);
         self.choose_aggregator(now);
     }
 
-    fn tell(&mut self, to: SocketAddr, now: Timestamp) {
+    fn report(&mut self, to: SocketAddr, now: Timestamp) {
         if self.budget.has_room() && self.reporting.is_due(&self.settings, now) {
             let messages = self.reporting.messages(now);
             self.send_all(to, messages);
@@ -362,10 +363,10 @@
         }
     }
 
-    fn take_own_sum(&mut self, now: Timestamp) {
+    fn apply_own_sum(&mut self, now: Timestamp) {
         if let Some(part) = self.aggregation.own_view(&self.settings, now) {
             self.reaching = self.aggregation.reaching(self.own.daemon);
-            self.take_view(part, now);
+            self.apply_view(part, now);
         }
     }
 
@@ -374,8 +375,8 @@
     }
 
     fn send(&mut self, to: SocketAddr, mut message: LoadMessage) {
-        self.sent += 1;
-        message.part_mut().number = self.sent;
+        self.parts_sent += 1;
+        message.part_mut().number = self.parts_sent;
         self.budget.spend(message.bytes());
         self.actions.push(LoadAction::Send { to, message });
     }
--- a/crates/node/src/load_sharing/aggregation.rs
+++ b/crates/node/src/load_sharing/aggregation.rs
@@ -1,4 +1,4 @@
-//! Aggregation of the loads of those daemons that tell this one, and of other zones.
+//! Sums of the loads that followers report here and that other aggregators send.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -7,34 +7,34 @@
 
 use super::LoadSharingSettings;
 use super::message::{ItemLoad, LoadMessage, LoadPart, ReporterState};
-use super::token_times::{Origin, TimesLog};
-use super::told::{Taken, ToldLoads};
+use super::reported::{ReportedLoads, Update};
+use super::token_times::{Origin, TokenTimesLog};
 use crate::zone_choice::Candidate;
 
-/// Daemons that reach owners of replica groups and are named to others.
-const MOST_REACHING: usize = 3;
+/// Maximum number of daemons reaching owners of replica groups that a view names.
+const MAX_NAMED_REACHING: usize = 3;
 
-/// How far a receiver has been sent the present sums.
+/// Progress of sending the current sums to one receiver, part by part.
 #[derive(Debug, Clone, Default)]
-struct Progress {
-    /// When the first of the parts went, or nothing has gone yet.
+struct SendProgress {
+    /// When the first part was sent; none if nothing has been sent yet.
     began_at: Option<Timestamp>,
-    /// Where the next part begins; none when all have gone.
+    /// First item of the next part; none when all parts have been sent.
     next: Option<u64>,
-    /// Sums were so new then.
+    /// Version of the sums when the first part was sent.
     version: u64,
-    /// Times of tokens that go with them, summed once for all parts.
+    /// Token times that accompany the sums, added up once for all parts.
     times: BTreeMap<u64, ItemLoad>,
-    /// The place in the log behind these.
-    times_end: u64,
+    /// End of these in the log of token times.
+    times_sent_up_to: u64,
     was_empty: bool,
     last_part_at: Timestamp,
 }
 
-impl Progress {
-    /// For a receiver that is told the times of tokens from now on.
-    fn starting(log: &TimesLog) -> Self {
-        Self { times_end: log.end(), was_empty: true, ..Self::default() }
+impl SendProgress {
+    /// For a receiver that gets the token times recorded from now on.
+    fn starting(log: &TokenTimesLog) -> Self {
+        Self { times_sent_up_to: log.end(), was_empty: true, ..Self::default() }
     }
 
     fn is_due(&self, version: u64, interval: Duration, renewal: Duration, now: Timestamp) -> bool {
@@ -43,11 +43,12 @@
         self.next.is_some() || (version != self.version && since >= interval) || since >= renewal
     }
 
-    /// Where the part that goes now begins. With the first one go the times whose origin `is_wanted`.
+    /// Returns the first item of the part to send now. The first part comes with the token times whose origin
+    /// `is_wanted`.
     fn begin(
         &mut self,
         version: u64,
-        log: &TimesLog,
+        log: &TokenTimesLog,
         is_wanted: impl Fn(Origin) -> bool,
         is_empty: bool,
         now: Timestamp,
@@ -58,58 +59,60 @@
         }
         self.began_at = Some(now);
         self.version = version;
-        self.times = log.between(self.times_end, log.end(), is_wanted);
-        self.times_end = log.end();
+        self.times = log.between(self.times_sent_up_to, log.end(), is_wanted);
+        self.times_sent_up_to = log.end();
         self.was_empty = is_empty;
         0
     }
 }
 
-/// A daemon that tells its loads here.
+/// A daemon that reports its loads here.
 #[derive(Debug)]
 struct Follower {
     address: SocketAddr,
-    until: Timestamp,
+    expires_at: Timestamp,
     state: ReporterState,
-    told: ToldLoads,
-    progress: Progress,
+    reported: ReportedLoads,
+    progress: SendProgress,
 }
 
-/// Another daemon that adds up.
+/// Another aggregator.
 #[derive(Debug)]
 struct Peer {
     address: SocketAddr,
     is_near: bool,
-    /// Whether it is one that should add up, as far as known here.
-    is_chosen: bool,
-    /// Another one is a peer for so long since it was heard of.
-    until: Timestamp,
-    told: ToldLoads,
-    progress: Progress,
+    /// Whether it should aggregate according to the members known here.
+    is_expected: bool,
+    /// A peer that is not expected to aggregate is dropped then, unless another sum arrives.
+    expires_at: Timestamp,
+    reported: ReportedLoads,
+    progress: SendProgress,
 }
 
-/// The sums of a daemon.
+/// The sums kept by an aggregator.
 #[derive(Debug)]
 pub(super) struct Aggregation {
     own: DaemonId,
     own_address: SocketAddr,
-    /// Whether this daemon's own loads are added here, and not told to another one.
-    counts_own: bool,
+    /// Whether this daemon's own loads are summed here instead of being reported to another aggregator.
+    includes_own: bool,
     own_loads: BTreeMap<u64, ItemLoad>,
     own_reaches_groups: bool,
-    own_progress: Progress,
+    own_progress: SendProgress,
     followers: BTreeMap<DaemonId, Follower>,
     peers: BTreeMap<DaemonId, Peer>,
-    times: TimesLog,
-    /// Rises when loads change.
+    times: TokenTimesLog,
+    /// Increases whenever loads change.
     version: u64,
-    summed: u64,
-    /// What those make that tell this daemon, and what all do.
+    /// Version that the sums below include.
+    summed_version: u64,
+    /// Sum of the loads of followers and this daemon.
     zone: BTreeMap<u64, ItemLoad>,
+    /// Sum of the loads of all daemons.
     all: BTreeMap<u64, ItemLoad>,
 }
 
-/// Who a message goes to.
+/// Receiver of a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Receiver {
     Follower(DaemonId),
@@ -121,39 +124,40 @@
         Self {
             own,
             own_address,
-            counts_own: false,
+            includes_own: false,
             own_loads: BTreeMap::new(),
             own_reaches_groups: false,
-            own_progress: Progress { was_empty: true, ..Progress::default() },
+            own_progress: SendProgress { was_empty: true, ..SendProgress::default() },
             followers: BTreeMap::new(),
             peers: BTreeMap::new(),
-            times: TimesLog::default(),
+            times: TokenTimesLog::default(),
             version: 1,
-            summed: 0,
+            summed_version: 0,
             zone: BTreeMap::new(),
             all: BTreeMap::new(),
         }
     }
 
-    /// Daemons that tell this one, without those that left or fell silent.
+    /// Number of followers that have neither left nor timed out.
     pub(super) fn followers(&self, now: Timestamp) -> usize {
-        let is_live = |follower: &&Follower| !follower.state.is_leaving && now < follower.until;
+        let is_live =
+            |follower: &&Follower| !follower.state.is_leaving && now < follower.expires_at;
         self.followers.values().filter(is_live).count()
     }
 
-    /// Takes in who else should add up, in this zone and in others of the region.
+    /// Sets which other daemons should aggregate, in this zone and in others of the region.
     pub(super) fn set_peers(&mut self, near: &[Candidate], far: &[Candidate], now: Timestamp) {
-        self.peers.values_mut().for_each(|peer| peer.is_chosen = false);
+        self.peers.values_mut().for_each(|peer| peer.is_expected = false);
         let chosen =
             near.iter().map(|peer| (peer, true)).chain(far.iter().map(|peer| (peer, false)));
         for ((daemon, address), is_near) in chosen.filter(|((daemon, _), _)| *daemon != self.own) {
             let peer = peer_entry(&mut self.peers, &self.times, *daemon, *address, is_near, now);
-            peer.is_chosen = true;
+            peer.is_expected = true;
         }
     }
 
-    /// A daemon tells its own loads.
-    pub(super) fn told(
+    /// Handles a report of a follower.
+    pub(super) fn receive_report(
         &mut self,
         from: ReplicaId,
         part: &LoadPart,
@@ -164,22 +168,23 @@
     ) {
         let follower = self.followers.entry(from.daemon).or_insert_with(|| Follower {
             address,
-            until: now,
+            expires_at: now,
             state,
-            told: ToldLoads::default(),
-            progress: Progress::starting(&self.times),
+            reported: ReportedLoads::default(),
+            progress: SendProgress::starting(&self.times),
         });
-        let Some(taken) = follower.told.take(from.incarnation, part, now) else { return };
-        // One that left stays for a while without load, so that a late message does not bring it back.
-        follower.until = now + settings.idle_expiry();
+        let Some(update) = follower.reported.apply(from.incarnation, part, now) else { return };
+        // A follower that left is kept without load until it expires, so that a late message does not add its
+        // loads again.
+        follower.expires_at = now + settings.idle_expiry();
         follower.address = address;
         follower.state = state;
-        self.version += u64::from(taken == Taken::Changed);
+        self.version += u64::from(update == Update::Changed);
         self.times.add(Origin::Follower(from.daemon), &part.loads, now);
     }
 
-    /// Another daemon that adds up tells what its followers make.
-    pub(super) fn sum_told(
+    /// Handles the sum of another aggregator.
+    pub(super) fn receive_sum(
         &mut self,
         from: ReplicaId,
         part: &LoadPart,
@@ -189,14 +194,14 @@
         now: Timestamp,
     ) {
         let peer = peer_entry(&mut self.peers, &self.times, from.daemon, address, is_near, now);
-        let Some(taken) = peer.told.take(from.incarnation, part, now) else { return };
-        peer.until = now + settings.idle_expiry();
-        self.version += u64::from(taken == Taken::Changed);
-        self.times.add(Origin::Elsewhere(from.daemon), &part.loads, now);
+        let Some(update) = peer.reported.apply(from.incarnation, part, now) else { return };
+        peer.expires_at = now + settings.idle_expiry();
+        self.version += u64::from(update == Update::Changed);
+        self.times.add(Origin::OtherAggregator(from.daemon), &part.loads, now);
     }
 
-    /// This daemon's own loads belong to the sums here, and so do the `times` of its tokens.
-    pub(super) fn take_own(
+    /// Includes this daemon's own loads and token `times` in the sums.
+    pub(super) fn set_own_loads(
         &mut self,
         own: &[ItemLoad],
         times: &[ItemLoad],
@@ -205,39 +210,39 @@
     ) {
         let loaded = own.iter().filter(|load| load.is_loaded());
         let loads: BTreeMap<u64, ItemLoad> =
-            loaded.map(|load| (load.item, load.untimed())).collect();
+            loaded.map(|load| (load.item, load.without_times())).collect();
         self.own_reaches_groups = reaches_groups;
-        if !self.counts_own || loads != self.own_loads {
+        if !self.includes_own || loads != self.own_loads {
             self.version += 1;
         }
-        self.counts_own = true;
+        self.includes_own = true;
         self.own_loads = loads;
         self.times.add(Origin::Follower(self.own), times, now);
     }
 
-    /// This daemon's own loads are told to another one.
-    pub(super) fn forget_own(&mut self) {
-        if std::mem::take(&mut self.counts_own) {
+    /// Removes this daemon's own loads from the sums: they are reported to another aggregator.
+    pub(super) fn remove_own_loads(&mut self) {
+        if std::mem::take(&mut self.includes_own) {
             self.own_loads.clear();
             self.version += 1;
         }
     }
 
-    /// Drops what was not renewed.
+    /// Drops loads that were not renewed.
     pub(super) fn expire(&mut self, settings: &LoadSharingSettings, now: Timestamp) {
         let oldest = now - settings.expiry();
-        let told = self.followers.values_mut().map(|follower| &mut follower.told);
-        for told in told.chain(self.peers.values_mut().map(|peer| &mut peer.told)) {
-            if told.drop_before(oldest) {
+        let followers = self.followers.values_mut().map(|follower| &mut follower.reported);
+        for reported in followers.chain(self.peers.values_mut().map(|peer| &mut peer.reported)) {
+            if reported.drop_before(oldest) {
                 self.version += 1;
             }
         }
-        self.followers.retain(|_, follower| now < follower.until);
-        self.peers.retain(|_, peer| peer.is_chosen || now < peer.until);
+        self.followers.retain(|_, follower| now < follower.expires_at);
+        self.peers.retain(|_, peer| peer.is_expected || now < peer.expires_at);
         self.times.drop_before(oldest);
     }
 
-    /// The next message that is due to somebody; the one that has waited longest goes first.
+    /// Next message that is due. The receiver that has waited longest comes first.
     pub(super) fn next_message(
         &mut self,
         settings: &LoadSharingSettings,
@@ -250,7 +255,7 @@
         }
     }
 
-    /// What all others make, for this daemon itself, when that is due.
+    /// The view of all other daemons' loads for this daemon itself, if it is due.
     pub(super) fn own_view(
         &mut self,
         settings: &LoadSharingSettings,
@@ -264,20 +269,20 @@
         let own = Origin::Follower(self.own);
         let is_other = |origin| origin != own;
         self.own_progress.begin(self.version, &self.times, is_other, false, now);
-        let loads = less(&self.all, 0, |item| self.own_loads.get(&item));
-        let loads = merged(loads, &self.own_progress.times, 0).collect();
+        let loads = subtract(&self.all, 0, |item| self.own_loads.get(&item));
+        let loads = with_token_times(loads, &self.own_progress.times, 0).collect();
         let age = self.age(Some(self.own), now);
         Some(LoadPart { number: 0, first: 0, last: u64::MAX, age, loads })
     }
 
-    /// A few daemons that say they reach owners of replica groups, but for one.
-    pub(super) fn reaching(&self, but_for: DaemonId) -> Vec<DaemonId> {
-        let own = (self.counts_own && self.own_reaches_groups).then_some(self.own);
+    /// A few daemons that report that they reach owners of replica groups, without `excluded`.
+    pub(super) fn reaching(&self, excluded: DaemonId) -> Vec<DaemonId> {
+        let own = (self.includes_own && self.own_reaches_groups).then_some(self.own);
         let reaches =
             |follower: &Follower| follower.state.reaches_groups && !follower.state.is_leaving;
         let others = self.followers.iter().filter(|(_, follower)| reaches(follower));
         let all = own.into_iter().chain(others.map(|(daemon, _)| *daemon));
-        all.filter(|daemon| *daemon != but_for).take(MOST_REACHING).collect()
+        all.filter(|daemon| *daemon != excluded).take(MAX_NAMED_REACHING).collect()
     }
 
     fn next_receiver(&self, settings: &LoadSharingSettings, now: Timestamp) -> Option<Receiver> {
@@ -298,17 +303,18 @@
         all.min_by_key(|(last_part_at, _)| *last_part_at).map(|(_, receiver)| receiver)
     }
 
-    /// Sums without load are told once, and not renewed: they expire where they were told.
+    /// Whether a sum is due to a peer. An empty sum is sent once and not renewed: the sums sent before expire at
+    /// the receiver.
     fn is_peer_due(&self, peer: &Peer, settings: &LoadSharingSettings, now: Timestamp) -> bool {
-        let is_aggregating = self.counts_own || !self.followers.is_empty();
-        let is_news = !self.zone.is_empty() || !peer.progress.was_empty;
+        let is_aggregating = self.includes_own || !self.followers.is_empty();
+        let is_needed = !self.zone.is_empty() || !peer.progress.was_empty;
         let interval = match peer.is_near {
             true => settings.view_interval(),
             false => settings.between_zones(),
         };
         let renewal = settings.renewal(false);
         let is_due = || peer.progress.is_due(self.version, interval, renewal, now);
-        is_aggregating && is_news && is_due()
+        is_aggregating && is_needed && is_due()
     }
 
     fn view_for(&mut self, daemon: DaemonId, now: Timestamp) -> Option<(SocketAddr, LoadMessage)> {
@@ -319,9 +325,9 @@
         let is_other = |origin| origin != Origin::Follower(daemon);
         let is_empty = self.all.is_empty();
         let first = progress.begin(self.version, &self.times, is_other, is_empty, now);
-        let told = &follower.told;
-        let loads = less(&self.all, first, |item| told.get(item));
-        let part = LoadPart::from(first, merged(loads, &progress.times, first), age);
+        let reported = &follower.reported;
+        let loads = subtract(&self.all, first, |item| reported.get(item));
+        let part = LoadPart::from(first, with_token_times(loads, &progress.times, first), age);
         progress.next = part.next();
         Some((follower.address, LoadMessage::View { part, reaching }))
     }
@@ -334,40 +340,40 @@
         let is_own = |origin| matches!(origin, Origin::Follower(_));
         let is_empty = self.zone.is_empty();
         let first = progress.begin(self.version, &self.times, is_own, is_empty, now);
-        let loads = less(&self.zone, first, |_| None);
-        let part = LoadPart::from(first, merged(loads, &progress.times, first), age);
+        let loads = subtract(&self.zone, first, |_| None);
+        let part = LoadPart::from(first, with_token_times(loads, &progress.times, first), age);
         progress.next = part.next();
         Some((peer.address, LoadMessage::Sum { part, reply_to }))
     }
 
-    /// How old the oldest figures are of those that do not come from one daemon.
-    fn age(&self, but_for: Option<DaemonId>, now: Timestamp) -> Duration {
-        let peers = self.peers.values().map(|peer| peer.told.age(now)).max();
-        self.zone_age(but_for, now).max(peers.unwrap_or_default())
+    /// Age of the oldest figures, without those of the `excluded` daemon.
+    fn age(&self, excluded: Option<DaemonId>, now: Timestamp) -> Duration {
+        let peers = self.peers.values().map(|peer| peer.reported.age(now)).max();
+        self.zone_age(excluded, now).max(peers.unwrap_or_default())
     }
 
-    fn zone_age(&self, but_for: Option<DaemonId>, now: Timestamp) -> Duration {
-        let others = self.followers.iter().filter(|(daemon, _)| Some(**daemon) != but_for);
-        others.map(|(_, follower)| follower.told.age(now)).max().unwrap_or_default()
+    fn zone_age(&self, excluded: Option<DaemonId>, now: Timestamp) -> Duration {
+        let others = self.followers.iter().filter(|(daemon, _)| Some(**daemon) != excluded);
+        others.map(|(_, follower)| follower.reported.age(now)).max().unwrap_or_default()
     }
 
     fn sum_up(&mut self) {
-        if self.summed == self.version {
+        if self.summed_version == self.version {
             return;
         }
-        self.summed = self.version;
-        let own = self.own_loads.values().filter(|_| self.counts_own);
-        let followers = self.followers.values().flat_map(|follower| follower.told.iter());
+        self.summed_version = self.version;
+        let own = self.own_loads.values().filter(|_| self.includes_own);
+        let followers = self.followers.values().flat_map(|follower| follower.reported.iter());
         self.zone = sum(own.chain(followers));
-        let peers = self.peers.values().flat_map(|peer| peer.told.iter());
+        let peers = self.peers.values().flat_map(|peer| peer.reported.iter());
         self.all = sum(self.zone.values().chain(peers));
     }
 }
 
-/// The entry of another daemon that adds up, as it is known now.
+/// Returns the entry of another aggregator, updated to its current address.
 fn peer_entry<'a>(
     peers: &'a mut BTreeMap<DaemonId, Peer>,
-    times: &TimesLog,
+    times: &TokenTimesLog,
     daemon: DaemonId,
     address: SocketAddr,
     is_near: bool,
@@ -376,10 +382,10 @@
     let peer = peers.entry(daemon).or_insert_with(|| Peer {
         address,
         is_near,
-        is_chosen: false,
-        until: now,
-        told: ToldLoads::default(),
-        progress: Progress::starting(times),
+        is_expected: false,
+        expires_at: now,
+        reported: ReportedLoads::default(),
+        progress: SendProgress::starting(times),
     });
     (peer.address, peer.is_near) = (address, is_near);
     peer
@@ -389,25 +395,25 @@
     let mut sums = BTreeMap::new();
     for load in loads {
         let sum = sums.entry(load.item).or_insert(ItemLoad::none(load.item));
-        *sum = sum.and(load);
+        *sum = sum.plus(load);
     }
     sums
 }
 
-/// Loads from an item on, without a part of them.
-fn less<'a>(
+/// Subtracts `part` from the loads, beginning with the item `first`.
+fn subtract<'a>(
     loads: &'a BTreeMap<u64, ItemLoad>,
     first: u64,
     part: impl Fn(u64) -> Option<&'a ItemLoad> + 'a,
 ) -> impl Iterator<Item = ItemLoad> + 'a {
     let rest = loads
         .range(first..)
-        .map(move |(item, load)| part(*item).map_or(*load, |part| load.less(part)));
+        .map(move |(item, load)| part(*item).map_or(*load, |part| load.minus(part)));
     rest.filter(ItemLoad::is_loaded)
 }
 
-/// Loads with the times of tokens that belong to them, from an item on.
-fn merged<'a>(
+/// Merges loads with the token times of their items, beginning with the item `first`.
+fn with_token_times<'a>(
     loads: impl Iterator<Item = ItemLoad> + 'a,
     times: &'a BTreeMap<u64, ItemLoad>,
     first: u64,
@@ -419,6 +425,6 @@
             [loads.peek(), times.peek()].into_iter().flatten().map(|load| load.item).min()?;
         let load = loads.next_if(|load| load.item == next).unwrap_or(ItemLoad::none(next));
         let time = times.next_if(|time| time.item == next).unwrap_or(ItemLoad::none(next));
-        Some(load.and(&time))
+        Some(load.plus(&time))
     })
 }
--- a/crates/node/src/load_sharing/byte_budget.rs
+++ b/crates/node/src/load_sharing/byte_budget.rs
@@ -1,29 +1,29 @@
-//! Bytes that may be sent in a second.
+//! Rate limit on the bytes that load sharing sends.
 
 use dahlia_types::{Duration, Timestamp};
 
-/// What is not used is kept for so long.
-const MOST_SAVED: Duration = Duration::from_millis(100);
+/// Unused bytes of this time may be saved up.
+const MAX_SAVED_TIME: Duration = Duration::from_millis(100);
 
-/// Bytes that may be sent now. It may be overdrawn by one message, which later ones wait for.
+/// A token bucket of bytes. One message may overdraw it; later ones then wait.
 #[derive(Debug)]
 pub(super) struct ByteBudget {
     per_second: u64,
     available: i64,
-    at: Timestamp,
+    refilled_at: Timestamp,
 }
 
 impl ByteBudget {
     pub(super) fn new(per_second: u64) -> Self {
-        Self { per_second, available: 0, at: Timestamp::ZERO }
+        Self { per_second, available: 0, refilled_at: Timestamp::ZERO }
     }
 
-    /// Adds what has become free since the last call.
+    /// Adds the bytes accrued since the last call.
     pub(super) fn refill(&mut self, now: Timestamp) {
-        let passed = now.since(self.at).min(MOST_SAVED);
-        self.at = now;
+        let passed = now.since(self.refilled_at).min(MAX_SAVED_TIME);
+        self.refilled_at = now;
         let bytes = |length: Duration| (self.per_second * length.as_micros() / 1_000_000) as i64;
-        self.available = (self.available + bytes(passed)).min(bytes(MOST_SAVED));
+        self.available = (self.available + bytes(passed)).min(bytes(MAX_SAVED_TIME));
     }
 
     pub(super) fn has_room(&self) -> bool {
--- a/crates/node/src/load_sharing/settings.rs
+++ b/crates/node/src/load_sharing/settings.rs
@@ -1,37 +1,37 @@
-//! Settings of sharing loads.
+//! Settings of load sharing.
 
 use dahlia_types::{Duration, InvalidSetting, check_range};
 use serde::{Deserialize, Serialize};
 
 use super::message::DATAGRAM_BYTES;
-use crate::zone_choice::DAEMONS_PER_SERVING;
+use crate::zone_choice::DAEMONS_PER_CHOSEN;
 
-/// Renewals of what has not changed that may be lost before it is dropped.
+/// Number of consecutive renewals that may be lost before figures expire.
 const MISSED_RENEWALS: u64 = 3;
-/// News that every follower of a daemon that adds up must be able to get within the time in which it would
-/// hold that daemon for silent.
-const NEWS_BEFORE_SILENCE: u64 = 2;
+/// Number of messages that an aggregator must be able to send to each follower within the time after which
+/// the follower passes it over as silent.
+const MESSAGES_WITHIN_EXPIRY: u64 = 2;
 
-/// Settings of sharing loads.
+/// Settings of load sharing.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LoadSharingSettings {
-    /// Milliseconds between a daemon's own loads while they change.
+    /// Milliseconds between reports of a daemon's own loads while they change.
     pub tell_ms: u64,
     /// Milliseconds between sums while they change, within a zone.
     pub view_ms: u64,
-    /// The same to other zones: bytes between zones cost more.
+    /// Milliseconds between sums sent to other zones while they change: bytes between zones cost more.
     pub between_zones_ms: u64,
-    /// Milliseconds between loads or sums that have not changed.
+    /// Milliseconds between renewals of loads or sums that have not changed.
     pub renewal_ms: u64,
     /// Milliseconds between messages of a daemon without load.
     pub idle_renewal_ms: u64,
-    /// Milliseconds after which what was told counts no more, and a daemon that says nothing is passed over.
+    /// Milliseconds after which figures that were not renewed expire and a silent aggregator is passed over.
     pub expiry_ms: u64,
-    /// Bytes that a daemon sends for it in a second, all in all. Where that is too little, sums are told
+    /// Bytes per second that a daemon sends for load sharing in total. If that is too little, sums are sent
     /// less often.
     pub most_bytes_per_second: u64,
-    /// Items up to which loads are shared at all: with more, what is heard of one would be too old to go by.
+    /// Number of items up to which loads are shared at all. With more, the figures would be too old to use.
     pub most_items: usize,
 }
 
@@ -65,14 +65,14 @@
         check_range("load_sharing.idle_renewal_ms", idle, self.renewal_ms, 60_000)?;
         let least = self.renewal_ms * MISSED_RENEWALS;
         check_range("load_sharing.expiry_ms", self.expiry_ms, least, 60_000)?;
-        let round = (DAEMONS_PER_SERVING * DATAGRAM_BYTES) as u64;
-        let least = round * NEWS_BEFORE_SILENCE * 1_000 / self.expiry_ms;
+        let round_bytes = (DAEMONS_PER_CHOSEN * DATAGRAM_BYTES) as u64;
+        let least = round_bytes * MESSAGES_WITHIN_EXPIRY * 1_000 / self.expiry_ms;
         let most_bytes = self.most_bytes_per_second;
         check_range("load_sharing.most_bytes_per_second", most_bytes, least, 1_000_000_000)?;
         check_range("load_sharing.most_items", self.most_items, 1, 1_000_000)
     }
 
-    /// Between a daemon's own loads while they change.
+    /// Interval between reports of a daemon's own loads while they change.
     pub fn report_interval(&self) -> Duration {
         Duration::from_millis(self.tell_ms)
     }
@@ -93,7 +93,7 @@
         Duration::from_millis(self.expiry_ms)
     }
 
-    /// How long a daemon without load may say nothing.
+    /// How long a daemon without load may stay silent.
     pub(super) fn idle_expiry(&self) -> Duration {
         let renewals = Duration::from_millis(self.idle_renewal_ms).times(MISSED_RENEWALS);
         renewals.max(self.expiry())
--- a/crates/node/src/load_sharing/token_times.rs
+++ b/crates/node/src/load_sharing/token_times.rs
@@ -1,5 +1,4 @@
-//! How soon tokens came, on the way from those who saw it to those who want to know: each sample once to
-//! each receiver, and none that is old.
+//! Log of token times. Each sample is sent once to each receiver, and old samples are not sent.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -7,36 +6,36 @@
 
 use super::message::ItemLoad;
 
-/// Samples that are kept for receivers: those of some seconds in a large zone.
-const MOST_SAMPLES: usize = 16_384;
+/// Maximum number of samples kept for receivers. A large zone makes that many in some seconds.
+const MAX_SAMPLES: usize = 16_384;
 
-/// Who saw a sample.
+/// Where a sample comes from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Origin {
-    /// A daemon that tells this one, or this one itself.
+    /// A follower of this daemon, or this daemon itself.
     Follower(DaemonId),
-    /// Daemons that tell another one.
-    Elsewhere(DaemonId),
+    /// The followers of another aggregator.
+    OtherAggregator(DaemonId),
 }
 
 #[derive(Debug)]
 struct Sample {
     origin: Origin,
-    at: Timestamp,
-    /// Only the times of it count.
+    received_at: Timestamp,
+    /// Only its token times are used.
     load: ItemLoad,
 }
 
-/// Samples of late, in the order in which they came.
+/// Recent samples in the order of their arrival.
 #[derive(Debug, Default)]
-pub(super) struct TimesLog {
+pub(super) struct TokenTimesLog {
     samples: VecDeque<Sample>,
-    /// Samples that were dropped before the first one.
+    /// Number of samples dropped before the first one.
     dropped: u64,
 }
 
-impl TimesLog {
-    /// The place behind the last sample.
+impl TokenTimesLog {
+    /// Position after the last sample.
     pub(super) fn end(&self) -> u64 {
         self.dropped + self.samples.len() as u64
     }
@@ -45,34 +44,34 @@
         let timed = loads.iter().filter(|load| load.timed_tokens > 0);
         self.samples.extend(timed.map(|load| {
             let load = ItemLoad { in_flight: 0, tokens: 0, ..*load };
-            Sample { origin, at: now, load }
+            Sample { origin, received_at: now, load }
         }));
-        while self.samples.len() > MOST_SAMPLES {
+        while self.samples.len() > MAX_SAMPLES {
             self.drop_first();
         }
     }
 
-    /// Drops what came before.
+    /// Drops the samples that arrived before `moment`.
     pub(super) fn drop_before(&mut self, moment: Timestamp) {
-        while self.samples.front().is_some_and(|sample| sample.at < moment) {
+        while self.samples.front().is_some_and(|sample| sample.received_at < moment) {
             self.drop_first();
         }
     }
 
-    /// Sums by item of what came between two places, as far as `is_wanted` by its origin.
+    /// Sums per item of the samples between two positions whose origin `is_wanted`.
     pub(super) fn between(
         &self,
         from: u64,
         to: u64,
         is_wanted: impl Fn(Origin) -> bool,
     ) -> BTreeMap<u64, ItemLoad> {
-        let place = |place: u64| (place.max(self.dropped) - self.dropped) as usize;
-        let end = place(to).min(self.samples.len());
-        let samples = self.samples.range(place(from).min(end)..end);
+        let index = |position: u64| (position.max(self.dropped) - self.dropped) as usize;
+        let end = index(to).min(self.samples.len());
+        let samples = self.samples.range(index(from).min(end)..end);
         let mut sums: BTreeMap<u64, ItemLoad> = BTreeMap::new();
         for Sample { load, .. } in samples.filter(|sample| is_wanted(sample.origin)) {
             let sum = sums.entry(load.item).or_insert(ItemLoad::none(load.item));
-            *sum = sum.and(load);
+            *sum = sum.plus(load);
         }
         sums
     }
--- a/crates/node/src/loads.rs
+++ b/crates/node/src/loads.rs
@@ -1,4 +1,4 @@
-//! This node's part in sharing loads with other daemons.
+//! Connects load sharing to the node: its members, messages and actions.
 
 use std::collections::BTreeMap;
 
@@ -14,31 +14,37 @@
 use crate::zone_choice::Candidate;
 
 impl Node {
-    /// Takes in the loads that this daemon makes, and tells and adds up what is due.
-    pub(crate) fn own_loads(&mut self, own: &[ItemLoad], now: Timestamp) {
+    /// Updates this daemon's own loads, and sends the reports and sums that are due.
+    pub(crate) fn update_own_loads(&mut self, own: &[ItemLoad], now: Timestamp) {
         let is_review_due = self.loads.as_ref().is_some_and(|loads| loads.is_review_due(now));
         if is_review_due {
             let members = self.sharing_members();
             self.with_loads(|loads| loads.review(members, now));
         }
-        self.with_loads(|loads| loads.own_loads(own, now));
+        self.with_loads(|loads| loads.update_own_loads(own, now));
     }
 
-    /// Own loads are told no more.
-    pub(crate) fn own_loads_end(&mut self) {
+    /// Stops sharing this daemon's loads.
+    pub(crate) fn stop_load_sharing(&mut self) {
         self.with_loads(LoadSharing::stop);
     }
 
-    pub(crate) fn load_message(&mut self, from: ReplicaId, message: LoadMessage, now: Timestamp) {
-        self.with_loads(|loads| loads.heard(from, message, now));
+    pub(crate) fn receive_load_message(
+        &mut self,
+        from: ReplicaId,
+        message: LoadMessage,
+        now: Timestamp,
+    ) {
+        self.with_loads(|loads| loads.receive(from, message, now));
     }
 
-    /// How the sharing of loads goes; none where this daemon has no part in it.
+    /// Status of load sharing; none if this daemon does not take part.
     pub(crate) fn load_sharing_status(&self, now: Timestamp) -> Option<LoadSharingStatus> {
         self.loads.as_ref().map(|loads| loads.status(now))
     }
 
-    /// Daemons without groups pass requests on to servers; those with groups make no load.
+    /// Live daemons of the region that share loads. Daemons with groups are left out: only those without groups
+    /// send requests to servers.
     fn sharing_members(&self) -> SharingMembers {
         let members = self.live_members();
         let shares = |info: &&MemberInfo| !info.holds_groups && info.region == self.settings.region;
@@ -56,7 +62,7 @@
         change(loads);
         for action in loads.take_actions() {
             self.actions.push(match action {
-                LoadAction::PeerLoads(heard) => Action::LoadsHeard(heard),
+                LoadAction::PeerLoads(loads) => Action::LoadsHeard(loads),
                 LoadAction::Send { to, message } => {
                     Action::Send { to, message: PeerMessage::Loads(message) }
                 }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -125,8 +125,8 @@
     pub fn tick_interval(&self) -> Duration {
         let has_work = !self.router.is_empty() || !self.groups.is_empty() || self.draining;
         let follows = self.settings.follows_configuration;
-        let is_asking = self.zone_liveness.as_ref().is_some_and(ZoneLiveness::is_asking);
-        if has_work || follows || is_asking { Self::TICK } else { Self::IDLE_TICK }
+        let is_probing = self.zone_liveness.as_ref().is_some_and(ZoneLiveness::is_probing);
+        if has_work || follows || is_probing { Self::TICK } else { Self::IDLE_TICK }
     }
 
     /// A node that knows nothing but its settings.
@@ -229,10 +229,10 @@
             Event::Share(document) => self.share(document),
             Event::Hold(document) => self.hold_document(document),
             Event::DocumentsWanted => self.membership.request_holder_documents(),
-            Event::SourceRead(report) => self.source_read(report, now),
+            Event::SourceRead(report) => self.record_source_read(report, now),
             Event::BackendFailed(failure) => self.report_backend_failure(&failure),
-            Event::OwnLoads(own) => self.own_loads(&own, now),
-            Event::OwnLoadsEnd => self.own_loads_end(),
+            Event::OwnLoads(own) => self.update_own_loads(&own, now),
+            Event::OwnLoadsEnd => self.stop_load_sharing(),
             Event::ImageWanted(group) => self.record_image(group),
             Event::Retire => self.retire_daemon(now),
             Event::Drain => self.drain(now),
@@ -333,11 +333,11 @@
 
     fn tick(&mut self, now: Timestamp) {
         self.membership_event(MembershipEvent::Tick, now);
-        self.listen(now);
+        self.check_zones(now);
         self.configuration_tick(now);
         self.read_layout(now);
         self.upkeep(now);
-        self.feed_tick(now);
+        self.update_feed(now);
         for group in self.groups.values_mut() {
             if group.replica.next_deadline() <= now {
                 group.replica.tick(now);
@@ -359,7 +359,7 @@
     }
 
     fn message(&mut self, from: ReplicaId, message: PeerMessage, now: Timestamp) {
-        self.hear(from.daemon, now);
+        self.record_zone_message(from.daemon, now);
         match message {
             PeerMessage::Membership(envelope) => {
                 self.membership_event(MembershipEvent::Received(*envelope), now);
@@ -374,10 +374,10 @@
             }
             PeerMessage::Response { id, response } => self.response(from, id, response, now),
             PeerMessage::PassOn { id, request, reply_to } => {
-                self.take_for_other(ReplyTo::Peer { address: reply_to, id }, request, now);
+                self.forward_command(ReplyTo::Peer { address: reply_to, id }, request, now);
             }
-            PeerMessage::Feed(message) => self.feed_message(from.daemon, message, now),
-            PeerMessage::Loads(message) => self.load_message(from, message, now),
+            PeerMessage::Feed(message) => self.receive_feed_message(from.daemon, message, now),
+            PeerMessage::Loads(message) => self.receive_load_message(from, message, now),
         }
     }
 
--- a/crates/node/src/requests.rs
+++ b/crates/node/src/requests.rs
@@ -97,7 +97,7 @@
         response: Response,
         now: Timestamp,
     ) {
-        self.router.heard_from(from.daemon);
+        self.router.clear_suspicion(from.daemon);
         if let Response::NotOwner { hint } = response {
             let is_lost = hint.is_some_and(|hint| self.is_in_silent_zone(hint));
             if self.router.redirect(id, from.daemon, hint, is_lost, now) {
@@ -106,7 +106,7 @@
             return;
         }
         if let Some(routed) = self.router.finish(id) {
-            self.note_answered_by(from.daemon, &routed, now);
+            self.record_answer_from(from.daemon, &routed, now);
             self.give_answer(routed.reply_to, response);
         }
     }
--- a/crates/node/src/source.rs
+++ b/crates/node/src/source.rs
@@ -1,4 +1,4 @@
-//! This node's part in sharing what few daemons read of an outside source.
+//! Connects the feed to the node: its members, messages and actions.
 
 use std::net::SocketAddr;
 
@@ -11,13 +11,13 @@
 use crate::wire::PeerMessage;
 
 impl Node {
-    /// Chooses anew who reads the outside source, and decides whether this daemon does.
-    pub(crate) fn feed_tick(&mut self, now: Timestamp) {
+    /// Updates which daemon reads the outside source, and whether this daemon does.
+    pub(crate) fn update_feed(&mut self, now: Timestamp) {
         if self.feed.as_ref().is_none_or(|feed| !feed.is_review_due(now)) {
             return self.with_feed(|feed| feed.tick(now));
         }
         let zone = &self.settings.zone;
-        // Daemons without groups follow the source; those with groups have no use for it.
+        // Only daemons without groups follow the source.
         let shares = |info: &MemberInfo| !info.holds_groups && info.zone == *zone;
         let members = self.live_members();
         let sharing: Vec<(DaemonId, SocketAddr)> = members
@@ -31,17 +31,22 @@
         });
     }
 
-    pub(crate) fn source_read(&mut self, report: SourceReport, now: Timestamp) {
-        self.with_feed(|feed| feed.read(report, now));
+    pub(crate) fn record_source_read(&mut self, report: SourceReport, now: Timestamp) {
+        self.with_feed(|feed| feed.record_read(report, now));
     }
 
-    pub(crate) fn feed_message(&mut self, from: DaemonId, message: FeedMessage, now: Timestamp) {
+    pub(crate) fn receive_feed_message(
+        &mut self,
+        from: DaemonId,
+        message: FeedMessage,
+        now: Timestamp,
+    ) {
         self.with_feed(|feed| {
             match message {
                 FeedMessage::Subscribe { known, reply_to } => {
-                    feed.subscribed(from, known, reply_to, now);
+                    feed.receive_subscription(from, known, reply_to, now);
                 }
-                FeedMessage::Report(report) => feed.reported(report, now),
+                FeedMessage::Report(report) => feed.receive_report(report, now),
             }
             feed.tick(now);
         });
--- a/crates/node/src/zone_choice.rs
+++ b/crates/node/src/zone_choice.rs
@@ -1,60 +1,60 @@
-//! Which daemons of a zone do something for the others there: one for each fifty, and all daemons that know
-//! the same members agree on them without a word.
+//! Choice of the daemons of a zone that do a job for the others there, one for each fifty. All daemons that know
+//! the same members choose the same ones, without exchanging messages.
 
 use std::net::SocketAddr;
 
 use dahlia_types::DaemonId;
 
-/// Daemons to each one that serves them: what it sends grows with them, and its link does not.
-pub(crate) const DAEMONS_PER_SERVING: usize = 50;
+/// Daemons of a zone per chosen daemon. What a chosen daemon sends grows with them, and its link does not.
+pub(crate) const DAEMONS_PER_CHOSEN: usize = 50;
 
 /// A daemon that may be chosen, and where it listens.
 pub(crate) type Candidate = (DaemonId, SocketAddr);
 
-/// What the chosen ones do. Each purpose has an order of daemons of its own, so that one daemon seldom does
-/// all.
+/// The job of the chosen daemons. Each role has its own order of daemons, so that one daemon seldom has all
+/// roles.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Purpose {
-    /// They read an outside source.
-    ReadSource,
-    /// They add up loads.
-    AddLoads,
+pub(crate) enum ZoneRole {
+    /// Reads an outside source.
+    SourceReader,
+    /// Adds up loads.
+    LoadAggregator,
 }
 
-impl Purpose {
+impl ZoneRole {
     fn salt(self) -> u32 {
         match self {
-            Self::ReadSource => 0,
-            Self::AddLoads => 0x6c6f_6164,
+            Self::SourceReader => 0,
+            Self::LoadAggregator => 0x6c6f_6164,
         }
     }
 
-    /// Draws an order of daemons that all of them agree on.
+    /// Rank of a daemon in a pseudo-random order that all daemons agree on.
     fn rank(self, daemon: DaemonId) -> u64 {
         const ODD: u64 = 0x9e37_79b9_7f4a_7c15;
         u64::from(daemon.0 ^ self.salt()).wrapping_mul(ODD)
     }
 }
 
-/// The chosen daemons of a zone, as many as its size needs, but for those that are passed over.
-pub(crate) fn chosen(
+/// Chooses as many daemons of a zone as its size needs, without those that are passed over.
+pub(crate) fn choose(
     zone: &[Candidate],
-    purpose: Purpose,
+    role: ZoneRole,
     is_passed_over: impl Fn(DaemonId) -> bool,
 ) -> Vec<Candidate> {
     let mut chosen: Vec<Candidate> =
         zone.iter().filter(|(daemon, _)| !is_passed_over(*daemon)).copied().collect();
-    chosen.sort_by_key(|(daemon, _)| purpose.rank(*daemon));
-    chosen.truncate(zone.len().div_ceil(DAEMONS_PER_SERVING));
+    chosen.sort_by_key(|(daemon, _)| role.rank(*daemon));
+    chosen.truncate(zone.len().div_ceil(DAEMONS_PER_CHOSEN));
     chosen
 }
 
-/// Which of the chosen ones serves a daemon. None when it is one of them, or when there are none.
-pub(crate) fn serving(own: DaemonId, chosen: &[Candidate], purpose: Purpose) -> Option<Candidate> {
+/// Chooses one of the chosen daemons for the daemon `own`. None if `own` is one of them, or if there are none.
+pub(crate) fn choose_for(own: DaemonId, chosen: &[Candidate], role: ZoneRole) -> Option<Candidate> {
     if chosen.iter().any(|(daemon, _)| *daemon == own) {
         return None;
     }
-    // The high bits of a product are the well mixed ones.
-    let own = (purpose.rank(own) >> 32) as usize;
-    chosen.get(own.checked_rem(chosen.len())?).copied()
+    // The high bits of the product are better mixed than the low ones.
+    let index = (role.rank(own) >> 32) as usize;
+    chosen.get(index.checked_rem(chosen.len())?).copied()
 }
--- a/crates/node/tests/feed.rs
+++ b/crates/node/tests/feed.rs
@@ -204,7 +204,7 @@
             daemon.call = None;
             daemon.known = revision;
             let contents = vec![0; news];
-            daemon.feed.read(SourceReport { after, at: revision, age, contents }, now);
+            daemon.feed.record_read(SourceReport { after, at: revision, age, contents }, now);
             return self.carry_out(number);
         }
         let wait = match daemon.reading {
@@ -271,9 +271,9 @@
         }
         match message {
             FeedMessage::Subscribe { known, reply_to } => {
-                daemon.feed.subscribed(DaemonId(from), known, reply_to, now);
+                daemon.feed.receive_subscription(DaemonId(from), known, reply_to, now);
             }
-            FeedMessage::Report(report) => daemon.feed.reported(report, now),
+            FeedMessage::Report(report) => daemon.feed.receive_report(report, now),
         }
         daemon.feed.tick(now);
         self.carry_out(number);
@@ -404,13 +404,13 @@
     let now = START;
     let report = |after, at| SourceReport { after, at, age: Duration::ZERO, contents: vec![1] };
     let mut reader = Feed::new(settings(), DaemonId(1), address(1));
-    reader.read(report(90, 100), now);
-    reader.subscribed(DaemonId(2), 100, address(2), now);
+    reader.record_read(report(90, 100), now);
+    reader.receive_subscription(DaemonId(2), 100, address(2), now);
     reader.take_actions();
-    reader.reported(report(100, 150), now);
+    reader.receive_report(report(100, 150), now);
     let takes = |action: &FeedAction| matches!(action, FeedAction::Order(FeedOrder::Apply(_)));
     assert!(!reader.take_actions().iter().any(takes), "its own next read begins at 100");
-    reader.read(report(100, 160), now);
+    reader.record_read(report(100, 160), now);
     let sent = reader.take_actions();
     let to_follower =
         FeedAction::Send { to: address(2), message: FeedMessage::Report(report(100, 160)) };
--- a/crates/node/tests/regions/mod.rs
+++ b/crates/node/tests/regions/mod.rs
@@ -425,7 +425,7 @@
         if daemon.sharing.is_review_due(now) {
             daemon.sharing.review(members, now);
         }
-        daemon.sharing.own_loads(&loads, now);
+        daemon.sharing.update_own_loads(&loads, now);
         self.carry_out(number);
     }
 
@@ -526,7 +526,7 @@
         }
         daemon.cost.heard += 1;
         daemon.seen.push(message.clone());
-        daemon.sharing.heard(from, message, now);
+        daemon.sharing.receive(from, message, now);
         self.carry_out(number);
     }
 
--- a/crates/node/tests/zone_liveness.rs
+++ b/crates/node/tests/zone_liveness.rs
@@ -77,10 +77,10 @@
             let zone = self.members.iter().find(|(_, daemons)| daemons.contains(&daemon));
             let zone = zone.expect("a member is asked").0;
             if answering.contains(&zone.as_str()) {
-                self.zone_liveness.heard(zone, self.now);
+                self.zone_liveness.record_message(zone, self.now);
             }
         }
-        if let Some(reach) = self.zone_liveness.judge(self.groups(), self.now) {
+        if let Some(reach) = self.zone_liveness.update_reachability(self.groups(), self.now) {
             self.reach = reach;
         }
     }
@@ -88,8 +88,8 @@
     fn groups(&self) -> GroupCount {
         let silent = self.voters.iter().filter(|zone| self.zone_liveness.is_silent(zone)).count();
         let is_out = self.voters.len() - silent < self.voters.len() / 2 + 1;
-        let all = if self.voters.is_empty() { 0 } else { 8 };
-        GroupCount { all, out_of_reach: if is_out { all } else { 0 } }
+        let total = if self.voters.is_empty() { 0 } else { 8 };
+        GroupCount { total, out_of_reach: if is_out { total } else { 0 } }
     }
 
     /// Until the reach is as wanted; gives how long it took.
@@ -198,10 +198,10 @@
     const BUSY: Duration = Duration::from_millis(300);
     let mut bed = Bed::new(&ZONES);
     bed.pass(Duration::from_millis(500), &ZONES);
-    ZONES.iter().for_each(|zone| bed.zone_liveness.heard(&Zone::new(*zone), bed.now));
+    ZONES.iter().for_each(|zone| bed.zone_liveness.record_message(&Zone::new(*zone), bed.now));
     // The command that waits is doubted after a while.
     bed.pass(Duration::from_millis(150), &["a"]);
-    bed.zone_liveness.doubt(None, bed.now);
+    bed.zone_liveness.suspect(None, bed.now);
     let took = bed.until(BUSY, &["a"], |reach| reach.cut_off.is_some());
     assert!(took < Duration::from_millis(200), "{took:?} after the doubt");
 }
@@ -210,7 +210,7 @@
 fn an_overdue_answer_alone_is_no_cut() {
     let mut bed = Bed::new(&ZONES);
     for _ in 0..20 {
-        bed.zone_liveness.doubt(None, bed.now);
+        bed.zone_liveness.suspect(None, bed.now);
         bed.pass(Duration::from_millis(200), &ZONES);
     }
     assert_eq!(bed.reach, Reachability::default());
@@ -239,7 +239,7 @@
     let since = bed.reach.cut_off.expect("cut off").since;
     // A single message gets through, and again silence: the cut goes on as the same one.
     for zone in ["b", "c", "d"] {
-        bed.zone_liveness.heard(&Zone::new(zone), bed.now);
+        bed.zone_liveness.record_message(&Zone::new(zone), bed.now);
     }
     bed.pass(Duration::from_millis(100), &["a"]);
     assert_eq!(bed.reach.silent_zones, BTreeSet::new());
@@ -283,12 +283,13 @@
     let groups: Vec<GroupDescription> = (0..GROUPS).map(GroupId).map(describe).collect();
     for own in &regions {
         let at_home = homes.groups_at(own, GROUPS);
-        let isolated = GroupCount::of(groups.iter(), &at_home, |daemon| region_of(daemon) != own);
-        assert_eq!(isolated, GroupCount { all: 3, out_of_reach: 0 });
-        let alone = GroupCount::of(groups.iter(), &at_home, |_| true);
-        assert_eq!(alone, GroupCount { all: 3, out_of_reach: 3 });
-        let no_homes = GroupCount::of(groups.iter(), &[], |daemon| region_of(daemon) != own);
-        assert_eq!(no_homes, GroupCount { all: 9, out_of_reach: 6 });
+        let isolated =
+            GroupCount::count(groups.iter(), &at_home, |daemon| region_of(daemon) != own);
+        assert_eq!(isolated, GroupCount { total: 3, out_of_reach: 0 });
+        let alone = GroupCount::count(groups.iter(), &at_home, |_| true);
+        assert_eq!(alone, GroupCount { total: 3, out_of_reach: 3 });
+        let no_homes = GroupCount::count(groups.iter(), &[], |daemon| region_of(daemon) != own);
+        assert_eq!(no_homes, GroupCount { total: 9, out_of_reach: 6 });
     }
 }
 
@@ -296,7 +297,7 @@
 fn zones_that_talk_are_not_asked_and_quiet_ones_seldom() {
     let mut bed = Bed::new(&ZONES);
     for _ in 0..100 {
-        ZONES.iter().for_each(|zone| bed.zone_liveness.heard(&Zone::new(*zone), bed.now));
+        ZONES.iter().for_each(|zone| bed.zone_liveness.record_message(&Zone::new(*zone), bed.now));
         bed.pass(Duration::from_millis(500), &ZONES);
     }
     assert_eq!(bed.asked, 0);
