--- a/crates/node/src/attempts.rs
+++ b/crates/node/src/attempts.rs
@@ -1,4 +1,5 @@
-//! Attempts: from placement's decision over the durable intent to the recorded outcome.
+//! The life cycle of an attempt: placement's decision, the durable intent, the dispatch and the recorded
+//! outcome.
 
 use dahlia_placement::{
     Action as Decision, AttemptFailure, Event as PlacementEvent, FailedAttempt, RefusalReason,
@@ -18,11 +19,11 @@
 use crate::request::{AttemptEnd, NotRunCause};
 use crate::{Action, StartAttempt};
 
-/// A cancelled attempt that has not ended by then is cancelled again.
-const CANCEL_RETRY: Duration = Duration::from_secs(2);
+/// Delay after which a cancelled attempt that has not ended is cancelled again.
+const CANCEL_RETRY_DELAY: Duration = Duration::from_secs(2);
 
 impl Node {
-    /// Tells placement what happened and carries out what it decides.
+    /// Passes an event to placement and carries out its decisions.
     pub(crate) fn schedule(&mut self, event: PlacementEvent, now: Timestamp) {
         for decision in self.scheduler.handle(event, now) {
             self.carry_out(decision, now);
@@ -38,7 +39,7 @@
                 self.abandon(call, not_run_reason(reason), Some(retry_after), now);
             }
             Decision::Recall { attempt, .. } => self.recall(attempt),
-            // Without host memory nothing is offloaded; freeing is what comes nearest.
+            // There is no host memory to offload to, so the memory is released instead.
             Decision::Release { program, engine, .. }
             | Decision::Offload { program, engine, .. } => {
                 self.release_engine(program, &engine, now);
@@ -58,8 +59,8 @@
     ) {
         let id = attempt.call.program.group;
         let Some(prompt) = self.compose_prompt(attempt.call, now) else {
-            // Its chunks were dropped while it waited for an engine. Placement counts the attempt
-            // as dispatched: unless it is taken back, the call is known there and never placed.
+            // Its chunks were dropped while it waited for an engine. Placement counts the attempt as
+            // dispatched. Unless it is withdrawn, placement knows the call and never places it.
             self.schedule(PlacementEvent::AttemptWithdrawn(attempt), now);
             self.wait_for_prompt(attempt.call);
             return;
@@ -77,7 +78,7 @@
             return;
         };
         let purpose = Purpose::Intent(intent);
-        // Not leading any more is fine: the next owner dispatches the call.
+        // If this daemon is no longer the leader, the next owner dispatches the call.
         let proposed = group.propose(Command::RecordIntent(command), purpose, now);
         self.dirty.insert(id);
         if proposed.is_err() {
@@ -85,8 +86,8 @@
         }
     }
 
-    /// The intent reached a quorum: only now may bytes leave. A new owner that finds it must be
-    /// able to tell "not run" from "unknown".
+    /// Sends the attempt once its intent has reached a quorum, and not before: a new owner must be able to tell
+    /// "not run" from "unknown" by the intent.
     pub(crate) fn intent_recorded(
         &mut self,
         id: GroupId,
@@ -108,8 +109,8 @@
         let live = LiveAttempt { epoch, cancel_at: now + limit };
         group.live.insert(intent.attempt, live);
         if !self.may_use(&intent.holder.engine, now) {
-            // The engine was taken out of service while the intent was on its way to a quorum. No
-            // byte has left, and only this owner could have sent one in this epoch.
+            // The engine was taken out of service before the intent reached a quorum. Nothing has been sent,
+            // and only this owner could have sent the attempt in this epoch.
             self.recalled.insert(intent.attempt);
             let reason = "the engine was taken out of service before the attempt was sent";
             let end = not_run(reason);
@@ -124,7 +125,8 @@
                 self.actions.push(Action::StartAttempt(Box::new(start)));
             }
             _ => {
-                // Its chunks were dropped meanwhile. No byte has left, so it has not run.
+                // Its chunks have been dropped since the intent was proposed. Nothing has been sent, so the
+                // attempt has not run.
                 let reason = "its history has to be read back first".to_owned();
                 let end = not_run(&reason);
                 self.attempt_ended(intent.attempt, epoch, end, now);
@@ -132,7 +134,7 @@
         }
     }
 
-    /// A test's fault: the bytes leave although no quorum knows of the intent.
+    /// Fault for tests: sends the attempt before a quorum has the intent.
     fn send_early(&mut self, intent: &IntentPurpose, now: Timestamp) {
         let call = intent.attempt.call;
         let limit = self.settings.attempt_limit;
@@ -143,17 +145,17 @@
         let live = LiveAttempt { epoch, cancel_at: now + limit };
         group.live.insert(intent.attempt, live);
         let found = group.state.program(call.program).and_then(|program| program.call(call));
-        let wish = found.map_or(Tokens::ZERO, |call| call.max_generated());
+        let max_generated = found.map_or(Tokens::ZERO, |call| call.max_generated());
         let prompt = self.compose_prompt(call, now);
         if let (Some(messages), Some(mut start)) =
-            (prompt, self.describe_start(intent, epoch, wish))
+            (prompt, self.describe_start(intent, epoch, max_generated))
         {
             start.messages = messages;
             self.actions.push(Action::StartAttempt(Box::new(start)));
         }
     }
 
-    /// What the engine must be told of an attempt, without the prompt.
+    /// Builds the start of an attempt for the engine, without the prompt.
     pub(crate) fn describe_start(
         &self,
         intent: &IntentPurpose,
@@ -231,7 +233,7 @@
         self.dirty.insert(id);
     }
 
-    /// An attempt ended as its reader saw it.
+    /// Proposes the outcome of an attempt, as the reader of its stream reported it.
     pub(crate) fn attempt_ended(
         &mut self,
         attempt: AttemptId,
@@ -243,7 +245,8 @@
         let Some(group) = self.groups.get_mut(&id) else {
             return;
         };
-        // A reader of an earlier ownership reports late: the present owner finds out by itself.
+        // Ignores late reports of readers from an earlier ownership: the current owner determines the outcome
+        // itself.
         let current = group.live.get(&attempt).is_some_and(|live| live.epoch == epoch);
         if !current || !group.is_serving() {
             return;
@@ -271,7 +274,7 @@
         self.dirty.insert(id);
     }
 
-    /// Tells placement of an attempt whose call ended with it.
+    /// Reports to placement an attempt that ended its call.
     pub(crate) fn attempt_settled(&mut self, command: &Command, now: Timestamp) {
         let Command::RecordOutcome(recorded) = command else {
             return;
@@ -295,7 +298,7 @@
         self.schedule(event, now);
     }
 
-    /// Tells placement of an attempt whose call may be tried again.
+    /// Reports to placement an attempt whose call may be retried.
     pub(crate) fn attempt_failed(&mut self, call: CallId, command: &Command, now: Timestamp) {
         let Command::RecordOutcome(recorded) = command else {
             return;
@@ -308,7 +311,7 @@
             return;
         }
         if cause == Some(NotRunCause::Call) {
-            // No engine is ejected for a call that none can hold.
+            // The call fits on no engine, so the failure must not count against the engine.
             self.schedule(PlacementEvent::AttemptWithdrawn(attempt), now);
             self.abandon(call, NotRunReason::LimitReached, None, now);
             return;
@@ -341,14 +344,14 @@
         group.and_then(|group| group.state.program(program)).is_some_and(|found| found.is_open())
     }
 
-    /// Cancels attempts that have run for too long, and again those that did not end by it.
+    /// Cancels attempts that have run for too long, and cancels those again that have not ended since.
     pub(crate) fn check_attempts(&mut self, now: Timestamp) {
         for group in self.groups.values_mut() {
             for (attempt, live) in &mut group.live {
                 if live.cancel_at <= now {
-                    // A cancel may be lost on its way, and an engine that hangs ends nothing by
-                    // itself: only the attempt's end stops the repetition.
-                    live.cancel_at = now + CANCEL_RETRY;
+                    // A cancel may be lost, and an engine that hangs ends no attempt, so it is repeated until
+                    // the attempt has ended.
+                    live.cancel_at = now + CANCEL_RETRY_DELAY;
                     let epoch = live.epoch;
                     self.actions.push(Action::CancelAttempt { attempt: *attempt, epoch });
                 }
@@ -356,7 +359,7 @@
         }
     }
 
-    /// Cancels what still runs for a program that ended.
+    /// Cancels the running attempts of a program that ended.
     pub(crate) fn cancel_attempts_of(&mut self, id: GroupId, program: ProgramId, now: Timestamp) {
         let Some(group) = self.groups.get_mut(&id) else {
             return;
--- a/crates/node/src/configuration.rs
+++ b/crates/node/src/configuration.rs
@@ -310,7 +310,7 @@
         log::info!(target: "configuration", "Generation {generation} is in force, by change {change}.");
         self.configuration.first_document = None;
         self.accept(ChangeWriterEvent::Activated(record.clone()), now);
-        self.use_document(record.document(), now);
+        self.apply_document(record.document(), now);
         self.plan_in_force(record.clone(), now);
         self.actions.push(Action::ConfigurationInForce(record));
         self.open(now);
--- a/crates/node/src/engine_sources.rs
+++ b/crates/node/src/engine_sources.rs
@@ -1,6 +1,6 @@
-//! Who says which engines there are and which of them leave: the configuration in force, the
-//! platform's list of machines, and each engine itself. They disagree at times; an engine that any
-//! of them takes out of service gets no new work, at once.
+//! The sources that say which engines exist and which of them leave: the configuration in force, the platform's
+//! list of machines, and each engine itself. They may disagree; an engine that any of them takes out of service
+//! gets no new work from then on.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -29,29 +29,29 @@
 pub struct ListedEngine {
     /// Where it listens.
     pub place: EngineAddress,
-    /// Whether the platform will take it away.
+    /// Whether the platform is about to remove it.
     pub leaving: bool,
 }
 
-/// The engines on the platform's list of machines. The list lags.
+/// The engines on the platform's list of machines. The list lags behind the machines.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct MachineListing {
     /// The list's revision.
     pub revision: u64,
-    /// When the revision came about, by the platform's clock.
+    /// When the revision was made, by the platform's clock.
     pub at: Timestamp,
     /// The engines.
     pub engines: Vec<ListedEngine>,
 }
 
-/// Who takes an engine out of service.
+/// The source that takes an engine out of service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeavingSource {
     /// The engine itself.
     Engine,
     /// The platform's list of machines.
     MachineList,
-    /// The configuration: it drains the engine or does not name it.
+    /// The configuration, which drains the engine or does not name it.
     Configuration,
 }
 
@@ -66,19 +66,19 @@
     }
 }
 
-/// What the configuration and the list of machines say of engines.
+/// What the configuration and the list of machines say about engines.
 #[derive(Debug, Default)]
 pub(crate) struct EngineSources {
     entries: BTreeMap<EngineId, EngineEntry>,
     listing: MachineListing,
-    /// Engines that were listed as leaving and were not listed as live since.
+    /// Engines that were listed as leaving and have not been listed as live since.
     listed_leaving: BTreeSet<EngineId>,
-    /// What the driver was told last, in the order of the engines' names.
-    used: Vec<EngineAddress>,
+    /// The addresses last given to the driver, sorted by the engines' names.
+    used_addresses: Vec<EngineAddress>,
 }
 
 impl EngineSources {
-    /// Who takes the engine out of service, if anybody does.
+    /// The source that takes the engine out of service, if any does.
     pub(crate) fn leaving(&self, report: &EngineReport) -> Option<LeavingSource> {
         if report.leaving {
             return Some(LeavingSource::Engine);
@@ -90,21 +90,22 @@
         (role != Some(EngineRole::Serving)).then_some(LeavingSource::Configuration)
     }
 
-    /// Whether the list of machines says that the engine leaves.
+    /// Whether the list of machines names the engine as leaving.
     pub(crate) fn is_listed_leaving(&self, engine: &EngineId) -> bool {
         self.listed_leaving.contains(engine)
     }
 
-    /// Where the engine listens.
+    /// The address that the engine listens on.
     pub(crate) fn address(&self, engine: &EngineId) -> Option<SocketAddr> {
-        let found = self.used.binary_search_by(|place| place.engine.cmp(engine));
-        found.ok().map(|index| self.used[index].address)
+        let found = self.used_addresses.binary_search_by(|place| place.engine.cmp(engine));
+        found.ok().map(|index| self.used_addresses[index].address)
     }
 
-    fn take_listing(&mut self, listing: MachineListing) -> bool {
-        let held = &self.listing;
-        // Smaller revisions are older, unless the service has begun to count anew.
-        if listing.revision < held.revision && listing.at <= held.at {
+    /// Applies a listing. Returns false if it is older than the current one.
+    fn apply_listing(&mut self, listing: MachineListing) -> bool {
+        let current = &self.listing;
+        // A smaller revision is older, unless the service has restarted its count.
+        if listing.revision < current.revision && listing.at <= current.at {
             return false;
         }
         for listed in &listing.engines {
@@ -119,8 +120,8 @@
         true
     }
 
-    /// Engines to talk to: those of the configuration, and those that only the list names. The
-    /// latter get no new work; what they hold must still be freed.
+    /// Addresses of all engines of the configuration and of those that only the list names. The latter get no
+    /// new work, but the memory that they hold must still be freed.
     fn addresses(&self) -> Vec<EngineAddress> {
         let listed = self.listing.engines.iter();
         let mut found: BTreeMap<EngineId, EngineAddress> =
@@ -141,8 +142,8 @@
 }
 
 impl Node {
-    /// Puts a document in force: engines, tenants' limits, daemons to drain.
-    pub(crate) fn use_document(&mut self, document: &Document, now: Timestamp) {
+    /// Applies a configuration document: engines, tenants' limits, daemons to drain.
+    pub(crate) fn apply_document(&mut self, document: &Document, now: Timestamp) {
         self.sources.entries.clone_from(&document.engines);
         self.scheduler.set_open_call_limits(open_call_limits(document));
         self.refresh_engines(now);
@@ -150,18 +151,18 @@
         self.drain_by_configuration(drains, now);
     }
 
-    /// The list of machines was read.
-    pub(crate) fn machine_listing(&mut self, listing: MachineListing, now: Timestamp) {
-        if self.sources.take_listing(listing) {
+    /// Applies a listing of machines.
+    pub(crate) fn update_machine_listing(&mut self, listing: MachineListing, now: Timestamp) {
+        if self.sources.apply_listing(listing) {
             self.refresh_engines(now);
         }
     }
 
-    /// Tells the driver which engines to talk to, and placement which take work.
+    /// Updates the addresses of engines in the driver, and the engines that take new work in placement.
     fn refresh_engines(&mut self, now: Timestamp) {
         let addresses = self.sources.addresses();
-        if addresses != self.sources.used {
-            self.sources.used.clone_from(&addresses);
+        if addresses != self.sources.used_addresses {
+            self.sources.used_addresses.clone_from(&addresses);
             self.actions.push(Action::UseEngines(addresses));
         }
         for report in self.engines.reports() {
@@ -177,18 +178,18 @@
         }
     }
 
-    /// An engine takes no new work from now on, and what waits there is taken back.
+    /// Stops new work for an engine. Placement recalls the attempts that wait there.
     pub(crate) fn engine_leaves(
         &mut self,
         engine: &EngineId,
         source: LeavingSource,
         now: Timestamp,
     ) {
-        log::info!(target: "engines", "{engine} takes no new work, says: {}.", source.name());
+        log::info!(target: "engines", "{engine} takes no new work. Source: {}.", source.name());
         self.schedule(PlacementEvent::EngineLeaving(engine.clone()), now);
     }
 
-    /// Whether an engine may be given new work.
+    /// Whether an engine may get new work.
     pub(crate) fn may_use(&self, engine: &EngineId, now: Timestamp) -> bool {
         if self.settings.faults.ignore_leaving {
             return true;
@@ -200,10 +201,10 @@
 }
 
 fn open_call_limits(document: &Document) -> OpenCallLimits {
-    let of = |calls: u32| calls as usize;
-    let exception = |tenant| (Clone::clone(tenant), of(document.limits_of(tenant).open_calls));
+    let limit = |calls: u32| calls as usize;
+    let exception = |tenant| (Clone::clone(tenant), limit(document.limits_of(tenant).open_calls));
     OpenCallLimits {
-        default: Some(of(document.tenant_defaults.open_calls)),
+        default: Some(limit(document.tenant_defaults.open_calls)),
         exceptions: document.tenants.keys().map(exception).collect(),
     }
 }
--- a/crates/node/src/engines.rs
+++ b/crates/node/src/engines.rs
@@ -1,4 +1,4 @@
-//! What this node knows of engines: their last reports and its own dispatches since.
+//! Reports of engines to this node, and which engines may get new work according to them.
 
 use std::collections::BTreeMap;
 
@@ -11,27 +11,27 @@
 use crate::engine_sources::LeavingSource;
 use crate::node::Node;
 
-/// A report older than this does not count: the engine may be gone.
-const REPORT_LIFE: Duration = Duration::from_secs(10);
+/// Maximum age of the last report of a live engine. An engine with an older report may be gone.
+const REPORT_EXPIRY: Duration = Duration::from_secs(10);
 
-/// A report may describe the engine as it was so long ago.
-const REPORT_LAG: Duration = Duration::from_secs(3);
+/// Maximum delay of a report: it may describe the engine as it was this long ago.
+const MAX_REPORT_DELAY: Duration = Duration::from_secs(3);
 
-/// One way to an engine of the same zone.
-const SAME_ZONE_DISTANCE: Duration = Duration::from_micros(200);
-/// One way to an engine of another zone of the region (BRIEF, sizes of today).
-const OTHER_ZONE_DISTANCE: Duration = Duration::from_micros(1_500);
+/// One-way delay to an engine of the same zone.
+const SAME_ZONE_DELAY: Duration = Duration::from_micros(200);
+/// One-way delay to an engine of another zone of the region (BRIEF, sizes of today).
+const OTHER_ZONE_DELAY: Duration = Duration::from_micros(1_500);
 const ASSUMED_PREFILL_PER_SECOND: f64 = 30_000.0;
 const ASSUMED_STEP: Duration = Duration::from_millis(20);
 const ASSUMED_STEP_PER_SEQUENCE: Duration = Duration::from_micros(150);
 const ASSUMED_BATCH: u32 = 64;
 
-/// An engine's word about itself.
+/// A report of an engine about itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineReport {
     /// The engine.
     pub engine: EngineId,
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: Incarnation,
     /// Its zone.
     pub zone: Zone,
@@ -39,68 +39,72 @@
     pub at: Timestamp,
     /// Models, adapters and versions that are loaded.
     pub models: Vec<ModelId>,
-    /// Attempts that generate.
+    /// Number of attempts that generate.
     pub running: u32,
-    /// Attempts that wait.
+    /// Number of attempts that wait.
     pub queued: u32,
     /// Prompt tokens still to be computed.
     pub prefill_backlog: Tokens,
-    /// Cache in use.
+    /// Tokens of cache in use.
     pub cache_used: Tokens,
-    /// The part of it that running attempts use.
+    /// Tokens of cache that running attempts use.
     pub cache_pinned: Tokens,
-    /// Cache in all.
+    /// Tokens of cache in total.
     pub cache_capacity: Tokens,
     /// Whether it takes no new work.
     pub leaving: bool,
 }
 
-/// An engine as operators see it.
+/// The state of an engine, as shown to operators.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EngineView {
     /// Its last report.
     pub report: EngineReport,
-    /// How long ago that arrived.
+    /// Time since the last report arrived.
     pub age: Duration,
-    /// Whether it reported lately.
+    /// Whether its last report has not expired.
     pub reachable: bool,
-    /// Who takes it out of service, if anybody does.
+    /// The source that takes it out of service, if any does.
     pub leaving: Option<LeavingSource>,
-    /// Where it listens, if that is known.
+    /// The address that it listens on, if known.
     pub address: Option<std::net::SocketAddr>,
 }
 
-/// An engine that was not heard of for so long gets no new work: it may have begun to leave. What
-/// is known of its cache is kept.
-const REPORT_TRUST: Duration = Duration::from_secs(3);
+/// An engine whose last report is older than this gets no new work: it may have begun to leave. What is known
+/// about its cache is kept.
+const REPORT_TRUST_TIME: Duration = Duration::from_secs(3);
 
-/// What is known of one engine.
+/// What is known about one engine.
 struct KnownEngine {
     report: EngineReport,
-    heard: Timestamp,
-    usable: bool,
+    last_report_at: Timestamp,
+    /// Whether its last report has not expired.
+    is_live: bool,
     leaving: Option<LeavingSource>,
-    /// Its reports may be older than its last refusal until then.
+    /// Until then its reports may be older than its last refusal of work.
     refuses_until: Timestamp,
     /// Whether its last report is too old for new work.
-    doubted: bool,
+    is_suspect: bool,
 }
 
-/// All engines that reported, as this node sees them.
+/// All engines that have reported to this node.
 pub(crate) struct EngineTable {
     zone: Zone,
     engines: BTreeMap<EngineId, KnownEngine>,
 }
 
 impl EngineTable {
-    /// Knows no engine; `zone` is this node's own.
+    /// Creates an empty table; `zone` is the zone of this node.
     pub(crate) fn new(zone: Zone) -> Self {
         Self { zone, engines: BTreeMap::new() }
     }
 
-    /// Engines heard of lately.
-    pub(crate) fn live(&self, now: Timestamp) -> usize {
-        self.engines.values().filter(|known| now.since(known.heard) < REPORT_LIFE).count()
+    /// Number of engines whose last report has not expired.
+    pub(crate) fn live_count(&self, now: Timestamp) -> usize {
+        self.engines
+            .values()
+            .filter(|known| now.since(known.last_report_at) < REPORT_EXPIRY)
+            .count()
     }
 
     /// The last report of an engine.
@@ -113,73 +117,80 @@
         self.engines.values().map(|known| known.report.clone()).collect()
     }
 
-    /// Notes who takes an engine out of service. Gives who did before; none for an engine that is
-    /// silent or was never heard of.
+    /// Sets the source that takes an engine out of service, and returns the previous one. None for an engine
+    /// that is not live.
     pub(crate) fn set_leaving(
         &mut self,
         engine: &EngineId,
         leaving: Option<LeavingSource>,
     ) -> Option<Option<LeavingSource>> {
-        let known = self.engines.get_mut(engine).filter(|known| known.usable)?;
+        let known = self.engines.get_mut(engine).filter(|known| known.is_live)?;
         Some(std::mem::replace(&mut known.leaving, leaving))
     }
 
-    /// The present life of each engine.
-    pub(crate) fn lives(&self) -> Vec<(EngineId, Incarnation)> {
-        let life = |known: &KnownEngine| (known.report.engine.clone(), known.report.incarnation);
-        self.engines.values().map(life).collect()
+    /// The current incarnation of each engine.
+    pub(crate) fn incarnations(&self) -> Vec<(EngineId, Incarnation)> {
+        let incarnation =
+            |known: &KnownEngine| (known.report.engine.clone(), known.report.incarnation);
+        self.engines.values().map(incarnation).collect()
     }
 
-    fn distance(&self, zone: &Zone) -> Duration {
-        if *zone == self.zone { SAME_ZONE_DISTANCE } else { OTHER_ZONE_DISTANCE }
+    fn one_way_delay(&self, zone: &Zone) -> Duration {
+        if *zone == self.zone { SAME_ZONE_DELAY } else { OTHER_ZONE_DELAY }
     }
 
-    /// Whether an engine was heard of so lately that it may be given work.
+    /// Whether the last report of an engine is recent enough for new work.
     pub(crate) fn is_trusted(&self, engine: &EngineId, now: Timestamp) -> bool {
-        self.engines.get(engine).is_some_and(|known| now.since(known.heard) < REPORT_TRUST)
+        self.engines
+            .get(engine)
+            .is_some_and(|known| now.since(known.last_report_at) < REPORT_TRUST_TIME)
     }
 
-    /// Engines whose last report became too old for new work since the last look.
-    fn take_doubted(&mut self, now: Timestamp) -> Vec<EngineId> {
-        let mut doubted = Vec::new();
+    /// Engines whose last report became too old for new work since the last call.
+    fn take_suspects(&mut self, now: Timestamp) -> Vec<EngineId> {
+        let mut suspects = Vec::new();
         for (engine, known) in &mut self.engines {
-            if known.usable && !known.doubted && now.since(known.heard) >= REPORT_TRUST {
-                known.doubted = true;
-                doubted.push(engine.clone());
+            if known.is_live
+                && !known.is_suspect
+                && now.since(known.last_report_at) >= REPORT_TRUST_TIME
+            {
+                known.is_suspect = true;
+                suspects.push(engine.clone());
             }
         }
-        doubted
+        suspects
     }
 
-    /// Engines that fell silent since the last look.
-    fn take_silent(&mut self, now: Timestamp) -> Vec<EngineId> {
-        let mut silent = Vec::new();
+    /// Engines whose last report expired since the last call.
+    fn take_expired(&mut self, now: Timestamp) -> Vec<EngineId> {
+        let mut expired = Vec::new();
         for (engine, known) in &mut self.engines {
-            if known.usable && now.since(known.heard) >= REPORT_LIFE {
-                known.usable = false;
-                silent.push(engine.clone());
+            if known.is_live && now.since(known.last_report_at) >= REPORT_EXPIRY {
+                known.is_live = false;
+                expired.push(engine.clone());
             }
         }
-        silent
+        expired
     }
 }
 
 impl Node {
-    /// An engine reported to this node.
+    /// Handles a report of an engine.
     pub(crate) fn engine_reported(&mut self, mut report: EngineReport, now: Timestamp) {
         let before = self.engines.engines.get(&report.engine);
-        let same_life = before.filter(|known| known.report.incarnation == report.incarnation);
-        let refuses_until = same_life.map_or(Timestamp::ZERO, |known| known.refuses_until);
+        let same_incarnation =
+            before.filter(|known| known.report.incarnation == report.incarnation);
+        let refuses_until = same_incarnation.map_or(Timestamp::ZERO, |known| known.refuses_until);
         report.leaving |= now < refuses_until;
         let restarted = before.is_some_and(|known| known.report.incarnation < report.incarnation);
-        // Reports of an earlier life may still be under way; they describe nothing that exists.
+        // Reports of an earlier incarnation may still arrive; they describe an engine that no longer exists.
         if before.is_some_and(|known| known.report.incarnation > report.incarnation) {
             return;
         }
         let ignored = self.settings.faults.ignore_leaving;
         let leaving = self.sources.leaving(&report).filter(|_| !ignored);
-        let was_used =
-            before.is_some_and(|known| known.usable && !known.doubted && known.leaving.is_none());
+        let was_used = before
+            .is_some_and(|known| known.is_live && !known.is_suspect && known.leaving.is_none());
         let unchanged =
             was_used && !restarted && before.is_some_and(|it| it.report.models == report.models);
         let load = PlacementEvent::EngineReport(PlacementReport {
@@ -197,11 +208,11 @@
         let (engine, incarnation) = (report.engine.clone(), report.incarnation);
         let known = KnownEngine {
             report: report.clone(),
-            heard: now,
-            usable: true,
+            last_report_at: now,
+            is_live: true,
             leaving,
             refuses_until,
-            doubted: false,
+            is_suspect: false,
         };
         self.engines.engines.insert(engine.clone(), known);
         if restarted {
@@ -215,8 +226,8 @@
         self.schedule(load, now);
     }
 
-    /// An engine refused an attempt: it takes no new work, whatever its last report said.
-    pub(crate) fn engine_refuses_work(
+    /// Records that an engine refused an attempt: it gets no new work, whatever its last report said.
+    pub(crate) fn record_engine_refusal(
         &mut self,
         engine: &EngineId,
         incarnation: Incarnation,
@@ -226,33 +237,33 @@
         let Some(known) = known.filter(|known| known.report.incarnation == incarnation) else {
             return;
         };
-        known.refuses_until = now + REPORT_LAG;
+        known.refuses_until = now + MAX_REPORT_DELAY;
         let mut report = known.report.clone();
         report.leaving = true;
         self.engine_reported(report, now);
     }
 
-    /// An engine may be given work from now on.
+    /// Makes an engine available for new work.
     pub(crate) fn engine_joins(&mut self, report: &EngineReport, now: Timestamp) {
         let joined = EngineDescription {
             engine: report.engine.clone(),
             incarnation: report.incarnation,
             zone: report.zone.clone(),
-            one_way_delay: self.engines.distance(&report.zone),
+            one_way_delay: self.engines.one_way_delay(&report.zone),
             models: report.models.clone(),
             capacity: capacity_of(report),
         };
         self.schedule(PlacementEvent::EngineJoined(joined), now);
     }
 
-    /// Engines as operators see them.
+    /// The state of all engines, as shown to operators.
     pub fn engine_views(&self, now: Timestamp) -> Vec<EngineView> {
         let view = |known: &KnownEngine| {
-            let age = now.since(known.heard);
+            let age = now.since(known.last_report_at);
             EngineView {
                 report: known.report.clone(),
                 age,
-                reachable: age < REPORT_LIFE,
+                reachable: age < REPORT_EXPIRY,
                 leaving: known.leaving,
                 address: self.sources.address(&known.report.engine),
             }
@@ -260,13 +271,13 @@
         self.engines.engines.values().map(view).collect()
     }
 
-    /// Takes engines out of use that fell silent.
-    pub(crate) fn check_engines(&mut self, now: Timestamp) {
-        for engine in self.engines.take_doubted(now) {
+    /// Stops new work for engines whose reports are too old, and drops those whose reports have expired.
+    pub(crate) fn check_engine_reports(&mut self, now: Timestamp) {
+        for engine in self.engines.take_suspects(now) {
             log::info!(target: "engines", "{engine} does not report. No new work for it.");
             self.schedule(PlacementEvent::EngineLeaving(engine), now);
         }
-        for engine in self.engines.take_silent(now) {
+        for engine in self.engines.take_expired(now) {
             log::warn!(target: "engines", "{engine} fell silent. No new work for it.");
             self.engine_state_lost(&engine, now);
             self.schedule(PlacementEvent::EngineGone(engine), now);
@@ -274,7 +285,7 @@
     }
 }
 
-/// Speeds are assumed alike until an engine tells its own; sizes are its own word.
+/// Capacity of an engine. Sizes come from its report. Speeds are assumed to be equal until engines report them.
 fn capacity_of(report: &EngineReport) -> EngineCapacity {
     EngineCapacity {
         kv_tokens: report.cache_capacity,
@@ -283,7 +294,7 @@
         step_per_sequence: ASSUMED_STEP_PER_SEQUENCE,
         max_batch: ASSUMED_BATCH,
         transfer_per_second: 0.0,
-        // Exports to the hosts' memory are not wired to the adapter yet, so none are planned.
+        // The adapter does not support exports to host memory yet, so none are planned.
         host_tokens: Tokens::ZERO,
     }
 }
--- a/crates/node/src/feed.rs
+++ b/crates/node/src/feed.rs
@@ -36,8 +36,8 @@
 pub struct FeedSettings {
     /// Milliseconds after which a report is too old to rely on.
     pub freshness_ms: u64,
-    /// Number of daemons of a zone from which on they share a reader. A reader calls the source about five times
-    /// as often as a daemon that reads for itself.
+    /// Number of daemons of a zone from which on they share a reader. A reader calls the source about five
+    /// times as often as a daemon that reads for itself.
     pub fewest_sharing: usize,
     /// Milliseconds between renewals of a subscription.
     pub renewal_ms: u64,
@@ -114,8 +114,8 @@
     Read(SourceReading),
     /// Apply what another daemon read. It continues from the revision known here.
     Apply(SourceReport),
-    /// Read the changes up to now at once. The reports of the reader begin after the revision known here, and so
-    /// will all its later ones.
+    /// Read the changes up to now at once. The reports of the reader begin after the revision known here, and
+    /// so will all its later ones.
     CatchUp,
 }
 
@@ -344,8 +344,8 @@
         self.actions.push(FeedAction::Send { to, message: FeedMessage::Report(report) });
     }
 
-    /// Whether others rely on what this daemon reads, and it does read. Changes that it then took from reports of
-    /// others would be missing in its own reports.
+    /// Whether others rely on what this daemon reads, and it does read. Changes that it then took from
+    /// reports of others would be missing in its own reports.
     fn is_reading_for_others(&self, now: Timestamp) -> bool {
         let freshness = self.settings.freshness();
         let reads = self.last_read_at.is_some_and(|read_at| now.since(read_at) <= freshness);
--- a/crates/node/src/limits.rs
+++ b/crates/node/src/limits.rs
@@ -1,7 +1,8 @@
-//! The owner of a replica group as the keeper of rate limits: of the tenants that fall to the group.
+//! Connects the keepers of rate limits to the node. The owner of a replica group is the keeper for the tenants
+//! that belong to the group.
 //!
-//! What it counts is in its memory only: a log entry for each request would cost more than a limit
-//! that is exact across a fail-over is worth.
+//! A keeper counts in memory only: a log entry for each request would cost more than a limit that is exact
+//! across a fail-over is worth.
 
 use std::collections::BTreeMap;
 
@@ -13,20 +14,20 @@
 use crate::request::Response;
 use crate::routing::ReplyTo;
 
-/// How often keepers are told which gateways are out of reach.
-const REACH_INTERVAL: Duration = Duration::from_millis(200);
+/// Interval between updates of the share of gateways that are out of reach.
+const UNREACHABLE_UPDATE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The keepers on this daemon, each with the term that it owns its group in.
+/// The keepers on this daemon, each with the term in which this daemon owns the group.
 #[derive(Default)]
 pub(crate) struct LimitKeepers {
     by_group: BTreeMap<GroupId, (Term, LimitKeeper)>,
-    next_reach: Timestamp,
-    /// The share of gateways out of reach that was told last.
-    unheard: f64,
+    next_unreachable_update: Timestamp,
+    /// The share of gateways out of reach that keepers were last given.
+    unreachable_share: f64,
 }
 
 impl Node {
-    /// Begins to keep limits for groups that are owned here since of late, and ends for others.
+    /// Creates keepers for groups that this daemon has begun to own, and removes those of other groups.
     pub(crate) fn review_limit_keepers(&mut self, now: Timestamp) {
         let serving = self.groups.values().filter(|group| group.is_serving());
         let terms: BTreeMap<GroupId, Term> =
@@ -39,21 +40,24 @@
                 (term, LimitKeeper::new(settings.clone(), KeeperTerm(term.0), now))
             });
         }
-        if now >= self.limit_keepers.next_reach && !self.limit_keepers.by_group.is_empty() {
-            self.limit_keepers.next_reach = now + REACH_INTERVAL;
-            self.tell_reach(now);
+        if now >= self.limit_keepers.next_unreachable_update
+            && !self.limit_keepers.by_group.is_empty()
+        {
+            self.limit_keepers.next_unreachable_update = now + UNREACHABLE_UPDATE_INTERVAL;
+            self.update_unreachable_share(now);
         }
     }
 
-    /// Gateways that are out of reach go on without their keepers, who leave them their part.
-    fn tell_reach(&mut self, now: Timestamp) {
+    /// Tells keepers the share of gateways that are out of reach. These go on without a keeper, so keepers
+    /// reserve their part of the permits for them.
+    fn update_unreachable_share(&mut self, now: Timestamp) {
         let members = self.membership.members();
         let is_gateway = |member: &&Member| {
             let info = &member.record.info;
             !info.holds_groups && info.state == MemberState::Live
         };
         let gateways = members.iter().filter(is_gateway).count();
-        let is_unheard = |member: &&Member| {
+        let is_unreachable = |member: &&Member| {
             match member.record.health {
                 // A zone falls silent before its members are suspected.
                 Health::Alive => self.is_silent_zone(&member.record.info.zone),
@@ -62,24 +66,24 @@
                 }
             }
         };
-        let unheard = members.iter().filter(is_gateway).filter(is_unheard).count();
-        let share = unheard as f64 / gateways.max(1) as f64;
+        let unreachable = members.iter().filter(is_gateway).filter(is_unreachable).count();
+        let share = unreachable as f64 / gateways.max(1) as f64;
         let keepers = &mut self.limit_keepers;
-        if (share > 0.0) != (keepers.unheard > 0.0) {
+        if (share > 0.0) != (keepers.unreachable_share > 0.0) {
             log::info!(
                 target: "limits",
-                gateways = gateways, unheard = unheard, keepers = keepers.by_group.len();
-                "Permits are left to gateways that are out of reach, or no more."
+                gateways = gateways, unheard = unreachable, keepers = keepers.by_group.len();
+                "Reserving permits for gateways that are out of reach has begun or ended."
             );
         }
-        keepers.unheard = share;
+        keepers.unreachable_share = share;
         for (_, keeper) in keepers.by_group.values_mut() {
             keeper.set_gateway_count(gateways);
             keeper.set_unreachable_share(share, now);
         }
     }
 
-    /// Answers as keeper. The owner's group is served here, so there is a keeper or begins one.
+    /// Answers a command as keeper. This daemon serves the group, so its keeper exists or is created.
     pub(crate) fn serve_limits(
         &mut self,
         to: ReplyTo,
--- a/crates/node/src/load_sharing/aggregation.rs
+++ b/crates/node/src/load_sharing/aggregation.rs
@@ -303,8 +303,8 @@
         all.min_by_key(|(last_part_at, _)| *last_part_at).map(|(_, receiver)| receiver)
     }
 
-    /// Whether a sum is due to a peer. An empty sum is sent once and not renewed: the sums sent before expire at
-    /// the receiver.
+    /// Whether a sum is due to a peer. An empty sum is sent once and not renewed: the sums sent before expire
+    /// at the receiver.
     fn is_peer_due(&self, peer: &Peer, settings: &LoadSharingSettings, now: Timestamp) -> bool {
         let is_aggregating = self.includes_own || !self.followers.is_empty();
         let is_needed = !self.zone.is_empty() || !peer.progress.was_empty;
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -216,9 +216,9 @@
             Event::EngineReported(report) => self.engine_reported(report, now),
             Event::EngineState(engine, state) => self.engine_state(engine, state, now),
             Event::EngineRefusesWork { engine, incarnation } => {
-                self.engine_refuses_work(&engine, incarnation, now);
+                self.record_engine_refusal(&engine, incarnation, now);
             }
-            Event::Machines(listing) => self.machine_listing(listing, now),
+            Event::Machines(listing) => self.update_machine_listing(listing, now),
             Event::KeyValue(event) => self.key_value(event, now),
             Event::ProposeChange { id, proposal } => self.propose_change(id, proposal, now),
             Event::Layout(step) => self.layout(step, now),
@@ -255,7 +255,7 @@
             groups_held: self.groups.len(),
             groups_led: led().count(),
             groups_short: led().filter(|group| !self.is_whole(group)).count(),
-            live_engines: self.engines.live(now),
+            live_engines: self.engines.live_count(now),
             programs: led().map(|group| group.state.programs().count()).sum(),
             attempts: self.groups.values().map(|group| group.live.len()).sum(),
             requests: self.router.len(),
@@ -345,7 +345,7 @@
             }
         }
         self.schedule(dahlia_placement::Event::Tick, now);
-        self.check_engines(now);
+        self.check_engine_reports(now);
         self.plan_due(now);
         self.check_attempts(now);
         self.retry_releases(now);
--- a/crates/node/src/reach.rs
+++ b/crates/node/src/reach.rs
@@ -1,5 +1,5 @@
-//! Connects zone liveness to the node: which daemons it probes, and what it does when a zone falls silent or the
-//! node is cut off.
+//! Connects zone liveness to the node: which daemons it probes, and what it does when a zone falls silent or
+//! the node is cut off.
 
 use std::collections::BTreeMap;
 
@@ -76,9 +76,9 @@
         }
     }
 
-    /// Treats leaders in silent zones as disconnected. A whole silent zone is lost for now, so its followers need
-    /// not wait as long as for a single daemon that may only be paused. Each voter decides by the messages that it
-    /// receives itself, and a voter that hears from its leader votes for no other.
+    /// Treats leaders in silent zones as disconnected. A whole silent zone is lost for now, so its followers
+    /// need not wait as long as for a single daemon that may only be paused. Each voter decides by the
+    /// messages that it receives itself, and a voter that hears from its leader votes for no other.
     fn disconnect_lost_leaders(&mut self, reach: &Reachability, now: Timestamp) {
         for group in self.groups.values_mut() {
             let Some(leader) = group.replica.leader() else { continue };
@@ -131,7 +131,8 @@
             let list = if member.record.health == Health::Dead { dead } else { present };
             list.push(info.daemon);
         }
-        // Membership considers all daemons of a zone dead that is cut off for long. Such a zone is still probed.
+        // Membership considers all daemons of a zone dead that is cut off for long. Such a zone is still
+        // probed.
         let to_probe = |(present, dead): (Vec<DaemonId>, Vec<DaemonId>)| {
             if present.is_empty() { dead } else { present }
         };
--- a/crates/node/src/recovery.rs
+++ b/crates/node/src/recovery.rs
@@ -43,7 +43,7 @@
             self.cancel_attempts_of(id, program, now);
             self.release_program(id, program, now);
         }
-        let restarted = self.engines.lives();
+        let restarted = self.engines.incarnations();
         for (engine, incarnation) in restarted {
             self.engine_restarted(&engine, incarnation, now);
         }
--- a/crates/node/src/routing.rs
+++ b/crates/node/src/routing.rs
@@ -100,8 +100,8 @@
         }
     }
 
-    /// Whether a helper should be asked now. A request that is forwarded for another daemon is sent to the owner
-    /// only, so that no request circulates.
+    /// Whether a helper should be asked now. A request that is forwarded for another daemon is sent to the
+    /// owner only, so that no request circulates.
     fn needs_help(&self, now: Timestamp) -> bool {
         let is_own = matches!(self.reply_to, ReplyTo::Here(_));
         let may_ask = self.request.is_urgent() && self.helpers.len() < MAX_HELPERS;
@@ -171,8 +171,8 @@
         unanswered
     }
 
-    /// Asks a helper without delay if one reached the silent owner recently. Otherwise the owner may be dead, and
-    /// the other members are about to elect a new one.
+    /// Asks a helper without delay if one reached the silent owner recently. Otherwise the owner may be dead,
+    /// and the other members are about to elect a new one.
     pub(crate) fn ask_for_help_now(&mut self, id: RequestId, now: Timestamp) {
         let is_helper_working = self.working_helper.is_some_and(|(_, until)| now < until);
         if let Some(routed) = self.requests.get_mut(&id)
@@ -264,8 +264,8 @@
         self.requests.remove(&id)
     }
 
-    /// Handles the reply of a member that does not own the group. The owner that it names is lost if that daemon's
-    /// zone is silent. Returns whether the request is due at once.
+    /// Handles the reply of a member that does not own the group. The owner that it names is lost if that
+    /// daemon's zone is silent. Returns whether the request is due at once.
     pub(crate) fn redirect(
         &mut self,
         id: RequestId,
--- a/crates/node/src/zone_choice.rs
+++ b/crates/node/src/zone_choice.rs
@@ -1,5 +1,5 @@
-//! Choice of the daemons of a zone that do a job for the others there, one for each fifty. All daemons that know
-//! the same members choose the same ones, without exchanging messages.
+//! Choice of the daemons of a zone that do a job for the others there, one for each fifty. All daemons that
+//! know the same members choose the same ones, without exchanging messages.
 
 use std::net::SocketAddr;
 
--- a/crates/node/src/zone_liveness.rs
+++ b/crates/node/src/zone_liveness.rs
@@ -21,8 +21,8 @@
 pub struct ZoneLivenessSettings {
     /// Milliseconds without a message of a zone after which one of its daemons is probed.
     pub quiet_ms: u64,
-    /// Milliseconds that a probed daemon has to answer. Longer than a round trip to a slow daemon in the farthest
-    /// zone.
+    /// Milliseconds that a probed daemon has to answer. Longer than a round trip to a slow daemon in the
+    /// farthest zone.
     pub answer_ms: u64,
     /// Number of daemons of a zone that must fail to answer before it counts as silent; all if it has fewer.
     pub witnesses: usize,
@@ -173,8 +173,8 @@
         }
     }
 
-    /// Handles an overdue answer: zones without a recent message are probed at the next tick. `zone` is the zone
-    /// that should have answered; none if any zone might have.
+    /// Handles an overdue answer: zones without a recent message are probed at the next tick. `zone` is the
+    /// zone that should have answered; none if any zone might have.
     pub fn suspect(&mut self, zone: Option<&Zone>, now: Timestamp) {
         let answer_timeout = self.settings.answer_timeout();
         for (name, state) in &mut self.zones {
@@ -206,8 +206,8 @@
         self.cut_off.is_some() || self.zones.values().any(|state| state.probe != ProbeState::Heard)
     }
 
-    /// Advances the probes of all zones. `members` are the other daemons known of each zone, including those that
-    /// died recently. Returns the daemons to probe.
+    /// Advances the probes of all zones. `members` are the other daemons known of each zone, including those
+    /// that died recently. Returns the daemons to probe.
     pub fn tick(
         &mut self,
         members: &BTreeMap<Zone, Vec<DaemonId>>,
@@ -231,8 +231,8 @@
         probed
     }
 
-    /// Whether at least half of the zones are silent. If fewer are, the cause may be stores that are down in zones
-    /// of their own, which looks the same from everywhere.
+    /// Whether at least half of the zones are silent. If fewer are, the cause may be stores that are down in
+    /// zones of their own, which looks the same from everywhere.
     fn is_half_silent(&self) -> bool {
         let silent = self.zones.keys().filter(|zone| self.is_silent(zone)).count();
         let is_own_unlisted = !self.zones.contains_key(&self.own_zone);
@@ -288,8 +288,8 @@
 }
 
 impl ProbeTimeouts {
-    /// A daemon that is cut off probes all zones continuously: a single message that gets through must not count
-    /// as the end of the cut.
+    /// A daemon that is cut off probes all zones continuously: a single message that gets through must not
+    /// count as the end of the cut.
     fn new(settings: &ZoneLivenessSettings, is_cut_off: bool) -> Self {
         let answer = settings.answer_timeout();
         let silent_interval = Duration::from_millis(settings.quiet_ms / 4);
