--- a/crates/node/tests/failure_reports.rs
+++ b/crates/node/tests/failure_reports.rs
@@ -1,4 +1,4 @@
-//! Failures of back ends reach all daemons, in virtual time.
+//! Sharing of failure reports about back ends between daemons, in virtual time.
 
 mod stores;
 
@@ -11,13 +11,14 @@
     BackendFailure { backend: backend.to_owned(), failures }
 }
 
-/// Reports leave each daemon a few times only: a report that missed some is followed by others.
-const LEAST_SHARE: f64 = 0.9;
+/// Minimum share of daemons that must receive a report. Each daemon sends a report on only a few times, and a
+/// report that misses some daemons is followed by others.
+const MIN_DELIVERED_SHARE: f64 = 0.9;
 
 #[test]
-fn what_one_daemon_sees_of_a_back_end_nearly_all_others_hear_within_two_seconds() {
+fn a_failure_report_reaches_nearly_all_other_daemons_within_two_seconds() {
     let daemons: Vec<u32> = (1..=24).collect();
-    let mut heard = 0;
+    let mut delivered = 0;
     for seed in 0..10 {
         let tolerance = LossTolerance::of_machines(1);
         let mut system = Stores::started_with(&daemons, tolerance, seed);
@@ -26,17 +27,17 @@
         system.tell(11, Event::BackendFailed(failure("grey", 1)));
         system.pass(Duration::from_secs(2));
         let reports = system.heard.values().flatten();
-        heard += reports.inspect(|report| assert_eq!(report.backend, "grey")).count();
-        let own = |daemon: u32| system.heard.get(&daemon).map_or(0, Vec::len);
-        assert!(own(7) <= 1 && own(11) <= 1, "nobody hears its own report");
+        delivered += reports.inspect(|report| assert_eq!(report.backend, "grey")).count();
+        let received_by = |daemon: u32| system.heard.get(&daemon).map_or(0, Vec::len);
+        assert!(received_by(7) <= 1 && received_by(11) <= 1, "no daemon receives its own report");
     }
-    let all = 10 * 2 * (daemons.len() - 1);
-    let share = heard as f64 / all as f64;
-    assert!(share >= LEAST_SHARE && heard <= all, "{heard} of {all}");
+    let expected = 10 * 2 * (daemons.len() - 1);
+    let share = delivered as f64 / expected as f64;
+    assert!(share >= MIN_DELIVERED_SHARE && delivered <= expected, "{delivered} of {expected}");
 }
 
 #[test]
-fn each_report_of_one_daemon_is_heard_once() {
+fn each_failure_report_is_received_once() {
     let mut system = Stores::started(&[1, 2, 3], LossTolerance::of_machines(1));
     system.pass(Duration::from_secs(5));
     for _ in 0..3 {
--- a/crates/node/tests/feed.rs
+++ b/crates/node/tests/feed.rs
@@ -1,5 +1,5 @@
-//! Sharing what few daemons read of an outside source, in virtual time: what it costs at the source,
-//! and how old what a daemon goes by may get, with a death in each role at the worst moment.
+//! The feed in virtual time: the calls that it costs at the source, and how long changes stay unknown to a
+//! daemon when a daemon in each role fails at the worst moment.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -11,18 +11,19 @@
 
 const START: Timestamp = Timestamp(60_000_000);
 const STEP: Duration = Duration::from_millis(20);
-/// One way between two daemons of a zone.
-const LINK: Duration = Duration::from_millis(1);
-/// What a daemon that reads for others waits at the source, and what one that reads for itself does.
+/// One-way delay between two daemons of a zone.
+const LINK_DELAY: Duration = Duration::from_millis(1);
+/// How long a call of a daemon that reads for others waits at the source for changes.
 const SHORT_WAIT: Duration = Duration::from_millis(600);
+/// How long a call of a daemon that reads for itself waits at the source for changes.
 const LONG_WAIT: Duration = Duration::from_millis(5_000);
-/// Until others hold a daemon for dead.
-const DETECTION: Duration = Duration::from_secs(8);
-/// Within which a change must be known, as the large deployments of the users demand.
-const DEMANDED: Duration = Duration::from_millis(4_000);
-/// The source counts 5,000 changes a second that nobody is told of.
+/// Time until others consider a daemon dead.
+const DEATH_DETECTION_TIME: Duration = Duration::from_secs(8);
+/// Maximum time until a change must be known. The users' large deployments require it.
+const MAX_CHANGE_DELAY: Duration = Duration::from_millis(4_000);
+/// Microseconds per revision of the source: it counts 5,000 changes a second that it does not report.
 const REVISION_MICROS: u64 = 200;
-const SETTLED: Duration = Duration::from_secs(8);
+const SETTLING_TIME: Duration = Duration::from_secs(8);
 
 fn settings() -> FeedSettings {
     FeedSettings { freshness_ms: 2_000, ..FeedSettings::default() }
@@ -32,22 +33,23 @@
     SocketAddr::from(([10, 0, (daemon >> 8) as u8, daemon as u8], 9))
 }
 
-/// What strikes a daemon.
+/// A fault of a daemon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Fault {
     None,
     /// Its process has ended.
     Dead,
-    /// It runs and is reached, and its calls to the source are never answered.
+    /// It runs and is reachable, but its calls to the source are never answered.
     CutFromSource,
-    /// It does nothing, and takes in later what came meanwhile.
+    /// It does nothing, and handles the messages that arrived meanwhile once it runs again.
     Frozen,
-    /// What it sends to other daemons does not leave, until it is well again.
-    HeldUp,
+    /// Its messages to other daemons are held back until the fault ends.
+    HeldBack,
 }
 
+/// A call to the source that has not returned.
 struct Call {
-    began: Timestamp,
+    started_at: Timestamp,
     wait: Duration,
 }
 
@@ -58,27 +60,27 @@
     known: u64,
     is_behind: bool,
     call: Option<Call>,
-    /// Messages that came while it was frozen, or were held up.
-    waiting: Vec<(u32, FeedMessage)>,
-    held_up: Vec<(SocketAddr, FeedMessage)>,
+    /// Messages that arrived while it was frozen.
+    frozen_inbox: Vec<(u32, FeedMessage)>,
+    held_back: Vec<(SocketAddr, FeedMessage)>,
 }
 
-/// A zone of daemons before one source whose revision rises.
+/// The daemons of a zone, and a source whose revision increases all the time.
 struct Zone {
     now: Timestamp,
-    /// When each revision came, from the first on.
+    /// When each reported change happened.
     changes: Vec<Timestamp>,
     calls: u64,
     daemons: BTreeMap<u32, Daemon>,
-    /// Daemons that others hold for dead.
+    /// Daemons that others consider dead.
     dead: Vec<u32>,
-    under_way: Vec<(Timestamp, u32, SocketAddr, FeedMessage)>,
-    /// The longest that a sound daemon did not know of a change.
-    longest: Duration,
-    /// Time that daemons read for themselves, in all.
-    alone: Duration,
-    /// To whom each daemon has reported.
-    reported_to: BTreeMap<u32, BTreeSet<SocketAddr>>,
+    in_transit: Vec<(Timestamp, u32, SocketAddr, FeedMessage)>,
+    /// Maximum time that a change stayed unknown to a healthy daemon.
+    max_change_delay: Duration,
+    /// Total time that daemons read for themselves.
+    own_reading_time: Duration,
+    /// The receivers of the reports of each daemon.
+    report_receivers: BTreeMap<u32, BTreeSet<SocketAddr>>,
 }
 
 impl Zone {
@@ -90,8 +92,8 @@
             known: 0,
             is_behind: false,
             call: None,
-            waiting: Vec::new(),
-            held_up: Vec::new(),
+            frozen_inbox: Vec::new(),
+            held_back: Vec::new(),
         };
         let mut zone = Self {
             now: START,
@@ -99,29 +101,29 @@
             calls: 0,
             daemons: (1..=daemons).map(|number| (number, daemon(number))).collect(),
             dead: Vec::new(),
-            under_way: Vec::new(),
-            longest: Duration::ZERO,
-            alone: Duration::ZERO,
-            reported_to: BTreeMap::new(),
+            in_transit: Vec::new(),
+            max_change_delay: Duration::ZERO,
+            own_reading_time: Duration::ZERO,
+            report_receivers: BTreeMap::new(),
         };
-        zone.pass(SETTLED, None);
+        zone.pass(SETTLING_TIME, None);
         zone.calls = 0;
-        zone.longest = Duration::ZERO;
-        zone.alone = Duration::ZERO;
+        zone.max_change_delay = Duration::ZERO;
+        zone.own_reading_time = Duration::ZERO;
         zone
     }
 
-    /// The source's revision: it rises all the time, by changes that nobody is told of.
+    /// The source's revision. It increases all the time, by changes that the source does not report.
     fn revision(&self, at: Timestamp) -> u64 {
         at.0 / REVISION_MICROS
     }
 
-    /// Changes later than a revision, by their moments.
+    /// Number of reported changes after a revision.
     fn changes_after(&self, known: u64) -> usize {
         self.changes.iter().filter(|at| self.revision(**at) > known).count()
     }
 
-    /// Lets time pass; the source changes every `interval`.
+    /// Lets time pass, with a change of the source every `interval`.
     fn pass(&mut self, length: Duration, interval: Option<Duration>) {
         let end = self.now + length;
         while self.now < end {
@@ -133,24 +135,24 @@
             self.deliver();
             let numbers: Vec<u32> = self.daemons.keys().copied().collect();
             numbers.into_iter().for_each(|number| self.step(number));
-            self.measure();
+            self.update_measurements();
         }
     }
 
-    fn strike(&mut self, number: u32, fault: Fault) {
+    fn inject_fault(&mut self, number: u32, fault: Fault) {
         self.daemon(number).fault = fault;
         if fault == Fault::Dead {
             self.daemon(number).call = None;
         }
     }
 
-    fn heal(&mut self, number: u32) {
+    fn clear_fault(&mut self, number: u32) {
         let daemon = self.daemon(number);
         daemon.fault = Fault::None;
-        let held_up = std::mem::take(&mut daemon.held_up);
-        held_up.into_iter().for_each(|(to, message)| self.send(number, to, message));
-        let waiting = std::mem::take(&mut self.daemon(number).waiting);
-        waiting.into_iter().for_each(|(from, message)| self.take(number, from, message));
+        let held_back = std::mem::take(&mut daemon.held_back);
+        held_back.into_iter().for_each(|(to, message)| self.send(number, to, message));
+        let frozen_inbox = std::mem::take(&mut self.daemon(number).frozen_inbox);
+        frozen_inbox.into_iter().for_each(|(from, message)| self.receive(number, from, message));
     }
 
     fn daemon(&mut self, number: u32) -> &mut Daemon {
@@ -160,20 +162,20 @@
     /// The daemon that reads for others.
     fn reader(&self) -> Option<u32> {
         let mut daemons = self.daemons.iter();
-        let reads = daemons.find(|(_, daemon)| daemon.reading == SourceReading::ForOthers);
-        reads.map(|(number, _)| *number)
+        let reader = daemons.find(|(_, daemon)| daemon.reading == SourceReading::ForOthers);
+        reader.map(|(number, _)| *number)
     }
 
-    /// All daemons that read for others and run.
-    fn sound_readers(&self) -> impl Iterator<Item = u32> {
-        let sound = self.daemons.iter().filter(|(_, daemon)| daemon.fault == Fault::None);
-        let readers = sound.filter(|(_, daemon)| daemon.reading == SourceReading::ForOthers);
+    /// All daemons that read for others and have no fault.
+    fn healthy_readers(&self) -> impl Iterator<Item = u32> {
+        let healthy = self.daemons.iter().filter(|(_, daemon)| daemon.fault == Fault::None);
+        let readers = healthy.filter(|(_, daemon)| daemon.reading == SourceReading::ForOthers);
         readers.map(|(number, _)| *number)
     }
 
     fn sharing(&self) -> Vec<(DaemonId, SocketAddr)> {
-        let known = self.daemons.keys().filter(|number| !self.dead.contains(number));
-        known.map(|number| (DaemonId(*number), address(*number))).collect()
+        let live = self.daemons.keys().filter(|number| !self.dead.contains(number));
+        live.map(|number| (DaemonId(*number), address(*number))).collect()
     }
 
     fn step(&mut self, number: u32) {
@@ -190,20 +192,20 @@
         self.read(number);
     }
 
-    /// Calls the source, and takes in its answer.
+    /// Calls the source, or handles the answer to the call under way.
     fn read(&mut self, number: u32) {
         let (now, revision) = (self.now, self.revision(self.now));
-        let news = self.changes_after(self.daemons[&number].known);
+        let changes = self.changes_after(self.daemons[&number].known);
         let daemon = self.daemon(number);
         if let Some(call) = &daemon.call {
-            let is_over = news > 0 || now.since(call.began) >= call.wait;
+            let is_over = changes > 0 || now.since(call.started_at) >= call.wait;
             if daemon.fault == Fault::CutFromSource || !is_over {
                 return;
             }
-            let (after, age) = (daemon.known, now.since(call.began));
+            let (after, age) = (daemon.known, now.since(call.started_at));
             daemon.call = None;
             daemon.known = revision;
-            let contents = vec![0; news];
+            let contents = vec![0; changes];
             daemon.feed.record_read(SourceReport { after, at: revision, age, contents }, now);
             return self.carry_out(number);
         }
@@ -213,7 +215,7 @@
             SourceReading::ForItself => LONG_WAIT,
             SourceReading::ForOthers => SHORT_WAIT,
         };
-        daemon.call = Some(Call { began: now, wait });
+        daemon.call = Some(Call { started_at: now, wait });
         self.calls += 1;
     }
 
@@ -223,7 +225,7 @@
             match action {
                 FeedAction::Order(FeedOrder::Read(reading)) => {
                     daemon.reading = reading;
-                    // A long watch is given up for others.
+                    // A long call is aborted to read for others.
                     daemon.call.take_if(|_| reading == SourceReading::ForOthers);
                 }
                 FeedAction::Order(FeedOrder::Apply(report)) => {
@@ -234,8 +236,8 @@
                     daemon.is_behind = true;
                     daemon.call = None;
                 }
-                FeedAction::Send { to, message } if daemon.fault == Fault::HeldUp => {
-                    daemon.held_up.push((to, message));
+                FeedAction::Send { to, message } if daemon.fault == Fault::HeldBack => {
+                    daemon.held_back.push((to, message));
                 }
                 FeedAction::Send { to, message } => self.send(number, to, message),
             }
@@ -244,30 +246,30 @@
 
     fn send(&mut self, from: u32, to: SocketAddr, message: FeedMessage) {
         if matches!(message, FeedMessage::Report(_)) {
-            self.reported_to.entry(from).or_default().insert(to);
+            self.report_receivers.entry(from).or_default().insert(to);
         }
-        self.under_way.push((self.now + LINK, from, to, message));
+        self.in_transit.push((self.now + LINK_DELAY, from, to, message));
     }
 
     fn deliver(&mut self) {
         let now = self.now;
         let (due, later) =
-            std::mem::take(&mut self.under_way).into_iter().partition(|(at, ..)| *at <= now);
-        self.under_way = later;
+            std::mem::take(&mut self.in_transit).into_iter().partition(|(at, ..)| *at <= now);
+        self.in_transit = later;
         let due: Vec<(Timestamp, u32, SocketAddr, FeedMessage)> = due;
         for (_, from, to, message) in due {
             let number = self.daemons.keys().copied().find(|number| address(*number) == to);
-            self.take(number.expect("it exists"), from, message);
+            self.receive(number.expect("it exists"), from, message);
         }
     }
 
-    fn take(&mut self, number: u32, from: u32, message: FeedMessage) {
+    fn receive(&mut self, number: u32, from: u32, message: FeedMessage) {
         let now = self.now;
         let daemon = self.daemon(number);
         match daemon.fault {
             Fault::Dead => return,
-            Fault::Frozen => return daemon.waiting.push((from, message)),
-            Fault::None | Fault::CutFromSource | Fault::HeldUp => {}
+            Fault::Frozen => return daemon.frozen_inbox.push((from, message)),
+            Fault::None | Fault::CutFromSource | Fault::HeldBack => {}
         }
         match message {
             FeedMessage::Subscribe { known, reply_to } => {
@@ -279,17 +281,17 @@
         self.carry_out(number);
     }
 
-    fn measure(&mut self) {
-        let reads_alone = |daemon: &&Daemon| {
+    fn update_measurements(&mut self) {
+        let reads_for_itself = |daemon: &&Daemon| {
             daemon.fault == Fault::None && daemon.reading == SourceReading::ForItself
         };
-        let alone = self.daemons.values().filter(reads_alone).count() as u64;
-        self.alone = Duration(self.alone.0 + STEP.times(alone).0);
-        let sound = self.daemons.values().filter(|daemon| daemon.fault == Fault::None);
+        let readers = self.daemons.values().filter(reads_for_itself).count() as u64;
+        self.own_reading_time = Duration(self.own_reading_time.0 + STEP.times(readers).0);
+        let healthy = self.daemons.values().filter(|daemon| daemon.fault == Fault::None);
         let first_unknown = |known: u64| self.changes.iter().find(|at| self.revision(**at) > known);
-        let oldest = sound.filter_map(|daemon| first_unknown(daemon.known)).min();
+        let oldest = healthy.filter_map(|daemon| first_unknown(daemon.known)).min();
         let age = oldest.map_or(Duration::ZERO, |oldest| self.now.since(*oldest));
-        self.longest = self.longest.max(age);
+        self.max_change_delay = self.max_change_delay.max(age);
     }
 }
 
@@ -306,36 +308,37 @@
     }
     // Two daemons read for themselves, 0.2 calls a second each.
     assert!(rates[&2] <= 0.5, "{rates:?}");
-    // The others have one reader for each fifty, which asks every 0.6 s.
+    // Larger zones have one reader for each fifty daemons, which calls every 0.6 s.
     for daemons in [12, 43, 166] {
         let readers = f64::from(u32::div_ceil(daemons, 50));
         assert!(rates[&daemons] <= 2.0 * readers, "{rates:?}");
     }
 }
 
-/// A gateway's link carries 3.75 MB a second. A release of a third of 10,000 servers is some 230 changes a
-/// second of 300 bytes each: to 150 others of the zone that is 10 MB a second.
+/// A gateway's link carries 3.75 MB a second. The release of a third of 10,000 servers causes about 230
+/// changes a second of 300 bytes each. A single reader would have to send 10 MB a second to 150 other daemons
+/// of its zone.
 #[test]
-fn no_reader_reports_to_more_than_its_link_carries() {
+fn a_reader_has_no_more_subscribers_than_its_link_carries() {
     for daemons in [43, 166, 332] {
         let mut zone = Zone::new(daemons);
-        zone.reported_to.clear();
+        zone.report_receivers.clear();
         zone.pass(Duration::from_secs(10), Some(Duration::from_millis(500)));
-        let to_whom: BTreeMap<u32, usize> =
-            zone.reported_to.iter().map(|(reader, to)| (*reader, to.len())).collect();
-        println!("{daemons} daemons: {to_whom:?}");
-        let most = to_whom.values().max().copied().unwrap_or_default();
-        // Half as many again as an even share: who reports to whom is drawn.
+        let subscribers: BTreeMap<u32, usize> =
+            zone.report_receivers.iter().map(|(reader, to)| (*reader, to.len())).collect();
+        println!("{daemons} daemons: {subscribers:?}");
+        let most = subscribers.values().max().copied().unwrap_or_default();
+        // One and a half times an even share, since readers are assigned pseudo-randomly.
         assert!(most <= 75, "{daemons} daemons: {most} subscribers of one reader");
     }
 }
 
 #[test]
-fn changes_are_known_in_time_whatever_happens_to_the_reader() {
+fn changes_are_known_in_time_despite_any_fault_of_the_reader() {
     struct Case {
         name: &'static str,
         fault: Fault,
-        /// After that it is well again; none when it stays so and is held for dead in time.
+        /// Duration of the fault; none if it is permanent and others come to consider the reader dead.
         length: Option<Duration>,
     }
     let cases = [
@@ -343,64 +346,65 @@
         Case { name: "is cut off", fault: Fault::CutFromSource, length: None },
         Case { name: "freezes", fault: Fault::Frozen, length: Some(Duration::from_millis(3_200)) },
         Case {
-            name: "is held up",
-            fault: Fault::HeldUp,
+            name: "is held back",
+            fault: Fault::HeldBack,
             length: Some(Duration::from_millis(5_500)),
         },
     ];
     for Case { name, fault, length } in cases {
-        // At each phase of the reader's calls and of the changes.
+        // Covers all phases of the reader's calls and of the changes.
         for phase in 0..20 {
             let mut zone = Zone::new(43);
             let interval = Some(Duration::from_millis(700));
             zone.pass(Duration::from_millis(2_000 + phase * 67), interval);
             let reader = zone.reader().expect("43 daemons share a reader");
-            zone.strike(reader, fault);
-            zone.pass(length.unwrap_or(DETECTION), interval);
+            zone.inject_fault(reader, fault);
+            zone.pass(length.unwrap_or(DEATH_DETECTION_TIME), interval);
             match length {
-                Some(_) => zone.heal(reader),
+                Some(_) => zone.clear_fault(reader),
                 None => zone.dead.push(reader),
             }
             zone.pass(Duration::from_secs(12), interval);
-            let longest = zone.longest;
-            assert!(longest <= DEMANDED, "the reader {name}, phase {phase}: {longest:?}");
+            let delay = zone.max_change_delay;
+            assert!(delay <= MAX_CHANGE_DELAY, "the reader {name}, phase {phase}: {delay:?}");
         }
     }
 }
 
-/// Readers end one after the other, and nothing else happens: their followers must find the next one
-/// without reading by themselves for long. In a source that counts changes which nobody is told of, what a
-/// new reader reports begins later than what its followers know ends.
+/// Readers end one after the other. Their followers must switch to the next reader without reading for
+/// themselves for long. A source that counts changes that it does not report makes this harder: the reports
+/// of a new reader begin after the revision that its followers know.
 #[test]
-fn followers_go_over_to_the_next_reader_at_the_cost_of_a_call_or_two() {
+fn followers_switch_to_the_next_reader_at_the_cost_of_a_call_or_two() {
     const DAEMONS: u32 = 166;
     const READERS: f64 = 4.0;
     let mut zone = Zone::new(DAEMONS);
     let mut ended = 0;
     for _ in 0..6 {
-        // The last one of their order among them: who takes its place has read for nobody before.
-        let readers: Vec<u32> = zone.sound_readers().collect();
+        // The last one in their order is among those that end: its successor has read for nobody before.
+        let readers: Vec<u32> = zone.healthy_readers().collect();
         let reader = readers[ended as usize % readers.len()];
-        zone.strike(reader, Fault::Dead);
+        zone.inject_fault(reader, Fault::Dead);
         ended += 1;
-        zone.pass(DETECTION, None);
+        zone.pass(DEATH_DETECTION_TIME, None);
         zone.dead.push(reader);
         zone.pass(Duration::from_secs(4), None);
     }
     // A reader that ends has a fourth of them.
     let followers = f64::from(DAEMONS) / READERS;
-    let alone = zone.alone.as_secs_f64() / f64::from(ended) / followers;
-    println!("each follower reads for itself for {alone:.2} s for each reader that ended");
-    // Until the next report of a reader that asks every 0.6 s: half of that.
-    assert!(alone <= 0.3, "{alone:.2} s");
+    let own_reading = zone.own_reading_time.as_secs_f64() / f64::from(ended) / followers;
+    println!("each follower reads for itself for {own_reading:.2} s for each reader that ended");
+    // On average half of the interval of 0.6 s between reports of the next reader.
+    assert!(own_reading <= 0.3, "{own_reading:.2} s");
     let paused = zone.daemons.values().filter(|daemon| daemon.reading == SourceReading::Paused);
     assert!(paused.count() as f64 >= f64::from(DAEMONS - ended) - 2.0 * READERS);
 }
 
-/// Two views of who is there make a daemon a reader of some and a follower of another. What it is told it
-/// does not report on: its followers would miss it, and find a gap before each of its own reports.
+/// With two views of membership, a daemon may be the reader of some daemons and a follower of another. It
+/// does not forward the reports that it receives. If it applied them, its followers would miss their changes
+/// and find a gap before each of its own reports.
 #[test]
-fn a_reader_that_is_reported_to_leaves_its_followers_no_gap() {
+fn a_reader_that_receives_reports_leaves_no_gap_for_its_followers() {
     let now = START;
     let report = |after, at| SourceReport { after, at, age: Duration::ZERO, contents: vec![1] };
     let mut reader = Feed::new(settings(), DaemonId(1), address(1));
@@ -408,8 +412,8 @@
     reader.receive_subscription(DaemonId(2), 100, address(2), now);
     reader.take_actions();
     reader.receive_report(report(100, 150), now);
-    let takes = |action: &FeedAction| matches!(action, FeedAction::Order(FeedOrder::Apply(_)));
-    assert!(!reader.take_actions().iter().any(takes), "its own next read begins at 100");
+    let is_apply = |action: &FeedAction| matches!(action, FeedAction::Order(FeedOrder::Apply(_)));
+    assert!(!reader.take_actions().iter().any(is_apply), "its own next read begins at 100");
     reader.record_read(report(100, 160), now);
     let sent = reader.take_actions();
     let to_follower =
@@ -421,13 +425,14 @@
 fn a_daemon_that_was_frozen_catches_up_in_time() {
     let mut zone = Zone::new(43);
     let reader = zone.reader().expect("43 daemons share a reader");
-    let frozen = zone.daemons.keys().copied().find(|number| *number != reader).expect("another");
-    zone.strike(frozen, Fault::Frozen);
+    let frozen =
+        zone.daemons.keys().copied().find(|number| *number != reader).expect("there are others");
+    zone.inject_fault(frozen, Fault::Frozen);
     zone.pass(Duration::from_secs(3), Some(Duration::from_millis(700)));
-    zone.heal(frozen);
-    zone.longest = Duration::ZERO;
+    zone.clear_fault(frozen);
+    zone.max_change_delay = Duration::ZERO;
     zone.pass(Duration::from_secs(10), Some(Duration::from_millis(700)));
-    assert!(zone.longest <= DEMANDED, "{:?}", zone.longest);
+    assert!(zone.max_change_delay <= MAX_CHANGE_DELAY, "{:?}", zone.max_change_delay);
 }
 
 #[test]
--- a/crates/node/tests/limits.rs
+++ b/crates/node/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Rate limits kept by the owner of a replica group, asked through a gateway, in virtual time.
+//! Rate limits kept by the owner of a replica group, with requests through a gateway, in virtual time.
 
 mod cluster;
 
@@ -11,34 +11,35 @@
 use dahlia_replication::group::GroupSettings;
 use dahlia_types::{DaemonId, Duration, Incarnation, TenantId};
 
-/// To the owner and back.
-const TWO_LINKS: Duration = Duration::from_micros(2 * LINK.as_micros());
+/// Round trip from the gateway to the owner.
+const ROUND_TRIP: Duration = Duration::from_micros(2 * LINK.as_micros());
 
-fn known() -> VersionedLimit {
-    let limit = RateLimit::new(10.0, 100.0).expect("a limit").expect("some");
+fn versioned_limit() -> VersionedLimit {
+    let limit =
+        RateLimit::new(10.0, 100.0).expect("the rate is valid").expect("the rate is limited");
     VersionedLimit { generation: 1, limit }
 }
 
-fn put(cluster: &mut Cluster, command: LimitCommand) -> RequestId {
+fn send(cluster: &mut Cluster, command: LimitCommand) -> RequestId {
     cluster.request(Request::Limits { group: GROUP, command })
 }
 
-fn reply(response: Response) -> LimitReply {
+fn limit_reply(response: Response) -> LimitReply {
     match response {
         Response::Limits(reply) => reply,
-        other => panic!("expected a keeper's answer, found {other:?}"),
+        other => panic!("expected a keeper's reply, found {other:?}"),
     }
 }
 
 fn question() -> LimitCommand {
-    let (tenant, limit) = (TenantId::new("oak"), known());
+    let (tenant, limit) = (TenantId::new("oak"), versioned_limit());
     LimitCommand::Ask { tenant, limit, program: None, max_wait: Duration::ZERO }
 }
 
-fn report(requests: usize) -> LimitCommand {
+fn usage_report(requests: usize) -> LimitCommand {
     let usage = TenantUsage {
         tenant: TenantId::new("oak"),
-        limit: known(),
+        limit: versioned_limit(),
         requests: vec![Some(ProgramKey(1)); requests],
         delayed: Vec::new(),
         refunded: Vec::new(),
@@ -48,32 +49,33 @@
     LimitCommand::Report(UsageReport { gateway, incarnation, sequence: 1, usage: vec![usage] })
 }
 
+/// Asks the keeper for a permit; returns the verdict, the term of the keeper and the time that it took.
 fn ask(cluster: &mut Cluster) -> (Verdict, KeeperTerm, Duration) {
-    let id = put(cluster, question());
+    let id = send(cluster, question());
     let (response, took) = cluster.answer(id);
-    let LimitReply::Answer { verdict, keeper, .. } = reply(response) else {
-        panic!("a question has an answer");
+    let LimitReply::Answer { verdict, keeper, .. } = limit_reply(response) else {
+        panic!("the reply to a question is an answer");
     };
     (verdict, keeper, took)
 }
 
 #[test]
-fn the_owner_answers_without_its_log() {
+fn the_owner_answers_without_writing_to_its_log() {
     let mut cluster = Cluster::started(GroupSettings::default());
     let before = cluster.ledger(cluster.owner().expect("an owner")).size();
     let (verdict, _, took) = ask(&mut cluster);
-    assert_eq!((verdict, took), (Verdict::Pass { after: Duration::ZERO }, TWO_LINKS));
+    assert_eq!((verdict, took), (Verdict::Pass { after: Duration::ZERO }, ROUND_TRIP));
     assert_eq!(cluster.ledger(cluster.owner().expect("an owner")).size(), before);
 }
 
 #[test]
-fn what_a_gateway_reported_is_counted_for_all() {
+fn requests_reported_by_a_gateway_count_against_the_limit() {
     let mut cluster = Cluster::started(GroupSettings::default());
-    // A keeper that has been there for ten seconds takes the bucket for full.
+    // After ten seconds a new keeper considers the bucket full.
     cluster.pass(Duration::from_secs(10));
-    let id = put(&mut cluster, report(100));
-    let LimitReply::Counted { scarce, .. } = reply(cluster.answer(id).0) else {
-        panic!("a report is counted");
+    let id = send(&mut cluster, usage_report(100));
+    let LimitReply::Counted { scarce, .. } = limit_reply(cluster.answer(id).0) else {
+        panic!("the reply to a report is a count");
     };
     assert_eq!(scarce, [TenantId::new("oak")]);
     let (verdict, _, _) = ask(&mut cluster);
@@ -81,7 +83,7 @@
 }
 
 #[test]
-fn another_owner_keeps_the_limit_under_another_term() {
+fn a_new_owner_keeps_the_limit_under_a_later_term() {
     let mut cluster = Cluster::started(GroupSettings::default());
     let (_, first, _) = ask(&mut cluster);
     let owner = cluster.owner().expect("an owner");
@@ -92,7 +94,7 @@
 }
 
 #[test]
-fn a_gateway_that_is_cut_off_reaches_the_keeper_by_way_of_another() {
+fn a_gateway_that_is_cut_off_reaches_the_keeper_through_another() {
     let mut cluster = Cluster::started_with_other_gateways(GroupSettings::default());
     ask(&mut cluster);
     assert!(!OTHER_GATEWAYS.is_empty());
--- a/crates/node/tests/load_sharing.rs
+++ b/crates/node/tests/load_sharing.rs
@@ -1,8 +1,8 @@
-//! Sharing loads, in virtual time: how old what a daemon knows of others may get, in ordinary service and
-//! with a failure in each role, and what it costs.
+//! Load sharing in virtual time: the maximum age of the loads that daemons know of each other, without faults
+//! and with a failure in each role, and the cost in messages and bytes.
 //!
-//! Each daemon has attempts at an item of its own, with as many tokens as milliseconds have passed: so what
-//! others believe of it tells how old that is. All have one attempt at one shared item.
+//! Each daemon has attempts at an item of its own, with as many tokens as milliseconds have passed, so that the
+//! load known by others shows its age. All daemons have one attempt at one shared item.
 
 mod regions;
 
@@ -18,40 +18,48 @@
     Duration::from_millis(millis)
 }
 
-/// Own loads are told every 50 ms, sums every 100 ms, and each daemon acts every 50 ms.
-const OLDEST_IN_ZONE: Duration = ms(220);
-/// Sums go to other zones every 200 ms.
-const OLDEST_IN_REGION: Duration = ms(420);
-/// What is not renewed expires after 1 s; it is found on the next step, and told with the next sum.
-const FORGOTTEN: Duration = ms(1_250);
-/// Silence is found after the same time; then what others told the next one must come together.
-const OLDEST_AFTER_A_FAILURE: Duration = ms(1_500);
-/// A gateway that finds its choice silent finds the next one silent too.
-const OLDEST_AFTER_TWO_FAILURES: Duration = ms(2_700);
-/// By when all is as before.
-const RECOVERED: Duration = ms(2_000);
-/// Until membership holds a daemon for dead.
-const DETECTION: Duration = Duration::from_secs(8);
+/// Own loads are reported every 50 ms, sums are sent every 100 ms, and each daemon acts every 50 ms.
+const MAX_AGE_IN_ZONE: Duration = ms(220);
+/// Sums are sent to other zones every 200 ms.
+const MAX_AGE_IN_REGION: Duration = ms(420);
+/// Loads that are not renewed expire after 1 s. This is detected on the next step and sent with the next sum.
+const EXPIRY_DELAY: Duration = ms(1_250);
+/// A silent aggregator is detected after the same time. Then the next one must collect the reports.
+const MAX_AGE_AFTER_FAILURE: Duration = ms(1_500);
+/// A gateway that finds its aggregator silent finds the next one silent too.
+const MAX_AGE_AFTER_TWO_FAILURES: Duration = ms(2_700);
+/// Time after which all views are complete again.
+const RECOVERY_TIME: Duration = ms(2_000);
+/// Time until membership considers a daemon dead.
+const DEATH_DETECTION_TIME: Duration = Duration::from_secs(8);
 
 #[test]
-fn in_ordinary_service_views_are_whole_and_young() {
+fn views_are_complete_and_recent_without_faults() {
     for (zones, daemons) in [(1, 2), (1, 13), (4, 13), (2, 18)] {
         let mut region = Region::settled(zones, daemons);
         region.pass(Duration::from_secs(4));
-        let oldest = region.oldest();
-        let case = format!("{zones} zones of {daemons}: {oldest:?}");
-        assert!(oldest.in_zone <= OLDEST_IN_ZONE, "{case}");
-        assert!(oldest.in_region <= OLDEST_IN_REGION, "{case}");
+        let max_age = region.max_age();
+        let case = format!("{zones} zones of {daemons}: {max_age:?}");
+        assert!(max_age.in_zone <= MAX_AGE_IN_ZONE, "{case}");
+        assert!(max_age.in_region <= MAX_AGE_IN_REGION, "{case}");
         let others = zones * daemons - 1;
         for daemon in region.numbers() {
-            assert_eq!(region.believed(daemon, SHARED_ITEM).in_flight, others, "{case}, {daemon}");
-            assert_eq!(region.believed(daemon, u64::from(daemon)).in_flight, 0, "{case}, {daemon}");
+            assert_eq!(
+                region.known_load(daemon, SHARED_ITEM).in_flight,
+                others,
+                "{case}, {daemon}"
+            );
+            assert_eq!(
+                region.known_load(daemon, u64::from(daemon)).in_flight,
+                0,
+                "{case}, {daemon}"
+            );
         }
     }
 }
 
 #[test]
-fn one_daemon_for_each_fifty_of_a_zone_adds_up() {
+fn a_zone_has_one_aggregator_for_each_fifty_daemons() {
     for (daemons, aggregators) in [(1, 1), (13, 1), (50, 1), (51, 2), (124, 3)] {
         let region = Region::settled(1, daemons);
         let chosen: BTreeSet<u32> =
@@ -63,89 +71,93 @@
 struct FaultCase {
     name: &'static str,
     fault: Fault,
-    /// After which time membership holds the daemon for dead; none when never.
-    known_after: Option<Duration>,
+    /// Time after which membership considers the daemon dead; none if it never does.
+    detected_after: Option<Duration>,
 }
 
 const FAULT_CASES: [FaultCase; 5] = [
-    FaultCase { name: "dies", fault: Fault::Dead, known_after: Some(DETECTION) },
+    FaultCase { name: "dies", fault: Fault::Dead, detected_after: Some(DEATH_DETECTION_TIME) },
     FaultCase {
-        name: "dies, and membership knows at once",
+        name: "dies, and membership detects it at once",
         fault: Fault::Dead,
-        known_after: Some(ms(0)),
+        detected_after: Some(ms(0)),
     },
-    FaultCase { name: "freezes", fault: Fault::Frozen, known_after: None },
+    FaultCase { name: "freezes", fault: Fault::Frozen, detected_after: None },
     FaultCase {
-        name: "is of a build that knows nothing of loads",
-        fault: Fault::Older,
-        known_after: None,
+        name: "has a build without load sharing",
+        fault: Fault::OlderBuild,
+        detected_after: None,
     },
-    FaultCase { name: "neither sends nor hears", fault: Fault::CutOff, known_after: None },
+    FaultCase { name: "neither sends nor receives", fault: Fault::CutOff, detected_after: None },
 ];
 
 #[test]
-fn when_the_daemon_that_adds_up_fails_the_others_are_without_it_for_a_bounded_time() {
-    for FaultCase { name, fault, known_after } in FAULT_CASES {
+fn a_failed_aggregator_is_replaced_within_a_bounded_time() {
+    for FaultCase { name, fault, detected_after } in FAULT_CASES {
         for phase in 0..10 {
             let mut region = Region::settled(2, 13);
             region.pass(ms(10 * phase));
             let aggregator = region.aggregator_of_zone(0);
-            region.strike(aggregator, fault);
-            region.forget_ages();
-            match known_after {
+            region.inject_fault(aggregator, fault);
+            region.reset_max_ages();
+            match detected_after {
                 Some(after) => {
                     region.pass(after);
-                    region.hold_for_dead(aggregator);
+                    region.mark_dead(aggregator);
                     region.pass(Duration::from_secs(2));
                 }
                 None => region.pass(Duration::from_secs(10)),
             }
-            let oldest = region.oldest();
-            let case = format!("the aggregator {name}, phase {phase}: {oldest:?}");
-            assert!(oldest.in_region <= OLDEST_AFTER_A_FAILURE, "{case}");
-            region.forget_ages();
+            let max_age = region.max_age();
+            let case = format!("the aggregator {name}, phase {phase}: {max_age:?}");
+            assert!(max_age.in_region <= MAX_AGE_AFTER_FAILURE, "{case}");
+            region.reset_max_ages();
             region.pass(Duration::from_secs(1));
-            let oldest = region.oldest();
-            assert!(oldest.in_zone <= OLDEST_IN_ZONE, "{case}, later {oldest:?}");
-            assert!(oldest.in_region <= OLDEST_IN_REGION, "{case}, later {oldest:?}");
-            // All sound ones but itself.
-            for daemon in region.sound() {
-                assert_eq!(region.believed(daemon, SHARED_ITEM).in_flight, 24, "{case}, {daemon}");
+            let max_age = region.max_age();
+            assert!(max_age.in_zone <= MAX_AGE_IN_ZONE, "{case}, later {max_age:?}");
+            assert!(max_age.in_region <= MAX_AGE_IN_REGION, "{case}, later {max_age:?}");
+            // All healthy daemons except itself.
+            for daemon in region.healthy() {
+                assert_eq!(
+                    region.known_load(daemon, SHARED_ITEM).in_flight,
+                    24,
+                    "{case}, {daemon}"
+                );
             }
         }
     }
 }
 
-/// It is tried again every 30 s, by each of the others in its own second.
+/// Each of the others tries the older build again every 30 s, in a second of its own.
 #[test]
-fn an_older_build_that_should_add_up_costs_a_bounded_time_each_time() {
+fn an_aggregator_of_an_older_build_costs_a_bounded_time_per_retry() {
     let mut region = Region::settled(2, 13);
     let aggregator = region.aggregator_of_zone(0);
-    region.strike(aggregator, Fault::Older);
-    region.forget_ages();
+    region.inject_fault(aggregator, Fault::OlderBuild);
+    region.reset_max_ages();
     region.pass(Duration::from_secs(70));
-    assert!(region.oldest().in_region <= OLDEST_AFTER_A_FAILURE, "{:?}", region.oldest());
-    for daemon in region.sound() {
-        assert!(region.believed(daemon, SHARED_ITEM).in_flight <= 24, "{daemon}");
+    assert!(region.max_age().in_region <= MAX_AGE_AFTER_FAILURE, "{:?}", region.max_age());
+    for daemon in region.healthy() {
+        assert!(region.known_load(daemon, SHARED_ITEM).in_flight <= 24, "{daemon}");
     }
 }
 
 #[test]
-fn a_daemon_that_adds_up_and_thaws_brings_back_nothing_old() {
+fn an_aggregator_that_was_frozen_sends_no_old_loads() {
     let mut region = Region::settled(1, 13);
     let aggregator = region.aggregator_of_zone(0);
-    region.strike(aggregator, Fault::Frozen);
+    region.inject_fault(aggregator, Fault::Frozen);
     region.pass(Duration::from_secs(5));
-    region.heal(aggregator);
-    region.pass(RECOVERED);
-    region.forget_ages();
+    region.clear_fault(aggregator);
+    region.pass(RECOVERY_TIME);
+    region.reset_max_ages();
     region.pass(Duration::from_secs(40));
-    assert!(region.oldest().in_zone <= OLDEST_IN_ZONE, "{:?}", region.oldest());
-    assert!(region.numbers().iter().all(|it| region.believed(*it, SHARED_ITEM).in_flight == 12));
+    assert!(region.max_age().in_zone <= MAX_AGE_IN_ZONE, "{:?}", region.max_age());
+    assert!(region.numbers().iter().all(|it| region.known_load(*it, SHARED_ITEM).in_flight == 12));
 }
 
 #[test]
-fn two_daemons_that_add_up_after_a_cut_make_whole_views_together() {
+fn two_aggregators_after_a_cut_send_complete_views() {
     for cut_off in [1, 4, 8] {
         let mut region = Region::settled(2, 13);
         let aggregator = region.aggregator_of_zone(0);
@@ -155,206 +167,226 @@
             .filter(|daemon| *daemon != aggregator)
             .take(cut_off)
             .collect();
-        // The next in the order is not among them, so that the two hear each other.
-        others.iter().for_each(|daemon| region.cut(aggregator, *daemon));
-        region.forget_ages();
+        // The next aggregator is not among them, so that the two can reach each other.
+        others.iter().for_each(|daemon| region.cut_link(aggregator, *daemon));
+        region.reset_max_ages();
         region.pass(Duration::from_secs(6));
-        let oldest = region.oldest();
-        let case = format!("{cut_off} cut off from the aggregator: {oldest:?}");
-        assert!(oldest.in_region <= OLDEST_AFTER_TWO_FAILURES, "{case}");
-        assert!(region.aggregators(0) >= 2, "{case}");
-        region.forget_ages();
+        let max_age = region.max_age();
+        let case = format!("{cut_off} cut off from the aggregator: {max_age:?}");
+        assert!(max_age.in_region <= MAX_AGE_AFTER_TWO_FAILURES, "{case}");
+        assert!(region.aggregator_count(0) >= 2, "{case}");
+        region.reset_max_ages();
         region.pass(Duration::from_secs(2));
-        let oldest = region.oldest();
-        // By way of one further sum.
-        assert!(oldest.in_zone <= OLDEST_IN_REGION, "{case}, later {oldest:?}");
+        let max_age = region.max_age();
+        // Loads pass through one more sum.
+        assert!(max_age.in_zone <= MAX_AGE_IN_REGION, "{case}, later {max_age:?}");
         for daemon in region.numbers() {
-            assert_eq!(region.believed(daemon, SHARED_ITEM).in_flight, 25, "{case}, {daemon}");
+            assert_eq!(region.known_load(daemon, SHARED_ITEM).in_flight, 25, "{case}, {daemon}");
         }
-        others.iter().for_each(|daemon| region.mend(aggregator, *daemon));
+        others.iter().for_each(|daemon| region.restore_link(aggregator, *daemon));
         region.pass(Duration::from_secs(40));
-        region.forget_ages();
+        region.reset_max_ages();
         region.pass(Duration::from_secs(2));
-        assert_eq!(region.aggregators(0), 1, "{case}, mended");
-        assert!(region.oldest().in_zone <= OLDEST_IN_ZONE, "{case}, mended {:?}", region.oldest());
+        assert_eq!(region.aggregator_count(0), 1, "{case}, restored");
+        assert!(
+            region.max_age().in_zone <= MAX_AGE_IN_ZONE,
+            "{case}, restored {:?}",
+            region.max_age()
+        );
     }
 }
 
 #[test]
-fn a_zone_that_is_cut_off_knows_its_own_loads_and_is_forgotten_elsewhere() {
+fn a_zone_that_is_cut_off_knows_its_own_loads_which_expire_elsewhere() {
     let mut region = Region::settled(3, 13);
-    region.cut_zone(1);
-    region.pass(FORGOTTEN);
-    let believes = |region: &Region, zone: u32| {
-        let believed = |daemon: &u32| region.believed(*daemon, SHARED_ITEM).in_flight;
-        region.zone(zone).iter().map(believed).collect::<BTreeSet<u32>>()
+    region.isolate_zone(1);
+    region.pass(EXPIRY_DELAY);
+    let known_loads = |region: &Region, zone: u32| {
+        let known_load = |daemon: &u32| region.known_load(*daemon, SHARED_ITEM).in_flight;
+        region.zone(zone).iter().map(known_load).collect::<BTreeSet<u32>>()
     };
     region.pass(ms(300));
-    assert_eq!(believes(&region, 1), [12].into());
-    assert_eq!(believes(&region, 0), [25].into());
-    region.forget_ages();
+    assert_eq!(known_loads(&region, 1), [12].into());
+    assert_eq!(known_loads(&region, 0), [25].into());
+    region.reset_max_ages();
     region.pass(Duration::from_secs(5));
-    assert!(region.oldest().in_zone <= OLDEST_IN_ZONE, "{:?}", region.oldest());
-    // Membership takes the zone for dead, and each side chooses by what it knows.
-    region.zone(1).into_iter().for_each(|daemon| region.hold_for_dead(daemon));
+    assert!(region.max_age().in_zone <= MAX_AGE_IN_ZONE, "{:?}", region.max_age());
+    // Membership considers the zone dead, and each side chooses its aggregators by its own view.
+    region.zone(1).into_iter().for_each(|daemon| region.mark_dead(daemon));
     region.pass(Duration::from_secs(2));
-    assert_eq!(believes(&region, 0), [25].into());
-    region.mend_zone(1);
-    region.zone(1).into_iter().for_each(|daemon| region.hold_for_live(daemon));
-    region.pass(RECOVERED);
-    assert_eq!(believes(&region, 0), [38].into());
-    assert_eq!(believes(&region, 1), [38].into());
+    assert_eq!(known_loads(&region, 0), [25].into());
+    region.reconnect_zone(1);
+    region.zone(1).into_iter().for_each(|daemon| region.mark_live(daemon));
+    region.pass(RECOVERY_TIME);
+    assert_eq!(known_loads(&region, 0), [38].into());
+    assert_eq!(known_loads(&region, 1), [38].into());
 }
 
 #[test]
-fn the_load_of_a_daemon_that_died_is_forgotten_soon_after() {
+fn the_load_of_a_daemon_that_died_expires_soon_after() {
     for phase in 0..10 {
         let mut region = Region::settled(2, 13);
         region.pass(ms(10 * phase));
         let aggregator = region.aggregator_of_zone(0);
         let daemon =
             region.zone(0).into_iter().find(|it| *it != aggregator).expect("there are others");
-        region.strike(daemon, Fault::Dead);
+        region.inject_fault(daemon, Fault::Dead);
         region.pass(ms(600));
-        let still =
-            region.sound().iter().any(|it| region.believed(*it, SHARED_ITEM).in_flight == 25);
-        assert!(still, "phase {phase}: what it sent is likely to run on");
-        region.pass(FORGOTTEN);
-        for other in region.sound() {
-            let believed = region.believed(other, SHARED_ITEM).in_flight;
-            assert!(believed <= 24, "phase {phase}: {other} believes in {believed}");
-            assert_eq!(region.believed(other, u64::from(daemon)).in_flight, 0, "phase {phase}");
+        let is_kept =
+            region.healthy().iter().any(|it| region.known_load(*it, SHARED_ITEM).in_flight == 25);
+        assert!(is_kept, "phase {phase}: its attempts probably still run");
+        region.pass(EXPIRY_DELAY);
+        for other in region.healthy() {
+            let known = region.known_load(other, SHARED_ITEM).in_flight;
+            assert!(known <= 24, "phase {phase}: {other} knows {known}");
+            assert_eq!(region.known_load(other, u64::from(daemon)).in_flight, 0, "phase {phase}");
         }
     }
 }
 
 #[test]
-fn a_daemon_that_starts_again_counts_once_and_its_earlier_life_is_void() {
+fn a_restarted_daemon_counts_once_without_its_earlier_incarnation() {
     let mut region = Region::settled(1, 13);
     let aggregator = region.aggregator_of_zone(0);
     let daemon = region.zone(0).into_iter().find(|it| *it != aggregator).expect("there are others");
-    // What the earlier life sent is still on its way when the later one has begun.
-    region.hold_up(daemon);
+    // Messages of the earlier incarnation are still in transit when the later one has started.
+    region.hold_back(daemon);
     region.pass(ms(100));
     region.restart(daemon);
-    region.set_shared(daemon, 3);
+    region.set_shared_attempts(daemon, 3);
     region.pass(ms(300));
-    // Meanwhile it arrives.
+    // They arrive during this time.
     for _ in 0..50 {
         region.pass(ms(10));
         for other in region.others(daemon) {
-            assert_eq!(region.believed(other, SHARED_ITEM).in_flight, 11 + 3, "{other}");
+            assert_eq!(region.known_load(other, SHARED_ITEM).in_flight, 11 + 3, "{other}");
         }
     }
-    assert_eq!(region.believed(daemon, SHARED_ITEM).in_flight, 12);
+    assert_eq!(region.known_load(daemon, SHARED_ITEM).in_flight, 12);
 }
 
 #[test]
-fn lost_late_and_doubled_datagrams_change_nothing_for_good() {
+fn lost_delayed_and_duplicated_datagrams_have_no_lasting_effect() {
     struct Case {
         lost_percent: u32,
-        doubled_percent: u32,
-        late: Duration,
+        duplicated_percent: u32,
+        max_delay: Duration,
         in_zone: Duration,
     }
     let cases = [
-        Case { lost_percent: 2, doubled_percent: 0, late: ms(0), in_zone: ms(500) },
-        Case { lost_percent: 20, doubled_percent: 0, late: ms(0), in_zone: ms(1_200) },
-        Case { lost_percent: 0, doubled_percent: 50, late: ms(0), in_zone: OLDEST_IN_ZONE },
-        Case { lost_percent: 0, doubled_percent: 20, late: ms(150), in_zone: ms(700) },
-        Case { lost_percent: 10, doubled_percent: 10, late: ms(300), in_zone: ms(1_500) },
+        Case { lost_percent: 2, duplicated_percent: 0, max_delay: ms(0), in_zone: ms(500) },
+        Case { lost_percent: 20, duplicated_percent: 0, max_delay: ms(0), in_zone: ms(1_200) },
+        Case {
+            lost_percent: 0,
+            duplicated_percent: 50,
+            max_delay: ms(0),
+            in_zone: MAX_AGE_IN_ZONE,
+        },
+        Case { lost_percent: 0, duplicated_percent: 20, max_delay: ms(150), in_zone: ms(700) },
+        Case { lost_percent: 10, duplicated_percent: 10, max_delay: ms(300), in_zone: ms(1_500) },
     ];
-    for Case { lost_percent, doubled_percent, late, in_zone } in cases {
+    for Case { lost_percent, duplicated_percent, max_delay, in_zone } in cases {
         for seed in 0..5 {
             let mut region = Region::settled(2, 13);
-            region.disturb(seed, lost_percent, doubled_percent, late);
-            region.forget_ages();
+            region.set_link_faults(seed, lost_percent, duplicated_percent, max_delay);
+            region.reset_max_ages();
             region.pass(Duration::from_secs(10));
-            let oldest = region.oldest();
-            let case =
-                format!("{lost_percent}% lost, {doubled_percent}% doubled, {late:?} late, {seed}");
-            assert!(oldest.in_zone <= in_zone, "{case}: {oldest:?}");
-            region.disturb(seed, 0, 0, ms(0));
-            region.pass(RECOVERED);
+            let max_age = region.max_age();
+            let case = format!(
+                "{lost_percent}% lost, {duplicated_percent}% duplicated, {max_delay:?} late, seed {seed}"
+            );
+            assert!(max_age.in_zone <= in_zone, "{case}: {max_age:?}");
+            region.set_link_faults(seed, 0, 0, ms(0));
+            region.pass(RECOVERY_TIME);
             for daemon in region.numbers() {
-                assert_eq!(region.believed(daemon, SHARED_ITEM).in_flight, 25, "{case}, {daemon}");
+                assert_eq!(
+                    region.known_load(daemon, SHARED_ITEM).in_flight,
+                    25,
+                    "{case}, {daemon}"
+                );
             }
         }
     }
 }
 
 #[test]
-fn each_time_of_a_token_is_heard_once_by_each_other_daemon() {
-    for doubled_percent in [0, 50] {
+fn each_token_time_reaches_every_other_daemon_once() {
+    for duplicated_percent in [0, 50] {
         let mut region = Region::settled(2, 13);
-        region.disturb(1, 0, doubled_percent, ms(0));
-        region.stream_tokens(true);
+        region.set_link_faults(1, 0, duplicated_percent, ms(0));
+        region.set_streaming(true);
         region.pass(Duration::from_secs(5));
-        region.stream_tokens(false);
+        region.set_streaming(false);
         region.pass(Duration::from_secs(2));
         for daemon in region.numbers() {
-            let told: u64 = region.others(daemon).iter().map(|it| region.tokens_told(*it)).sum();
-            assert_eq!(region.tokens_heard(daemon), told, "{daemon}, {doubled_percent}% doubled");
+            let reported: u64 =
+                region.others(daemon).iter().map(|it| region.tokens_reported(*it)).sum();
+            assert_eq!(
+                region.tokens_received(daemon),
+                reported,
+                "{daemon}, {duplicated_percent}% duplicated"
+            );
         }
     }
 }
 
-/// The times that a daemon has added up itself are not told again when it goes over to another one.
+/// A daemon that stops aggregating must not report the token times again that it has summed up itself.
 #[test]
-fn each_time_of_a_token_is_heard_once_when_another_daemon_adds_up() {
+fn each_token_time_is_received_once_when_the_aggregator_changes() {
     let mut region = Region::settled(2, 13);
     let first = region.aggregator_of_zone(0);
-    region.strike(first, Fault::Dead);
-    region.hold_for_dead(first);
+    region.inject_fault(first, Fault::Dead);
+    region.mark_dead(first);
     region.pass(Duration::from_secs(4));
-    region.stream_tokens(true);
+    region.set_streaming(true);
     region.pass(Duration::from_secs(5));
-    region.stream_tokens(false);
+    region.set_streaming(false);
     region.pass(Duration::from_secs(2));
     region.restart(first);
-    region.heal(first);
-    region.hold_for_live(first);
+    region.clear_fault(first);
+    region.mark_live(first);
     region.pass(Duration::from_secs(3));
     assert_eq!(region.aggregator_of_zone(0), first);
-    assert_eq!(region.tokens_heard(first), 0, "all are old");
+    assert_eq!(region.tokens_received(first), 0, "all samples are too old");
     for daemon in region.others(first) {
-        let told: u64 = region.others(daemon).iter().map(|it| region.tokens_told(*it)).sum();
-        assert_eq!(region.tokens_heard(daemon), told, "{daemon}");
+        let reported: u64 =
+            region.others(daemon).iter().map(|it| region.tokens_reported(*it)).sum();
+        assert_eq!(region.tokens_received(daemon), reported, "{daemon}");
     }
 }
 
 #[test]
-fn a_daemon_where_sharing_is_switched_off_leaves_at_once_and_takes_in_nothing() {
+fn a_daemon_with_sharing_switched_off_leaves_at_once_and_ignores_messages() {
     let mut region = Region::settled(1, 13);
     let aggregator = region.aggregator_of_zone(0);
     let daemon = region.others(aggregator)[0];
     region.switch_off(daemon, true);
     region.pass(ms(250));
     for other in region.others(daemon) {
-        assert_eq!(region.believed(other, SHARED_ITEM).in_flight, 11, "{other}");
+        assert_eq!(region.known_load(other, SHARED_ITEM).in_flight, 11, "{other}");
     }
     assert_eq!(region.status(aggregator).followers, 11);
     assert_eq!(region.status(daemon), LoadSharingStatus::default());
-    // The same at the one that adds up: the others report to it for a while.
+    // The same holds for the aggregator, to which the others still report for a while.
     region.switch_off(aggregator, true);
     region.pass(Duration::from_secs(5));
     assert_eq!(region.status(aggregator), LoadSharingStatus::default());
-    region.heal(aggregator);
-    region.heal(daemon);
+    region.clear_fault(aggregator);
+    region.clear_fault(daemon);
     region.pass(Duration::from_secs(40));
-    assert_eq!(region.aggregators(0), 1);
+    assert_eq!(region.aggregator_count(0), 1);
     for daemon in region.numbers() {
-        assert_eq!(region.believed(daemon, SHARED_ITEM).in_flight, 12, "{daemon}");
+        assert_eq!(region.known_load(daemon, SHARED_ITEM).in_flight, 12, "{daemon}");
     }
 }
 
 #[test]
-fn a_daemon_that_tells_no_own_loads_takes_in_none_after_the_expiry() {
+fn a_daemon_that_reports_no_loads_ignores_reports_after_the_expiry() {
     let mut region = Region::settled(1, 13);
     let aggregator = region.aggregator_of_zone(0);
     region.switch_off(aggregator, false);
-    region.pass(FORGOTTEN);
-    let heard = LoadMessage::Report {
+    region.pass(EXPIRY_DELAY);
+    let report = LoadMessage::Report {
         part: LoadPart {
             number: u64::MAX,
             first: 0,
@@ -367,159 +399,165 @@
     };
     region.pass(Duration::from_secs(5));
     let follower = region.others(aggregator)[0];
-    region.receive(aggregator, follower, heard);
+    region.inject(aggregator, follower, report);
     assert_eq!(region.status(aggregator).followers, 0);
 }
 
 #[test]
-fn membership_that_lags_costs_a_second_sum_and_no_load() {
+fn lagging_membership_costs_a_second_sum_and_loses_no_load() {
     let mut region = Region::settled(1, 13);
     let aggregator = region.aggregator_of_zone(0);
-    // Half of the zone holds the one that adds up for dead; it is not.
+    // Half of the zone wrongly considers the aggregator dead.
     let half: Vec<u32> =
         region.zone(0).into_iter().filter(|it| *it != aggregator).take(6).collect();
-    half.iter().for_each(|daemon| region.misbelieve(*daemon, aggregator));
-    region.pass(RECOVERED);
-    region.forget_ages();
+    half.iter().for_each(|daemon| region.mark_dead_at(*daemon, aggregator));
+    region.pass(RECOVERY_TIME);
+    region.reset_max_ages();
     region.pass(Duration::from_secs(5));
-    assert_eq!(region.aggregators(0), 2);
-    assert!(region.oldest().in_zone <= OLDEST_IN_REGION, "{:?}", region.oldest());
+    assert_eq!(region.aggregator_count(0), 2);
+    assert!(region.max_age().in_zone <= MAX_AGE_IN_REGION, "{:?}", region.max_age());
     for daemon in region.numbers() {
-        assert_eq!(region.believed(daemon, SHARED_ITEM).in_flight, 12, "{daemon}");
+        assert_eq!(region.known_load(daemon, SHARED_ITEM).in_flight, 12, "{daemon}");
     }
 }
 
 #[test]
-fn a_daemon_that_goes_over_to_another_sum_is_counted_once() {
+fn a_daemon_that_changes_its_aggregator_is_counted_once() {
     let mut region = Region::settled(1, 13);
     let aggregator = region.aggregator_of_zone(0);
     let daemon = region.others(aggregator)[0];
-    region.misbelieve(daemon, aggregator);
+    region.mark_dead_at(daemon, aggregator);
     for _ in 0..300 {
         region.pass(ms(10));
         for other in region.others(daemon) {
-            let believed = region.believed(other, SHARED_ITEM).in_flight;
-            assert!(believed <= 12, "{other} believes in {believed}");
+            let known = region.known_load(other, SHARED_ITEM).in_flight;
+            assert!(known <= 12, "{other} knows {known}");
         }
     }
     assert_ne!(region.aggregator(daemon), Some(aggregator));
 }
 
 #[test]
-fn daemons_without_load_say_next_to_nothing() {
+fn daemons_without_load_send_few_messages() {
     let mut region = Region::settled(2, 13);
-    region.rest();
+    region.remove_loads();
     region.pass(Duration::from_secs(3));
-    region.forget_costs();
+    region.reset_costs();
     let length = Duration::from_secs(10);
     region.pass(length);
     for daemon in region.numbers() {
         let cost = region.cost(daemon);
-        let adds = region.aggregator(daemon).is_none();
-        let most = if adds { 12 } else { 1 };
-        assert!(cost.messages <= most * 11, "{daemon}: {} messages in 10 s", cost.messages);
+        let is_aggregator = region.aggregator(daemon).is_none();
+        let most = if is_aggregator { 12 } else { 1 };
+        assert!(
+            cost.messages_sent <= most * 11,
+            "{daemon}: {} messages in 10 s",
+            cost.messages_sent
+        );
     }
 }
 
-/// A daemon tells its own loads at most every 50 ms, and hears sums at most every 100 ms.
+/// A follower reports its own loads at most every 50 ms, and receives views at most every 100 ms.
 #[test]
-fn a_daemon_that_does_not_add_up_sends_twenty_messages_a_second_at_most() {
+fn a_follower_sends_at_most_twenty_messages_a_second() {
     let mut region = Region::settled(4, 13);
-    region.forget_costs();
+    region.reset_costs();
     region.pass(Duration::from_secs(10));
     for daemon in region.numbers().into_iter().filter(|it| region.aggregator(*it).is_some()) {
         let cost = region.cost(daemon);
-        assert!(cost.messages <= 210, "{daemon}: {cost:?} in 10 s");
-        assert!(cost.heard <= 110, "{daemon}: {cost:?} in 10 s");
+        assert!(cost.messages_sent <= 210, "{daemon}: {cost:?} in 10 s");
+        assert!(cost.messages_received <= 110, "{daemon}: {cost:?} in 10 s");
     }
 }
 
-/// The cost at two sizes: 52 gateways before 61 servers, and a zone of the largest fleet, 124 gateways
-/// before 1,430 servers.
+/// The cost at two sizes: 52 gateways with 61 servers, and a zone of the largest fleet, 124 gateways with 1,430
+/// servers.
 #[test]
-fn bytes_stay_within_the_setting_and_larger_views_come_less_often() {
+fn bytes_stay_within_the_limit_and_larger_views_are_sent_less_often() {
     struct Size {
         zones: u32,
         daemons: u32,
         servers: u64,
-        /// Until each daemon has heard of each server again.
-        whole_within: Duration,
+        /// Maximum time between two updates of a server at a daemon.
+        updated_within: Duration,
     }
     let sizes = [
-        Size { zones: 4, daemons: 13, servers: 61, whole_within: ms(700) },
-        Size { zones: 1, daemons: 124, servers: 1_430, whole_within: Duration::from_secs(12) },
+        Size { zones: 4, daemons: 13, servers: 61, updated_within: ms(700) },
+        Size { zones: 1, daemons: 124, servers: 1_430, updated_within: Duration::from_secs(12) },
     ];
-    for Size { zones, daemons, servers, whole_within } in sizes {
+    for Size { zones, daemons, servers, updated_within } in sizes {
         let mut region = Region::settled(zones, daemons);
-        region.load_servers(servers);
+        region.add_server_loads(servers);
         region.pass(Duration::from_secs(15));
-        region.forget_costs();
-        region.forget_ages();
+        region.reset_costs();
+        region.reset_max_ages();
         let length = Duration::from_secs(10);
         region.pass(length);
         let most = region.settings().most_bytes_per_second;
-        let mut sums = Vec::new();
+        let mut costs = Vec::new();
         for daemon in region.numbers() {
             let cost = region.cost(daemon);
-            let per_second = cost.bytes * 1_000_000 / length.as_micros();
-            // What was saved before the first second may go out in it.
+            let per_second = cost.bytes_sent * 1_000_000 / length.as_micros();
+            // Bytes saved up before the first second may be sent in it.
             assert!(per_second <= most + most / 50, "{daemon} sends {per_second} bytes a second");
-            sums.push((region.aggregator(daemon).is_none(), per_second, cost));
+            costs.push((region.aggregator(daemon).is_none(), per_second, cost));
         }
-        let oldest = region.oldest_server();
-        let of = |adds: bool| {
-            let of: Vec<_> =
-                sums.iter().filter(|(is_aggregator, ..)| *is_aggregator == adds).collect();
-            let bytes = of.iter().map(|(_, bytes, _)| bytes).max();
-            let sent = of.iter().map(|(.., cost)| cost.messages / 10).max();
-            let heard = of.iter().map(|(.., cost)| cost.heard / 10).max();
-            format!("bytes {bytes:?}, messages sent {sent:?}, heard {heard:?} a second")
+        let max_age = region.max_server_age();
+        let summary = |of_aggregators: bool| {
+            let selected: Vec<_> = costs
+                .iter()
+                .filter(|(is_aggregator, ..)| *is_aggregator == of_aggregators)
+                .collect();
+            let bytes = selected.iter().map(|(_, bytes, _)| bytes).max();
+            let sent = selected.iter().map(|(.., cost)| cost.messages_sent / 10).max();
+            let received = selected.iter().map(|(.., cost)| cost.messages_received / 10).max();
+            format!("bytes {bytes:?}, messages sent {sent:?}, received {received:?} a second")
         };
         println!(
-            "{zones} zones of {daemons} daemons, {servers} servers: those that add up {}, others {}, \
-             oldest {} ms",
-            of(true),
-            of(false),
-            oldest.as_millis()
+            "{zones} zones of {daemons} daemons, {servers} servers: aggregators {}, others {}, \
+             maximum age {} ms",
+            summary(true),
+            summary(false),
+            max_age.as_millis()
         );
-        assert!(oldest <= whole_within, "{servers} servers: {oldest:?}");
+        assert!(max_age <= updated_within, "{servers} servers: {max_age:?}");
     }
 }
 
 #[test]
-fn no_message_is_longer_than_a_datagram() {
+fn every_message_fits_into_a_datagram() {
     let mut region = Region::settled(2, 13);
-    region.load_servers(2_000);
-    region.stream_tokens(true);
+    region.add_server_loads(2_000);
+    region.set_streaming(true);
     region.pass(Duration::from_secs(3));
     let longest = region.longest_message();
     assert!((800..=1_300).contains(&longest), "{longest} bytes, before the envelope of 60");
 }
 
 #[test]
-fn a_part_that_contradicts_itself_changes_nothing() {
+fn an_invalid_part_is_ignored() {
     let load = |item| ItemLoad { item, in_flight: 9, ..ItemLoad::default() };
     let part =
         |first, last, loads| LoadPart { number: u64::MAX, first, last, age: Duration::ZERO, loads };
     let parts = [
         ("its range ends before it begins", part(9, 3, Vec::new())),
-        ("a load lies outside of it", part(3, 9, vec![load(10)])),
-        ("an item stands twice", part(3, 9, vec![load(5), load(5)])),
-        ("no order", part(3, 9, vec![load(6), load(5)])),
+        ("a load lies outside of its range", part(3, 9, vec![load(10)])),
+        ("an item is listed twice", part(3, 9, vec![load(5), load(5)])),
+        ("its items are not sorted", part(3, 9, vec![load(6), load(5)])),
     ];
     for (name, part) in parts {
         let mut region = Region::settled(1, 13);
         let aggregator = region.aggregator_of_zone(0);
         let follower = region.others(aggregator)[0];
         let (state, reply_to) = (ReporterState::default(), regions::address(follower));
-        let told = LoadMessage::Report { part: part.clone(), state, reply_to };
-        region.receive(aggregator, follower, told);
-        region.receive(aggregator, follower, LoadMessage::Sum { part: part.clone(), reply_to });
-        region.receive(follower, aggregator, LoadMessage::View { part, reaching: Vec::new() });
-        region.forget_ages();
+        let report = LoadMessage::Report { part: part.clone(), state, reply_to };
+        region.inject(aggregator, follower, report);
+        region.inject(aggregator, follower, LoadMessage::Sum { part: part.clone(), reply_to });
+        region.inject(follower, aggregator, LoadMessage::View { part, reaching: Vec::new() });
+        region.reset_max_ages();
         region.pass(Duration::from_secs(2));
-        // Nor is its number taken for the newest.
-        assert!(region.oldest().in_zone <= OLDEST_IN_ZONE, "{name}: {:?}", region.oldest());
+        // Its number is not recorded as the newest either: later parts are still accepted.
+        assert!(region.max_age().in_zone <= MAX_AGE_IN_ZONE, "{name}: {:?}", region.max_age());
     }
 }
 
@@ -534,7 +572,7 @@
         ("idle_renewal_ms", Settings { idle_renewal_ms: 100, ..Settings::default() }),
         // Three renewals may be lost.
         ("expiry_ms", Settings { expiry_ms: 700, ..Settings::default() }),
-        // Too little for one datagram to each of fifty before they take this one for silent.
+        // Too little to send two datagrams to each of fifty followers before they pass over the aggregator.
         (
             "most_bytes_per_second",
             Settings { most_bytes_per_second: 100_000, ..Settings::default() },
@@ -549,23 +587,24 @@
 }
 
 #[test]
-fn daemons_that_reach_owners_of_groups_are_named_to_the_others() {
+fn daemons_that_reach_owners_of_groups_are_named_in_views() {
     let mut region = Region::settled(1, 13);
     let reaching: BTreeSet<u32> = region.zone(0).into_iter().take(2).collect();
     region.set_reaching(&reaching);
-    region.pass(RECOVERED);
+    region.pass(RECOVERY_TIME);
     for daemon in region.numbers() {
-        let but_for: BTreeSet<u32> = reaching.iter().copied().filter(|it| *it != daemon).collect();
-        assert_eq!(region.reaching(daemon), but_for, "{daemon}");
+        let others: BTreeSet<u32> = reaching.iter().copied().filter(|it| *it != daemon).collect();
+        assert_eq!(region.reaching(daemon), others, "{daemon}");
     }
 }
 
 #[test]
-fn a_part_says_of_a_range_what_is_in_it_and_a_view_has_no_gap() {
+fn the_parts_of_a_view_cover_all_items_in_order() {
     let mut region = Region::settled(1, 3);
-    region.load_servers(500);
+    region.add_server_loads(500);
     region.pass(Duration::from_secs(3));
-    let views = region.messages_seen(|message| matches!(message, LoadMessage::View { .. }));
+    let views =
+        region.messages_received_by_follower(|message| matches!(message, LoadMessage::View { .. }));
     let mut next = 0;
     let mut parts = 0;
     for message in views {
--- a/crates/node/tests/zone_cuts.rs
+++ b/crates/node/tests/zone_cuts.rs
@@ -1,4 +1,4 @@
-//! Zones that are cut off, in virtual time: who turns callers away, and how soon turns go on elsewhere.
+//! Zones that are cut off, in virtual time: which gateways detect it, and how soon turns continue elsewhere.
 
 mod cluster;
 
@@ -15,10 +15,10 @@
 
 const HEARTBEAT_MS: u64 = 150;
 const ELECTION_TIMEOUT_MS: u64 = 600;
-/// Within this time turns outside of a cut go on: callers' programs have less than a second to spare.
-const GOES_ON: Duration = Duration::from_millis(500);
-/// A command is doubted, its zones are asked, and ticks lie between.
-const CUT_IS_KNOWN: Duration = Duration::from_millis(450);
+/// Maximum time until turns outside of a cut continue: callers' programs have less than a second to spare.
+const MAX_INTERRUPTION: Duration = Duration::from_millis(500);
+/// Time to detect a cut: an answer is overdue, zones are probed, and ticks lie in between.
+const DETECTION_TIME: Duration = Duration::from_millis(450);
 
 fn groups() -> GroupSettings {
     GroupSettings {
@@ -51,9 +51,9 @@
     [Zone::new(format!("zone-{store}"))].into()
 }
 
-/// A system whose group has served a turn, and the group's owner, which isn't in the zone of the gateway
-/// that asks.
-fn serving() -> (Cluster, u32) {
+/// Starts a cluster whose group has served a turn. Returns it with the group's owner, which is not in the
+/// zone of [`GATEWAY`].
+fn serving_cluster() -> (Cluster, u32) {
     let mut cluster = Cluster::started_in_zones(groups());
     cluster.insist(&open("first"));
     let owner = cluster.owner().expect("it has served a turn");
@@ -61,17 +61,17 @@
     (cluster, owner)
 }
 
-/// The store in the zone of the gateway that asks.
+/// The store in the zone of [`GATEWAY`].
 const STORE_BESIDE: u32 = STORES[2];
 
 #[test]
-fn a_gateway_in_a_zone_that_is_cut_off_knows_soon_and_those_outside_stay_in() {
-    let (mut cluster, _) = serving();
+fn a_gateway_in_a_zone_that_is_cut_off_detects_it_and_those_outside_do_not() {
+    let (mut cluster, _) = serving_cluster();
     cluster.cut_zone_of(STORE_BESIDE);
     let cut_at = cluster.now;
     cluster.ask(open("inside"));
-    cluster.run_until(CUT_IS_KNOWN, |cluster| cluster.reach(GATEWAY).cut_off.is_some());
-    let cut = cluster.reach(GATEWAY).cut_off.expect("just seen");
+    cluster.run_until(DETECTION_TIME, |cluster| cluster.reach(GATEWAY).cut_off.is_some());
+    let cut = cluster.reach(GATEWAY).cut_off.expect("it has just been cut off");
     assert!(!cut.is_alone, "the store of its zone answers");
     assert!(cut.since >= cut_at);
     cluster.pass(Duration::from_secs(3));
@@ -81,23 +81,23 @@
         assert_eq!(reach.cut_off, None);
     }
     cluster.mend();
-    let is_back = |cluster: &Cluster| cluster.reach(GATEWAY) == Reachability::default();
-    cluster.run_until(Duration::from_secs(1), is_back);
+    let is_restored = |cluster: &Cluster| cluster.reach(GATEWAY) == Reachability::default();
+    cluster.run_until(Duration::from_secs(1), is_restored);
 }
 
 #[test]
-fn a_gateway_that_is_cut_off_alone_says_so() {
-    let (mut cluster, _) = serving();
+fn a_gateway_that_is_cut_off_alone_reports_it() {
+    let (mut cluster, _) = serving_cluster();
     cluster.cut_from_all(GATEWAY);
     cluster.ask(open("inside"));
-    cluster.run_until(CUT_IS_KNOWN, |cluster| cluster.reach(GATEWAY).cut_off.is_some());
+    cluster.run_until(DETECTION_TIME, |cluster| cluster.reach(GATEWAY).cut_off.is_some());
     cluster.pass(Duration::from_millis(200));
-    assert!(cluster.reach(GATEWAY).cut_off.expect("still").is_alone);
+    assert!(cluster.reach(GATEWAY).cut_off.expect("it is still cut off").is_alone);
 }
 
 #[test]
-fn a_gateway_that_is_cut_off_from_stores_only_stays_in() {
-    let (mut cluster, _) = serving();
+fn a_gateway_that_reaches_stores_through_another_is_not_cut_off() {
+    let (mut cluster, _) = serving_cluster();
     cluster.cut_from_stores(GATEWAY);
     let id = cluster.ask(open("by way of another"));
     assert!(is_opened(&cluster.answer(id).0));
@@ -105,10 +105,10 @@
     assert_eq!(cluster.reach(GATEWAY).cut_off, None);
 }
 
-/// Turning callers away gains nothing where all others would see the same.
+/// Turning callers away gains nothing if all other gateways see the same.
 #[test]
-fn nobody_turns_callers_away_when_all_stores_are_down() {
-    let (mut cluster, _) = serving();
+fn no_gateway_is_cut_off_when_all_stores_are_down() {
+    let (mut cluster, _) = serving_cluster();
     STORES.into_iter().for_each(|store| cluster.kill(store));
     for round in 0..5 {
         cluster.ask(open(&format!("turn-{round}")));
@@ -120,32 +120,33 @@
 }
 
 #[test]
-fn turns_go_on_within_half_a_second_when_the_zone_of_their_owner_is_cut_off() {
+fn turns_continue_within_half_a_second_when_the_zone_of_their_owner_is_cut_off() {
     for offset in 0..40 {
-        let (mut cluster, owner) = serving();
+        let (mut cluster, owner) = serving_cluster();
         cluster.pass(Duration::from_millis(1_000 + offset * 7));
         cluster.cut_zone_of(owner);
         let id = cluster.ask(open("outside"));
         let (response, took) = cluster.answer(id);
         assert!(is_opened(&response), "cut {offset}: {response:?}");
-        assert!(took <= GOES_ON, "cut {offset}: it took {took:?}");
+        assert!(took <= MAX_INTERRUPTION, "cut {offset}: it took {took:?}");
     }
 }
 
-/// A store that stands still alone may go on any moment: its zone is heard, so it has its whole time.
+/// A single paused store may resume at any moment. Its zone still answers, so the whole election timeout
+/// applies.
 #[test]
-fn an_owner_that_falls_silent_alone_keeps_its_time() {
-    let (mut cluster, owner) = serving();
+fn an_owner_that_falls_silent_alone_keeps_its_election_timeout() {
+    let (mut cluster, owner) = serving_cluster();
     cluster.cut_from_all(owner);
     cluster.pass(Duration::from_millis(ELECTION_TIMEOUT_MS - HEARTBEAT_MS));
     assert_eq!(cluster.other_owner(owner), None);
     cluster.run_until(Duration::from_secs(3), |cluster| cluster.other_owner(owner).is_some());
 }
 
-/// Daemons that are slow, and not silent, lose no group: an election would cost their callers more.
+/// Daemons that are slow but not silent keep their groups: an election would cost their callers more.
 #[test]
 fn a_zone_that_is_slow_keeps_its_groups() {
-    let (mut cluster, owner) = serving();
+    let (mut cluster, owner) = serving_cluster();
     for daemon in [owner, gateway_beside(owner)] {
         cluster.slow_down(daemon, Duration::from_millis(80));
     }
@@ -158,11 +159,11 @@
     }
 }
 
-/// Two cuts in a row, the second one during the election that the first one caused.
+/// The second of two cuts happens during the election that the first one caused.
 #[test]
 fn a_second_cut_during_the_election_leaves_one_owner_and_no_turn_lost() {
     for offset in 0..20 {
-        let (mut cluster, owner) = serving();
+        let (mut cluster, owner) = serving_cluster();
         cluster.cut_zone_of(owner);
         cluster.pass(Duration::from_millis(250 + offset * 20));
         cluster.mend();
@@ -174,8 +175,9 @@
     }
 }
 
-/// Cuts of zones and of single ways, in a row and during the elections that they cause.
-fn cut_something(cluster: &mut Cluster, random: &mut ChaCha8Rng) {
+/// Cuts a random zone or a single direction between two daemons, or restores all links. Repeated calls overlap
+/// with the elections that earlier cuts cause.
+fn cut_randomly(cluster: &mut Cluster, random: &mut ChaCha8Rng) {
     match random.random_range(0..4) {
         0 => cluster.mend(),
         1 | 2 => {
@@ -193,35 +195,41 @@
     }
 }
 
-/// However owners follow each other, no more turns are opened than the budget bears, and what was
-/// opened for a caller stays opened.
+/// In any sequence of owners, no more turns are opened than the budget allows, and a turn that was opened for a
+/// caller stays opened.
 #[test]
 fn budgets_hold_over_cuts_in_any_order() {
     const SEEDS: u64 = 1_000;
     const TURNS: u64 = 15;
-    const BORNE: usize = 10;
-    let command = |turn| open_in("bounded", &format!("turn-{turn}"), 10 * BORNE as u64, 10);
+    const MAX_OPEN_TURNS: usize = 10;
+    let command =
+        |turn| open_in("bounded", &format!("turn-{turn}"), 10 * MAX_OPEN_TURNS as u64, 10);
     for seed in 0..SEEDS {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
-        let (mut cluster, _) = serving();
+        let (mut cluster, _) = serving_cluster();
         let mut asked = Vec::new();
         for turn in 0..TURNS {
-            cut_something(&mut cluster, &mut random);
+            cut_randomly(&mut cluster, &mut random);
             asked.push((turn, cluster.ask(command(turn))));
             cluster.pass(Duration::from_millis(random.random_range(1..700)));
         }
         cluster.mend();
         cluster.pass(Duration::from_secs(4));
-        let mut told = Vec::new();
+        let mut acknowledged = Vec::new();
         for (turn, id) in asked {
             if is_opened(&cluster.answer(id).0) {
-                told.push(turn);
+                acknowledged.push(turn);
             }
         }
-        let stands = |turn: &u64| matches!(cluster.insist(&command(*turn)), LedgerReply::Opened(_));
-        let standing: Vec<u64> = (0..TURNS).filter(stands).collect();
-        assert!(standing.len() <= BORNE, "seed {seed}: {standing:?} are opened");
-        let is_lost = |turn: &&u64| !standing.contains(turn);
-        assert_eq!(told.iter().find(is_lost), None, "seed {seed}: opened, and then not");
+        let is_open =
+            |turn: &u64| matches!(cluster.insist(&command(*turn)), LedgerReply::Opened(_));
+        let open_turns: Vec<u64> = (0..TURNS).filter(is_open).collect();
+        assert!(open_turns.len() <= MAX_OPEN_TURNS, "seed {seed}: {open_turns:?} are opened");
+        let is_lost = |turn: &&u64| !open_turns.contains(turn);
+        assert_eq!(
+            acknowledged.iter().find(is_lost),
+            None,
+            "seed {seed}: a turn was opened and is lost"
+        );
     }
 }
--- a/crates/node/tests/zone_liveness.rs
+++ b/crates/node/tests/zone_liveness.rs
@@ -1,4 +1,4 @@
-//! Who counts as silent and as cut off: a case for each kind of cut, and for what only looks like one.
+//! Detection of silent zones and of cuts: a case for each kind of cut, and for faults that only look like one.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -18,28 +18,28 @@
 
 struct Case {
     name: &'static str,
-    /// Zones that the deployment has.
+    /// Zones of the deployment.
     zones: &'static [&'static str],
-    /// Zones whose daemons answer when asked, after the cut began.
+    /// Zones whose daemons answer probes after the cut.
     answering: &'static [&'static str],
-    /// Other zones that count as silent.
-    silent: &'static [&'static str],
-    /// Whether the daemon counts as cut off, and whether as alone.
-    cut_off: Option<bool>,
+    /// Other zones expected to count as silent.
+    expected_silent: &'static [&'static str],
+    /// Whether the daemon is expected to be cut off, and if so, whether alone.
+    expected_alone: Option<bool>,
 }
 
-/// A daemon of zone `a`.
-struct Bed {
+/// Simulation of zone liveness at a daemon of zone `a`.
+struct Simulation {
     zone_liveness: ZoneLiveness,
     members: BTreeMap<Zone, Vec<DaemonId>>,
     /// The zones of each group's voters.
     voters: Vec<Zone>,
     now: Timestamp,
     reach: Reachability,
-    asked: usize,
+    probes_sent: usize,
 }
 
-impl Bed {
+impl Simulation {
     fn new(zones: &[&str]) -> Self {
         let settings = ZoneLivenessSettings::default();
         let zone_liveness = ZoneLiveness::new(settings, Zone::new("a"), 7);
@@ -48,7 +48,7 @@
         let members = zones.iter().enumerate();
         let members =
             members.map(|(place, zone)| (Zone::new(*zone), daemons(place).collect())).collect();
-        // Five: two in the first zone, one in each other; all in one where there is one.
+        // Five voters: two in the first zone and one in each other; all in the same zone if there is one only.
         let voters = zones.iter().cycle().take(4).chain(zones.first());
         let voters = voters.map(|zone| Zone::new(*zone)).collect();
         Self {
@@ -57,11 +57,11 @@
             voters,
             now: START,
             reach: Reachability::default(),
-            asked: 0,
+            probes_sent: 0,
         }
     }
 
-    /// Lets time pass while the daemons of some zones answer, and nobody sends of its own accord.
+    /// Lets time pass while the daemons of some zones answer probes. There are no other messages.
     fn pass(&mut self, length: Duration, answering: &[&str]) {
         let end = self.now + length;
         while self.now < end {
@@ -71,11 +71,11 @@
     }
 
     fn step(&mut self, answering: &[&str]) {
-        let asked = self.zone_liveness.tick(&self.members, self.now);
-        self.asked += asked.len();
-        for daemon in asked {
+        let probed = self.zone_liveness.tick(&self.members, self.now);
+        self.probes_sent += probed.len();
+        for daemon in probed {
             let zone = self.members.iter().find(|(_, daemons)| daemons.contains(&daemon));
-            let zone = zone.expect("a member is asked").0;
+            let zone = zone.expect("only members are probed").0;
             if answering.contains(&zone.as_str()) {
                 self.zone_liveness.record_message(zone, self.now);
             }
@@ -92,19 +92,19 @@
         GroupCount { total, out_of_reach: if is_out { total } else { 0 } }
     }
 
-    /// Until the reach is as wanted; gives how long it took.
-    fn until(
+    /// Lets time pass until the reachability satisfies `is_done`; returns how long it took.
+    fn run_until(
         &mut self,
         limit: Duration,
         answering: &[&str],
         is_done: impl Fn(&Reachability) -> bool,
     ) -> Duration {
-        let began = self.now;
+        let started_at = self.now;
         while !is_done(&self.reach) {
-            assert!(self.now.since(began) <= limit, "not within {limit:?}: {:?}", self.reach);
+            assert!(self.now.since(started_at) <= limit, "not within {limit:?}: {:?}", self.reach);
             self.pass(TICK, answering);
         }
-        self.now.since(began)
+        self.now.since(started_at)
     }
 }
 
@@ -113,168 +113,171 @@
 }
 
 #[test]
-fn a_cut_is_told_from_what_looks_like_one() {
+fn cuts_are_distinguished_from_faults_that_look_like_one() {
     let cases = [
         Case {
-            name: "all is well, and nobody asks",
+            name: "all zones answer",
             zones: &ZONES,
             answering: &ZONES,
-            silent: &[],
-            cut_off: None,
+            expected_silent: &[],
+            expected_alone: None,
         },
         Case {
             name: "the own zone is cut off",
             zones: &ZONES,
             answering: &["a"],
-            silent: &["b", "c", "d"],
-            cut_off: Some(false),
+            expected_silent: &["b", "c", "d"],
+            expected_alone: Some(false),
         },
         Case {
-            name: "this gateway alone is cut off from everybody",
+            name: "this gateway alone is cut off from all others",
             zones: &ZONES,
             answering: &[],
-            silent: &["b", "c", "d"],
-            cut_off: Some(true),
+            expected_silent: &["b", "c", "d"],
+            expected_alone: Some(true),
         },
         Case {
             name: "another zone is cut off",
             zones: &ZONES,
             answering: &["a", "b", "c"],
-            silent: &["d"],
-            cut_off: None,
+            expected_silent: &["d"],
+            expected_alone: None,
         },
         Case {
             name: "the zones split into halves, and the majority is here",
             zones: &ZONES,
             answering: &["a", "b"],
-            silent: &["c", "d"],
-            cut_off: None,
+            expected_silent: &["c", "d"],
+            expected_alone: None,
         },
         Case {
             name: "the zones split into halves, and the majority is there",
             zones: &ZONES,
             answering: &["c", "d"],
-            silent: &["b"],
-            cut_off: Some(true),
+            expected_silent: &["b"],
+            expected_alone: Some(true),
         },
         Case {
             name: "one zone, and this gateway is cut off in it",
             zones: &["a"],
             answering: &[],
-            silent: &[],
-            cut_off: Some(true),
+            expected_silent: &[],
+            expected_alone: Some(true),
         },
         Case {
             name: "all stores are down while gateways of all zones answer",
             zones: &ZONES,
             answering: &ZONES,
-            silent: &[],
-            cut_off: None,
+            expected_silent: &[],
+            expected_alone: None,
         },
         Case {
-            name: "a gateway that starts knows nobody",
+            name: "a gateway that has just started knows no zones",
             zones: &[],
             answering: &[],
-            silent: &[],
-            cut_off: None,
+            expected_silent: &[],
+            expected_alone: None,
         },
     ];
     for case in cases {
-        let mut bed = Bed::new(case.zones);
-        bed.pass(Duration::from_secs(3), case.zones);
-        assert_eq!(bed.reach, Reachability::default(), "{}: before", case.name);
-        bed.pass(Duration::from_secs(2), case.answering);
-        assert_eq!(bed.reach.silent_zones, zones(case.silent), "{}", case.name);
-        let alone = bed.reach.cut_off.map(|cut| cut.is_alone);
-        assert_eq!(alone, case.cut_off, "{}", case.name);
-        bed.pass(Duration::from_secs(1), case.zones);
-        assert_eq!(bed.reach, Reachability::default(), "{}: after the cut", case.name);
+        let mut simulation = Simulation::new(case.zones);
+        simulation.pass(Duration::from_secs(3), case.zones);
+        assert_eq!(simulation.reach, Reachability::default(), "{}: before", case.name);
+        simulation.pass(Duration::from_secs(2), case.answering);
+        assert_eq!(simulation.reach.silent_zones, zones(case.expected_silent), "{}", case.name);
+        let is_alone = simulation.reach.cut_off.map(|cut| cut.is_alone);
+        assert_eq!(is_alone, case.expected_alone, "{}", case.name);
+        simulation.pass(Duration::from_secs(1), case.zones);
+        assert_eq!(simulation.reach, Reachability::default(), "{}: after the cut", case.name);
     }
 }
 
 #[test]
 fn an_overdue_answer_shows_a_cut_within_a_third_of_a_second() {
-    /// An answer's time for one question, and ticks.
-    const BUSY: Duration = Duration::from_millis(300);
-    let mut bed = Bed::new(&ZONES);
-    bed.pass(Duration::from_millis(500), &ZONES);
-    ZONES.iter().for_each(|zone| bed.zone_liveness.record_message(&Zone::new(*zone), bed.now));
-    // The command that waits is doubted after a while.
-    bed.pass(Duration::from_millis(150), &["a"]);
-    bed.zone_liveness.suspect(None, bed.now);
-    let took = bed.until(BUSY, &["a"], |reach| reach.cut_off.is_some());
-    assert!(took < Duration::from_millis(200), "{took:?} after the doubt");
+    /// Answer timeout of the witnesses, and ticks.
+    const DETECTION_LIMIT: Duration = Duration::from_millis(300);
+    let mut simulation = Simulation::new(&ZONES);
+    simulation.pass(Duration::from_millis(500), &ZONES);
+    ZONES.iter().for_each(|zone| {
+        simulation.zone_liveness.record_message(&Zone::new(*zone), simulation.now)
+    });
+    // The answer to a command becomes overdue after a while.
+    simulation.pass(Duration::from_millis(150), &["a"]);
+    simulation.zone_liveness.suspect(None, simulation.now);
+    let took = simulation.run_until(DETECTION_LIMIT, &["a"], |reach| reach.cut_off.is_some());
+    assert!(took < Duration::from_millis(200), "{took:?} after the answer was overdue");
 }
 
 #[test]
 fn an_overdue_answer_alone_is_no_cut() {
-    let mut bed = Bed::new(&ZONES);
+    let mut simulation = Simulation::new(&ZONES);
     for _ in 0..20 {
-        bed.zone_liveness.suspect(None, bed.now);
-        bed.pass(Duration::from_millis(200), &ZONES);
+        simulation.zone_liveness.suspect(None, simulation.now);
+        simulation.pass(Duration::from_millis(200), &ZONES);
     }
-    assert_eq!(bed.reach, Reachability::default());
+    assert_eq!(simulation.reach, Reachability::default());
 }
 
-/// All gateways see these stores down: none of them would gain by turning callers away.
+/// All gateways see that these stores are down, so turning callers away would gain nothing.
 #[test]
-fn stores_in_zones_of_their_own_that_are_down_cut_no_gateway_off() {
+fn no_gateway_is_cut_off_when_stores_in_zones_of_their_own_are_down() {
     const WITH_STORES: [&str; 6] = ["a", "b", "c", "s", "t", "u"];
-    let mut bed = Bed::new(&WITH_STORES);
-    bed.voters = ["s", "t", "u"].map(Zone::new).into();
-    bed.pass(Duration::from_secs(3), &WITH_STORES);
-    let end = bed.now + Duration::from_secs(2);
-    while bed.now < end {
-        bed.pass(TICK, &["a", "b", "c", "s"]);
-        assert_eq!(bed.reach.cut_off, None);
+    let mut simulation = Simulation::new(&WITH_STORES);
+    simulation.voters = ["s", "t", "u"].map(Zone::new).into();
+    simulation.pass(Duration::from_secs(3), &WITH_STORES);
+    let end = simulation.now + Duration::from_secs(2);
+    while simulation.now < end {
+        simulation.pass(TICK, &["a", "b", "c", "s"]);
+        assert_eq!(simulation.reach.cut_off, None);
     }
-    assert_eq!(bed.groups().out_of_reach, 8, "they have no majority");
-    assert_eq!(bed.reach.silent_zones, zones(&["t", "u"]));
+    assert_eq!(simulation.groups().out_of_reach, 8, "they have no majority");
+    assert_eq!(simulation.reach.silent_zones, zones(&["t", "u"]));
 }
 
 #[test]
-fn zones_are_heard_again_for_a_while_before_callers_are_taken() {
-    let mut bed = Bed::new(&ZONES);
-    bed.pass(Duration::from_secs(2), &["a"]);
-    let since = bed.reach.cut_off.expect("cut off").since;
-    // A single message gets through, and again silence: the cut goes on as the same one.
+fn zones_must_answer_for_the_settling_time_before_a_cut_ends() {
+    let mut simulation = Simulation::new(&ZONES);
+    simulation.pass(Duration::from_secs(2), &["a"]);
+    let since = simulation.reach.cut_off.expect("cut off").since;
+    // A single message from each zone gets through, followed by silence: the same cut continues.
     for zone in ["b", "c", "d"] {
-        bed.zone_liveness.record_message(&Zone::new(zone), bed.now);
+        simulation.zone_liveness.record_message(&Zone::new(zone), simulation.now);
     }
-    bed.pass(Duration::from_millis(100), &["a"]);
-    assert_eq!(bed.reach.silent_zones, BTreeSet::new());
-    let end = bed.now + Duration::from_secs(2);
-    while bed.now < end {
-        let cut = bed.reach.cut_off.expect("a single message ends no cut");
+    simulation.pass(Duration::from_millis(100), &["a"]);
+    assert_eq!(simulation.reach.silent_zones, BTreeSet::new());
+    let end = simulation.now + Duration::from_secs(2);
+    while simulation.now < end {
+        let cut = simulation.reach.cut_off.expect("a single message ends no cut");
         assert_eq!(cut.since, since);
-        bed.pass(TICK, &["a"]);
+        simulation.pass(TICK, &["a"]);
     }
-    let back = bed.until(Duration::from_secs(1), &ZONES, |reach| reach.cut_off.is_none());
-    assert!(back <= Duration::from_millis(700), "{back:?}");
+    let took =
+        simulation.run_until(Duration::from_secs(1), &ZONES, |reach| reach.cut_off.is_none());
+    assert!(took <= Duration::from_millis(700), "{took:?}");
 }
 
 #[test]
-fn a_process_that_stood_still_asks_anew_before_it_takes_zones_for_silent() {
-    let mut bed = Bed::new(&ZONES);
-    bed.pass(Duration::from_millis(1_100), &[]);
-    // It has just asked, and stands still; what came meanwhile is read after the tick.
-    bed.now = bed.now + Duration::from_secs(5);
-    bed.step(&ZONES);
-    bed.pass(Duration::from_millis(60), &ZONES);
-    assert_eq!(bed.reach, Reachability::default());
+fn a_process_that_was_paused_probes_again_before_zones_count_as_silent() {
+    let mut simulation = Simulation::new(&ZONES);
+    simulation.pass(Duration::from_millis(1_100), &[]);
+    // The process is paused right after its probes. Answers that arrived meanwhile are read after the tick.
+    simulation.now = simulation.now + Duration::from_secs(5);
+    simulation.step(&ZONES);
+    simulation.pass(Duration::from_millis(60), &ZONES);
+    assert_eq!(simulation.reach, Reachability::default());
 }
 
-/// An isolated region loses the groups of other regions, and its own work.
+/// An isolated region loses the groups of other regions, but its own groups still work.
 #[test]
-fn groups_that_other_regions_keep_don_t_count_where_some_are_at_home() {
+fn groups_of_other_regions_do_not_count_if_the_region_has_groups() {
     const GROUPS: u32 = 9;
     const VOTERS: u32 = 3;
     let regions = ["north", "south", "west"].map(Region::new);
     let homes = GroupHomes::new(regions.clone());
-    // The daemons of the first region have the lowest numbers, and so on.
+    // Daemons are numbered region by region.
     let region_of = |daemon: DaemonId| &regions[(daemon.0 / VOTERS) as usize];
     let describe = |group| {
-        let home = homes.home_of(group).expect("each has one");
+        let home = homes.home_of(group).expect("each group has a home");
         let daemons = (0..GROUPS).map(DaemonId).filter(|daemon| region_of(*daemon) == home);
         let voter = |daemon| ReplicaId { daemon, incarnation: Incarnation(1) };
         let members = daemons.map(voter).collect();
@@ -294,23 +297,30 @@
 }
 
 #[test]
-fn zones_that_talk_are_not_asked_and_quiet_ones_seldom() {
-    let mut bed = Bed::new(&ZONES);
+fn zones_that_send_messages_are_not_probed_and_quiet_ones_rarely() {
+    let mut simulation = Simulation::new(&ZONES);
     for _ in 0..100 {
-        ZONES.iter().for_each(|zone| bed.zone_liveness.record_message(&Zone::new(*zone), bed.now));
-        bed.pass(Duration::from_millis(500), &ZONES);
+        ZONES.iter().for_each(|zone| {
+            simulation.zone_liveness.record_message(&Zone::new(*zone), simulation.now)
+        });
+        simulation.pass(Duration::from_millis(500), &ZONES);
     }
-    assert_eq!(bed.asked, 0);
-    bed.pass(Duration::from_secs(10), &ZONES);
-    assert!(bed.asked <= 40, "{} questions in 10 s to four quiet zones", bed.asked);
+    assert_eq!(simulation.probes_sent, 0);
+    simulation.pass(Duration::from_secs(10), &ZONES);
+    assert!(
+        simulation.probes_sent <= 40,
+        "{} probes in 10 s to four quiet zones",
+        simulation.probes_sent
+    );
 }
 
 #[test]
 fn settings_out_of_range_are_named() {
     let wrong = ZoneLivenessSettings { answer_ms: 5_000, ..ZoneLivenessSettings::default() };
-    let error = wrong.check().expect_err("longer than a zone may be quiet").to_string();
+    let error = wrong.check().expect_err("longer than the quiet time").to_string();
     assert!(error.contains("zone_liveness.answer_ms"), "{error}");
     let wrong = ZoneLivenessSettings { settle_ms: 399, ..ZoneLivenessSettings::default() };
-    let error = wrong.check().expect_err("a zone may fall silent again meanwhile").to_string();
+    let error =
+        wrong.check().expect_err("a zone may fall silent again within that time").to_string();
     assert!(error.contains("zone_liveness.settle_ms"), "{error}");
 }
