--- a/crates/node/src/attempts.rs
+++ b/crates/node/src/attempts.rs
@@ -311,7 +311,7 @@
             return;
         }
         if cause == Some(NotRunCause::Call) {
-            // The call fits on no engine, so the failure must not count against the engine.
+            // No engine can hold the call, so none is ejected for it.
             self.schedule(PlacementEvent::AttemptWithdrawn(attempt), now);
             self.abandon(call, NotRunReason::LimitReached, None, now);
             return;
--- a/crates/node/src/feed.rs
+++ b/crates/node/src/feed.rs
@@ -242,7 +242,7 @@
 
     /// Updates whether this daemon should read the source.
     pub fn tick(&mut self, now: Timestamp) {
-        self.pass_over_silent(now);
+        self.pass_over_stale_reader(now);
         let reading = self.required_reading(now);
         if reading != self.ordered_reading {
             self.ordered_reading = reading;
@@ -373,7 +373,7 @@
     }
 
     /// Passes over a reader that has sent no fresh report for the freshness time.
-    fn pass_over_silent(&mut self, now: Timestamp) {
+    fn pass_over_stale_reader(&mut self, now: Timestamp) {
         let Some(reader) = &self.reader else { return };
         let is_new = now.since(reader.chosen_at) <= self.settings.freshness();
         if is_new || self.is_fresh(now) {
--- a/crates/node/src/load_sharing.rs
+++ b/crates/node/src/load_sharing.rs
@@ -66,7 +66,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LoadAction {
     /// Apply the loads of other daemons.
-    PeerLoads(PeerLoads),
+    Apply(PeerLoads),
     /// Send a message; it may be lost.
     Send {
         /// Destination address.
@@ -178,7 +178,7 @@
         self.budget.refill(now);
         self.reporting.update(loads, self.members.reaches_groups, now);
         self.aggregation.expire(&self.settings, now);
-        self.pass_over_silent(now);
+        self.pass_over_silent_aggregator(now);
         match &self.aggregator {
             Some(aggregator) => {
                 let to = aggregator.candidate.1;
@@ -292,7 +292,7 @@
     fn apply_view(&mut self, part: LoadPart, now: Timestamp) {
         let LoadPart { first, last, age, loads, .. } = part;
         self.last_view = Some(LastView { received_at: now, age });
-        self.actions.push(LoadAction::PeerLoads(PeerLoads { first, last, age, loads }));
+        self.actions.push(LoadAction::Apply(PeerLoads { first, last, age, loads }));
     }
 
     fn choose_aggregator(&mut self, now: Timestamp) {
@@ -323,7 +323,7 @@
     }
 
     /// Passes over an aggregator that has been silent for the expiry time.
-    fn pass_over_silent(&mut self, now: Timestamp) {
+    fn pass_over_silent_aggregator(&mut self, now: Timestamp) {
         let Some(aggregator) = &self.aggregator else { return };
         let (daemon, last_heard_at) = (aggregator.candidate.0, aggregator.last_heard_at);
         let (silent_since, timeout) = match self.reporting.loaded_since() {
--- a/crates/node/src/load_sharing/aggregation.rs
+++ b/crates/node/src/load_sharing/aggregation.rs
@@ -18,34 +18,38 @@
 #[derive(Debug, Clone, Default)]
 struct SendProgress {
     /// When the first part was sent; none if nothing has been sent yet.
-    began_at: Option<Timestamp>,
+    started_at: Option<Timestamp>,
     /// First item of the next part; none when all parts have been sent.
-    next: Option<u64>,
+    next_item: Option<u64>,
     /// Version of the sums when the first part was sent.
     version: u64,
     /// Token times that accompany the sums, added up once for all parts.
     times: BTreeMap<u64, ItemLoad>,
     /// End of these in the log of token times.
     times_sent_up_to: u64,
+    /// Whether the sums were empty when the first part was sent.
     was_empty: bool,
     last_part_at: Timestamp,
 }
 
 impl SendProgress {
-    /// For a receiver that gets the token times recorded from now on.
-    fn starting(log: &TokenTimesLog) -> Self {
+    /// Creates the progress of a receiver that gets the token times recorded from now on.
+    fn new(log: &TokenTimesLog) -> Self {
         Self { times_sent_up_to: log.end(), was_empty: true, ..Self::default() }
     }
 
+    /// Whether a part is due: the next of a started series, changed sums after the interval, or a renewal.
     fn is_due(&self, version: u64, interval: Duration, renewal: Duration, now: Timestamp) -> bool {
-        let Some(began_at) = self.began_at else { return true };
-        let since = now.since(began_at);
-        self.next.is_some() || (version != self.version && since >= interval) || since >= renewal
+        let Some(started_at) = self.started_at else { return true };
+        let since = now.since(started_at);
+        self.next_item.is_some()
+            || (version != self.version && since >= interval)
+            || since >= renewal
     }
 
-    /// Returns the first item of the part to send now. The first part comes with the token times whose origin
-    /// `is_wanted`.
-    fn begin(
+    /// Returns the first item of the part to send now. If it is the first part, collects the token times to
+    /// send along: those whose origin `is_wanted`.
+    fn begin_part(
         &mut self,
         version: u64,
         log: &TokenTimesLog,
@@ -54,10 +58,10 @@
         now: Timestamp,
     ) -> u64 {
         self.last_part_at = now;
-        if let Some(next) = self.next {
-            return next;
+        if let Some(next_item) = self.next_item {
+            return next_item;
         }
-        self.began_at = Some(now);
+        self.started_at = Some(now);
         self.version = version;
         self.times = log.between(self.times_sent_up_to, log.end(), is_wanted);
         self.times_sent_up_to = log.end();
@@ -80,6 +84,7 @@
 #[derive(Debug)]
 struct Peer {
     address: SocketAddr,
+    /// Whether it is in the zone of this daemon.
     is_near: bool,
     /// Whether it should aggregate according to the members known here.
     is_expected: bool,
@@ -107,9 +112,9 @@
     /// Version that the sums below include.
     summed_version: u64,
     /// Sum of the loads of followers and this daemon.
-    zone: BTreeMap<u64, ItemLoad>,
+    zone_sum: BTreeMap<u64, ItemLoad>,
     /// Sum of the loads of all daemons.
-    all: BTreeMap<u64, ItemLoad>,
+    total_sum: BTreeMap<u64, ItemLoad>,
 }
 
 /// Receiver of a message.
@@ -133,8 +138,8 @@
             times: TokenTimesLog::default(),
             version: 1,
             summed_version: 0,
-            zone: BTreeMap::new(),
-            all: BTreeMap::new(),
+            zone_sum: BTreeMap::new(),
+            total_sum: BTreeMap::new(),
         }
     }
 
@@ -171,7 +176,7 @@
             expires_at: now,
             state,
             reported: ReportedLoads::default(),
-            progress: SendProgress::starting(&self.times),
+            progress: SendProgress::new(&self.times),
         });
         let Some(update) = follower.reported.apply(from.incarnation, part, now) else { return };
         // A follower that left is kept without load until it expires, so that a late message does not add its
@@ -250,8 +255,8 @@
     ) -> Option<(SocketAddr, LoadMessage)> {
         self.sum_up();
         match self.next_receiver(settings, now)? {
-            Receiver::Follower(daemon) => self.view_for(daemon, now),
-            Receiver::Peer(daemon) => self.sum_for(daemon, now),
+            Receiver::Follower(daemon) => self.build_view(daemon, now),
+            Receiver::Peer(daemon) => self.build_sum(daemon, now),
         }
     }
 
@@ -262,14 +267,15 @@
         now: Timestamp,
     ) -> Option<LoadPart> {
         self.sum_up();
-        let (interval, renewal) = (settings.view_interval(), settings.renewal(self.all.is_empty()));
+        let (interval, renewal) =
+            (settings.view_interval(), settings.renewal(self.total_sum.is_empty()));
         if !self.own_progress.is_due(self.version, interval, renewal, now) {
             return None;
         }
         let own = Origin::Follower(self.own);
         let is_other = |origin| origin != own;
-        self.own_progress.begin(self.version, &self.times, is_other, false, now);
-        let loads = subtract(&self.all, 0, |item| self.own_loads.get(&item));
+        self.own_progress.begin_part(self.version, &self.times, is_other, false, now);
+        let loads = subtract(&self.total_sum, 0, |item| self.own_loads.get(&item));
         let loads = with_token_times(loads, &self.own_progress.times, 0).collect();
         let age = self.age(Some(self.own), now);
         Some(LoadPart { number: 0, first: 0, last: u64::MAX, age, loads })
@@ -286,7 +292,7 @@
     }
 
     fn next_receiver(&self, settings: &LoadSharingSettings, now: Timestamp) -> Option<Receiver> {
-        let renewal = settings.renewal(self.all.is_empty());
+        let renewal = settings.renewal(self.total_sum.is_empty());
         let is_due = |follower: &Follower| {
             let interval = settings.view_interval();
             let progress = &follower.progress;
@@ -307,7 +313,7 @@
     /// at the receiver.
     fn is_peer_due(&self, peer: &Peer, settings: &LoadSharingSettings, now: Timestamp) -> bool {
         let is_aggregating = self.includes_own || !self.followers.is_empty();
-        let is_needed = !self.zone.is_empty() || !peer.progress.was_empty;
+        let is_needed = !self.zone_sum.is_empty() || !peer.progress.was_empty;
         let interval = match peer.is_near {
             true => settings.view_interval(),
             false => settings.between_zones(),
@@ -317,32 +323,36 @@
         is_aggregating && is_needed && is_due()
     }
 
-    fn view_for(&mut self, daemon: DaemonId, now: Timestamp) -> Option<(SocketAddr, LoadMessage)> {
+    fn build_view(
+        &mut self,
+        daemon: DaemonId,
+        now: Timestamp,
+    ) -> Option<(SocketAddr, LoadMessage)> {
         let age = self.age(Some(daemon), now);
         let reaching = self.reaching(daemon);
         let follower = self.followers.get_mut(&daemon)?;
         let progress = &mut follower.progress;
         let is_other = |origin| origin != Origin::Follower(daemon);
-        let is_empty = self.all.is_empty();
-        let first = progress.begin(self.version, &self.times, is_other, is_empty, now);
+        let is_empty = self.total_sum.is_empty();
+        let first = progress.begin_part(self.version, &self.times, is_other, is_empty, now);
         let reported = &follower.reported;
-        let loads = subtract(&self.all, first, |item| reported.get(item));
+        let loads = subtract(&self.total_sum, first, |item| reported.get(item));
         let part = LoadPart::from(first, with_token_times(loads, &progress.times, first), age);
-        progress.next = part.next();
+        progress.next_item = part.next();
         Some((follower.address, LoadMessage::View { part, reaching }))
     }
 
-    fn sum_for(&mut self, daemon: DaemonId, now: Timestamp) -> Option<(SocketAddr, LoadMessage)> {
+    fn build_sum(&mut self, daemon: DaemonId, now: Timestamp) -> Option<(SocketAddr, LoadMessage)> {
         let age = self.zone_age(None, now);
         let reply_to = self.own_address;
         let peer = self.peers.get_mut(&daemon)?;
         let progress = &mut peer.progress;
         let is_own = |origin| matches!(origin, Origin::Follower(_));
-        let is_empty = self.zone.is_empty();
-        let first = progress.begin(self.version, &self.times, is_own, is_empty, now);
-        let loads = subtract(&self.zone, first, |_| None);
+        let is_empty = self.zone_sum.is_empty();
+        let first = progress.begin_part(self.version, &self.times, is_own, is_empty, now);
+        let loads = subtract(&self.zone_sum, first, |_| None);
         let part = LoadPart::from(first, with_token_times(loads, &progress.times, first), age);
-        progress.next = part.next();
+        progress.next_item = part.next();
         Some((peer.address, LoadMessage::Sum { part, reply_to }))
     }
 
@@ -364,9 +374,9 @@
         self.summed_version = self.version;
         let own = self.own_loads.values().filter(|_| self.includes_own);
         let followers = self.followers.values().flat_map(|follower| follower.reported.iter());
-        self.zone = sum(own.chain(followers));
+        self.zone_sum = sum(own.chain(followers));
         let peers = self.peers.values().flat_map(|peer| peer.reported.iter());
-        self.all = sum(self.zone.values().chain(peers));
+        self.total_sum = sum(self.zone_sum.values().chain(peers));
     }
 }
 
@@ -385,7 +395,7 @@
         is_expected: false,
         expires_at: now,
         reported: ReportedLoads::default(),
-        progress: SendProgress::starting(times),
+        progress: SendProgress::new(times),
     });
     (peer.address, peer.is_near) = (address, is_near);
     peer
--- a/crates/node/src/loads.rs
+++ b/crates/node/src/loads.rs
@@ -62,7 +62,7 @@
         change(loads);
         for action in loads.take_actions() {
             self.actions.push(match action {
-                LoadAction::PeerLoads(loads) => Action::LoadsHeard(loads),
+                LoadAction::Apply(loads) => Action::LoadsHeard(loads),
                 LoadAction::Send { to, message } => {
                     Action::Send { to, message: PeerMessage::Loads(message) }
                 }
--- a/crates/node/src/routing.rs
+++ b/crates/node/src/routing.rs
@@ -63,9 +63,9 @@
 pub(crate) struct RoutedRequest {
     pub(crate) request: Request,
     /// When it is sent next, to the owner or another member.
-    pub(crate) next_attempt_at: Timestamp,
+    pub(crate) next_try: Timestamp,
     deadline: Timestamp,
-    attempts: u32,
+    tries: u32,
     /// The daemon that an urgent request was last sent to, until it answers.
     last_asked: Option<DaemonId>,
     /// When an urgent request was last sent to a suspected daemon.
@@ -88,9 +88,9 @@
         };
         Self {
             request,
-            next_attempt_at: now,
+            next_try: now,
             deadline: now + limit,
-            attempts: 0,
+            tries: 0,
             last_asked: None,
             suspect_asked_at: None,
             immediate_redirects: 0,
@@ -218,7 +218,7 @@
     pub(crate) fn retry_silent(&mut self, is_silent: impl Fn(DaemonId) -> bool, now: Timestamp) {
         for routed in self.requests.values_mut() {
             if routed.last_asked.is_some_and(&is_silent) {
-                routed.next_attempt_at = now;
+                routed.next_try = now;
             }
         }
     }
@@ -227,7 +227,7 @@
     pub(crate) fn take_due(&mut self, now: Timestamp) -> Vec<(RequestId, Request, u32)> {
         let mut due = Vec::new();
         for (id, routed) in &mut self.requests {
-            if routed.next_attempt_at > now || routed.deadline <= now {
+            if routed.next_try > now || routed.deadline <= now {
                 continue;
             }
             let timeout = match &routed.request {
@@ -235,12 +235,12 @@
                 request if request.waits() => LONG_ANSWER_TIMEOUT,
                 _ => ANSWER_TIMEOUT,
             };
-            routed.next_attempt_at = now + timeout;
+            routed.next_try = now + timeout;
             if let Some(silent) = routed.last_asked.take() {
                 self.suspects.insert(silent, now + SUSPICION_TIME);
             }
-            due.push((*id, routed.request.clone(), routed.attempts));
-            routed.attempts += 1;
+            due.push((*id, routed.request.clone(), routed.tries));
+            routed.tries += 1;
         }
         due
     }
@@ -284,7 +284,7 @@
             return false;
         }
         routed.last_asked = None;
-        routed.next_attempt_at = now + REDIRECT_DELAY;
+        routed.next_try = now + REDIRECT_DELAY;
         // Unless the owner is silent here, a helper would get the same reply.
         if !is_silent {
             routed.help_at = now + HELP_DELAY;
@@ -292,8 +292,7 @@
         let group = routed.request.group();
         if is_urgent && is_silent {
             // If the owner's zone is lost, the members are electing a new owner.
-            routed.next_attempt_at =
-                now + if is_lost { REDIRECT_DELAY } else { SILENT_OWNER_PAUSE };
+            routed.next_try = now + if is_lost { REDIRECT_DELAY } else { SILENT_OWNER_PAUSE };
             return false;
         }
         let names_another = hint.is_some_and(|hint| hint != from);
@@ -301,7 +300,7 @@
             is_urgent && names_another && routed.immediate_redirects < MAX_IMMEDIATE_REDIRECTS;
         routed.immediate_redirects = if is_immediate { routed.immediate_redirects + 1 } else { 0 };
         if is_immediate {
-            routed.next_attempt_at = now;
+            routed.next_try = now;
         }
         match hint {
             Some(daemon) => {
@@ -317,7 +316,7 @@
     /// Makes a request due again after a short delay, because there was no daemon to ask.
     pub(crate) fn retry_soon(&mut self, id: RequestId, now: Timestamp) {
         if let Some(routed) = self.requests.get_mut(&id) {
-            routed.next_attempt_at = now + REDIRECT_DELAY;
+            routed.next_try = now + REDIRECT_DELAY;
             routed.help_at = now + HELP_DELAY;
         }
     }
--- a/crates/node/tests/failure_reports.rs
+++ b/crates/node/tests/failure_reports.rs
@@ -7,7 +7,7 @@
 use dahlia_types::Duration;
 use stores::Stores;
 
-fn failure(backend: &str, failures: u8) -> BackendFailure {
+fn failure_report(backend: &str, failures: u8) -> BackendFailure {
     BackendFailure { backend: backend.to_owned(), failures }
 }
 
@@ -23,8 +23,8 @@
         let tolerance = LossTolerance::of_machines(1);
         let mut system = Stores::started_with(&daemons, tolerance, seed);
         system.pass(Duration::from_secs(5));
-        system.tell(7, Event::BackendFailed(failure("grey", 2)));
-        system.tell(11, Event::BackendFailed(failure("grey", 1)));
+        system.tell(7, Event::BackendFailed(failure_report("grey", 2)));
+        system.tell(11, Event::BackendFailed(failure_report("grey", 1)));
         system.pass(Duration::from_secs(2));
         let reports = system.heard.values().flatten();
         delivered += reports.inspect(|report| assert_eq!(report.backend, "grey")).count();
@@ -41,8 +41,8 @@
     let mut system = Stores::started(&[1, 2, 3], LossTolerance::of_machines(1));
     system.pass(Duration::from_secs(5));
     for _ in 0..3 {
-        system.tell(1, Event::BackendFailed(failure("grey", 1)));
+        system.tell(1, Event::BackendFailed(failure_report("grey", 1)));
         system.pass(Duration::from_secs(2));
     }
-    assert_eq!(system.heard[&2], vec![failure("grey", 1); 3]);
+    assert_eq!(system.heard[&2], vec![failure_report("grey", 1); 3]);
 }
--- a/crates/node/tests/feed.rs
+++ b/crates/node/tests/feed.rs
@@ -173,27 +173,27 @@
         readers.map(|(number, _)| *number)
     }
 
-    fn sharing(&self) -> Vec<(DaemonId, SocketAddr)> {
+    fn live_members(&self) -> Vec<(DaemonId, SocketAddr)> {
         let live = self.daemons.keys().filter(|number| !self.dead.contains(number));
         live.map(|number| (DaemonId(*number), address(*number))).collect()
     }
 
     fn step(&mut self, number: u32) {
-        let (now, sharing) = (self.now, self.sharing());
+        let (now, members) = (self.now, self.live_members());
         let daemon = self.daemon(number);
         if matches!(daemon.fault, Fault::Dead | Fault::Frozen) {
             return;
         }
         if daemon.feed.is_review_due(now) {
-            daemon.feed.review(&sharing, now);
+            daemon.feed.review(&members, now);
         }
         daemon.feed.tick(now);
-        self.carry_out(number);
-        self.read(number);
+        self.run_actions(number);
+        self.call_source(number);
     }
 
     /// Calls the source, or handles the answer to the call under way.
-    fn read(&mut self, number: u32) {
+    fn call_source(&mut self, number: u32) {
         let (now, revision) = (self.now, self.revision(self.now));
         let changes = self.changes_after(self.daemons[&number].known);
         let daemon = self.daemon(number);
@@ -207,7 +207,7 @@
             daemon.known = revision;
             let contents = vec![0; changes];
             daemon.feed.record_read(SourceReport { after, at: revision, age, contents }, now);
-            return self.carry_out(number);
+            return self.run_actions(number);
         }
         let wait = match daemon.reading {
             _ if std::mem::take(&mut daemon.is_behind) => Duration::ZERO,
@@ -219,7 +219,7 @@
         self.calls += 1;
     }
 
-    fn carry_out(&mut self, number: u32) {
+    fn run_actions(&mut self, number: u32) {
         for action in self.daemon(number).feed.take_actions() {
             let daemon = self.daemon(number);
             match action {
@@ -278,7 +278,7 @@
             FeedMessage::Report(report) => daemon.feed.receive_report(report, now),
         }
         daemon.feed.tick(now);
-        self.carry_out(number);
+        self.run_actions(number);
     }
 
     fn update_measurements(&mut self) {
--- a/crates/node/tests/limits.rs
+++ b/crates/node/tests/limits.rs
@@ -31,7 +31,7 @@
     }
 }
 
-fn question() -> LimitCommand {
+fn permit_request() -> LimitCommand {
     let (tenant, limit) = (TenantId::new("oak"), versioned_limit());
     LimitCommand::Ask { tenant, limit, program: None, max_wait: Duration::ZERO }
 }
@@ -51,7 +51,7 @@
 
 /// Asks the keeper for a permit; returns the verdict, the term of the keeper and the time that it took.
 fn ask(cluster: &mut Cluster) -> (Verdict, KeeperTerm, Duration) {
-    let id = send(cluster, question());
+    let id = send(cluster, permit_request());
     let (response, took) = cluster.answer(id);
     let LimitReply::Answer { verdict, keeper, .. } = limit_reply(response) else {
         panic!("the reply to a question is an answer");
--- a/crates/node/tests/load_sharing.rs
+++ b/crates/node/tests/load_sharing.rs
@@ -43,7 +43,7 @@
         assert!(max_age.in_zone <= MAX_AGE_IN_ZONE, "{case}");
         assert!(max_age.in_region <= MAX_AGE_IN_REGION, "{case}");
         let others = zones * daemons - 1;
-        for daemon in region.numbers() {
+        for daemon in region.all_daemons() {
             assert_eq!(
                 region.known_load(daemon, SHARED_ITEM).in_flight,
                 others,
@@ -62,8 +62,11 @@
 fn a_zone_has_one_aggregator_for_each_fifty_daemons() {
     for (daemons, aggregators) in [(1, 1), (13, 1), (50, 1), (51, 2), (124, 3)] {
         let region = Region::settled(1, daemons);
-        let chosen: BTreeSet<u32> =
-            region.numbers().into_iter().filter(|it| region.aggregator(*it).is_none()).collect();
+        let chosen: BTreeSet<u32> = region
+            .all_daemons()
+            .into_iter()
+            .filter(|it| region.aggregator(*it).is_none())
+            .collect();
         assert_eq!(chosen.len(), aggregators, "{daemons} daemons");
     }
 }
@@ -117,7 +120,7 @@
             assert!(max_age.in_zone <= MAX_AGE_IN_ZONE, "{case}, later {max_age:?}");
             assert!(max_age.in_region <= MAX_AGE_IN_REGION, "{case}, later {max_age:?}");
             // All healthy daemons except itself.
-            for daemon in region.healthy() {
+            for daemon in region.healthy_daemons() {
                 assert_eq!(
                     region.known_load(daemon, SHARED_ITEM).in_flight,
                     24,
@@ -137,7 +140,7 @@
     region.reset_max_ages();
     region.pass(Duration::from_secs(70));
     assert!(region.max_age().in_region <= MAX_AGE_AFTER_FAILURE, "{:?}", region.max_age());
-    for daemon in region.healthy() {
+    for daemon in region.healthy_daemons() {
         assert!(region.known_load(daemon, SHARED_ITEM).in_flight <= 24, "{daemon}");
     }
 }
@@ -153,7 +156,9 @@
     region.reset_max_ages();
     region.pass(Duration::from_secs(40));
     assert!(region.max_age().in_zone <= MAX_AGE_IN_ZONE, "{:?}", region.max_age());
-    assert!(region.numbers().iter().all(|it| region.known_load(*it, SHARED_ITEM).in_flight == 12));
+    assert!(
+        region.all_daemons().iter().all(|it| region.known_load(*it, SHARED_ITEM).in_flight == 12)
+    );
 }
 
 #[test]
@@ -162,7 +167,7 @@
         let mut region = Region::settled(2, 13);
         let aggregator = region.aggregator_of_zone(0);
         let others: Vec<u32> = region
-            .zone(0)
+            .daemons_of_zone(0)
             .into_iter()
             .filter(|daemon| *daemon != aggregator)
             .take(cut_off)
@@ -180,7 +185,7 @@
         let max_age = region.max_age();
         // Loads pass through one more sum.
         assert!(max_age.in_zone <= MAX_AGE_IN_REGION, "{case}, later {max_age:?}");
-        for daemon in region.numbers() {
+        for daemon in region.all_daemons() {
             assert_eq!(region.known_load(daemon, SHARED_ITEM).in_flight, 25, "{case}, {daemon}");
         }
         others.iter().for_each(|daemon| region.restore_link(aggregator, *daemon));
@@ -203,7 +208,7 @@
     region.pass(EXPIRY_DELAY);
     let known_loads = |region: &Region, zone: u32| {
         let known_load = |daemon: &u32| region.known_load(*daemon, SHARED_ITEM).in_flight;
-        region.zone(zone).iter().map(known_load).collect::<BTreeSet<u32>>()
+        region.daemons_of_zone(zone).iter().map(known_load).collect::<BTreeSet<u32>>()
     };
     region.pass(ms(300));
     assert_eq!(known_loads(&region, 1), [12].into());
@@ -212,11 +217,11 @@
     region.pass(Duration::from_secs(5));
     assert!(region.max_age().in_zone <= MAX_AGE_IN_ZONE, "{:?}", region.max_age());
     // Membership considers the zone dead, and each side chooses its aggregators by its own view.
-    region.zone(1).into_iter().for_each(|daemon| region.mark_dead(daemon));
+    region.daemons_of_zone(1).into_iter().for_each(|daemon| region.mark_dead(daemon));
     region.pass(Duration::from_secs(2));
     assert_eq!(known_loads(&region, 0), [25].into());
     region.reconnect_zone(1);
-    region.zone(1).into_iter().for_each(|daemon| region.mark_live(daemon));
+    region.daemons_of_zone(1).into_iter().for_each(|daemon| region.mark_live(daemon));
     region.pass(RECOVERY_TIME);
     assert_eq!(known_loads(&region, 0), [38].into());
     assert_eq!(known_loads(&region, 1), [38].into());
@@ -228,15 +233,20 @@
         let mut region = Region::settled(2, 13);
         region.pass(ms(10 * phase));
         let aggregator = region.aggregator_of_zone(0);
-        let daemon =
-            region.zone(0).into_iter().find(|it| *it != aggregator).expect("there are others");
+        let daemon = region
+            .daemons_of_zone(0)
+            .into_iter()
+            .find(|it| *it != aggregator)
+            .expect("there are others");
         region.inject_fault(daemon, Fault::Dead);
         region.pass(ms(600));
-        let is_kept =
-            region.healthy().iter().any(|it| region.known_load(*it, SHARED_ITEM).in_flight == 25);
+        let is_kept = region
+            .healthy_daemons()
+            .iter()
+            .any(|it| region.known_load(*it, SHARED_ITEM).in_flight == 25);
         assert!(is_kept, "phase {phase}: its attempts probably still run");
         region.pass(EXPIRY_DELAY);
-        for other in region.healthy() {
+        for other in region.healthy_daemons() {
             let known = region.known_load(other, SHARED_ITEM).in_flight;
             assert!(known <= 24, "phase {phase}: {other} knows {known}");
             assert_eq!(region.known_load(other, u64::from(daemon)).in_flight, 0, "phase {phase}");
@@ -248,7 +258,11 @@
 fn a_restarted_daemon_counts_once_without_its_earlier_incarnation() {
     let mut region = Region::settled(1, 13);
     let aggregator = region.aggregator_of_zone(0);
-    let daemon = region.zone(0).into_iter().find(|it| *it != aggregator).expect("there are others");
+    let daemon = region
+        .daemons_of_zone(0)
+        .into_iter()
+        .find(|it| *it != aggregator)
+        .expect("there are others");
     // Messages of the earlier incarnation are still in transit when the later one has started.
     region.hold_back(daemon);
     region.pass(ms(100));
@@ -258,7 +272,7 @@
     // They arrive during this time.
     for _ in 0..50 {
         region.pass(ms(10));
-        for other in region.others(daemon) {
+        for other in region.other_daemons(daemon) {
             assert_eq!(region.known_load(other, SHARED_ITEM).in_flight, 11 + 3, "{other}");
         }
     }
@@ -298,7 +312,7 @@
             assert!(max_age.in_zone <= in_zone, "{case}: {max_age:?}");
             region.set_link_faults(seed, 0, 0, ms(0));
             region.pass(RECOVERY_TIME);
-            for daemon in region.numbers() {
+            for daemon in region.all_daemons() {
                 assert_eq!(
                     region.known_load(daemon, SHARED_ITEM).in_flight,
                     25,
@@ -318,9 +332,9 @@
         region.pass(Duration::from_secs(5));
         region.set_streaming(false);
         region.pass(Duration::from_secs(2));
-        for daemon in region.numbers() {
+        for daemon in region.all_daemons() {
             let reported: u64 =
-                region.others(daemon).iter().map(|it| region.tokens_reported(*it)).sum();
+                region.other_daemons(daemon).iter().map(|it| region.tokens_reported(*it)).sum();
             assert_eq!(
                 region.tokens_received(daemon),
                 reported,
@@ -348,9 +362,9 @@
     region.pass(Duration::from_secs(3));
     assert_eq!(region.aggregator_of_zone(0), first);
     assert_eq!(region.tokens_received(first), 0, "all samples are too old");
-    for daemon in region.others(first) {
+    for daemon in region.other_daemons(first) {
         let reported: u64 =
-            region.others(daemon).iter().map(|it| region.tokens_reported(*it)).sum();
+            region.other_daemons(daemon).iter().map(|it| region.tokens_reported(*it)).sum();
         assert_eq!(region.tokens_received(daemon), reported, "{daemon}");
     }
 }
@@ -359,10 +373,10 @@
 fn a_daemon_with_sharing_switched_off_leaves_at_once_and_ignores_messages() {
     let mut region = Region::settled(1, 13);
     let aggregator = region.aggregator_of_zone(0);
-    let daemon = region.others(aggregator)[0];
+    let daemon = region.other_daemons(aggregator)[0];
     region.switch_off(daemon, true);
     region.pass(ms(250));
-    for other in region.others(daemon) {
+    for other in region.other_daemons(daemon) {
         assert_eq!(region.known_load(other, SHARED_ITEM).in_flight, 11, "{other}");
     }
     assert_eq!(region.status(aggregator).followers, 11);
@@ -375,7 +389,7 @@
     region.clear_fault(daemon);
     region.pass(Duration::from_secs(40));
     assert_eq!(region.aggregator_count(0), 1);
-    for daemon in region.numbers() {
+    for daemon in region.all_daemons() {
         assert_eq!(region.known_load(daemon, SHARED_ITEM).in_flight, 12, "{daemon}");
     }
 }
@@ -398,7 +412,7 @@
         reply_to: regions::address(99),
     };
     region.pass(Duration::from_secs(5));
-    let follower = region.others(aggregator)[0];
+    let follower = region.other_daemons(aggregator)[0];
     region.inject(aggregator, follower, report);
     assert_eq!(region.status(aggregator).followers, 0);
 }
@@ -409,14 +423,14 @@
     let aggregator = region.aggregator_of_zone(0);
     // Half of the zone wrongly considers the aggregator dead.
     let half: Vec<u32> =
-        region.zone(0).into_iter().filter(|it| *it != aggregator).take(6).collect();
+        region.daemons_of_zone(0).into_iter().filter(|it| *it != aggregator).take(6).collect();
     half.iter().for_each(|daemon| region.mark_dead_at(*daemon, aggregator));
     region.pass(RECOVERY_TIME);
     region.reset_max_ages();
     region.pass(Duration::from_secs(5));
     assert_eq!(region.aggregator_count(0), 2);
     assert!(region.max_age().in_zone <= MAX_AGE_IN_REGION, "{:?}", region.max_age());
-    for daemon in region.numbers() {
+    for daemon in region.all_daemons() {
         assert_eq!(region.known_load(daemon, SHARED_ITEM).in_flight, 12, "{daemon}");
     }
 }
@@ -425,11 +439,11 @@
 fn a_daemon_that_changes_its_aggregator_is_counted_once() {
     let mut region = Region::settled(1, 13);
     let aggregator = region.aggregator_of_zone(0);
-    let daemon = region.others(aggregator)[0];
+    let daemon = region.other_daemons(aggregator)[0];
     region.mark_dead_at(daemon, aggregator);
     for _ in 0..300 {
         region.pass(ms(10));
-        for other in region.others(daemon) {
+        for other in region.other_daemons(daemon) {
             let known = region.known_load(other, SHARED_ITEM).in_flight;
             assert!(known <= 12, "{other} knows {known}");
         }
@@ -445,7 +459,7 @@
     region.reset_costs();
     let length = Duration::from_secs(10);
     region.pass(length);
-    for daemon in region.numbers() {
+    for daemon in region.all_daemons() {
         let cost = region.cost(daemon);
         let is_aggregator = region.aggregator(daemon).is_none();
         let most = if is_aggregator { 12 } else { 1 };
@@ -463,7 +477,7 @@
     let mut region = Region::settled(4, 13);
     region.reset_costs();
     region.pass(Duration::from_secs(10));
-    for daemon in region.numbers().into_iter().filter(|it| region.aggregator(*it).is_some()) {
+    for daemon in region.all_daemons().into_iter().filter(|it| region.aggregator(*it).is_some()) {
         let cost = region.cost(daemon);
         assert!(cost.messages_sent <= 210, "{daemon}: {cost:?} in 10 s");
         assert!(cost.messages_received <= 110, "{daemon}: {cost:?} in 10 s");
@@ -495,7 +509,7 @@
         region.pass(length);
         let most = region.settings().most_bytes_per_second;
         let mut costs = Vec::new();
-        for daemon in region.numbers() {
+        for daemon in region.all_daemons() {
             let cost = region.cost(daemon);
             let per_second = cost.bytes_sent * 1_000_000 / length.as_micros();
             // Bytes saved up before the first second may be sent in it.
@@ -548,7 +562,7 @@
     for (name, part) in parts {
         let mut region = Region::settled(1, 13);
         let aggregator = region.aggregator_of_zone(0);
-        let follower = region.others(aggregator)[0];
+        let follower = region.other_daemons(aggregator)[0];
         let (state, reply_to) = (ReporterState::default(), regions::address(follower));
         let report = LoadMessage::Report { part: part.clone(), state, reply_to };
         region.inject(aggregator, follower, report);
@@ -589,10 +603,10 @@
 #[test]
 fn daemons_that_reach_owners_of_groups_are_named_in_views() {
     let mut region = Region::settled(1, 13);
-    let reaching: BTreeSet<u32> = region.zone(0).into_iter().take(2).collect();
+    let reaching: BTreeSet<u32> = region.daemons_of_zone(0).into_iter().take(2).collect();
     region.set_reaching(&reaching);
     region.pass(RECOVERY_TIME);
-    for daemon in region.numbers() {
+    for daemon in region.all_daemons() {
         let others: BTreeSet<u32> = reaching.iter().copied().filter(|it| *it != daemon).collect();
         assert_eq!(region.reaching(daemon), others, "{daemon}");
     }
--- a/crates/node/tests/regions/mod.rs
+++ b/crates/node/tests/regions/mod.rs
@@ -112,7 +112,7 @@
     SocketAddr::from(([10, 0, (daemon >> 8) as u8, daemon as u8], 9))
 }
 
-fn number(address: SocketAddr) -> u32 {
+fn daemon_number(address: SocketAddr) -> u32 {
     let SocketAddr::V4(address) = address else { unreachable!("all are") };
     let [.., high, low] = address.ip().octets();
     u32::from(high) << 8 | u32::from(low)
@@ -181,7 +181,7 @@
         while self.now < end {
             self.now = self.now + STEP;
             self.deliver();
-            for number in self.numbers() {
+            for number in self.all_daemons() {
                 let tell_ms = self.settings.tell_ms;
                 // Daemons start at different phases of the report interval.
                 let phase = u64::from(number) * 7 % tell_ms / 10 * 10;
@@ -197,22 +197,22 @@
         &self.settings
     }
 
-    pub fn numbers(&self) -> Vec<u32> {
+    pub fn all_daemons(&self) -> Vec<u32> {
         self.daemons.keys().copied().collect()
     }
 
-    pub fn healthy(&self) -> Vec<u32> {
+    pub fn healthy_daemons(&self) -> Vec<u32> {
         let healthy = self.daemons.iter().filter(|(_, daemon)| daemon.fault == Fault::None);
         healthy.map(|(number, _)| *number).collect()
     }
 
-    pub fn zone(&self, zone: u32) -> Vec<u32> {
+    pub fn daemons_of_zone(&self, zone: u32) -> Vec<u32> {
         let of_zone = self.daemons.iter().filter(|(_, daemon)| daemon.zone == zone);
         of_zone.map(|(number, _)| *number).collect()
     }
 
-    pub fn others(&self, excluded: u32) -> Vec<u32> {
-        self.numbers().into_iter().filter(|number| *number != excluded).collect()
+    pub fn other_daemons(&self, excluded: u32) -> Vec<u32> {
+        self.all_daemons().into_iter().filter(|number| *number != excluded).collect()
     }
 
     /// The load of other daemons at an item, as a daemon knows it.
@@ -227,13 +227,16 @@
 
     pub fn aggregator_of_zone(&self, zone: u32) -> u32 {
         let is_aggregator = |number: &u32| self.aggregator(*number).is_none();
-        self.zone(zone).into_iter().find(is_aggregator).expect("a zone has an aggregator")
+        self.daemons_of_zone(zone)
+            .into_iter()
+            .find(is_aggregator)
+            .expect("a zone has an aggregator")
     }
 
     /// Number of daemons of a zone that have followers.
     pub fn aggregator_count(&self, zone: u32) -> usize {
         let followers = |number: u32| self.daemons[&number].sharing.status(self.now).followers;
-        self.zone(zone).into_iter().filter(|number| followers(*number) > 0).count()
+        self.daemons_of_zone(zone).into_iter().filter(|number| followers(*number) > 0).count()
     }
 
     pub fn reaching(&self, daemon: u32) -> BTreeSet<u32> {
@@ -258,7 +261,7 @@
         if stops {
             daemon.sharing.stop();
         }
-        self.carry_out(number);
+        self.run_actions(number);
     }
 
     pub fn status(&self, daemon: u32) -> LoadSharingStatus {
@@ -323,7 +326,7 @@
         // They arrive after messages of the new incarnation.
         let arrives_at = self.now + Duration::from_millis(400);
         for (to, message, from) in held_back {
-            self.in_transit.push(InTransit { arrives_at, from, to: self::number(to), message });
+            self.in_transit.push(InTransit { arrives_at, from, to: daemon_number(to), message });
         }
     }
 
@@ -415,7 +418,7 @@
         is_wanted: impl Fn(&LoadMessage) -> bool,
     ) -> Vec<LoadMessage> {
         let follows = |number: &u32| self.aggregator(*number).is_some();
-        let number = self.numbers().into_iter().find(follows).expect("there is a follower");
+        let number = self.all_daemons().into_iter().find(follows).expect("there is a follower");
         let received = self.daemons[&number].received.iter();
         received.filter(|message| is_wanted(message)).cloned().collect()
     }
@@ -441,7 +444,7 @@
             daemon.sharing.review(members, now);
         }
         daemon.sharing.update_own_loads(&loads, now);
-        self.carry_out(number);
+        self.run_actions(number);
     }
 
     fn loads(&self, number: u32) -> Vec<ItemLoad> {
@@ -477,11 +480,11 @@
         SharingMembers { zone, others, reaches_groups: own.reaches_groups }
     }
 
-    fn carry_out(&mut self, number: u32) {
+    fn run_actions(&mut self, number: u32) {
         let now = self.now;
         for action in self.daemon(number).sharing.take_actions() {
             match action {
-                LoadAction::PeerLoads(loads) => self.apply_view(number, loads),
+                LoadAction::Apply(loads) => self.apply_view(number, loads),
                 LoadAction::Send { to, message } => {
                     let bytes = bytes(&message);
                     self.longest_message = self.longest_message.max(bytes);
@@ -492,7 +495,7 @@
                         ReplicaId { daemon: DaemonId(number), incarnation: daemon.incarnation };
                     match &mut daemon.held_back {
                         Some(held_back) => held_back.push((to, message, from)),
-                        None => self.send(from, self::number(to), message, now),
+                        None => self.send(from, daemon_number(to), message, now),
                     }
                 }
             }
@@ -545,7 +548,7 @@
         daemon.cost.messages_received += 1;
         daemon.received.push(message.clone());
         daemon.sharing.receive(from, message, now);
-        self.carry_out(number);
+        self.run_actions(number);
     }
 
     fn apply_view(&mut self, number: u32, loads: PeerLoads) {
@@ -577,7 +580,7 @@
             return;
         }
         let mut max_age = self.max_age;
-        let healthy = self.healthy();
+        let healthy = self.healthy_daemons();
         for number in &healthy {
             let daemon = &self.daemons[number];
             for other in healthy.iter().filter(|other| *other != number) {
--- a/crates/node/tests/zone_cuts.rs
+++ b/crates/node/tests/zone_cuts.rs
@@ -20,7 +20,7 @@
 /// Time to detect a cut: an answer is overdue, zones are probed, and ticks lie in between.
 const DETECTION_TIME: Duration = Duration::from_millis(450);
 
-fn groups() -> GroupSettings {
+fn group_settings() -> GroupSettings {
     GroupSettings {
         heartbeat_interval_ms: HEARTBEAT_MS,
         election_timeout_ms: ELECTION_TIMEOUT_MS,
@@ -28,11 +28,11 @@
     }
 }
 
-fn open(turn: &str) -> LedgerCommand {
-    open_in("program", turn, 1_000, 1)
+fn open_turn(turn: &str) -> LedgerCommand {
+    open_turn_in("program", turn, 1_000, 1)
 }
 
-fn open_in(program: &str, turn: &str, budget: u64, most: u64) -> LedgerCommand {
+fn open_turn_in(program: &str, turn: &str, budget: u64, most: u64) -> LedgerCommand {
     LedgerCommand::Open(OpenTurn {
         program: ProgramName::new(None, program),
         turn: TurnId::new(None, turn),
@@ -54,8 +54,8 @@
 /// Starts a cluster whose group has served a turn. Returns it with the group's owner, which is not in the
 /// zone of [`GATEWAY`].
 fn serving_cluster() -> (Cluster, u32) {
-    let mut cluster = Cluster::started_in_zones(groups());
-    cluster.insist(&open("first"));
+    let mut cluster = Cluster::started_in_zones(group_settings());
+    cluster.insist(&open_turn("first"));
     let owner = cluster.owner().expect("it has served a turn");
     assert_ne!(gateway_beside(owner), GATEWAY);
     (cluster, owner)
@@ -69,7 +69,7 @@
     let (mut cluster, _) = serving_cluster();
     cluster.cut_zone_of(STORE_BESIDE);
     let cut_at = cluster.now;
-    cluster.ask(open("inside"));
+    cluster.ask(open_turn("inside"));
     cluster.run_until(DETECTION_TIME, |cluster| cluster.reach(GATEWAY).cut_off.is_some());
     let cut = cluster.reach(GATEWAY).cut_off.expect("it has just been cut off");
     assert!(!cut.is_alone, "the store of its zone answers");
@@ -89,7 +89,7 @@
 fn a_gateway_that_is_cut_off_alone_reports_it() {
     let (mut cluster, _) = serving_cluster();
     cluster.cut_from_all(GATEWAY);
-    cluster.ask(open("inside"));
+    cluster.ask(open_turn("inside"));
     cluster.run_until(DETECTION_TIME, |cluster| cluster.reach(GATEWAY).cut_off.is_some());
     cluster.pass(Duration::from_millis(200));
     assert!(cluster.reach(GATEWAY).cut_off.expect("it is still cut off").is_alone);
@@ -99,7 +99,7 @@
 fn a_gateway_that_reaches_stores_through_another_is_not_cut_off() {
     let (mut cluster, _) = serving_cluster();
     cluster.cut_from_stores(GATEWAY);
-    let id = cluster.ask(open("by way of another"));
+    let id = cluster.ask(open_turn("by way of another"));
     assert!(is_opened(&cluster.answer(id).0));
     cluster.pass(Duration::from_secs(3));
     assert_eq!(cluster.reach(GATEWAY).cut_off, None);
@@ -111,7 +111,7 @@
     let (mut cluster, _) = serving_cluster();
     STORES.into_iter().for_each(|store| cluster.kill(store));
     for round in 0..5 {
-        cluster.ask(open(&format!("turn-{round}")));
+        cluster.ask(open_turn(&format!("turn-{round}")));
         cluster.pass(Duration::from_secs(1));
         for store in STORES {
             assert_eq!(cluster.reach(gateway_beside(store)), Reachability::default());
@@ -125,7 +125,7 @@
         let (mut cluster, owner) = serving_cluster();
         cluster.pass(Duration::from_millis(1_000 + offset * 7));
         cluster.cut_zone_of(owner);
-        let id = cluster.ask(open("outside"));
+        let id = cluster.ask(open_turn("outside"));
         let (response, took) = cluster.answer(id);
         assert!(is_opened(&response), "cut {offset}: {response:?}");
         assert!(took <= MAX_INTERRUPTION, "cut {offset}: it took {took:?}");
@@ -151,7 +151,7 @@
         cluster.slow_down(daemon, Duration::from_millis(80));
     }
     for round in 0..20 {
-        let id = cluster.ask(open(&format!("turn-{round}")));
+        let id = cluster.ask(open_turn(&format!("turn-{round}")));
         assert!(is_opened(&cluster.answer(id).0));
         cluster.pass(Duration::from_millis(300));
         assert_eq!(cluster.owner(), Some(owner));
@@ -169,7 +169,7 @@
         cluster.mend();
         let others = STORES.into_iter().filter(|store| ![owner, STORE_BESIDE].contains(store));
         others.for_each(|store| cluster.cut_zone_of(store));
-        let id = cluster.ask(open("outside"));
+        let id = cluster.ask(open_turn("outside"));
         let (response, _) = cluster.answer(id);
         assert!(is_opened(&response), "cut {offset}: {response:?}");
     }
@@ -203,7 +203,7 @@
     const TURNS: u64 = 15;
     const MAX_OPEN_TURNS: usize = 10;
     let command =
-        |turn| open_in("bounded", &format!("turn-{turn}"), 10 * MAX_OPEN_TURNS as u64, 10);
+        |turn| open_turn_in("bounded", &format!("turn-{turn}"), 10 * MAX_OPEN_TURNS as u64, 10);
     for seed in 0..SEEDS {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let (mut cluster, _) = serving_cluster();
