--- a/crates/node/src/configuration.rs
+++ b/crates/node/src/configuration.rs
@@ -317,7 +317,7 @@
         log::info!(target: "configuration", "Generation {generation} is in force, by change {change}.");
         self.configuration.first_document = None;
         self.run_change_writer(ChangeWriterEvent::Activated(record.clone()), now);
-        self.use_document(record.document(), now);
+        self.apply_document(record.document(), now);
         self.plan_for_generation(record.clone(), now);
         self.actions.push(Action::ConfigurationInForce(record));
         self.start_serving(now);
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -127,8 +127,8 @@
     pub fn tick_interval(&self) -> Duration {
         let has_work = !self.router.is_empty() || !self.groups.is_empty() || self.draining;
         let follows = self.settings.follows_configuration;
-        let is_asking = self.zone_liveness.as_ref().is_some_and(ZoneLiveness::is_asking);
-        if has_work || follows || is_asking {
+        let is_probing = self.zone_liveness.as_ref().is_some_and(ZoneLiveness::is_probing);
+        if has_work || follows || is_probing {
             Self::TICK_INTERVAL
         } else {
             Self::IDLE_TICK_INTERVAL
@@ -222,9 +222,9 @@
             Event::EngineReported(report) => self.engine_reported(report, now),
             Event::EngineState(engine, state) => self.engine_state(engine, state, now),
             Event::EngineRefusesWork { engine, incarnation } => {
-                self.engine_refuses_work(&engine, incarnation, now);
+                self.record_engine_refusal(&engine, incarnation, now);
             }
-            Event::Machines(listing) => self.machine_listing(listing, now),
+            Event::Machines(listing) => self.update_machine_listing(listing, now),
             Event::KeyValue(event) => self.handle_key_value_event(event, now),
             Event::ProposeChange { id, proposal } => self.propose_change(id, proposal, now),
             Event::Layout(step) => self.handle_layout_step(step, now),
@@ -235,10 +235,10 @@
             Event::ShareDocument(document) => self.share_document(document),
             Event::KeepDocument(document) => self.keep_document(document),
             Event::RequestDocuments => self.membership.request_holder_documents(),
-            Event::SourceRead(report) => self.source_read(report, now),
+            Event::SourceRead(report) => self.record_source_read(report, now),
             Event::BackendFailed(failure) => self.report_backend_failure(&failure),
-            Event::OwnLoads(own) => self.own_loads(&own, now),
-            Event::OwnLoadsEnded => self.own_loads_end(),
+            Event::OwnLoads(own) => self.update_own_loads(&own, now),
+            Event::OwnLoadsEnded => self.stop_load_sharing(),
             Event::ImageWanted(group) => self.record_image(group),
             Event::Retire => self.retire_daemon(now),
             Event::Drain => self.drain(now),
@@ -261,7 +261,7 @@
             groups_held: self.groups.len(),
             groups_led: led().count(),
             groups_short: led().filter(|group| !self.is_complete(group)).count(),
-            live_engines: self.engines.live(now),
+            live_engines: self.engines.live_count(now),
             programs: led().map(|group| group.state.programs().count()).sum(),
             attempts: self.groups.values().map(|group| group.live_attempts.len()).sum(),
             requests: self.router.len(),
@@ -339,11 +339,11 @@
 
     fn tick(&mut self, now: Timestamp) {
         self.membership_event(MembershipEvent::Tick, now);
-        self.listen(now);
+        self.check_zones(now);
         self.configuration_tick(now);
         self.read_layout(now);
         self.upkeep(now);
-        self.feed_tick(now);
+        self.update_feed(now);
         for group in self.groups.values_mut() {
             if group.replica.next_deadline() <= now {
                 group.replica.tick(now);
@@ -351,7 +351,7 @@
             }
         }
         self.schedule(dahlia_placement::Event::Tick, now);
-        self.check_engines(now);
+        self.check_engine_reports(now);
         self.update_planner(now);
         self.check_attempts(now);
         self.retry_releases(now);
@@ -365,7 +365,7 @@
     }
 
     fn handle_message(&mut self, from: ReplicaId, message: PeerMessage, now: Timestamp) {
-        self.hear(from.daemon, now);
+        self.record_zone_message(from.daemon, now);
         match message {
             PeerMessage::Membership(envelope) => {
                 self.membership_event(MembershipEvent::Received(*envelope), now);
@@ -380,10 +380,10 @@
             }
             PeerMessage::Response { id, response } => self.handle_response(from, id, response, now),
             PeerMessage::Forward { id, request, reply_to } => {
-                self.take_for_other(ReplyTo::Peer { address: reply_to, id }, request, now);
+                self.forward_command(ReplyTo::Peer { address: reply_to, id }, request, now);
             }
-            PeerMessage::Feed(message) => self.feed_message(from.daemon, message, now),
-            PeerMessage::Loads(message) => self.load_message(from, message, now),
+            PeerMessage::Feed(message) => self.receive_feed_message(from.daemon, message, now),
+            PeerMessage::Loads(message) => self.receive_load_message(from, message, now),
         }
     }
 
