--- a/crates/node/src/routing.rs
+++ b/crates/node/src/routing.rs
@@ -193,8 +193,8 @@
         let routed = self.requests.get_mut(&id)?;
         let is_new = |daemon: &&DaemonId| !routed.helpers.contains(daemon);
         let unasked: Vec<DaemonId> = candidates.iter().filter(is_new).copied().collect();
-        let working = self.working_helper.map(|(helper, _)| helper);
-        let working = working.filter(|helper| unasked.contains(helper));
+        let working =
+            self.working_helper.map(|(helper, _)| helper).filter(|helper| unasked.contains(helper));
         let other = || unasked.get((id.0 % unasked.len().max(1) as u64) as usize).copied();
         let helper = working.or_else(other)?;
         routed.helpers.push(helper);
