--- a/crates/daemon/src/assembly.rs
+++ b/crates/daemon/src/assembly.rs
@@ -72,7 +72,7 @@
         target: part::DAEMON,
         "{} serves callers on {gateway_address}, operators on {operators_address}, peers on \
          {peer_address}.",
-        core.own()
+        core.replica_id()
     );
     Ok(RunningDaemon {
         core,
@@ -126,9 +126,9 @@
         answered && status.attempts == 0 && status.requests == 0 && status.groups_led == 0
     }
 
-    /// Waits until the node's task has ended by itself; see [`ControlParts::ended`].
-    pub async fn ended(&mut self) {
-        let _ = self.control.ended().await;
+    /// Waits until the node's task has ended by itself; see [`ControlParts::wait_until_ended`].
+    pub async fn wait_until_ended(&mut self) {
+        let _ = self.control.wait_until_ended().await;
     }
 
     /// Stops at once.
--- a/crates/daemon/src/attempt.rs
+++ b/crates/daemon/src/attempt.rs
@@ -75,7 +75,7 @@
     async fn finish(self, end: AttemptEnd) {
         let (attempt, epoch) = (self.start.attempt.id, self.start.attempt.epoch);
         log::debug!(target: part::ENGINES, "{attempt} ended at {}: {end:?}.", self.start.engine);
-        self.core.event(Event::AttemptEnded { attempt, epoch, end }).await;
+        self.core.send_event(Event::AttemptEnded { attempt, epoch, end }).await;
     }
 
     async fn run(&mut self, client: &EngineClient) -> AttemptEnd {
@@ -105,7 +105,7 @@
         if matches!(error.refusal(), Some(EngineRefusal::Leaving)) {
             let engine = self.start.engine.clone();
             let incarnation = self.start.attempt.engine_incarnation;
-            self.core.event(Event::EngineRefusesWork { engine, incarnation }).await;
+            self.core.send_event(Event::EngineRefusesWork { engine, incarnation }).await;
         }
     }
 
@@ -141,7 +141,7 @@
 
     async fn append(&mut self, text: &str) {
         if self.text.is_empty() {
-            self.core.event(Event::FirstToken { attempt: self.id() }).await;
+            self.core.send_event(Event::FirstToken { attempt: self.id() }).await;
         }
         self.text.push_str(text);
         self.board.append(self.id(), text);
--- a/crates/daemon/src/chunk_store.rs
+++ b/crates/daemon/src/chunk_store.rs
@@ -90,7 +90,7 @@
                 let requester = order.requester;
                 let answer = carry_out(&mut store, order.operation);
                 let result = StoreResult { requester, answer };
-                core.event_blocking(Event::StoreEnded(Box::new(result)));
+                core.send_event_blocking(Event::StoreEnded(Box::new(result)));
             }
             Err(blocking::RecvTimeoutError::Timeout) => {
                 if let Err(error) = store.compact() {
--- a/crates/daemon/src/cli.rs
+++ b/crates/daemon/src/cli.rs
@@ -151,7 +151,7 @@
     tokio::select! {
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
-        () = daemon.ended() => return ExitCode::FAILURE,
+        () = daemon.wait_until_ended() => return ExitCode::FAILURE,
     }
     // A second signal ends the wait; what is left is cut.
     tokio::select! {
--- a/crates/daemon/src/configuration_key.rs
+++ b/crates/daemon/src/configuration_key.rs
@@ -50,7 +50,7 @@
 
     fn answer(&self, answer: impl Future<Output = KeyValueEvent> + Send + 'static) {
         let core = self.core.clone();
-        tokio::spawn(async move { core.event(Event::KeyValue(answer.await)).await });
+        tokio::spawn(async move { core.send_event(Event::KeyValue(answer.await)).await });
     }
 
     fn open_watch(&mut self) {
@@ -62,7 +62,7 @@
             {
                 log::debug!(target: part::CONFIGURATION, "Watching the configuration: {error}.");
             }
-            core.event(Event::KeyValue(KeyValueEvent::WatchEnded)).await;
+            core.send_event(Event::KeyValue(KeyValueEvent::WatchEnded)).await;
         });
         self.watch = Some(task.abort_handle());
     }
@@ -103,7 +103,7 @@
 async fn follow(client: &KeyValueClient, core: &CoreHandle) -> Result<(), KeyValueError> {
     let listed = client.list(CONFIGURATION_KEY).await?;
     for entry in listed.entries.into_iter().filter(|entry| entry.key == CONFIGURATION_KEY) {
-        core.event(Event::KeyValue(KeyValueEvent::Watched(entry.versioned.value))).await;
+        core.send_event(Event::KeyValue(KeyValueEvent::Watched(entry.versioned.value))).await;
     }
     // From the revision of the list on, so that no change between the two is missed.
     let mut changes = client.watch(CONFIGURATION_KEY, listed.revision).await?;
@@ -112,7 +112,7 @@
             && entry.key == CONFIGURATION_KEY
         {
             let value = entry.versioned.value;
-            core.event(Event::KeyValue(KeyValueEvent::Watched(value))).await;
+            core.send_event(Event::KeyValue(KeyValueEvent::Watched(value))).await;
         }
     }
     Ok(())
--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -33,7 +33,7 @@
 use crate::machine_list;
 use crate::metrics::Metrics;
 use crate::node_settings::node_settings;
-use crate::peers::{self, Incoming, PeerSender};
+use crate::peers::{self, PeerEvent, PeerSender};
 use crate::platform_state::PlatformState;
 use crate::serve_answers::{self, AnswerSink};
 use crate::settings::Settings;
@@ -105,13 +105,13 @@
 impl ControlParts {
     /// Bytes sent to other daemons, without headers of TCP, UDP and IP.
     pub fn bytes_sent(&self) -> u64 {
-        self.traffic.bytes()
+        self.traffic.total_bytes()
     }
 
     /// Waits until the node's task has ended by itself: another life of this daemon has taken its
     /// place, or its disk failed. Gives the other life. The parts should be started anew then,
     /// after that life.
-    pub async fn ended(&mut self) -> Option<Incarnation> {
+    pub async fn wait_until_ended(&mut self) -> Option<Incarnation> {
         (&mut self.core_task).await.ok().flatten()
     }
 
@@ -125,14 +125,14 @@
 }
 
 /// What the control parts of a daemon get from outside.
-pub struct Surroundings {
+pub struct ExternalParts {
     /// Keeps the layout of groups; none when nothing does.
     pub layout_store: Option<SharedLayoutStore>,
     /// The service that keeps the operators' configuration; none when nothing does.
     pub key_value: Option<KeyValueClient>,
     /// A life of this daemon that began before this one, as others know it. A clock that was set
     /// back would else give an incarnation before it.
-    pub after: Option<Incarnation>,
+    pub previous_incarnation: Option<Incarnation>,
     /// Whether the daemons keep the operators' configuration themselves.
     pub follows_configuration: bool,
     /// Where goes what other daemons shared.
@@ -149,22 +149,27 @@
         .key_value
         .map(|address| KeyValueClient::new(&address.to_string(), ClientSettings::default()));
     let layout_store = key_value.clone().map(|client| -> SharedLayoutStore { Arc::new(client) });
-    let shared = SharedSenders::ignored();
-    let surroundings =
-        Surroundings { layout_store, key_value, after: None, follows_configuration: true, shared };
-    start_control_in(settings, surroundings)
+    let shared = SharedSenders::disconnected();
+    let external = ExternalParts {
+        layout_store,
+        key_value,
+        previous_incarnation: None,
+        follows_configuration: true,
+        shared,
+    };
+    start_control_with(settings, external)
 }
 
-/// Starts the control parts of a daemon in given surroundings.
+/// Starts the control parts of a daemon in given external.
 ///
 /// # Errors
 /// [`StartError`] when the address is taken.
-pub fn start_control_in(
+pub fn start_control_with(
     settings: &Settings,
-    surroundings: Surroundings,
+    external: ExternalParts,
 ) -> Result<ControlParts, StartError> {
     let clock = Clock::start();
-    let fresh = incarnation_after(clock, surroundings.after);
+    let fresh = incarnation_after(clock, external.previous_incarnation);
     let Durable { groups, replicas, incarnation, life } = open_groups(settings, fresh)?;
     let own = ReplicaId { daemon: settings.daemon.id, incarnation };
     let wanted = settings.daemon.peer_address;
@@ -188,18 +193,18 @@
     let parts = CoreParts {
         peers,
         engines: EngineTasks::new(core.clone(), board.clone()),
-        platform: PlatformState::new(surroundings.layout_store, core.clone()),
-        configuration_key: ConfigurationKey::new(surroundings.key_value, core.clone()),
+        platform: PlatformState::new(external.layout_store, core.clone()),
+        configuration_key: ConfigurationKey::new(external.key_value, core.clone()),
         store: open_store(settings, &core)?,
         groups,
         in_force: publisher,
-        shared: surroundings.shared,
-        reach: core.reach_sender(),
+        shared: external.shared,
+        reach: core.reachability_sender(),
         metrics: metrics.clone(),
     };
     let mut node_settings = node_settings(settings, own, peer_address, clock);
     node_settings.start_count = life;
-    node_settings.follows_configuration = surroundings.follows_configuration;
+    node_settings.follows_configuration = external.follows_configuration;
     let node = Node::recover(node_settings, replicas, clock.now()).context(RecoverSnafu)?;
     let core_task = tokio::spawn(Core::new(node, clock, inbox, parts).run());
     let mut tasks = vec![
@@ -243,8 +248,8 @@
 }
 
 /// The incarnation of a process that starts now, later than any life that others know of.
-fn incarnation_after(clock: Clock, earlier: Option<Incarnation>) -> Incarnation {
-    let next = earlier.map(|Incarnation(earlier)| Incarnation(earlier + 1));
+fn incarnation_after(clock: Clock, previous: Option<Incarnation>) -> Incarnation {
+    let next = previous.map(|Incarnation(previous)| Incarnation(previous + 1));
     clock.incarnation().max(next.unwrap_or_default())
 }
 
@@ -269,7 +274,7 @@
 async fn log_traffic(traffic: Arc<Traffic>) {
     loop {
         sleep(TRAFFIC_INTERVAL).await;
-        let of = |kind| traffic.readings().find(|reading| reading.kind == kind);
+        let of = |kind| traffic.totals_by_kind().find(|reading| reading.kind == kind);
         let bytes = |kind| of(kind).map_or(0, |reading| reading.bytes);
         log::info!(
             target: part::PEERS,
@@ -280,18 +285,18 @@
             responses = bytes(MessageKind::Responses),
             feed = bytes(MessageKind::Feed),
             loads = bytes(MessageKind::Loads),
-            all = traffic.bytes();
+            all = traffic.total_bytes();
             "Bytes sent to other daemons."
         );
     }
 }
 
-async fn take_incoming(mut inbox: mpsc::Receiver<Incoming>, core: CoreHandle, board: AnswerBoard) {
+async fn take_incoming(mut inbox: mpsc::Receiver<PeerEvent>, core: CoreHandle, board: AnswerBoard) {
     while let Some(incoming) = inbox.recv().await {
         match incoming {
-            Incoming::Message { from, message } => deliver(&core, from, message).await,
-            Incoming::ConnectionLost(address) => core.connection_lost(address).await,
-            Incoming::Answer { read, frames } => {
+            PeerEvent::Message { from, message } => deliver(&core, from, message).await,
+            PeerEvent::ConnectionLost(address) => core.report_connection_lost(address).await,
+            PeerEvent::Answer { read, frames } => {
                 let sink = AnswerSink::Peer(Box::new(frames));
                 tokio::spawn(serve_answers::serve(core.clone(), board.clone(), read, sink));
             }
--- a/crates/daemon/src/core.rs
+++ b/crates/daemon/src/core.rs
@@ -47,7 +47,7 @@
 
 impl SharedSenders {
     /// For a daemon that has no use for any of it.
-    pub fn ignored() -> Self {
+    pub fn disconnected() -> Self {
         Self {
             documents: mpsc::unbounded_channel().0,
             failures: mpsc::unbounded_channel().0,
@@ -289,7 +289,7 @@
                 let _ = self.parts.shared.loads.send(loads);
             }
             Action::ReachChanged(reach) => {
-                self.parts.metrics.note_reach(&reach);
+                self.parts.metrics.record_reachability(&reach);
                 self.parts.reach.send_replace(reach);
             }
             Action::Store(order) => self.parts.store.order(*order),
@@ -318,7 +318,7 @@
             }
             Query::Status(reply) => {
                 let status = self.node.status(now);
-                self.parts.metrics.note_status(&status);
+                self.parts.metrics.record_status(&status);
                 {
                     let _ = reply.send(status);
                 }
@@ -368,5 +368,5 @@
 /// Passes a message of another daemon on to the node.
 pub async fn deliver(core: &CoreHandle, from: ReplicaId, message: PeerMessage) {
     log::trace!(target: part::PEERS, "Message of {from}.");
-    core.event(Event::Message { from, message }).await;
+    core.send_event(Event::Message { from, message }).await;
 }
--- a/crates/daemon/src/core_handle.rs
+++ b/crates/daemon/src/core_handle.rs
@@ -62,30 +62,30 @@
 
 impl CoreHandle {
     /// This daemon in its present life.
-    pub fn own(&self) -> ReplicaId {
+    pub fn replica_id(&self) -> ReplicaId {
         self.own
     }
 
     /// Whom this daemon reaches, and news of it; what was told before counts as news.
-    pub fn reach(&self) -> watch::Receiver<Reachability> {
+    pub fn reachability(&self) -> watch::Receiver<Reachability> {
         let mut reach = self.reach.subscribe();
         reach.mark_changed();
         reach
     }
 
     /// Where the node's task tells whom this daemon reaches.
-    pub fn reach_sender(&self) -> watch::Sender<Reachability> {
+    pub fn reachability_sender(&self) -> watch::Sender<Reachability> {
         self.reach.clone()
     }
 
     /// Puts an event to the node.
-    pub async fn event(&self, event: Event) {
+    pub async fn send_event(&self, event: Event) {
         // The node's task ends only with the process.
         let _ = self.inbox.send(CoreMessage::Event(event)).await;
     }
 
     /// Puts an event to the node from a thread that may block.
-    pub fn event_blocking(&self, event: Event) {
+    pub fn send_event_blocking(&self, event: Event) {
         let _ = self.inbox.blocking_send(CoreMessage::Event(event));
     }
 
@@ -140,7 +140,7 @@
 
     /// Puts an operator's change to the node and waits for the verdict; none when the daemon is
     /// stopping.
-    pub async fn change(&self, proposal: ChangeProposal) -> Option<ChangeOutcome> {
+    pub async fn propose_change(&self, proposal: ChangeProposal) -> Option<ChangeOutcome> {
         let (reply, verdict) = oneshot::channel();
         let _ = self.inbox.send(CoreMessage::Change(proposal, reply)).await;
         verdict.await.ok()
@@ -152,20 +152,20 @@
     }
 
     /// Tells the node that a connection to the daemon at `address` broke.
-    pub async fn connection_lost(&self, address: SocketAddr) {
+    pub async fn report_connection_lost(&self, address: SocketAddr) {
         let lost = |member: &Member| member.record.info.address == address;
         if let Some(member) = self.daemons().await.into_iter().find(lost) {
-            self.event(Event::ConnectionLost(member.record.info.replica())).await;
+            self.send_event(Event::ConnectionLost(member.record.info.replica())).await;
         }
     }
 
     /// Begins a planned stop.
     pub async fn drain(&self) {
-        self.event(Event::Drain).await;
+        self.send_event(Event::Drain).await;
     }
 
     /// A key for a call whose caller gave none; no other call has it.
-    pub fn fresh_key(&self) -> String {
+    pub fn generate_key(&self) -> String {
         let number = self.keys.fetch_add(1, Ordering::Relaxed);
         format!("gateway-{}-{number}", self.own)
     }
--- a/crates/daemon/src/datagrams.rs
+++ b/crates/daemon/src/datagrams.rs
@@ -18,7 +18,7 @@
 
 use crate::handshake::Identity;
 use crate::logging::part;
-use crate::peers::Incoming;
+use crate::peers::PeerEvent;
 use crate::traffic::Traffic;
 
 /// Largest datagram: fits into an Ethernet frame with the headers of UDP and IPv6.
@@ -97,7 +97,7 @@
 }
 
 /// Receives datagrams for as long as the daemon runs. Those without a right proof are dropped.
-pub async fn receive(socket: Arc<UdpSocket>, identity: Identity, inbox: mpsc::Sender<Incoming>) {
+pub async fn receive(socket: Arc<UdpSocket>, identity: Identity, inbox: mpsc::Sender<PeerEvent>) {
     let mut buffer = [0; RECEIVE_BYTES];
     loop {
         let (length, peer) = match socket.recv_from(&mut buffer).await {
@@ -112,7 +112,7 @@
         };
         match decode(&buffer[..length], &identity) {
             Some((from, message)) => {
-                if inbox.send(Incoming::Message { from, message }).await.is_err() {
+                if inbox.send(PeerEvent::Message { from, message }).await.is_err() {
                     return;
                 }
             }
--- a/crates/daemon/src/kept_documents.rs
+++ b/crates/daemon/src/document_copies.rs
@@ -18,7 +18,7 @@
 use tokio::time::sleep;
 
 use crate::core_handle::CoreHandle;
-use crate::kept_addresses::{self, KeptAddresses};
+use crate::known_peers::{self, KnownPeers};
 use crate::logging::part;
 
 /// The part of the data folder that holds documents.
@@ -59,9 +59,9 @@
     for error in invalid {
         log::warn!(target: part::STORE, cause:% = error; "A kept document is passed over.");
     }
-    let mut addresses = KeptAddresses::new(core.clone());
+    let mut addresses = KnownPeers::new(core.clone());
     for DocumentCopy { number, version, bytes } in newest {
-        if number == kept_addresses::NUMBER {
+        if number == known_peers::NUMBER {
             addresses.recall(&SharedDocument { number, version, bytes }).await;
             continue;
         }
@@ -70,7 +70,7 @@
             number = number, version = version, bytes = bytes.len();
             "A kept document is shared."
         );
-        core.event(Event::ShareDocument(SharedDocument { number, version, bytes })).await;
+        core.send_event(Event::ShareDocument(SharedDocument { number, version, bytes })).await;
     }
     tokio::spawn(keep(kept, documents, addresses));
     Ok(())
@@ -79,7 +79,7 @@
 async fn keep(
     mut kept: DocumentCopies,
     mut documents: UnboundedReceiver<SharedDocument>,
-    mut addresses: KeptAddresses,
+    mut addresses: KnownPeers,
 ) {
     loop {
         let next = tokio::select! {
--- a/crates/daemon/src/engines.rs
+++ b/crates/daemon/src/engines.rs
@@ -167,7 +167,7 @@
                 covers: order.request.covers,
                 end,
             };
-            core.event(event).await;
+            core.send_event(event).await;
         });
     }
 
@@ -227,8 +227,8 @@
             Ok(load) => {
                 reachable = true;
                 let state = Event::EngineState(load.engine.clone(), state_of(&load));
-                core.event(state).await;
-                core.event(Event::EngineReported(translate(load, &zone))).await;
+                core.send_event(state).await;
+                core.send_event(Event::EngineReported(translate(load, &zone))).await;
             }
             Err(error) => {
                 log_once(&mut reachable, &error);
--- a/crates/daemon/src/failure_reports.rs
+++ b/crates/daemon/src/failure_reports.rs
@@ -50,7 +50,7 @@
                 "Failures of a server are told to other daemons."
             );
             let failure = BackendFailure { backend: backend.to_string(), failures };
-            core.event(Event::BackendFailed(failure)).await;
+            core.send_event(Event::BackendFailed(failure)).await;
         }
     }
 }
--- a/crates/daemon/src/frames.rs
+++ b/crates/daemon/src/frames.rs
@@ -82,7 +82,7 @@
 /// A machine that lost power or is cut off resets nothing: a connection to it takes bytes until
 /// the kernel gives up, after many seconds. Bytes that are not acknowledged for so long break it;
 /// it is made anew at once, and every protocol above repeats what matters.
-pub const UNACKNOWLEDGED_LIMIT: Duration = Duration::from_millis(800);
+pub const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(800);
 /// Time between probes of a silent connection, and before the first one.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 /// Unanswered probes that break a connection.
@@ -178,7 +178,7 @@
         .with_interval(PROBE_INTERVAL)
         .with_retries(MOST_PROBES);
     let _ = socket.set_tcp_keepalive(&probes);
-    let _ = socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_LIMIT));
+    let _ = socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT));
 }
 
 /// Writes a value as a frame's contents.
--- a/crates/daemon/src/gateway/chat.rs
+++ b/crates/daemon/src/gateway/chat.rs
@@ -105,7 +105,7 @@
 /// caller's own retry at another gateway look like another call.
 fn name_call(call: &mut CallRequest, gateway: &Gateway) {
     if call.key.is_none() && call.number.is_none() {
-        call.key = Some(IdempotencyKey::new(gateway.core.fresh_key()));
+        call.key = Some(IdempotencyKey::new(gateway.core.generate_key()));
     }
 }
 
--- a/crates/daemon/src/kept_addresses.rs
+++ b/crates/daemon/src/known_peers.rs
@@ -25,7 +25,7 @@
 const MOST_ADDRESSES: usize = 1_024;
 
 /// Follows the addresses of the daemons that are known.
-pub(crate) struct KeptAddresses {
+pub(crate) struct KnownPeers {
     core: CoreHandle,
     recalled: BTreeSet<SocketAddr>,
     recalled_until: Instant,
@@ -34,7 +34,7 @@
     next_look: Instant,
 }
 
-impl KeptAddresses {
+impl KnownPeers {
     /// Begins with no list.
     pub(crate) fn new(core: CoreHandle) -> Self {
         let now = Instant::now();
@@ -60,7 +60,7 @@
             addresses = addresses.len(), version = document.version;
             "Daemons that an earlier life knew are greeted."
         );
-        self.core.event(Event::PreviousPeers(addresses.clone())).await;
+        self.core.send_event(Event::PreviousPeers(addresses.clone())).await;
         self.recalled = addresses.into_iter().collect();
         self.held = self.recalled.clone();
     }
@@ -81,7 +81,7 @@
     }
 
     async fn addresses(&self) -> BTreeSet<SocketAddr> {
-        let own = self.core.own().daemon;
+        let own = self.core.replica_id().daemon;
         let members = self.core.daemons().await;
         let others = members.iter().filter(|member| member.record.info.daemon != own);
         let known = others.map(|member| member.record.info.address);
--- a/crates/daemon/src/ledger_breaker.rs
+++ b/crates/daemon/src/ledger_breaker.rs
@@ -61,7 +61,7 @@
 
 /// How far a turn's program is, as the places for held callers count it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum Stage {
     /// It is its program's first.
     First,
     /// Its program has turns behind it, or may have.
@@ -76,13 +76,13 @@
         /// How long the caller is held.
         wait: Duration,
     },
-    /// Yes, in the hope of a new owner. [`LedgerBreaker::hold_ended`] must follow, whatever came
+    /// Yes, in the hope of a new owner. [`LedgerBreaker::end_hold`] must follow, whatever came
     /// of it.
     Hold {
         /// How long the caller is held.
         wait: Duration,
     },
-    /// Yes, to find out whether the group answers again. [`LedgerBreaker::probe_ended`] must
+    /// Yes, to find out whether the group answers again. [`LedgerBreaker::end_probe`] must
     /// follow, whatever came of it.
     Probe {
         /// How long the caller is held.
@@ -126,7 +126,7 @@
     }
 
     /// Whether a group counts as silent.
-    pub fn is_silent(&self, group: GroupId) -> bool {
+    pub fn is_unresponsive(&self, group: GroupId) -> bool {
         self.silent.contains_key(&group)
     }
 
@@ -134,7 +134,7 @@
     pub fn admit(
         &mut self,
         group: GroupId,
-        standing: Standing,
+        stage: Stage,
         patience: Duration,
         now: Timestamp,
     ) -> Admission {
@@ -142,7 +142,7 @@
         let Some(silence) = self.silent.get(&group).copied() else {
             return Admission::Ask { wait };
         };
-        if self.may_elect(&silence, now) && self.has_place(group, standing) {
+        if self.may_elect(&silence, now) && self.has_place(group, stage) {
             *self.held.entry(group).or_default() += 1;
             return Admission::Hold { wait };
         }
@@ -154,34 +154,34 @@
     }
 
     /// A caller that was held was answered, went without an answer, or left.
-    pub fn hold_ended(&mut self, group: GroupId) {
+    pub fn end_hold(&mut self, group: GroupId) {
         if let Some(held) = self.held.get_mut(&group) {
             *held = held.saturating_sub(1);
         }
     }
 
     /// A probe was answered, went without an answer, or lost its caller.
-    pub fn probe_ended(&mut self, group: GroupId) {
+    pub fn end_probe(&mut self, group: GroupId) {
         if let Some(silence) = self.silent.get_mut(&group) {
             silence.is_probed = false;
         }
     }
 
     /// A command of any kind was answered, however late.
-    pub fn answered(&mut self, group: GroupId) {
+    pub fn record_answer(&mut self, group: GroupId) {
         self.silent.remove(&group);
     }
 
     /// A command had no answer for `waited`. A caller in a hurry waits less than an answer may
     /// well take: that says nothing about the group.
-    pub fn unanswered(&mut self, group: GroupId, waited: Duration, now: Timestamp) {
+    pub fn record_timeout(&mut self, group: GroupId, waited: Duration, now: Timestamp) {
         if waited.times(2) >= self.answer_timeout() {
-            self.without_owner(group, now);
+            self.record_missing_owner(group, now);
         }
     }
 
     /// The owner's part of the system said that nobody answers for a group.
-    pub fn without_owner(&mut self, group: GroupId, now: Timestamp) {
+    pub fn record_missing_owner(&mut self, group: GroupId, now: Timestamp) {
         self.silent.entry(group).or_insert(Silence { since: now, is_probed: false });
     }
 
@@ -190,10 +190,10 @@
         now.since(silence.since) < Duration::from_millis(self.settings.succession_ms)
     }
 
-    fn has_place(&self, group: GroupId, standing: Standing) -> bool {
-        let most = match standing {
-            Standing::First => self.settings.most_held / 2,
-            Standing::UnderWay => self.settings.most_held,
+    fn has_place(&self, group: GroupId, stage: Stage) -> bool {
+        let most = match stage {
+            Stage::First => self.settings.most_held / 2,
+            Stage::UnderWay => self.settings.most_held,
         };
         self.held.get(&group).copied().unwrap_or_default() < most
     }
--- a/crates/daemon/src/ledger_client.rs
+++ b/crates/daemon/src/ledger_client.rs
@@ -18,7 +18,7 @@
 
 use crate::clock::Clock;
 use crate::core_handle::CoreHandle;
-use crate::ledger_breaker::{Admission, LedgerBreaker, LedgerBreakerSettings, Standing};
+use crate::ledger_breaker::{Admission, LedgerBreaker, LedgerBreakerSettings, Stage};
 use crate::turn_away::TurnAwaySettings;
 
 /// The ledgers of all groups, by way of this daemon's node. Cheap to clone.
@@ -68,12 +68,12 @@
     }
 
     /// A client that goes by the node's clock, and turns callers away like this when cut off.
-    pub fn turning_away(self, turn_away: TurnAwaySettings, clock: Clock) -> Self {
+    pub fn with_turn_away(self, turn_away: TurnAwaySettings, clock: Clock) -> Self {
         Self { turn_away, clock, ..self }
     }
 
     /// A client in `region`, which keeps turns in a group at home there.
-    pub fn in_region(self, region: Region, homes: GroupHomes) -> Self {
+    pub fn with_region(self, region: Region, homes: GroupHomes) -> Self {
         Self { region, homes, ..self }
     }
 
@@ -115,17 +115,17 @@
         command: LedgerCommand,
         until: Instant,
     ) -> Result<LedgerReply, LedgerUnavailable> {
-        let mut reach = self.core.reach();
+        let mut reach = self.core.reachability();
         if let Some(cut) = reach.borrow_and_update().cut_off {
             return Err(LedgerUnavailable { was_not_submitted: true, ..self.turned_away(cut) });
         }
         let now = self.clock.now();
-        let admission = self.breaker().admit(group, standing(&command), left(until), now);
+        let admission = self.breaker().admit(group, stage(&command), left(until), now);
         let guard = |free| Some(PlaceGuard { client: self, group, free });
         let (wait, _place) = match admission {
             Admission::Ask { wait } => (wait, None),
-            Admission::Hold { wait } => (wait, guard(LedgerBreaker::hold_ended)),
-            Admission::Probe { wait } => (wait, guard(LedgerBreaker::probe_ended)),
+            Admission::Hold { wait } => (wait, guard(LedgerBreaker::end_hold)),
+            Admission::Probe { wait } => (wait, guard(LedgerBreaker::end_probe)),
             Admission::Refuse { retry_after } => {
                 return Err(LedgerUnavailable {
                     reason: format!("{group} is silent"),
@@ -148,7 +148,7 @@
             () = sleep_until(end) => {
                 tokio::spawn(answer);
                 let now = self.clock.now();
-                self.note(group, |breaker| breaker.unanswered(group, wait, now));
+                self.note(group, |breaker| breaker.record_timeout(group, wait, now));
                 self.unavailable(group, format!("{group} did not answer in time"))
             }
         }
@@ -172,13 +172,13 @@
     ) -> Result<LedgerReply, LedgerUnavailable> {
         match self.core.request(Request::Ledger { group, command }).await {
             Response::Ledger(reply) => {
-                self.note(group, |breaker| breaker.answered(group));
+                self.note(group, |breaker| breaker.record_answer(group));
                 Ok(reply)
             }
             Response::Failed(error) => {
                 if error.kind == ErrorKind::Unavailable {
                     let now = self.clock.now();
-                    self.note(group, |breaker| breaker.without_owner(group, now));
+                    self.note(group, |breaker| breaker.record_missing_owner(group, now));
                 }
                 self.unavailable(group, format!("{group}: {error}"))
             }
@@ -189,9 +189,9 @@
     /// Tells the breaker something, and says when it changes its mind on a group.
     fn note(&self, group: GroupId, tell: impl FnOnce(&mut LedgerBreaker)) {
         let mut breaker = self.breaker();
-        let was_silent = breaker.is_silent(group);
+        let was_silent = breaker.is_unresponsive(group);
         tell(&mut breaker);
-        match (was_silent, breaker.is_silent(group)) {
+        match (was_silent, breaker.is_unresponsive(group)) {
             (false, true) => log::warn!(target: "ledger", group:% = group; "A group is silent."),
             (true, false) => log::info!(target: "ledger", group:% = group; "A group is back."),
             _ => {}
@@ -323,12 +323,12 @@
 }
 
 /// Whether a program has turns behind it. Where their text is not kept this cannot be told.
-fn standing(command: &LedgerCommand) -> Standing {
+fn stage(command: &LedgerCommand) -> Stage {
     match command {
         LedgerCommand::Open(OpenTurn { input: Some(input), .. }) if input.previous.is_none() => {
-            Standing::First
+            Stage::First
         }
-        _ => Standing::UnderWay,
+        _ => Stage::UnderWay,
     }
 }
 
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -17,8 +17,8 @@
 //! | `configuration_key` | the configuration at the key-value service |
 //! | `failure_reports` | failures of back ends, told to other daemons and heard from them |
 //! | `first_document` | the configuration that a new system starts with |
-//! | `kept_addresses` | where other daemons listen, kept for the next start |
-//! | `kept_documents` | copies of shared documents under the data folder |
+//! | `known_peers` | where other daemons listen, kept for the next start |
+//! | `document_copies` | copies of shared documents under the data folder |
 //! | `layout_store` | where the first layout of groups is kept |
 //! | `ledger_breaker` | tells silent ledgers from those that answer |
 //! | `ledger_client` | puts a relay's commands to ledgers in replica groups |
@@ -43,6 +43,7 @@
 pub mod core;
 pub mod core_handle;
 mod datagrams;
+pub mod document_copies;
 mod engines;
 pub mod failure_reports;
 mod first_document;
@@ -51,8 +52,7 @@
 mod group_log;
 pub mod group_services;
 mod handshake;
-mod kept_addresses;
-pub mod kept_documents;
+mod known_peers;
 pub mod layout_store;
 pub mod ledger_breaker;
 pub mod ledger_client;
--- a/crates/daemon/src/limit_client.rs
+++ b/crates/daemon/src/limit_client.rs
@@ -30,19 +30,19 @@
 impl LimitClient {
     /// A client of a system of `groups` groups. [`Self::run`] must be driven beside it.
     pub fn new(core: CoreHandle, clock: Clock, groups: u32, settings: LimitSettings) -> Self {
-        let own = core.own();
+        let own = core.replica_id();
         let gateway = LimitGateway::new(settings, own.daemon, own.incarnation);
         Self::of(gateway, core, clock, groups)
     }
 
     /// The same on a machine where an earlier process may have let requests pass.
-    pub fn after_an_earlier_life(
+    pub fn after_restart(
         core: CoreHandle,
         clock: Clock,
         groups: u32,
         settings: LimitSettings,
     ) -> Self {
-        let own = core.own();
+        let own = core.replica_id();
         let gateway = LimitGateway::new(settings, own.daemon, own.incarnation);
         Self::of(gateway.after_restart(clock.now()), core, clock, groups)
     }
--- a/crates/daemon/src/load_sharing.rs
+++ b/crates/daemon/src/load_sharing.rs
@@ -92,9 +92,9 @@
         let was_telling = std::mem::replace(&mut self.is_telling, is_telling);
         if is_telling {
             let own = lock(&self.backends).take_own_loads(self.clock.now());
-            self.core.event(Event::OwnLoads(own.iter().map(item_load).collect())).await;
+            self.core.send_event(Event::OwnLoads(own.iter().map(item_load).collect())).await;
         } else if was_telling {
-            self.core.event(Event::OwnLoadsEnded).await;
+            self.core.send_event(Event::OwnLoadsEnded).await;
         }
     }
 
--- a/crates/daemon/src/machine_list.rs
+++ b/crates/daemon/src/machine_list.rs
@@ -26,7 +26,7 @@
         match client.list().await {
             Ok(list) => {
                 reachable = true;
-                core.event(Event::Machines(translate(list))).await;
+                core.send_event(Event::Machines(translate(list))).await;
             }
             // The last list stays in use: it is a hint, and engines are asked themselves.
             Err(error) => {
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -157,7 +157,7 @@
     }
 
     /// Takes over what the node says of itself.
-    pub fn note_status(&self, status: &NodeStatus) {
+    pub fn record_status(&self, status: &NodeStatus) {
         self.groups_led.set(status.groups_led as i64);
         self.live_daemons.set(status.live_daemons as i64);
         self.live_engines.set(status.live_engines as i64);
@@ -184,7 +184,7 @@
     }
 
     /// Takes over whom the daemon reaches.
-    pub fn note_reach(&self, reach: &Reachability) {
+    pub fn record_reachability(&self, reach: &Reachability) {
         self.silent_zones.set(reach.silent_zones.len() as i64);
         self.cut_off.set(i64::from(reach.cut_off.is_some()));
     }
--- a/crates/daemon/src/metrics_server.rs
+++ b/crates/daemon/src/metrics_server.rs
@@ -19,12 +19,12 @@
 const BACKLOG: u32 = 16;
 
 /// Brings metrics of other parts up to date before each reading.
-pub type Refresh = Arc<dyn Fn() + Send + Sync>;
+pub type RefreshMetrics = Arc<dyn Fn() + Send + Sync>;
 
 struct Export {
     core: CoreHandle,
     metrics: Arc<Metrics>,
-    refresh: Refresh,
+    refresh: RefreshMetrics,
 }
 
 #[handler]
@@ -51,7 +51,7 @@
     address: SocketAddr,
     core: CoreHandle,
     metrics: Arc<Metrics>,
-    refresh: Refresh,
+    refresh: RefreshMetrics,
 ) -> io::Result<SocketAddr> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
--- a/crates/daemon/src/operators/configuration.rs
+++ b/crates/daemon/src/operators/configuration.rs
@@ -57,7 +57,7 @@
             document: request.document.clone(),
             repeated: request.repeated,
         };
-        match self.core.change(proposal).await {
+        match self.core.propose_change(proposal).await {
             Some(verdict) => answer(verdict, request),
             None => Err(status(&unknown("the daemon is stopping"))),
         }
--- a/crates/daemon/src/operators/machines.rs
+++ b/crates/daemon/src/operators/machines.rs
@@ -24,7 +24,7 @@
         request: Request<rpc::DrainRequest>,
     ) -> Result<Response<rpc::DrainResponse>, Status> {
         let wanted = request.into_inner().daemon;
-        let own = self.core.own().daemon.to_string();
+        let own = self.core.replica_id().daemon.to_string();
         if wanted != own {
             let message = format!("ask {wanted} itself; this is {own}");
             return Err(status(&ApiError::new(ErrorKind::InvalidRequest, message)));
--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -19,7 +19,7 @@
 use crate::frames::{FrameError, FrameStream};
 use crate::handshake::Identity;
 use crate::logging::part;
-use crate::reconnect::ReconnectPauses;
+use crate::reconnect::ReconnectBackoff;
 use crate::traffic::Traffic;
 
 /// Messages that may wait for one peer; later ones are dropped.
@@ -30,7 +30,7 @@
 const IDLE_CONNECTION: Duration = Duration::from_secs(120);
 
 /// What arrives from other daemons.
-pub enum Incoming {
+pub enum PeerEvent {
     /// A message.
     Message {
         /// The sender.
@@ -53,7 +53,7 @@
 #[derive(Clone)]
 pub struct PeerSender {
     identity: Identity,
-    lost: mpsc::Sender<Incoming>,
+    lost: mpsc::Sender<PeerEvent>,
     traffic: Arc<Traffic>,
     datagrams: DatagramSender,
     clock: Clock,
@@ -66,7 +66,7 @@
     /// Connections that break are told to `lost`.
     pub fn new(
         identity: Identity,
-        lost: mpsc::Sender<Incoming>,
+        lost: mpsc::Sender<PeerEvent>,
         datagrams: DatagramSender,
         traffic: Arc<Traffic>,
         clock: Clock,
@@ -122,10 +122,10 @@
     identity: Identity,
     peer: SocketAddr,
     mut waiting: mpsc::Receiver<PeerMessage>,
-    lost: mpsc::Sender<Incoming>,
+    lost: mpsc::Sender<PeerEvent>,
     traffic: Arc<Traffic>,
 ) {
-    let mut pauses = ReconnectPauses::default();
+    let mut pauses = ReconnectBackoff::default();
     let mut failures: u32 = 0;
     loop {
         match identity.connect(peer, ConnectionPurpose::Messages).await {
@@ -140,7 +140,7 @@
                     return;
                 }
                 log::warn!(target: part::PEERS, peer:% = peer; "Lost a connection.");
-                let _ = lost.send(Incoming::ConnectionLost(peer)).await;
+                let _ = lost.send(PeerEvent::ConnectionLost(peer)).await;
             }
             Err(error) => {
                 // One line for a row of failures; the next one tells how many there were.
@@ -156,7 +156,7 @@
         if waiting.is_closed() {
             return;
         }
-        sleep(pauses.next_pause()).await;
+        sleep(pauses.next_delay()).await;
     }
 }
 
@@ -198,7 +198,7 @@
 }
 
 /// Accepts connections for as long as the daemon runs.
-pub async fn listen(listener: TcpListener, identity: Identity, inbox: mpsc::Sender<Incoming>) {
+pub async fn listen(listener: TcpListener, identity: Identity, inbox: mpsc::Sender<PeerEvent>) {
     // Connections end with this task, so that peers see at once that the daemon is gone.
     let mut connections = JoinSet::new();
     loop {
@@ -216,7 +216,7 @@
     }
 }
 
-async fn serve(mut frames: FrameStream, identity: Identity, inbox: mpsc::Sender<Incoming>) {
+async fn serve(mut frames: FrameStream, identity: Identity, inbox: mpsc::Sender<PeerEvent>) {
     let hello = match identity.accept(&mut frames).await {
         Ok(hello) => hello,
         Err(error) => {
@@ -225,14 +225,14 @@
         }
     };
     if let ConnectionPurpose::Answer(read) = hello.purpose {
-        let _ = inbox.send(Incoming::Answer { read, frames }).await;
+        let _ = inbox.send(PeerEvent::Answer { read, frames }).await;
         return;
     }
     loop {
         match frames.receive::<PeerMessage>().await {
             Ok(message) => {
                 let from = ReplicaId { daemon: hello.daemon, incarnation: hello.incarnation };
-                if inbox.send(Incoming::Message { from, message }).await.is_err() {
+                if inbox.send(PeerEvent::Message { from, message }).await.is_err() {
                     return;
                 }
             }
--- a/crates/daemon/src/platform_state.rs
+++ b/crates/daemon/src/platform_state.rs
@@ -22,7 +22,7 @@
     pub fn layout(&self, step: LayoutStep) {
         let core = self.core.clone();
         let Some(store) = self.store.clone() else {
-            tokio::spawn(async move { core.event(Event::Layout(LayoutStep::Failed)).await });
+            tokio::spawn(async move { core.send_event(Event::Layout(LayoutStep::Failed)).await });
             return;
         };
         tokio::spawn(async move {
@@ -34,7 +34,7 @@
                 log::debug!(target: part::CONFIGURATION, "Layout of groups: {error}.");
                 LayoutStep::Failed
             });
-            core.event(Event::Layout(answer)).await;
+            core.send_event(Event::Layout(answer)).await;
         });
     }
 }
--- a/crates/daemon/src/reconnect.rs
+++ b/crates/daemon/src/reconnect.rs
@@ -10,24 +10,24 @@
 
 /// Pauses between attempts to reach one peer; they double up to a limit.
 #[derive(Debug, Clone, Copy)]
-pub struct ReconnectPauses {
+pub struct ReconnectBackoff {
     next: Duration,
 }
 
-impl Default for ReconnectPauses {
+impl Default for ReconnectBackoff {
     fn default() -> Self {
         Self { next: FIRST }
     }
 }
 
-impl ReconnectPauses {
+impl ReconnectBackoff {
     /// The peer was reached: the next failure counts as the first.
     pub fn reset(&mut self) {
         self.next = FIRST;
     }
 
     /// How long to wait after a failure.
-    pub fn next_pause(&mut self) -> Duration {
+    pub fn next_delay(&mut self) -> Duration {
         let pause = self.next;
         self.next = (pause * 2).min(LONGEST);
         pause
--- a/crates/daemon/src/traffic.rs
+++ b/crates/daemon/src/traffic.rs
@@ -24,7 +24,7 @@
 
 /// Bytes and messages of one kind.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct KindReading {
+pub struct KindTotals {
     /// The kind.
     pub kind: MessageKind,
     /// Bytes sent so far.
@@ -68,13 +68,13 @@
     }
 
     /// Bytes of all messages.
-    pub fn bytes(&self) -> u64 {
+    pub fn total_bytes(&self) -> u64 {
         self.all_bytes.load(Ordering::Relaxed)
     }
 
     /// What was sent of each kind.
-    pub fn readings(&self) -> impl Iterator<Item = KindReading> {
-        self.by_kind.iter().map(|sent| KindReading {
+    pub fn totals_by_kind(&self) -> impl Iterator<Item = KindTotals> {
+        self.by_kind.iter().map(|sent| KindTotals {
             kind: sent.kind,
             bytes: sent.bytes.get(),
             messages: sent.messages.get(),
--- a/crates/daemon/tests/core_handle.rs
+++ b/crates/daemon/tests/core_handle.rs
@@ -10,8 +10,8 @@
     let own = ReplicaId { daemon: DaemonId(1), incarnation: Incarnation(1) };
     let (core, _inbox) = channel(own);
     let silent_zones = [Zone::new("b")].into();
-    core.reach_sender().send_replace(Reachability { silent_zones, cut_off: None });
-    let mut reach = core.reach();
+    core.reachability_sender().send_replace(Reachability { silent_zones, cut_off: None });
+    let mut reach = core.reachability();
     assert!(reach.has_changed().expect("its sender lives"));
     reach.borrow_and_update();
     assert!(!reach.has_changed().expect("its sender lives"), "told once");
--- a/crates/daemon/tests/durable_groups.rs
+++ b/crates/daemon/tests/durable_groups.rs
@@ -60,7 +60,7 @@
     }
 
     fn replica(&self) -> ReplicaId {
-        self.control().core.own()
+        self.control().core.replica_id()
     }
 }
 
@@ -268,7 +268,7 @@
     let retiring = system.stores[0].replica().daemon;
     let core = system.stores[0].control().core.clone();
     assert!(core.status().await.groups_held > 0, "there is something to move");
-    core.event(Event::Retire).await;
+    core.send_event(Event::Retire).await;
     let ordered = Instant::now();
     while !core.status().await.retired {
         assert!(ordered.elapsed() < WAIT_LIMIT, "{:?}", core.status().await);
@@ -291,7 +291,7 @@
     let system = System::start().await;
     system.create(0..PROGRAMS).await;
     for store in &system.stores[..2] {
-        store.control().core.event(Event::Retire).await;
+        store.control().core.send_event(Event::Retire).await;
     }
     // The other two are then voters of all groups, and a third has to stay.
     let started = Instant::now();
--- a/crates/daemon/tests/earlier_clock.rs
+++ b/crates/daemon/tests/earlier_clock.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use dahlia_daemon::control::{ControlParts, StartError, Surroundings, start_control_in};
+use dahlia_daemon::control::{ControlParts, ExternalParts, StartError, start_control_with};
 use dahlia_daemon::core::SharedSenders;
 use dahlia_daemon::settings::Settings;
 use dahlia_types::{DaemonId, Incarnation};
@@ -30,18 +30,18 @@
         address: SocketAddr,
         id: u32,
         seeds: &[SocketAddr],
-        after: Option<Incarnation>,
+        previous_incarnation: Option<Incarnation>,
     ) -> Self {
         let mut builder = tokio::runtime::Builder::new_multi_thread();
         let runtime = builder.worker_threads(1).enable_all().build().expect("a runtime starts");
         let guard = runtime.enter();
-        let control = start(address, id, seeds, after).expect("it starts");
+        let control = start(address, id, seeds, previous_incarnation).expect("it starts");
         drop(guard);
         Self { runtime, control }
     }
 
     fn incarnation(&self) -> Incarnation {
-        self.control.core.own().incarnation
+        self.control.core.replica_id().incarnation
     }
 
     async fn end(self) {
@@ -55,7 +55,7 @@
     address: SocketAddr,
     id: u32,
     seeds: &[SocketAddr],
-    after: Option<Incarnation>,
+    previous_incarnation: Option<Incarnation>,
 ) -> Result<ControlParts, StartError> {
     let seeds: Vec<String> = seeds.iter().map(|seed| format!("{:?}", seed.to_string())).collect();
     let text = format!(
@@ -77,14 +77,14 @@
         seeds.join(",")
     );
     let settings: Settings = toml::from_str(&text).expect("settings");
-    let surroundings = Surroundings {
+    let external = ExternalParts {
         layout_store: None,
         key_value: None,
-        after,
+        previous_incarnation,
         follows_configuration: false,
-        shared: SharedSenders::ignored(),
+        shared: SharedSenders::disconnected(),
     };
-    start_control_in(&settings, surroundings)
+    start_control_with(&settings, external)
 }
 
 async fn wait_until_known(witness: &ControlParts, incarnation: Incarnation) {
@@ -113,7 +113,8 @@
 
     let mut behind = Life::start(address, GATEWAY, &seeds, None);
     assert!(behind.incarnation() < last, "its clock is behind");
-    let told = timeout(WAIT_LIMIT, behind.control.ended()).await.expect("it ends by itself");
+    let told =
+        timeout(WAIT_LIMIT, behind.control.wait_until_ended()).await.expect("it ends by itself");
     assert_eq!(told, Some(last));
     behind.end().await;
 
--- a/crates/daemon/tests/ledger_breaker.rs
+++ b/crates/daemon/tests/ledger_breaker.rs
@@ -1,6 +1,6 @@
 //! The circuit breaker of ledgers.
 
-use dahlia_daemon::ledger_breaker::{Admission, LedgerBreaker, LedgerBreakerSettings, Standing};
+use dahlia_daemon::ledger_breaker::{Admission, LedgerBreaker, LedgerBreakerSettings, Stage};
 use dahlia_types::{Duration, GroupId, Timestamp};
 
 const GROUP: GroupId = GroupId(1);
@@ -16,7 +16,7 @@
 }
 
 fn admit(breaker: &mut LedgerBreaker, group: GroupId, patience: Duration) -> Admission {
-    breaker.admit(group, Standing::UnderWay, patience, NOW)
+    breaker.admit(group, Stage::UnderWay, patience, NOW)
 }
 
 #[test]
@@ -25,20 +25,20 @@
     for _ in 0..3 {
         assert_eq!(admit(&mut breaker, GROUP, PATIENCE), Admission::Ask { wait: WAIT });
     }
-    breaker.unanswered(GROUP, WAIT, NOW);
+    breaker.record_timeout(GROUP, WAIT, NOW);
     assert_eq!(admit(&mut breaker, GROUP, PATIENCE), Admission::Probe { wait: WAIT });
     assert_eq!(admit(&mut breaker, GROUP, PATIENCE), REFUSED);
     assert_eq!(admit(&mut breaker, GroupId(2), PATIENCE), Admission::Ask { wait: WAIT });
-    breaker.unanswered(GROUP, WAIT, NOW);
+    breaker.record_timeout(GROUP, WAIT, NOW);
     assert_eq!(
         admit(&mut breaker, GROUP, PATIENCE),
         REFUSED,
         "another one's silence ends no probe"
     );
-    breaker.probe_ended(GROUP);
+    breaker.end_probe(GROUP);
     assert_eq!(admit(&mut breaker, GROUP, PATIENCE), Admission::Probe { wait: WAIT });
-    breaker.answered(GROUP);
-    breaker.probe_ended(GROUP);
+    breaker.record_answer(GROUP);
+    breaker.end_probe(GROUP);
     assert_eq!(admit(&mut breaker, GROUP, PATIENCE), Admission::Ask { wait: WAIT });
 }
 
@@ -48,9 +48,9 @@
     let share = Duration::from_millis(350);
     let hurried = admit(&mut breaker, GROUP, Duration::from_secs(1));
     assert_eq!(hurried, Admission::Ask { wait: share });
-    breaker.unanswered(GROUP, share, NOW);
+    breaker.record_timeout(GROUP, share, NOW);
     assert_eq!(admit(&mut breaker, GROUP, PATIENCE), Admission::Ask { wait: WAIT });
-    breaker.without_owner(GROUP, NOW);
+    breaker.record_missing_owner(GROUP, NOW);
     assert_eq!(admit(&mut breaker, GROUP, PATIENCE), Admission::Probe { wait: WAIT });
 }
 
@@ -67,32 +67,31 @@
     let settings = LedgerBreakerSettings { most_held: 4, ..LedgerBreakerSettings::default() };
     let succession = Duration::from_millis(settings.succession_ms);
     let mut breaker = LedgerBreaker::new(settings);
-    breaker.without_owner(GROUP, NOW);
+    breaker.record_missing_owner(GROUP, NOW);
     let held = Admission::Hold { wait: WAIT };
-    let ask =
-        |breaker: &mut LedgerBreaker, standing, now| breaker.admit(GROUP, standing, PATIENCE, now);
+    let ask = |breaker: &mut LedgerBreaker, stage, now| breaker.admit(GROUP, stage, PATIENCE, now);
     for _ in 0..2 {
-        assert_eq!(ask(&mut breaker, Standing::First, NOW), held);
+        assert_eq!(ask(&mut breaker, Stage::First, NOW), held);
     }
-    let third = ask(&mut breaker, Standing::First, NOW);
+    let third = ask(&mut breaker, Stage::First, NOW);
     assert_eq!(third, Admission::Probe { wait: WAIT }, "no place, and nobody asks as a probe");
-    assert_eq!(ask(&mut breaker, Standing::First, NOW), REFUSED);
+    assert_eq!(ask(&mut breaker, Stage::First, NOW), REFUSED);
     for _ in 0..2 {
-        assert_eq!(ask(&mut breaker, Standing::UnderWay, NOW), held);
+        assert_eq!(ask(&mut breaker, Stage::UnderWay, NOW), held);
     }
-    assert_eq!(ask(&mut breaker, Standing::UnderWay, NOW), REFUSED);
-    breaker.hold_ended(GROUP);
-    assert_eq!(ask(&mut breaker, Standing::First, NOW), REFUSED);
-    assert_eq!(ask(&mut breaker, Standing::UnderWay, NOW), held);
+    assert_eq!(ask(&mut breaker, Stage::UnderWay, NOW), REFUSED);
+    breaker.end_hold(GROUP);
+    assert_eq!(ask(&mut breaker, Stage::First, NOW), REFUSED);
+    assert_eq!(ask(&mut breaker, Stage::UnderWay, NOW), held);
     for _ in 0..4 {
-        breaker.hold_ended(GROUP);
+        breaker.end_hold(GROUP);
     }
     // Nobody was elected in time: holding helps nobody, and coming back soon neither.
     let later = NOW + succession;
     let refused = Admission::Refuse { retry_after: Duration::from_millis(1_000) };
-    assert_eq!(ask(&mut breaker, Standing::UnderWay, later), refused);
-    breaker.probe_ended(GROUP);
-    assert_eq!(ask(&mut breaker, Standing::First, later), Admission::Probe { wait: WAIT });
-    breaker.answered(GROUP);
-    assert_eq!(ask(&mut breaker, Standing::First, later), Admission::Ask { wait: WAIT });
+    assert_eq!(ask(&mut breaker, Stage::UnderWay, later), refused);
+    breaker.end_probe(GROUP);
+    assert_eq!(ask(&mut breaker, Stage::First, later), Admission::Probe { wait: WAIT });
+    breaker.record_answer(GROUP);
+    assert_eq!(ask(&mut breaker, Stage::First, later), Admission::Ask { wait: WAIT });
 }
--- a/crates/daemon/tests/ledger_client.rs
+++ b/crates/daemon/tests/ledger_client.rs
@@ -127,7 +127,7 @@
 fn client_with_owner_and(settings: LedgerBreakerSettings) -> (LedgerClient, Owner) {
     let own = ReplicaId { daemon: DaemonId(1), incarnation: Incarnation(1) };
     let (core, mut inbox) = channel(own);
-    let reach = core.reach_sender();
+    let reach = core.reachability_sender();
     let owner = Owner { answers: watch::Sender::new(false), asked: Arc::default(), reach };
     let (answers, asked) = (owner.answers.subscribe(), Arc::clone(&owner.asked));
     tokio::spawn(async move {
--- a/crates/daemon/tests/ledger_regions.rs
+++ b/crates/daemon/tests/ledger_regions.rs
@@ -69,7 +69,7 @@
     }
 
     fn in_region(&self, region: &str) -> LedgerClient {
-        self.client.clone().in_region(Region::new(region), homes())
+        self.client.clone().with_region(Region::new(region), homes())
     }
 
     fn lose(&self, region: &str) {
--- a/crates/daemon/tests/load_sharing.rs
+++ b/crates/daemon/tests/load_sharing.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use dahlia_daemon::control::{ControlParts, Surroundings, start_control_in};
+use dahlia_daemon::control::{ControlParts, ExternalParts, start_control_with};
 use dahlia_daemon::core::SharedSenders;
 use dahlia_daemon::settings::Settings;
 use dahlia_node::{Event, ItemLoad, LoadSharingSettings, PeerLoads};
@@ -40,14 +40,14 @@
     settings.daemon.seeds = seeds.iter().map(|it| it.control.peer_address).collect();
     settings.load_sharing = Some(LoadSharingSettings::default());
     let (loads, heard) = mpsc::unbounded_channel();
-    let surroundings = Surroundings {
+    let external = ExternalParts {
         layout_store: None,
         key_value: None,
-        after: None,
+        previous_incarnation: None,
         follows_configuration: false,
-        shared: SharedSenders { loads, ..SharedSenders::ignored() },
+        shared: SharedSenders { loads, ..SharedSenders::disconnected() },
     };
-    let control = start_control_in(&settings, surroundings).expect("it starts");
+    let control = start_control_with(&settings, external).expect("it starts");
     let load = ItemLoad { item: u64::from(number), in_flight: number, ..ItemLoad::default() };
     Gateway { control, heard, load }
 }
@@ -74,7 +74,7 @@
         let (core, load) = (gateway.control.core.clone(), gateway.load);
         tokio::spawn(async move {
             loop {
-                core.event(Event::OwnLoads(vec![load])).await;
+                core.send_event(Event::OwnLoads(vec![load])).await;
                 sleep(TELL_INTERVAL).await;
             }
         });
--- a/crates/daemon/tests/peer_connections.rs
+++ b/crates/daemon/tests/peer_connections.rs
@@ -3,7 +3,7 @@
 use std::net::TcpStream as StdStream;
 use std::os::fd::AsFd;
 
-use dahlia_daemon::frames::{FrameStream, UNACKNOWLEDGED_LIMIT};
+use dahlia_daemon::frames::{FrameStream, UNACKNOWLEDGED_TIMEOUT};
 use socket2::SockRef;
 use tokio::net::{TcpListener, TcpStream};
 
@@ -17,7 +17,7 @@
     let same_socket = StdStream::from(stream.as_fd().try_clone_to_owned().unwrap());
     let _frames = FrameStream::new(stream, address);
     let socket = SockRef::from(&same_socket);
-    assert_eq!(socket.tcp_user_timeout().unwrap(), Some(UNACKNOWLEDGED_LIMIT));
+    assert_eq!(socket.tcp_user_timeout().unwrap(), Some(UNACKNOWLEDGED_TIMEOUT));
     assert!(socket.keepalive().unwrap());
     assert!(socket.tcp_nodelay().unwrap());
 }
