--- a/crates/daemon/src/answers.rs
+++ b/crates/daemon/src/answers.rs
@@ -1,6 +1,6 @@
-//! Text of answers while they are generated at this daemon.
+//! Buffers for the text of answers while this daemon receives it from engines.
 //!
-//! The task that reads an engine's stream appends; any number of readers follow at their own
+//! The task that reads an engine's stream appends text, and any number of readers follow at their own
 //! pace. The state machines see only an attempt's end, so tokens cost them nothing.
 
 use std::collections::HashMap;
@@ -9,14 +9,14 @@
 use dahlia_types::{AttemptId, CallId};
 use tokio::sync::watch;
 
-/// All answers in progress. Cheap to clone.
+/// The buffers of all answers in progress. Cheap to clone.
 #[derive(Clone, Default)]
-pub struct AnswerBoard {
-    answers: Arc<Mutex<HashMap<CallId, Arc<Answer>>>>,
+pub struct AnswerBuffers {
+    answers: Arc<Mutex<HashMap<CallId, Arc<AnswerBuffer>>>>,
 }
 
-/// The answer of one call, over its attempts.
-pub struct Answer {
+/// The text of one call's answer. A newer attempt replaces an older one's text.
+pub struct AnswerBuffer {
     text: Mutex<AnswerText>,
     changed: watch::Sender<u64>,
 }
@@ -27,39 +27,39 @@
     text: String,
 }
 
-/// A piece of text.
+/// A piece of an answer's text.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Piece {
     /// The attempt's number.
     pub attempt: u32,
-    /// Where it starts, in bytes.
+    /// Its position in the attempt's text, in bytes.
     pub offset: u64,
     /// The text.
     pub text: String,
 }
 
-impl AnswerBoard {
-    /// The call's answer, made empty if it is new.
-    pub fn answer(&self, call: CallId) -> Arc<Answer> {
-        self.lock().entry(call).or_insert_with(Answer::empty).clone()
+impl AnswerBuffers {
+    /// The call's buffer. It is created if it is missing.
+    pub fn answer(&self, call: CallId) -> Arc<AnswerBuffer> {
+        self.lock().entry(call).or_insert_with(AnswerBuffer::empty).clone()
     }
 
-    /// Appends to an attempt's text. Text of an older attempt than the newest is ignored.
+    /// Appends to an attempt's text. Text of an attempt that is not the newest is ignored.
     pub fn append(&self, attempt: AttemptId, text: &str) {
         self.answer(attempt.call).append(attempt.attempt, text);
     }
 
-    /// Forgets a call's text; readers that still hold it end by the call's outcome.
+    /// Removes a call's buffer. Readers that still hold it end with the call's outcome.
     pub fn remove(&self, call: CallId) {
         self.lock().remove(&call);
     }
 
-    fn lock(&self) -> MutexGuard<'_, HashMap<CallId, Arc<Answer>>> {
+    fn lock(&self) -> MutexGuard<'_, HashMap<CallId, Arc<AnswerBuffer>>> {
         self.answers.lock().expect("no holder of this lock panics")
     }
 }
 
-impl Answer {
+impl AnswerBuffer {
     fn empty() -> Arc<Self> {
         Arc::new(Self { text: Mutex::default(), changed: watch::Sender::new(0) })
     }
@@ -82,9 +82,9 @@
         self.changed.subscribe()
     }
 
-    /// What a reader at `offset` of attempt `attempt` lacks. A reader of an older attempt gets
-    /// the newest attempt's text from its start.
-    pub fn after(&self, attempt: u32, offset: u64) -> Option<Piece> {
+    /// The text that follows `offset` of attempt `attempt`. A reader of an older attempt gets the newest
+    /// attempt's text from its start.
+    pub fn text_after(&self, attempt: u32, offset: u64) -> Option<Piece> {
         let current = self.text.lock().expect("no holder of this lock panics");
         let start = if attempt == current.attempt || attempt == 0 { offset as usize } else { 0 };
         let rest = current.text.get(start..)?;
--- a/crates/daemon/src/assembly.rs
+++ b/crates/daemon/src/assembly.rs
@@ -53,7 +53,7 @@
     let gateway_parts = Gateway::new(
         core.clone(),
         control.identity.clone(),
-        control.board.clone(),
+        control.answers.clone(),
         TenantKey::new(settings.credentials.tenant_key.as_bytes()),
         settings.limits.clone(),
         control.metrics.clone(),
--- a/crates/daemon/src/attempt.rs
+++ b/crates/daemon/src/attempt.rs
@@ -1,8 +1,8 @@
-//! One attempt at its engine: send it, read the answer, and find out what happened when the
+//! Runs one attempt at its engine: sends it, reads the answer, and resolves the outcome when the
 //! connection breaks.
 //!
-//! Every way out of here is one of four: ran, not run, cut, unknown. "Not run" is said only when
-//! the engine itself said so in the life that the attempt was meant for.
+//! An attempt ends in one of four outcomes: ran, not run, cut or unknown. "Not run" is reported only
+//! when the engine confirmed it in the incarnation that the attempt was meant for.
 
 use std::time::Duration;
 
@@ -15,23 +15,23 @@
 use dahlia_types::{AttemptId, Usage};
 use tokio::time::{Instant, sleep};
 
-use crate::answers::AnswerBoard;
+use crate::answers::AnswerBuffers;
 use crate::core_handle::CoreHandle;
 use crate::logging::part;
 
-/// Pause between enquiries at an engine that does not answer.
-const ENQUIRY_PAUSE: Duration = Duration::from_millis(200);
-/// An engine that could not be reached for so long cannot say what became of the attempt.
-const ENQUIRY_LIMIT: Duration = Duration::from_secs(12);
+/// Time between enquiries to an engine that does not answer.
+const ENQUIRY_INTERVAL: Duration = Duration::from_millis(200);
+/// After an engine was unreachable for this long, the outcome of the attempt is unknown.
+const ENQUIRY_TIMEOUT: Duration = Duration::from_secs(12);
 
-/// What an enquiry found.
-enum Found {
-    /// The attempt can be read on.
+/// The result of an enquiry about an attempt.
+enum EnquiryResult {
+    /// The attempt's stream was resumed.
     Stream(Box<EventStream>),
-    /// It has ended so.
+    /// The attempt has ended.
     End(AttemptEnd),
-    /// Ask again.
-    Later(String),
+    /// The outcome is not known yet, for this reason.
+    Retry(String),
 }
 
 /// Runs one attempt.
@@ -39,19 +39,20 @@
     start: StartAttempt,
     client: Option<EngineClient>,
     core: CoreHandle,
-    board: AnswerBoard,
+    answers: AnswerBuffers,
     text: String,
 }
 
 impl AttemptTask {
-    /// Prepares the attempt. Without a client the engine is unknown here.
+    /// Prepares the attempt. Without a client the attempt ends at once, since its engine is unknown
+    /// here.
     pub fn new(
         start: StartAttempt,
         client: Option<EngineClient>,
         core: CoreHandle,
-        board: AnswerBoard,
+        answers: AnswerBuffers,
     ) -> Self {
-        Self { start, client, core, board, text: String::new() }
+        Self { start, client, core, answers, text: String::new() }
     }
 
     /// Sends the attempt and reads its answer.
@@ -63,10 +64,10 @@
         self.finish(end).await;
     }
 
-    /// Takes over an attempt that an earlier owner may have sent.
+    /// Takes over an attempt that a previous owner may have sent.
     pub async fn resume(mut self) {
         let end = match self.client.clone() {
-            Some(client) => self.find_out(&client, "a new owner took over").await,
+            Some(client) => self.resolve_outcome(&client, "a new owner took over").await,
             None => unknown("the configuration in force here does not name the engine"),
         };
         self.finish(end).await;
@@ -90,18 +91,21 @@
         };
         match client.generate(&request).await {
             Ok(stream) => self.read(client, stream).await,
-            Err(error) if known_already(&error) => self.find_out(client, &error.to_string()).await,
+            Err(error) if is_duplicate_attempt(&error) => {
+                self.resolve_outcome(client, &error.to_string()).await
+            }
             Err(error) if error.certainty() == Certainty::NotRun => {
-                self.note_refusal(&error).await;
+                self.report_refusal(&error).await;
                 refused(&error)
             }
-            Err(error) => self.find_out(client, &error.to_string()).await,
+            Err(error) => self.resolve_outcome(client, &error.to_string()).await,
         }
     }
 
-    /// A refusal is the engine's own word, newer than its last report. The node hears of it before
-    /// the end of the attempt, so that the next attempt does not go to the same engine.
-    async fn note_refusal(&self, error: &EngineError) {
+    /// Reports a refusal by a leaving engine to the node. It is newer than the engine's last load
+    /// report, and the node gets it before the end of the attempt, so that the next attempt does not go
+    /// to the same engine.
+    async fn report_refusal(&self, error: &EngineError) {
         if matches!(error.refusal(), Some(EngineRefusal::Leaving)) {
             let engine = self.start.engine.clone();
             let incarnation = self.start.attempt.engine_incarnation;
@@ -112,14 +116,14 @@
     async fn read(&mut self, client: &EngineClient, stream: EventStream) -> AttemptEnd {
         match self.read_stream(stream).await {
             Ok(end) => end,
-            Err(error) => self.find_out(client, &error.to_string()).await,
+            Err(error) => self.resolve_outcome(client, &error.to_string()).await,
         }
     }
 
-    /// Reads to the attempt's end.
+    /// Reads the stream to the attempt's end.
     ///
     /// # Errors
-    /// [`EngineError`] when the stream breaks before it.
+    /// [`EngineError`] when the stream breaks before the end.
     async fn read_stream(&mut self, mut stream: EventStream) -> Result<AttemptEnd, EngineError> {
         while let Some(event) = stream.next().await {
             match event? {
@@ -144,7 +148,7 @@
             self.core.send_event(Event::FirstToken { attempt: self.id() }).await;
         }
         self.text.push_str(text);
-        self.board.append(self.id(), text);
+        self.answers.append(self.id(), text);
     }
 
     fn ended(&mut self, usage: Usage, stop: Stop) -> AttemptEnd {
@@ -156,72 +160,74 @@
         }
     }
 
-    /// Finds out what became of the attempt, and reads on if it can.
-    async fn find_out(&mut self, client: &EngineClient, cause: &str) -> AttemptEnd {
-        log::info!(target: part::ENGINES, "Asking after {}: {cause}.", self.id());
-        let mut silent_since = Instant::now();
+    /// Asks the engine for the attempt's outcome, and resumes its stream if possible.
+    async fn resolve_outcome(&mut self, client: &EngineClient, cause: &str) -> AttemptEnd {
+        log::info!(target: part::ENGINES, "Checking the outcome of {}: {cause}.", self.id());
+        let mut unreachable_since = Instant::now();
         loop {
             match self.enquire(client).await {
-                Found::End(end) => return end,
-                Found::Stream(stream) => {
+                EnquiryResult::End(end) => return end,
+                EnquiryResult::Stream(stream) => {
                     match self.read_stream(*stream).await {
                         Ok(end) => return end,
-                        Err(error) => log::debug!(target: part::ENGINES, "Again: {error}."),
+                        Err(error) => {
+                            log::debug!(target: part::ENGINES, "Reading the resumed stream failed: {error}.")
+                        }
                     }
-                    silent_since = Instant::now();
+                    unreachable_since = Instant::now();
                 }
-                Found::Later(reason) if silent_since.elapsed() > ENQUIRY_LIMIT => {
+                EnquiryResult::Retry(reason) if unreachable_since.elapsed() > ENQUIRY_TIMEOUT => {
                     return unknown(&reason);
                 }
-                Found::Later(_) => sleep(ENQUIRY_PAUSE).await,
+                EnquiryResult::Retry(_) => sleep(ENQUIRY_INTERVAL).await,
             }
         }
     }
 
-    async fn enquire(&mut self, client: &EngineClient) -> Found {
+    async fn enquire(&mut self, client: &EngineClient) -> EnquiryResult {
         let attempt = self.start.attempt;
-        // The fence goes first: an earlier owner that is only paused must not start the attempt
-        // after the engine has said that it did not.
+        // The fence goes first: a previous owner that is only paused must not start the attempt
+        // after the engine reported that it never started.
         let fenced = match client.fence(attempt.id.call.program, attempt.epoch).await {
             Ok(fenced) => fenced,
-            Err(error) => return later_or_ended(&error),
+            Err(error) => return fence_error_result(&error),
         };
         if fenced.incarnation != attempt.engine_incarnation {
-            return Found::End(unknown("the engine has restarted since"));
+            return EnquiryResult::End(unknown("the engine has restarted since"));
         }
         match client.resume(attempt.id, self.text.len() as u64).await {
-            Ok(stream) => Found::Stream(Box::new(stream)),
-            Err(error) if unseen(&error) => self.rule_out(client).await,
-            Err(error) => Found::Later(error.to_string()),
+            Ok(stream) => EnquiryResult::Stream(Box::new(stream)),
+            Err(error) if is_unknown_attempt(&error) => self.confirm_not_started(client).await,
+            Err(error) => EnquiryResult::Retry(error.to_string()),
         }
     }
 
-    /// The engine does not know the attempt. A cancel makes that final; a second look at the
-    /// incarnation shows that the life that answered is the one that was meant.
-    async fn rule_out(&self, client: &EngineClient) -> Found {
+    /// Confirms that an attempt which the engine does not know never started. A cancel makes that
+    /// final, and a second check of the incarnation shows that the intended one answered.
+    async fn confirm_not_started(&self, client: &EngineClient) -> EnquiryResult {
         let attempt = self.start.attempt;
         let state = match client.cancel(attempt.id, attempt.epoch).await {
             Ok(state) => state,
-            Err(error) => return Found::Later(error.to_string()),
+            Err(error) => return EnquiryResult::Retry(error.to_string()),
         };
-        let still = match client.fence(attempt.id.call.program, attempt.epoch).await {
+        let is_same_incarnation = match client.fence(attempt.id.call.program, attempt.epoch).await {
             Ok(fenced) => fenced.incarnation == attempt.engine_incarnation,
-            Err(error) => return Found::Later(error.to_string()),
+            Err(error) => return EnquiryResult::Retry(error.to_string()),
         };
-        if !still {
-            return Found::End(unknown("the engine has restarted since"));
+        if !is_same_incarnation {
+            return EnquiryResult::End(unknown("the engine has restarted since"));
         }
         match state {
             AttemptState::NeverStarted => {
-                Found::End(not_run("the engine confirmed that it never started"))
+                EnquiryResult::End(not_run("the engine confirmed that it never started"))
             }
             AttemptState::Finished { usage, stop: Stop::Cancelled } => {
-                Found::End(AttemptEnd::Cut { usage })
+                EnquiryResult::End(AttemptEnd::Cut { usage })
             }
             AttemptState::Forgotten => {
-                Found::End(unknown("the engine no longer has a record of it"))
+                EnquiryResult::End(unknown("the engine no longer has a record of it"))
             }
-            _ => Found::Later("the engine knows the attempt after all".to_owned()),
+            _ => EnquiryResult::Retry("the engine knows the attempt after all".to_owned()),
         }
     }
 
@@ -230,19 +236,21 @@
     }
 }
 
-fn known_already(error: &EngineError) -> bool {
+fn is_duplicate_attempt(error: &EngineError) -> bool {
     matches!(error.refusal(), Some(EngineRefusal::AttemptExists { .. }))
 }
 
-fn unseen(error: &EngineError) -> bool {
+fn is_unknown_attempt(error: &EngineError) -> bool {
     matches!(error.refusal(), Some(EngineRefusal::NoSuchAttempt { .. }))
 }
 
-/// A fence that was refused for a newer epoch means that this owner is none any more.
-fn later_or_ended(error: &EngineError) -> Found {
+/// A fence refused for a newer epoch means that another daemon owns the program now.
+fn fence_error_result(error: &EngineError) -> EnquiryResult {
     match error.refusal() {
-        Some(EngineRefusal::StaleEpoch { .. }) => Found::End(unknown("a newer owner took over")),
-        _ => Found::Later(error.to_string()),
+        Some(EngineRefusal::StaleEpoch { .. }) => {
+            EnquiryResult::End(unknown("a newer owner took over"))
+        }
+        _ => EnquiryResult::Retry(error.to_string()),
     }
 }
 
--- a/crates/daemon/src/chunk_store.rs
+++ b/crates/daemon/src/chunk_store.rs
@@ -1,4 +1,4 @@
-//! The store of this daemon: one thread that owns the folder, fed by the node's orders.
+//! The chunk store of this daemon: one thread owns the folder and performs the node's requests.
 
 use std::path::Path;
 use std::sync::mpsc as blocking;
@@ -13,17 +13,17 @@
 use crate::core_handle::CoreHandle;
 use crate::logging::part;
 
-/// The part of the data folder that holds chunks.
+/// The subfolder of the data folder that holds chunks.
 const FOLDER: &str = "chunks";
-/// Orders that may wait; later ones fail at once, so that their askers go elsewhere.
-const QUEUE: usize = 1_024;
-/// After so long without an order the thread makes room.
-const IDLE: Duration = Duration::from_millis(500);
+/// Most queued requests. Further ones fail at once, so that their requesters use another store.
+const QUEUE_CAPACITY: usize = 1_024;
+/// Time without a request after which the thread compacts the store.
+const IDLE_BEFORE_COMPACTION: Duration = Duration::from_millis(500);
 
 /// Why the store did not open.
 #[derive(Debug, Snafu)]
 pub enum OpenError {
-    /// The folder cannot be made.
+    /// The folder cannot be created.
     #[snafu(display("opening the data folder: {source}"))]
     Folder {
         /// Cause.
@@ -43,14 +43,14 @@
     },
 }
 
-/// Passes orders to the store's thread. Without a data folder every order fails.
+/// Passes requests to the store's thread. Without a data folder every request fails.
 #[derive(Default)]
-pub struct StoreTasks {
-    orders: Option<blocking::SyncSender<StoreRequest>>,
+pub struct ChunkStoreHandle {
+    requests: Option<blocking::SyncSender<StoreRequest>>,
 }
 
-impl StoreTasks {
-    /// Opens the store under the data folder.
+impl ChunkStoreHandle {
+    /// Opens the store in the data folder.
     ///
     /// # Errors
     /// [`OpenError`] when the folder cannot be used.
@@ -68,27 +68,28 @@
             recovery.torn_bytes,
             recovery.damaged_bytes
         );
-        let (orders, waiting) = blocking::sync_channel(QUEUE);
+        let (requests, receiver) = blocking::sync_channel(QUEUE_CAPACITY);
         let thread = thread::Builder::new().name("chunk-store".to_owned());
-        thread.spawn(move || run(store, &waiting, &core)).context(ThreadSnafu)?;
-        Ok(Self { orders: Some(orders) })
+        thread.spawn(move || run(store, &receiver, &core)).context(ThreadSnafu)?;
+        Ok(Self { requests: Some(requests) })
     }
 
-    /// Queues an order. One that finds no place is dropped: its requester goes elsewhere.
-    pub fn order(&self, order: StoreRequest) {
-        let queued = self.orders.as_ref().is_some_and(|orders| orders.try_send(order).is_ok());
+    /// Queues a request. It is dropped when the queue is full; its requester then uses another store.
+    pub fn send(&self, request: StoreRequest) {
+        let queued =
+            self.requests.as_ref().is_some_and(|requests| requests.try_send(request).is_ok());
         if !queued {
             log::warn!(target: part::STORE, "Dropped an order. The queue is full.");
         }
     }
 }
 
-fn run(mut store: ChunkStore, waiting: &blocking::Receiver<StoreRequest>, core: &CoreHandle) {
+fn run(mut store: ChunkStore, receiver: &blocking::Receiver<StoreRequest>, core: &CoreHandle) {
     loop {
-        match waiting.recv_timeout(IDLE) {
-            Ok(order) => {
-                let requester = order.requester;
-                let answer = carry_out(&mut store, order.operation);
+        match receiver.recv_timeout(IDLE_BEFORE_COMPACTION) {
+            Ok(request) => {
+                let requester = request.requester;
+                let answer = perform(&mut store, request.operation);
                 let result = StoreResult { requester, answer };
                 core.send_event_blocking(Event::StoreEnded(Box::new(result)));
             }
@@ -102,7 +103,7 @@
     }
 }
 
-fn carry_out(store: &mut ChunkStore, operation: StoreOperation) -> Option<ChunkMessage> {
+fn perform(store: &mut ChunkStore, operation: StoreOperation) -> Option<ChunkMessage> {
     let result = match operation {
         StoreOperation::Put { key, bytes } => {
             store.put(key, &bytes).map(|()| Some(ChunkMessage::Stored { key }))
--- a/crates/daemon/src/cli.rs
+++ b/crates/daemon/src/cli.rs
@@ -44,7 +44,7 @@
     log_level: Option<String>,
 }
 
-/// Runs a daemon until it is told to stop.
+/// Runs a daemon until a signal stops it.
 pub fn run(arguments: &Arguments) -> ExitCode {
     let settings = match load(arguments) {
         Ok(settings) => settings,
@@ -145,7 +145,7 @@
     let (Ok(mut terminate), Ok(mut interrupt)) =
         (signal(SignalKind::terminate()), signal(SignalKind::interrupt()))
     else {
-        eprintln!("dahlialadder: signals cannot be caught");
+        eprintln!("dahlialadder: signal handlers cannot be installed");
         return ExitCode::FAILURE;
     };
     tokio::select! {
@@ -153,7 +153,7 @@
         _ = interrupt.recv() => {}
         () = daemon.wait_until_ended() => return ExitCode::FAILURE,
     }
-    // A second signal ends the wait; what is left is cut.
+    // A second signal ends the drain; requests that are still open are aborted.
     tokio::select! {
         () = daemon.drain() => {}
         _ = terminate.recv() => {}
--- a/crates/daemon/src/configuration_key.rs
+++ b/crates/daemon/src/configuration_client.rs
@@ -1,4 +1,4 @@
-//! The node's steps with the configuration's key in the key-value service.
+//! Performs the node's operations on the configuration's key in the key-value service.
 
 use dahlia_adapters::key_value::{Version, Versioned, WatchEvent};
 use dahlia_adapters::{Certainty, KeyValueClient, KeyValueError};
@@ -9,28 +9,28 @@
 use crate::core_handle::CoreHandle;
 use crate::logging::part;
 
-/// Carries out steps, each in a task of its own. One watch at most is open.
-pub struct ConfigurationKey {
+/// Performs operations, each in its own task. At most one watch is open.
+pub struct ConfigurationClient {
     client: Option<KeyValueClient>,
     core: CoreHandle,
     watch: Option<AbortHandle>,
 }
 
-impl ConfigurationKey {
-    /// Uses `client`; without one every step fails.
+impl ConfigurationClient {
+    /// Uses `client`. Without one every operation fails.
     pub fn new(client: Option<KeyValueClient>, core: CoreHandle) -> Self {
         Self { client, core, watch: None }
     }
 
-    /// Carries out a step. Its answer is put to the node.
+    /// Performs an operation. Its result goes to the node as an event.
     pub fn perform(&mut self, step: KeyValueOperation) {
         let client = self.client.clone();
         match step {
-            KeyValueOperation::Read => self.answer(async move {
+            KeyValueOperation::Read => self.spawn(async move {
                 let found = read(client).await;
                 KeyValueEvent::Read(found.map(|found| found.map(|found| found.value)))
             }),
-            KeyValueOperation::ReadForChange(step) => self.answer(async move {
+            KeyValueOperation::ReadForChange(step) => self.spawn(async move {
                 let found = read(client).await;
                 let record = |found: Versioned| VersionedValue {
                     version: found.version.0,
@@ -39,7 +39,7 @@
                 let result = found.map(|found| found.map(record));
                 KeyValueEvent::ReadForChange { step, result }
             }),
-            KeyValueOperation::Swap { step, expected, value } => self.answer(async move {
+            KeyValueOperation::Swap { step, expected, value } => self.spawn(async move {
                 let result = swap(client, expected, value).await;
                 KeyValueEvent::Swapped { step, result }
             }),
@@ -48,9 +48,9 @@
         }
     }
 
-    fn answer(&self, answer: impl Future<Output = KeyValueEvent> + Send + 'static) {
+    fn spawn(&self, operation: impl Future<Output = KeyValueEvent> + Send + 'static) {
         let core = self.core.clone();
-        tokio::spawn(async move { core.send_event(Event::KeyValue(answer.await)).await });
+        tokio::spawn(async move { core.send_event(Event::KeyValue(operation.await)).await });
     }
 
     fn open_watch(&mut self) {
@@ -58,7 +58,7 @@
         let (client, core) = (self.client.clone(), self.core.clone());
         let task = tokio::spawn(async move {
             if let Some(client) = client
-                && let Err(error) = follow(&client, &core).await
+                && let Err(error) = watch_key(&client, &core).await
             {
                 log::debug!(target: part::CONFIGURATION, "Watching the configuration: {error}.");
             }
@@ -100,12 +100,12 @@
 }
 
 /// Reports the key's value, then each later one, until the watch breaks.
-async fn follow(client: &KeyValueClient, core: &CoreHandle) -> Result<(), KeyValueError> {
+async fn watch_key(client: &KeyValueClient, core: &CoreHandle) -> Result<(), KeyValueError> {
     let listed = client.list(CONFIGURATION_KEY).await?;
     for entry in listed.entries.into_iter().filter(|entry| entry.key == CONFIGURATION_KEY) {
         core.send_event(Event::KeyValue(KeyValueEvent::Watched(entry.versioned.value))).await;
     }
-    // From the revision of the list on, so that no change between the two is missed.
+    // The watch starts at the revision of the list, so that no change in between is missed.
     let mut changes = client.watch(CONFIGURATION_KEY, listed.revision).await?;
     while let Some(change) = changes.next().await {
         if let WatchEvent::Put { entry } = change?
--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -1,4 +1,4 @@
-//! The parts of a daemon that control the system: their start and their end.
+//! Starts and stops the parts of a daemon that control the system.
 
 use std::io;
 use std::net::SocketAddr;
@@ -17,16 +17,17 @@
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
 
-use crate::answers::AnswerBoard;
-use crate::chunk_store::{OpenError, StoreTasks};
+use crate::answers::AnswerBuffers;
+use crate::chunk_store::{ChunkStoreHandle, OpenError};
 use crate::clock::Clock;
-use crate::configuration_key::ConfigurationKey;
+use crate::configuration_client::ConfigurationClient;
 use crate::core::{Core, CoreParts, SharedSenders, deliver};
 use crate::core_handle::{CoreHandle, channel};
 use crate::datagrams::{self, DatagramSender};
 use crate::engines::EngineTasks;
 use crate::group_log::{self, GroupLog, OpenGroupsError};
 use crate::handshake::Identity;
+use crate::layout_client::LayoutClient;
 use crate::layout_store::SharedLayoutStore;
 use crate::listeners;
 use crate::logging::part;
@@ -34,21 +35,20 @@
 use crate::metrics::Metrics;
 use crate::node_settings::node_settings;
 use crate::peers::{self, PeerEvent, PeerSender};
-use crate::platform_state::PlatformState;
 use crate::serve_answers::{self, AnswerSink};
 use crate::settings::Settings;
 use crate::traffic::Traffic;
 
-/// Time between lines on what was sent: one line in fifteen seconds costs nothing.
+/// Time between log lines about sent traffic. One line in fifteen seconds costs nothing.
 const TRAFFIC_INTERVAL: Duration = Duration::from_secs(15);
-/// Messages of peers that may wait for the node.
-const PEER_INBOX: usize = 8_192;
+/// Most messages of peers that wait for the node.
+const PEER_INBOX_CAPACITY: usize = 8_192;
 
 /// Why a daemon did not start.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum StartError {
-    /// An address could not be listened on.
+    /// A listener could not be opened on an address.
     #[snafu(display("listening on {address} for {part}: {source}"))]
     Listen {
         /// Which part.
@@ -86,7 +86,7 @@
 
 /// The parts of a daemon that control the system: membership, groups, configuration.
 pub struct ControlParts {
-    /// Talks to the node.
+    /// The channel to the node.
     pub core: CoreHandle,
     /// The node's clock.
     pub clock: Clock,
@@ -94,8 +94,8 @@
     pub peer_address: SocketAddr,
     traffic: Arc<Traffic>,
     pub(crate) identity: Identity,
-    pub(crate) board: AnswerBoard,
-    /// What the daemon counts.
+    pub(crate) answers: AnswerBuffers,
+    /// The daemon's metrics.
     pub metrics: Arc<Metrics>,
     pub(crate) in_force: watch::Receiver<Option<Arc<ConfigurationRecord>>>,
     core_task: JoinHandle<Option<Incarnation>>,
@@ -108,14 +108,14 @@
         self.traffic.total_bytes()
     }
 
-    /// Waits until the node's task has ended by itself: another life of this daemon has taken its
-    /// place, or its disk failed. Gives the other life. The parts should be started anew then,
-    /// after that life.
+    /// Waits until the node's task ends by itself, because another incarnation of this daemon has
+    /// superseded it or its disk failed. Returns the other incarnation. The parts should then be started
+    /// again with that incarnation as the previous one.
     pub async fn wait_until_ended(&mut self) -> Option<Incarnation> {
         (&mut self.core_task).await.ok().flatten()
     }
 
-    /// Stops at once, like a death: connections break, memory is lost.
+    /// Stops at once as a crash does: connections break and memory is lost.
     pub fn stop(&self) {
         self.core_task.abort();
         for task in &self.tasks {
@@ -124,22 +124,22 @@
     }
 }
 
-/// What the control parts of a daemon get from outside.
+/// External services and channels that the control parts of a daemon use.
 pub struct ExternalParts {
-    /// Keeps the layout of groups; none when nothing does.
+    /// The store of the layout of groups, if there is one.
     pub layout_store: Option<SharedLayoutStore>,
-    /// The service that keeps the operators' configuration; none when nothing does.
+    /// The service that stores the operators' configuration, if there is one.
     pub key_value: Option<KeyValueClient>,
-    /// A life of this daemon that began before this one, as others know it. A clock that was set
-    /// back would else give an incarnation before it.
+    /// The previous incarnation of this daemon as other daemons know it. The new one must be later, also
+    /// when the clock was set back.
     pub previous_incarnation: Option<Incarnation>,
     /// Whether the daemons keep the operators' configuration themselves.
     pub follows_configuration: bool,
-    /// Where goes what other daemons shared.
+    /// Channels for what other daemons share.
     pub shared: SharedSenders,
 }
 
-/// Starts the control parts of a daemon that uses the platform its settings name.
+/// Starts the control parts of a daemon with the platform that its settings name.
 ///
 /// # Errors
 /// [`StartError`] when the address is taken.
@@ -160,7 +160,7 @@
     start_control_with(settings, external)
 }
 
-/// Starts the control parts of a daemon in given external.
+/// Starts the control parts of a daemon with the given external parts.
 ///
 /// # Errors
 /// [`StartError`] when the address is taken.
@@ -169,52 +169,54 @@
     external: ExternalParts,
 ) -> Result<ControlParts, StartError> {
     let clock = Clock::start();
-    let fresh = incarnation_after(clock, external.previous_incarnation);
-    let Durable { groups, replicas, incarnation, life } = open_groups(settings, fresh)?;
-    let own = ReplicaId { daemon: settings.daemon.id, incarnation };
-    let wanted = settings.daemon.peer_address;
-    let peers = listeners::listen_to_peers(wanted);
-    let (peer_listener, socket) = peers.context(ListenSnafu { part: "peers", address: wanted })?;
-    let peer_address = listeners::local(&peer_listener, wanted);
+    let new_incarnation = incarnation_after(clock, external.previous_incarnation);
+    let RecoveredGroups { groups, replicas, incarnation, start_count } =
+        open_groups(settings, new_incarnation)?;
+    let replica = ReplicaId { daemon: settings.daemon.id, incarnation };
+    let configured = settings.daemon.peer_address;
+    let peers = listeners::listen_to_peers(configured);
+    let (peer_listener, socket) =
+        peers.context(ListenSnafu { part: "peers", address: configured })?;
+    let peer_address = listeners::local(&peer_listener, configured);
     let key = PeerKey::new(settings.credentials.peer_key.as_bytes());
-    let identity = Identity { daemon: own.daemon, incarnation: own.incarnation, key };
+    let identity = Identity { daemon: replica.daemon, incarnation: replica.incarnation, key };
     let metrics = Metrics::new().context(MetricsSnafu)?;
-    let (core, inbox) = channel(own);
-    let (incoming, peers_inbox) = mpsc::channel(PEER_INBOX);
-    let board = AnswerBoard::default();
-    let (publisher, in_force) = watch::channel(None);
+    let (core, inbox) = channel(replica);
+    let (peer_events, peers_inbox) = mpsc::channel(PEER_INBOX_CAPACITY);
+    let answers = AnswerBuffers::default();
+    let (in_force_sender, in_force) = watch::channel(None);
     let traffic = Arc::new(Traffic::new().context(MetricsSnafu)?);
     for collector in traffic.collectors() {
         metrics.registry().register(collector).context(MetricsSnafu)?;
     }
     let datagrams = DatagramSender::new(identity.clone(), socket.clone(), traffic.clone());
     let peers =
-        PeerSender::new(identity.clone(), incoming.clone(), datagrams, traffic.clone(), clock);
+        PeerSender::new(identity.clone(), peer_events.clone(), datagrams, traffic.clone(), clock);
     let parts = CoreParts {
         peers,
-        engines: EngineTasks::new(core.clone(), board.clone()),
-        platform: PlatformState::new(external.layout_store, core.clone()),
-        configuration_key: ConfigurationKey::new(external.key_value, core.clone()),
+        engines: EngineTasks::new(core.clone(), answers.clone()),
+        layout: LayoutClient::new(external.layout_store, core.clone()),
+        configuration_client: ConfigurationClient::new(external.key_value, core.clone()),
         store: open_store(settings, &core)?,
         groups,
-        in_force: publisher,
+        in_force: in_force_sender,
         shared: external.shared,
-        reach: core.reachability_sender(),
+        reachability: core.reachability_sender(),
         metrics: metrics.clone(),
     };
-    let mut node_settings = node_settings(settings, own, peer_address, clock);
-    node_settings.start_count = life;
+    let mut node_settings = node_settings(settings, replica, peer_address, clock);
+    node_settings.start_count = start_count;
     node_settings.follows_configuration = external.follows_configuration;
     let node = Node::recover(node_settings, replicas, clock.now()).context(RecoverSnafu)?;
     let core_task = tokio::spawn(Core::new(node, clock, inbox, parts).run());
     let mut tasks = vec![
-        tokio::spawn(peers::listen(peer_listener, identity.clone(), incoming.clone())),
-        tokio::spawn(datagrams::receive(socket, identity.clone(), incoming)),
-        tokio::spawn(take_incoming(peers_inbox, core.clone(), board.clone())),
+        tokio::spawn(peers::listen(peer_listener, identity.clone(), peer_events.clone())),
+        tokio::spawn(datagrams::receive(socket, identity.clone(), peer_events)),
+        tokio::spawn(handle_peer_events(peers_inbox, core.clone(), answers.clone())),
         tokio::spawn(log_traffic(traffic.clone())),
     ];
     if let Some(machines) = settings.platform.machines {
-        tasks.push(tokio::spawn(machine_list::follow(machines, core.clone())));
+        tasks.push(tokio::spawn(machine_list::poll(machines, core.clone())));
     }
     Ok(ControlParts {
         core,
@@ -222,7 +224,7 @@
         peer_address,
         traffic,
         identity,
-        board,
+        answers,
         metrics,
         in_force,
         core_task,
@@ -230,52 +232,62 @@
     })
 }
 
-fn open_store(settings: &Settings, core: &CoreHandle) -> Result<StoreTasks, StartError> {
+fn open_store(settings: &Settings, core: &CoreHandle) -> Result<ChunkStoreHandle, StartError> {
     match &settings.daemon.data_folder {
-        None => Ok(StoreTasks::default()),
+        None => Ok(ChunkStoreHandle::default()),
         Some(folder) => {
-            StoreTasks::open(folder, settings.store.clone(), core.clone()).context(StoreSnafu)
+            ChunkStoreHandle::open(folder, settings.store.clone(), core.clone()).context(StoreSnafu)
         }
     }
 }
 
-/// What was found under the data folder.
-struct Durable {
+/// The replica groups recovered from the data folder.
+struct RecoveredGroups {
     groups: GroupLog,
     replicas: Vec<DurableReplica>,
     incarnation: Incarnation,
-    life: u32,
+    start_count: u32,
 }
 
-/// The incarnation of a process that starts now, later than any life that others know of.
+/// The incarnation of a process that starts now. It is later than any that other daemons know.
 fn incarnation_after(clock: Clock, previous: Option<Incarnation>) -> Incarnation {
     let next = previous.map(|Incarnation(previous)| Incarnation(previous + 1));
     clock.incarnation().max(next.unwrap_or_default())
 }
 
-/// Without a data folder each process is another incarnation, and nothing is durable.
-fn open_groups(settings: &Settings, fresh: Incarnation) -> Result<Durable, StartError> {
+/// Opens the groups in the data folder. Without one, each process is a new incarnation and nothing is
+/// durable.
+fn open_groups(
+    settings: &Settings,
+    new_incarnation: Incarnation,
+) -> Result<RecoveredGroups, StartError> {
     let Some(folder) = &settings.daemon.data_folder else {
         let groups = GroupLog::default();
-        return Ok(Durable { groups, replicas: Vec::new(), incarnation: fresh, life: 0 });
+        return Ok(RecoveredGroups {
+            groups,
+            replicas: Vec::new(),
+            incarnation: new_incarnation,
+            start_count: 0,
+        });
     };
-    let opened = group_log::open(folder, settings.durable.clone(), fresh).context(GroupsSnafu)?;
+    let opened =
+        group_log::open(folder, settings.durable.clone(), new_incarnation).context(GroupsSnafu)?;
     let OpenedLog { log, replicas } = opened;
     let identity = log.identity();
-    Ok(Durable {
+    Ok(RecoveredGroups {
         groups: GroupLog::new(log),
         replicas,
         incarnation: identity.incarnation,
-        life: identity.start_count,
+        start_count: identity.start_count,
     })
 }
 
-/// Tells now and then what was sent to other daemons, for whoever has only the logs.
+/// Logs the traffic to other daemons at intervals, for operators without metrics.
 async fn log_traffic(traffic: Arc<Traffic>) {
     loop {
         sleep(TRAFFIC_INTERVAL).await;
-        let of = |kind| traffic.totals_by_kind().find(|reading| reading.kind == kind);
-        let bytes = |kind| of(kind).map_or(0, |reading| reading.bytes);
+        let totals = |kind| traffic.totals_by_kind().find(|totals| totals.kind == kind);
+        let bytes = |kind| totals(kind).map_or(0, |totals| totals.bytes);
         log::info!(
             target: part::PEERS,
             groups = bytes(MessageKind::Groups),
@@ -291,14 +303,18 @@
     }
 }
 
-async fn take_incoming(mut inbox: mpsc::Receiver<PeerEvent>, core: CoreHandle, board: AnswerBoard) {
-    while let Some(incoming) = inbox.recv().await {
-        match incoming {
+async fn handle_peer_events(
+    mut inbox: mpsc::Receiver<PeerEvent>,
+    core: CoreHandle,
+    answers: AnswerBuffers,
+) {
+    while let Some(peer_events) = inbox.recv().await {
+        match peer_events {
             PeerEvent::Message { from, message } => deliver(&core, from, message).await,
             PeerEvent::ConnectionLost(address) => core.report_connection_lost(address).await,
             PeerEvent::Answer { read, frames } => {
                 let sink = AnswerSink::Peer(Box::new(frames));
-                tokio::spawn(serve_answers::serve(core.clone(), board.clone(), read, sink));
+                tokio::spawn(serve_answers::serve(core.clone(), answers.clone(), read, sink));
             }
         }
     }
--- a/crates/daemon/src/core.rs
+++ b/crates/daemon/src/core.rs
@@ -1,4 +1,4 @@
-//! Drives the node: one task feeds it events and carries out its actions.
+//! The task that feeds events to the node and performs its actions.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -16,37 +16,37 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::{Instant, sleep_until};
 
-use crate::chunk_store::StoreTasks;
+use crate::chunk_store::ChunkStoreHandle;
 use crate::clock::Clock;
-use crate::configuration_key::ConfigurationKey;
+use crate::configuration_client::ConfigurationClient;
 use crate::core_handle::{CoreHandle, CoreMessage, Query};
 use crate::engines::EngineTasks;
 use crate::group_log::GroupLog;
+use crate::layout_client::LayoutClient;
 use crate::logging::part;
 use crate::metrics::Metrics;
 use crate::peers::PeerSender;
-use crate::platform_state::PlatformState;
 
-/// Messages taken before the node's timers get their turn.
-const BATCH: usize = 256;
-/// A tick that comes later than this is logged, with what kept it.
-const LATE_TICK: Duration = Duration::from_secs(1);
+/// Most messages handled before the node's timers are checked again.
+const MAX_BATCH: usize = 256;
+/// A tick that is later than this is logged, with the time spent on handling and on syncs.
+const LATE_TICK_THRESHOLD: Duration = Duration::from_secs(1);
 
-/// Where goes what other daemons shared with this one.
+/// Channels for what other daemons share with this one.
 #[derive(Clone)]
 pub struct SharedSenders {
     /// Documents.
     pub documents: mpsc::UnboundedSender<SharedDocument>,
     /// Failures of back ends.
     pub failures: mpsc::UnboundedSender<BackendFailure>,
-    /// What to do about the outside source that daemons share.
+    /// Orders for following the external source that daemons share.
     pub feed: mpsc::UnboundedSender<FeedOrder>,
-    /// Loads that other daemons make.
+    /// Loads that other daemons cause.
     pub loads: mpsc::UnboundedSender<PeerLoads>,
 }
 
 impl SharedSenders {
-    /// For a daemon that has no use for any of it.
+    /// Channels without receivers, for a daemon that uses none of them.
     pub fn disconnected() -> Self {
         Self {
             documents: mpsc::unbounded_channel().0,
@@ -57,35 +57,35 @@
     }
 }
 
-/// What a core talks to besides its node.
+/// The parts that a core performs its node's actions on.
 pub struct CoreParts {
     /// Connections to other daemons.
     pub peers: PeerSender,
-    /// Tasks that talk to engines.
+    /// Tasks that communicate with engines.
     pub engines: EngineTasks,
-    /// The layout of groups at the key-value service.
-    pub platform: PlatformState,
-    /// The configuration at the key-value service.
-    pub configuration_key: ConfigurationKey,
-    /// The store under the data folder.
-    pub store: StoreTasks,
-    /// The log of groups under the data folder.
+    /// Access to the layout of groups.
+    pub layout: LayoutClient,
+    /// Access to the configuration in the key-value service.
+    pub configuration_client: ConfigurationClient,
+    /// The chunk store in the data folder.
+    pub store: ChunkStoreHandle,
+    /// The log of groups in the data folder.
     pub groups: GroupLog,
-    /// Where generations are published that come into force.
+    /// Publishes each generation that comes into force.
     pub in_force: watch::Sender<Option<Arc<ConfigurationRecord>>>,
-    /// Where goes what other daemons shared.
+    /// Channels for what other daemons share.
     pub shared: SharedSenders,
-    /// Where it is told whom this daemon reaches.
-    pub reach: watch::Sender<Reachability>,
+    /// Publishes which daemons and zones this daemon reaches.
+    pub reachability: watch::Sender<Reachability>,
     /// Counters.
     pub metrics: Arc<Metrics>,
 }
 
-/// What events of one batch asked for and what waits for its sync.
+/// The durable changes of one batch, and the actions that wait for their sync.
 #[derive(Default)]
 struct Batch {
     changes: Vec<DurableChange>,
-    held: Vec<Action>,
+    deferred: Vec<Action>,
 }
 
 /// The task that drives the node.
@@ -93,19 +93,19 @@
     node: Node,
     clock: Clock,
     inbox: mpsc::Receiver<CoreMessage>,
-    waiting: HashMap<RequestId, oneshot::Sender<Response>>,
-    changes: HashMap<RequestId, oneshot::Sender<ChangeOutcome>>,
+    pending_requests: HashMap<RequestId, oneshot::Sender<Response>>,
+    pending_changes: HashMap<RequestId, oneshot::Sender<ChangeOutcome>>,
     next_request: u64,
     parts: CoreParts,
     batch: Batch,
-    /// Groups that the log wants recorded anew; one goes with each batch.
-    wanted_images: Vec<GroupId>,
+    /// Groups for which the log needs a new image. Each batch records one.
+    groups_needing_image: Vec<GroupId>,
     stopped: bool,
     superseded_by: Option<Incarnation>,
 }
 
 impl Core {
-    /// Puts the task's parts together.
+    /// Creates the task for `node`.
     pub fn new(
         node: Node,
         clock: Clock,
@@ -117,67 +117,69 @@
             node,
             clock,
             inbox,
-            waiting: HashMap::new(),
-            changes: HashMap::new(),
-            // Names of requests must not repeat those of an earlier life of this daemon.
+            pending_requests: HashMap::new(),
+            pending_changes: HashMap::new(),
+            // Request identifiers must not repeat those of an earlier incarnation of this daemon.
             next_request: start << 20,
             parts,
             batch: Batch::default(),
-            wanted_images: Vec::new(),
+            groups_needing_image: Vec::new(),
             stopped: false,
             superseded_by: None,
         }
     }
 
-    /// Runs until every handle is gone, the disk failed, or another life of this daemon has taken
-    /// its place; gives that life.
+    /// Runs until every handle is dropped, the disk fails, or a newer incarnation of this daemon
+    /// supersedes it. Returns that incarnation.
     pub async fn run(mut self) -> Option<Incarnation> {
         let mut ticked = Instant::now();
-        let mut spent = Spent::default();
+        let mut timings = TickTimings::default();
         while !self.stopped {
             let pause = Duration::from_micros(self.node.tick_interval().as_micros());
             tokio::select! {
                 biased;
                 () = sleep_until(ticked + pause) => {
-                    log_late_tick(ticked.elapsed().saturating_sub(pause), &spent);
-                    spent = Spent::default();
+                    log_late_tick(ticked.elapsed().saturating_sub(pause), &timings);
+                    timings = TickTimings::default();
                     self.handle(Event::Tick);
                     ticked = Instant::now();
                 }
                 message = self.inbox.recv() => {
                     let message = message?;
                     let began = Instant::now();
-                    self.take(message);
-                    self.take_batch();
-                    spent.handling += began.elapsed();
+                    self.handle_message(message);
+                    self.drain_inbox();
+                    timings.handling += began.elapsed();
                 }
             }
-            if let Some(group) = self.wanted_images.pop() {
+            if let Some(group) = self.groups_needing_image.pop() {
                 self.handle(Event::ImageWanted(group));
             }
             let began = Instant::now();
             self.finish_batch().await;
-            spent.syncing += began.elapsed();
+            timings.syncing += began.elapsed();
         }
         if let Some(by) = self.superseded_by {
-            self.parts.groups.begin_anew(by).await;
+            self.parts.groups.advance_incarnation(by).await;
         }
         self.superseded_by
     }
 
-    /// Makes the changes of the batch durable by one sync, then carries out what waited for it.
+    /// Makes the changes of the batch durable with one sync, then performs the actions that waited
+    /// for it.
     ///
-    /// SAFETY: no event is taken in meanwhile. So whatever answers a message that left before
-    /// the sync is handled when this daemon's own entries are durable; see [`Action::Persist`].
+    /// SAFETY: no event is handled during the sync. A reply to a message that was sent before the
+    /// sync is therefore handled when this daemon's own entries are durable; see
+    /// [`Action::Persist`].
     async fn finish_batch(&mut self) {
         if self.batch.changes.is_empty() {
             return;
         }
-        let Batch { changes, held } = std::mem::take(&mut self.batch);
+        let Batch { changes, deferred } = std::mem::take(&mut self.batch);
         match self.parts.groups.sync(changes).await {
-            Ok(wanted) => {
-                self.wanted_images = wanted;
-                held.into_iter().for_each(|action| self.perform(action));
+            Ok(groups_needing_image) => {
+                self.groups_needing_image = groups_needing_image;
+                deferred.into_iter().for_each(|action| self.perform(action));
             }
             Err(error) => {
                 log::error!(target: part::STORE, "This daemon stops. {error}.");
@@ -186,16 +188,16 @@
         }
     }
 
-    fn take_batch(&mut self) {
-        for _ in 0..BATCH {
+    fn drain_inbox(&mut self) {
+        for _ in 0..MAX_BATCH {
             match self.inbox.try_recv() {
-                Ok(message) => self.take(message),
+                Ok(message) => self.handle_message(message),
                 Err(_) => return,
             }
         }
     }
 
-    fn take(&mut self, message: CoreMessage) {
+    fn handle_message(&mut self, message: CoreMessage) {
         match message {
             CoreMessage::Event(event) => {
                 if let Event::AttemptEnded { end, .. } = &event {
@@ -205,15 +207,15 @@
             }
             CoreMessage::Request(request, reply) => {
                 let id = self.next_id();
-                self.waiting.insert(id, reply);
+                self.pending_requests.insert(id, reply);
                 self.handle(Event::Request { id, request });
             }
             CoreMessage::Change(proposal, reply) => {
                 let id = self.next_id();
-                self.changes.insert(id, reply);
+                self.pending_changes.insert(id, reply);
                 self.handle(Event::ProposeChange { id, proposal });
             }
-            CoreMessage::Query(query) => self.answer(query),
+            CoreMessage::Query(query) => self.answer_query(query),
         }
     }
 
@@ -227,9 +229,9 @@
             match action {
                 Action::Persist(change) => self.batch.changes.push(*change),
                 Action::SendUnsynced { to, message } => self.send(to, message),
-                // What comes before any change of its batch depends on none.
+                // An action that precedes every change of its batch depends on none of them.
                 action if self.batch.changes.is_empty() => self.perform(action),
-                action => self.batch.held.push(action),
+                action => self.batch.deferred.push(action),
             }
         }
     }
@@ -238,8 +240,8 @@
         match action {
             Action::Send { to, message } => self.send(to, message),
             Action::Respond { id, response } => {
-                if let Some(reply) = self.waiting.remove(&id) {
-                    // The asker may have gone; its call runs on all the same.
+                if let Some(reply) = self.pending_requests.remove(&id) {
+                    // The requester may be gone; its call continues regardless.
                     let _ = reply.send(response);
                 }
             }
@@ -253,51 +255,51 @@
             }
             Action::CancelAttempt { attempt, epoch } => self.parts.engines.cancel(attempt, epoch),
             Action::RecallAttempt { attempt, epoch } => self.parts.engines.recall(attempt, epoch),
-            Action::DetachAttempt { attempt } => self.parts.engines.leave(attempt),
-            Action::ForgetAnswer { call } => self.parts.engines.forget(call),
+            Action::DetachAttempt { attempt } => self.parts.engines.detach(attempt),
+            Action::ForgetAnswer { call } => self.parts.engines.forget_answer(call),
             Action::Release(order) => self.parts.engines.release(*order),
             Action::HoldCache { program, engine, epoch, length } => {
                 self.parts.engines.hold(program, engine, epoch, length);
             }
-            Action::SetEngines(addresses) => self.parts.engines.use_engines(addresses),
+            Action::SetEngines(addresses) => self.parts.engines.set_engines(addresses),
             Action::Order(order) => self.parts.engines.order(*order),
-            Action::KeyValue(step) => self.parts.configuration_key.perform(step),
+            Action::KeyValue(step) => self.parts.configuration_client.perform(step),
             Action::AnswerChange { id, outcome } => {
-                if let Some(reply) = self.changes.remove(&id) {
-                    // The asker may have gone; the change stands all the same.
+                if let Some(reply) = self.pending_changes.remove(&id) {
+                    // The requester may be gone; the change remains valid regardless.
                     let _ = reply.send(outcome);
                 }
             }
             Action::ConfigurationInForce(record) => {
                 self.parts.in_force.send_replace(Some(record));
             }
-            Action::Layout(step) => self.parts.platform.layout(step),
+            Action::Layout(step) => self.parts.layout.perform(step),
             Action::DocumentShared(document) => {
-                // A daemon that reads no documents has dropped the receiver.
+                // The receiver is dropped in a daemon that uses no documents.
                 let _ = self.parts.shared.documents.send(document);
             }
             Action::Feed(order) => {
-                // A daemon that follows no source has dropped the receiver.
+                // The receiver is dropped in a daemon that follows no source.
                 let _ = self.parts.shared.feed.send(order);
             }
             Action::BackendFailureReported(failure) => {
-                // A daemon that passes no requests on has dropped the receiver.
+                // The receiver is dropped in a daemon that forwards no requests.
                 let _ = self.parts.shared.failures.send(failure);
             }
             Action::LoadsReported(loads) => {
-                // A daemon that passes no requests on has dropped the receiver.
+                // The receiver is dropped in a daemon that forwards no requests.
                 let _ = self.parts.shared.loads.send(loads);
             }
-            Action::ReachChanged(reach) => {
-                self.parts.metrics.record_reachability(&reach);
-                self.parts.reach.send_replace(reach);
+            Action::ReachChanged(reachability) => {
+                self.parts.metrics.record_reachability(&reachability);
+                self.parts.reachability.send_replace(reachability);
             }
-            Action::Store(order) => self.parts.store.order(*order),
+            Action::Store(order) => self.parts.store.send(*order),
             Action::Stop { superseded_by } => {
                 self.stopped = true;
                 self.superseded_by = Some(superseded_by);
             }
-            // Both are taken out before.
+            // `handle` has processed both already.
             Action::Persist(_) | Action::SendUnsynced { .. } => {}
         }
     }
@@ -306,9 +308,9 @@
         self.parts.peers.send(to, message);
     }
 
-    fn answer(&self, query: Query) {
+    fn answer_query(&self, query: Query) {
         let now = self.clock.now();
-        // An asker that has gone needs no answer.
+        // A failed send means that the requester is gone and needs no answer.
         match query {
             Query::Owner(group, reply) => {
                 let _ = reply.send(self.node.owner_address(group));
@@ -345,28 +347,28 @@
     }
 }
 
-/// Where the time between two ticks went, as far as this task knows. The rest it spent without a processor,
-/// or stopped.
+/// How this task spent the time between two ticks. During the rest it was idle, had no processor or was
+/// stopped.
 #[derive(Default)]
-struct Spent {
+struct TickTimings {
     handling: Duration,
     syncing: Duration,
 }
 
-fn log_late_tick(late: Duration, spent: &Spent) {
-    if late >= LATE_TICK {
+fn log_late_tick(late: Duration, timings: &TickTimings) {
+    if late >= LATE_TICK_THRESHOLD {
         log::warn!(
             target: part::CORE,
             late_ms = late.as_millis() as u64,
-            handling_ms = spent.handling.as_millis() as u64,
-            syncing_ms = spent.syncing.as_millis() as u64;
+            handling_ms = timings.handling.as_millis() as u64,
+            syncing_ms = timings.syncing.as_millis() as u64;
             "The node's timer was late."
         );
     }
 }
 
-/// Passes a message of another daemon on to the node.
+/// Passes a message from another daemon to the node.
 pub async fn deliver(core: &CoreHandle, from: ReplicaId, message: PeerMessage) {
-    log::trace!(target: part::PEERS, "Message of {from}.");
+    log::trace!(target: part::PEERS, "Message from {from}.");
     core.send_event(Event::Message { from, message }).await;
 }
--- a/crates/daemon/src/core_handle.rs
+++ b/crates/daemon/src/core_handle.rs
@@ -1,4 +1,4 @@
-//! How all other parts of the daemon talk to the task that drives the node.
+//! The channel from the other parts of the daemon to the task that drives the node.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,28 +14,28 @@
 
 use crate::clock::Clock;
 
-/// Messages that may wait for the node.
-const INBOX: usize = 65_536;
+/// Most messages queued for the node.
+const INBOX_CAPACITY: usize = 65_536;
 
-/// What is put to the task that drives the node.
+/// A message to the task that drives the node.
 pub enum CoreMessage {
     /// An event.
     Event(Event),
-    /// A request, and who waits for its answer.
+    /// A request, and the channel for its response.
     Request(Request, oneshot::Sender<Response>),
-    /// An operator's change of the configuration, and who waits for the verdict.
+    /// An operator's change of the configuration, and the channel for its outcome.
     Change(ChangeProposal, oneshot::Sender<ChangeOutcome>),
-    /// A question about the node's view.
+    /// A query of the node's state.
     Query(Query),
 }
 
-/// A question about the node's view.
+/// A query of the node's state.
 pub enum Query {
-    /// Where the owner of a group is thought to listen.
+    /// The address of a group's owner, as far as it is known.
     Owner(GroupId, oneshot::Sender<Option<SocketAddr>>),
     /// Whether this daemon owns a group.
     Owns(GroupId, oneshot::Sender<bool>),
-    /// What the node says of itself.
+    /// The node's status.
     Status(oneshot::Sender<NodeStatus>),
     /// A group for a new program.
     GroupForProgram(u64, oneshot::Sender<Option<GroupId>>),
@@ -51,45 +51,47 @@
     Configuration(oneshot::Sender<ConfigurationView>),
 }
 
-/// Talks to the task that drives the node. Cheap to clone.
+/// Sends events, requests and queries to the task that drives the node. Cheap to clone.
 #[derive(Clone)]
 pub struct CoreHandle {
     inbox: mpsc::Sender<CoreMessage>,
-    own: ReplicaId,
-    keys: Arc<AtomicU64>,
-    reach: watch::Sender<Reachability>,
+    replica: ReplicaId,
+    next_key: Arc<AtomicU64>,
+    reachability: watch::Sender<Reachability>,
 }
 
 impl CoreHandle {
-    /// This daemon in its present life.
+    /// The identifier of this daemon with its current incarnation.
     pub fn replica_id(&self) -> ReplicaId {
-        self.own
+        self.replica
     }
 
-    /// Whom this daemon reaches, and news of it; what was told before counts as news.
+    /// Which daemons and zones this daemon reaches. The current value counts as a change, so that a
+    /// late subscriber does not miss a cut that is still going on.
     pub fn reachability(&self) -> watch::Receiver<Reachability> {
-        let mut reach = self.reach.subscribe();
-        reach.mark_changed();
-        reach
+        let mut reachability = self.reachability.subscribe();
+        reachability.mark_changed();
+        reachability
     }
 
-    /// Where the node's task tells whom this daemon reaches.
+    /// Where the node's task publishes the reachability.
     pub fn reachability_sender(&self) -> watch::Sender<Reachability> {
-        self.reach.clone()
+        self.reachability.clone()
     }
 
-    /// Puts an event to the node.
+    /// Sends an event to the node.
     pub async fn send_event(&self, event: Event) {
         // The node's task ends only with the process.
         let _ = self.inbox.send(CoreMessage::Event(event)).await;
     }
 
-    /// Puts an event to the node from a thread that may block.
+    /// Sends an event to the node from a thread that may block.
     pub fn send_event_blocking(&self, event: Event) {
         let _ = self.inbox.blocking_send(CoreMessage::Event(event));
     }
 
-    /// Puts a request to the owner of its group, wherever that is, and waits for the answer.
+    /// Sends a request to the owner of its group, on whichever daemon that is, and waits for the
+    /// response.
     pub async fn request(&self, request: Request) -> Response {
         let (reply, answer) = oneshot::channel();
         let _ = self.inbox.send(CoreMessage::Request(request, reply)).await;
@@ -98,7 +100,7 @@
         })
     }
 
-    /// Where the owner of a group is thought to listen.
+    /// The address of a group's owner, as far as it is known.
     pub async fn owner(&self, group: GroupId) -> Option<SocketAddr> {
         self.query(|reply| Query::Owner(group, reply)).await.flatten()
     }
@@ -108,7 +110,7 @@
         self.query(|reply| Query::Owns(group, reply)).await.unwrap_or(false)
     }
 
-    /// What the node says of itself.
+    /// The node's status.
     pub async fn status(&self) -> NodeStatus {
         self.query(Query::Status).await.unwrap_or_default()
     }
@@ -123,12 +125,12 @@
         self.query(Query::Groups).await.unwrap_or_default()
     }
 
-    /// All daemons known, the dead of late included.
+    /// All known daemons, including those that died recently.
     pub async fn daemons(&self) -> Vec<Member> {
         self.query(Query::Daemons).await.unwrap_or_default()
     }
 
-    /// All daemons known with the groups that they lead.
+    /// All known daemons with the groups that they lead.
     pub async fn daemon_views(&self) -> Vec<DaemonView> {
         self.query(Query::DaemonViews).await.unwrap_or_default()
     }
@@ -138,12 +140,12 @@
         self.query(Query::Configuration).await
     }
 
-    /// Puts an operator's change to the node and waits for the verdict; none when the daemon is
+    /// Proposes an operator's change to the node and waits for the outcome; none when the daemon is
     /// stopping.
     pub async fn propose_change(&self, proposal: ChangeProposal) -> Option<ChangeOutcome> {
-        let (reply, verdict) = oneshot::channel();
+        let (reply, outcome) = oneshot::channel();
         let _ = self.inbox.send(CoreMessage::Change(proposal, reply)).await;
-        verdict.await.ok()
+        outcome.await.ok()
     }
 
     /// Engines as this daemon sees them.
@@ -151,7 +153,7 @@
         self.query(Query::Engines).await.unwrap_or_default()
     }
 
-    /// Tells the node that a connection to the daemon at `address` broke.
+    /// Reports to the node that a connection to the daemon at `address` broke.
     pub async fn report_connection_lost(&self, address: SocketAddr) {
         let lost = |member: &Member| member.record.info.address == address;
         if let Some(member) = self.daemons().await.into_iter().find(lost) {
@@ -164,10 +166,10 @@
         self.send_event(Event::Drain).await;
     }
 
-    /// A key for a call whose caller gave none; no other call has it.
+    /// Generates a unique key for a call whose caller gave none.
     pub fn generate_key(&self) -> String {
-        let number = self.keys.fetch_add(1, Ordering::Relaxed);
-        format!("gateway-{}-{number}", self.own)
+        let number = self.next_key.fetch_add(1, Ordering::Relaxed);
+        format!("gateway-{}-{number}", self.replica)
     }
 
     async fn query<T>(&self, query: impl FnOnce(oneshot::Sender<T>) -> Query) -> Option<T> {
@@ -177,12 +179,13 @@
     }
 }
 
-/// Makes the handle and the inbox of a core that is still to be built.
-pub fn channel(own: ReplicaId) -> (CoreHandle, mpsc::Receiver<CoreMessage>) {
-    let (sender, inbox) = mpsc::channel(INBOX);
-    // A replica's identifier may outlive the process: keys must not repeat those of earlier lives.
+/// Creates the handle and the inbox for a core that is created later.
+pub fn channel(replica: ReplicaId) -> (CoreHandle, mpsc::Receiver<CoreMessage>) {
+    let (sender, inbox) = mpsc::channel(INBOX_CAPACITY);
+    // A replica's identifier may outlive the process, so keys must not repeat those of earlier
+    // processes.
     let first_key = Clock::start().now().0;
-    let keys = Arc::new(AtomicU64::new(first_key));
-    let reach = watch::Sender::new(Reachability::default());
-    (CoreHandle { inbox: sender, own, keys, reach }, inbox)
+    let next_key = Arc::new(AtomicU64::new(first_key));
+    let reachability = watch::Sender::new(Reachability::default());
+    (CoreHandle { inbox: sender, replica, next_key, reachability }, inbox)
 }
--- a/crates/daemon/src/document_copies.rs
+++ b/crates/daemon/src/document_copies.rs
@@ -1,9 +1,9 @@
-//! Copies of shared documents under the data folder.
+//! Copies of shared documents in the data folder.
 //!
-//! When all daemons end while the outside source of the documents is away, nobody could tell the
-//! next lives which routes and servers there are. A daemon with a disk keeps the newest it has
-//! seen, and shares it again at its start. A newer version of anybody always wins. Beside them it
-//! keeps where the others listen.
+//! When all daemons stop while the external source of the documents is unavailable, no daemon could
+//! learn the routes and servers after the restart. A daemon with a disk therefore saves the newest
+//! version of each document and shares it again at its start. A newer version from any daemon always
+//! wins. The addresses of the other daemons are saved in the same way.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -21,16 +21,16 @@
 use crate::known_peers::{self, KnownPeers};
 use crate::logging::part;
 
-/// The part of the data folder that holds documents.
+/// The subfolder of the data folder that holds documents.
 const FOLDER: &str = "documents";
-/// Changes are gathered for so long: a list of servers changes several times in a second while a
-/// service is replaced, and each copy costs two syncs.
-const GATHER_TIME: Duration = Duration::from_millis(500);
+/// Time for which changes are gathered before they are saved. A list of servers changes several times
+/// a second while a service is replaced, and each copy costs two syncs.
+const GATHER_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Why copies cannot be kept.
+/// Why copies cannot be opened.
 #[derive(Debug, Snafu)]
-pub enum KeepError {
-    /// The folder cannot be made.
+pub enum CopiesError {
+    /// The folder cannot be created.
     #[snafu(display("opening the folder of documents: {source}"))]
     Folder {
         /// Cause.
@@ -44,25 +44,25 @@
     },
 }
 
-/// Shares the documents that are kept under a data folder, and keeps those that come.
+/// Shares the documents that are saved in a data folder, and saves those that arrive.
 ///
 /// # Errors
-/// [`KeepError`]; the daemon can go on without copies.
+/// [`CopiesError`]; the daemon can go on without copies.
 pub async fn start(
     folder: &Path,
     core: CoreHandle,
     documents: UnboundedReceiver<SharedDocument>,
-) -> Result<(), KeepError> {
+) -> Result<(), CopiesError> {
     let disk = FolderDisk::open(&folder.join(FOLDER)).context(FolderSnafu)?;
     let opened = DocumentCopies::open(Box::new(disk)).context(ReadSnafu)?;
-    let OpenedCopies { copies: kept, newest, invalid } = opened;
+    let OpenedCopies { copies, newest, invalid } = opened;
     for error in invalid {
         log::warn!(target: part::STORE, cause:% = error; "A kept document is passed over.");
     }
-    let mut addresses = KnownPeers::new(core.clone());
+    let mut peers = KnownPeers::new(core.clone());
     for DocumentCopy { number, version, bytes } in newest {
-        if number == known_peers::NUMBER {
-            addresses.recall(&SharedDocument { number, version, bytes }).await;
+        if number == known_peers::DOCUMENT_NUMBER {
+            peers.restore(&SharedDocument { number, version, bytes }).await;
             continue;
         }
         log::info!(
@@ -72,47 +72,47 @@
         );
         core.send_event(Event::ShareDocument(SharedDocument { number, version, bytes })).await;
     }
-    tokio::spawn(keep(kept, documents, addresses));
+    tokio::spawn(run(copies, documents, peers));
     Ok(())
 }
 
-async fn keep(
-    mut kept: DocumentCopies,
+async fn run(
+    mut copies: DocumentCopies,
     mut documents: UnboundedReceiver<SharedDocument>,
-    mut addresses: KnownPeers,
+    mut peers: KnownPeers,
 ) {
     loop {
         let next = tokio::select! {
             document = documents.recv() => document,
-            list = addresses.changed() => Some(list),
+            list = peers.changed() => Some(list),
         };
         let Some(first) = next else { return };
-        sleep(GATHER_TIME).await;
+        sleep(GATHER_INTERVAL).await;
         let mut newest = BTreeMap::from([(first.number, first)]);
         while let Ok(next) = documents.try_recv() {
-            let held = newest.get(&next.number).map(|held| held.version);
-            if held.is_none_or(|held| held < next.version) {
+            let gathered = newest.get(&next.number).map(|gathered| gathered.version);
+            if gathered.is_none_or(|gathered| gathered < next.version) {
                 newest.insert(next.number, next);
             }
         }
         let written = spawn_blocking(move || {
             let results: Vec<_> =
-                newest.into_values().map(|one| keep_one(&mut kept, one)).collect();
-            (kept, results)
+                newest.into_values().map(|document| save_copy(&mut copies, document)).collect();
+            (copies, results)
         });
         let Ok((returned, results)) = written.await else {
             log::error!(target: part::STORE, "Documents are not kept any more: the writer ended.");
             return;
         };
-        kept = returned;
-        // A disk that is full now may have room when the next document comes.
+        copies = returned;
+        // A disk that is full now may have space when the next document arrives.
         for error in results.into_iter().filter_map(Result::err) {
             log::warn!(target: part::STORE, cause:% = error; "A document is not kept.");
         }
     }
 }
 
-fn keep_one(kept: &mut DocumentCopies, document: SharedDocument) -> Result<(), LogError> {
+fn save_copy(copies: &mut DocumentCopies, document: SharedDocument) -> Result<(), LogError> {
     let SharedDocument { number, version, bytes } = document;
-    kept.save(&DocumentCopy { number, version, bytes })
+    copies.save(&DocumentCopy { number, version, bytes })
 }
--- a/crates/daemon/src/engines.rs
+++ b/crates/daemon/src/engines.rs
@@ -1,4 +1,4 @@
-//! Tasks that talk to engines for the node: one for each attempt, release and report.
+//! Tasks that communicate with engines for the node: one per attempt, release and load poll.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -15,32 +15,32 @@
 use tokio::task::AbortHandle;
 use tokio::time::{MissedTickBehavior, interval};
 
-use crate::answers::AnswerBoard;
+use crate::answers::AnswerBuffers;
 use crate::attempt::AttemptTask;
 use crate::core_handle::CoreHandle;
 use crate::logging::part;
 
 /// How often each engine's load is read.
-const REPORT_INTERVAL: Duration = Duration::from_millis(500);
+const LOAD_INTERVAL: Duration = Duration::from_millis(500);
 
-/// One engine that this daemon talks to.
+/// An engine that this daemon communicates with.
 struct Engine {
     client: EngineClient,
     address: EngineAddress,
-    reports: AbortHandle,
+    load_task: AbortHandle,
 }
 
 impl Drop for Engine {
     fn drop(&mut self) {
-        self.reports.abort();
+        self.load_task.abort();
     }
 }
 
-/// Starts and ends tasks that talk to engines.
+/// Starts and ends tasks that communicate with engines.
 pub struct EngineTasks {
     engines: BTreeMap<EngineId, Engine>,
     core: CoreHandle,
-    board: AnswerBoard,
+    answers: AnswerBuffers,
     attempts: HashMap<AttemptId, RunningAttempt>,
 }
 
@@ -50,41 +50,41 @@
 }
 
 impl EngineTasks {
-    /// Knows no engine.
-    pub fn new(core: CoreHandle, board: AnswerBoard) -> Self {
-        Self { engines: BTreeMap::new(), core, board, attempts: HashMap::new() }
+    /// Starts without engines.
+    pub fn new(core: CoreHandle, answers: AnswerBuffers) -> Self {
+        Self { engines: BTreeMap::new(), core, answers, attempts: HashMap::new() }
     }
 
-    /// Talks to these engines and reads their load from now on. Engines that are not among them
-    /// stay known here: attempts and releases that they have not answered are still asked after.
-    pub fn use_engines(&mut self, addresses: Vec<EngineAddress>) {
+    /// Adds these engines and polls their load from now on. Engines that are not among them are kept,
+    /// since attempts and releases that they have not answered are still resolved.
+    pub fn set_engines(&mut self, addresses: Vec<EngineAddress>) {
         for address in addresses {
-            let known = self.engines.get(&address.engine);
-            if known.is_some_and(|known| known.address == address) {
+            let existing = self.engines.get(&address.engine);
+            if existing.is_some_and(|existing| existing.address == address) {
                 continue;
             }
             let id = address.engine.clone();
             let endpoint =
                 EngineEndpoint { engine: id.clone(), address: address.address.to_string() };
             let client = EngineClient::new(endpoint, ClientSettings::default());
-            let reports = report(client.clone(), address.zone.clone(), self.core.clone());
-            let reports = tokio::spawn(reports).abort_handle();
+            let load_task = poll_load(client.clone(), address.zone.clone(), self.core.clone());
+            let load_task = tokio::spawn(load_task).abort_handle();
             log::info!(target: part::ENGINES, "{id} is at {}.", address.address);
-            self.engines.insert(id, Engine { client, address, reports });
+            self.engines.insert(id, Engine { client, address, load_task });
         }
     }
 
-    /// Gives an engine an order. A lost or refused one is planned again from its reports.
+    /// Sends an order to an engine. A lost or refused order is planned again from the engine's reports.
     pub fn order(&self, order: FencedOrder) {
         let Some(client) = self.client(&order.engine) else {
             return;
         };
         tokio::spawn(async move {
-            let wire = platform_order(&order);
+            let wire = to_engine_order(&order);
             match client.order(&wire).await {
                 Ok(accepted) if accepted.incarnation != order.incarnation => log::info!(
                     target: part::ENGINES,
-                    "{} took an order that was meant for an earlier life.",
+                    "{} took an order that was meant for an earlier incarnation.",
                     order.engine
                 ),
                 Ok(_) => {}
@@ -98,7 +98,7 @@
         self.spawn(start, false);
     }
 
-    /// Takes over an attempt of an earlier owner.
+    /// Takes over an attempt of a previous owner.
     pub fn resume(&mut self, start: StartAttempt) {
         self.spawn(start, true);
     }
@@ -108,7 +108,7 @@
         let id = start.attempt.id;
         let engine = start.engine.clone();
         let client = self.engines.get(&engine).map(|engine| engine.client.clone());
-        let task = AttemptTask::new(start, client, self.core.clone(), self.board.clone());
+        let task = AttemptTask::new(start, client, self.core.clone(), self.answers.clone());
         let handle =
             tokio::spawn(
                 async move { if resumed { task.resume().await } else { task.start().await } },
@@ -116,9 +116,9 @@
         self.attempts.insert(id, RunningAttempt { engine, task: handle.abort_handle() });
     }
 
-    /// Cuts an attempt at its engine. The attempt's own task sees the end.
+    /// Cancels an attempt at its engine. The attempt's own task receives the end.
     pub fn cancel(&self, attempt: AttemptId, epoch: Term) {
-        let Some(client) = self.client_of(attempt) else {
+        let Some(client) = self.client_for_attempt(attempt) else {
             return;
         };
         tokio::spawn(async move {
@@ -128,9 +128,9 @@
         });
     }
 
-    /// Cuts an attempt if its engine has not started it.
+    /// Cancels an attempt if its engine has not started it.
     pub fn recall(&self, attempt: AttemptId, epoch: Term) {
-        let Some(client) = self.client_of(attempt) else {
+        let Some(client) = self.client_for_attempt(attempt) else {
             return;
         };
         tokio::spawn(async move {
@@ -140,16 +140,16 @@
         });
     }
 
-    /// Stops reading an attempt; it runs on at its engine.
-    pub fn leave(&mut self, attempt: AttemptId) {
+    /// Stops reading an attempt's stream. The attempt continues at its engine.
+    pub fn detach(&mut self, attempt: AttemptId) {
         if let Some(running) = self.attempts.remove(&attempt) {
             running.task.abort();
         }
     }
 
-    /// Forgets a call's text.
-    pub fn forget(&mut self, call: CallId) {
-        self.board.remove(call);
+    /// Removes the buffer of a call's answer.
+    pub fn forget_answer(&mut self, call: CallId) {
+        self.answers.remove(call);
     }
 
     /// Asks an engine to free a program's memory.
@@ -184,7 +184,7 @@
         });
     }
 
-    fn client_of(&self, attempt: AttemptId) -> Option<EngineClient> {
+    fn client_for_attempt(&self, attempt: AttemptId) -> Option<EngineClient> {
         self.client(&self.attempts.get(&attempt)?.engine)
     }
 
@@ -194,7 +194,7 @@
 }
 
 async fn release(client: &EngineClient, order: &ReleaseOrder) -> ReleaseEnd {
-    // Attempts of unknown outcome must not start after the memory is freed.
+    // Attempts with an unknown outcome must not start after the memory is freed.
     for attempt in &order.request.fence {
         if let Err(error) = client.cancel(*attempt, order.epoch).await {
             log::debug!(target: part::ENGINES, "Fencing {attempt}: {error}.");
@@ -217,8 +217,8 @@
     }
 }
 
-async fn report(client: EngineClient, zone: Zone, core: CoreHandle) {
-    let mut ticks = interval(REPORT_INTERVAL);
+async fn poll_load(client: EngineClient, zone: Zone, core: CoreHandle) {
+    let mut ticks = interval(LOAD_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut reachable = true;
     loop {
@@ -226,25 +226,25 @@
         match client.load().await {
             Ok(load) => {
                 reachable = true;
-                let state = Event::EngineState(load.engine.clone(), state_of(&load));
+                let state = Event::EngineState(load.engine.clone(), engine_state(&load));
                 core.send_event(state).await;
-                core.send_event(Event::EngineReported(translate(load, &zone))).await;
+                core.send_event(Event::EngineReported(engine_report(load, &zone))).await;
             }
             Err(error) => {
-                log_once(&mut reachable, &error);
+                log_first_failure(&mut reachable, &error);
             }
         }
     }
 }
 
-fn log_once(reachable: &mut bool, error: &EngineError) {
+fn log_first_failure(reachable: &mut bool, error: &EngineError) {
     if std::mem::replace(reachable, false) {
         log::warn!(target: part::ENGINES, "No report. {error}.");
     }
 }
 
-/// What orders to the engine follow from.
-fn state_of(load: &LoadReport) -> EngineState {
+/// The state of an engine that its orders are planned from.
+fn engine_state(load: &LoadReport) -> EngineState {
     let model_state = |state: ModelState| match state {
         ModelState::Loading => configuration::ModelState::Loading,
         ModelState::Ready => configuration::ModelState::Ready,
@@ -261,7 +261,7 @@
     }
 }
 
-fn platform_order(order: &FencedOrder) -> dahlia_adapters::engine::FencedOrder {
+fn to_engine_order(order: &FencedOrder) -> dahlia_adapters::engine::FencedOrder {
     let kind = match &order.kind {
         OrderKind::Load(model) => EngineOrder::LoadModel(model.clone()),
         OrderKind::Unload(model) => EngineOrder::UnloadModel(model.clone()),
@@ -275,7 +275,7 @@
     dahlia_adapters::engine::FencedOrder { generation: order.generation, order: kind }
 }
 
-fn translate(load: LoadReport, zone: &Zone) -> EngineReport {
+fn engine_report(load: LoadReport, zone: &Zone) -> EngineReport {
     let ready = load.models.into_iter().filter(|model| model.state == ModelState::Ready);
     EngineReport {
         engine: load.engine,
--- a/crates/daemon/src/failure_reports.rs
+++ b/crates/daemon/src/failure_reports.rs
@@ -1,7 +1,7 @@
-//! Failures of back ends, told to other daemons and heard from them.
+//! Reports of back-end failures, sent to other daemons and received from them.
 //!
-//! With many gateways before many servers each gateway meets one server rarely: by its own attempts
-//! alone it would lose several requests to a failing one before it leaves it alone.
+//! With many gateways in front of many servers, each gateway uses one server rarely. With its own
+//! attempts alone it would lose several requests to a failing server before it avoids it.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -15,29 +15,30 @@
 use crate::clock::Clock;
 use crate::core_handle::CoreHandle;
 
-/// Failures of one back end are gathered for so long before others are told.
-const GATHER_TIME: Duration = Duration::from_millis(100);
+/// Time for which failures are gathered before they are reported.
+const GATHER_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Tells others of failures that `backends` sees, and tells `backends` of those `heard`.
+/// Reports the failures that `backends` sees to other daemons, and applies their `reports` to
+/// `backends`.
 pub fn share(
     backends: &Arc<Mutex<Backends>>,
-    heard: UnboundedReceiver<BackendFailure>,
+    reports: UnboundedReceiver<BackendFailure>,
     core: &CoreHandle,
     clock: Clock,
 ) {
-    let (failed, failures) = mpsc::unbounded_channel();
+    let (failure_sender, failures) = mpsc::unbounded_channel();
     let listener = move |backend: &BackendId| {
-        // Nobody tells others any more while the process ends.
-        let _ = failed.send(backend.clone());
+        // The receiver is gone while the process ends.
+        let _ = failure_sender.send(backend.clone());
     };
     backends.lock().unwrap_or_else(PoisonError::into_inner).on_failure(Box::new(listener));
-    tokio::spawn(tell(failures, core.clone()));
-    tokio::spawn(hear(heard, backends.clone(), clock));
+    tokio::spawn(send_reports(failures, core.clone()));
+    tokio::spawn(apply_reports(reports, backends.clone(), clock));
 }
 
-async fn tell(mut failures: UnboundedReceiver<BackendId>, core: CoreHandle) {
+async fn send_reports(mut failures: UnboundedReceiver<BackendId>, core: CoreHandle) {
     while let Some(first) = failures.recv().await {
-        sleep(GATHER_TIME).await;
+        sleep(GATHER_INTERVAL).await;
         let mut counts = BTreeMap::from([(first, 1_u8)]);
         while let Ok(next) = failures.try_recv() {
             let count = counts.entry(next).or_default();
@@ -47,7 +48,7 @@
             log::info!(
                 target: "backends",
                 server:% = backend, failures = failures;
-                "Failures of a server are told to other daemons."
+                "Reporting failures of a server to other daemons."
             );
             let failure = BackendFailure { backend: backend.to_string(), failures };
             core.send_event(Event::BackendFailed(failure)).await;
@@ -55,12 +56,12 @@
     }
 }
 
-async fn hear(
-    mut heard: UnboundedReceiver<BackendFailure>,
+async fn apply_reports(
+    mut reports: UnboundedReceiver<BackendFailure>,
     backends: Arc<Mutex<Backends>>,
     clock: Clock,
 ) {
-    while let Some(BackendFailure { backend, failures }) = heard.recv().await {
+    while let Some(BackendFailure { backend, failures }) = reports.recv().await {
         let (backend, now) = (BackendId::from(backend.as_str()), clock.now());
         let mut backends = backends.lock().unwrap_or_else(PoisonError::into_inner);
         let was_suspect = backends.is_suspect(&backend, now);
@@ -72,7 +73,7 @@
             failures = failures,
             was_suspect = was_suspect,
             is_suspect = is_suspect;
-            "Heard of failures of a server."
+            "Received a report of a server's failures."
         );
     }
 }
--- a/crates/daemon/src/gateway/answers.rs
+++ b/crates/daemon/src/gateway/answers.rs
@@ -1,4 +1,4 @@
-//! Reading an answer on from an offset, and closing a program.
+//! Resuming an answer at an offset, and closing a program.
 
 use std::sync::Arc;
 
@@ -10,13 +10,13 @@
 
 use super::Gateway;
 use super::chat::unexpected;
-use super::follow::{Follower, StartPosition};
+use super::follow::{AnswerFollower, StartPosition};
 use super::render;
 
 /// `GET /v1/programs/{program}/chains/{chain}/calls/{number}/answer?offset=N&attempt=A`.
 ///
-/// `Last-Event-ID` of a broken stream (`<chain>/<number>/<attempt>/<offset>`) goes before the
-/// query, as the EventSource interface of HTML sends it.
+/// A `Last-Event-ID` header (`<chain>/<number>/<attempt>/<offset>`) takes precedence over the query, as
+/// the EventSource interface of HTML sends it after a broken stream.
 pub(super) struct ReadHandler {
     pub(super) gateway: Arc<Gateway>,
 }
@@ -32,7 +32,7 @@
         let permit = gateway.admit();
         match (read, permit) {
             (Ok((tenant, call, start)), Ok(permit)) => {
-                let mut follower = Follower::new(gateway, tenant, call, start);
+                let mut follower = AnswerFollower::new(gateway, tenant, call, start);
                 let frame = render::frame(call, "");
                 render::name_call(gateway, response, call);
                 let first = follower.next().await;
@@ -43,7 +43,7 @@
     }
 }
 
-/// `DELETE /v1/programs/{program}`: the tenant ends its own program.
+/// `DELETE /v1/programs/{program}`: a tenant closes its own program.
 pub(super) struct CloseHandler {
     pub(super) gateway: Arc<Gateway>,
 }
--- a/crates/daemon/src/gateway/body.rs
+++ b/crates/daemon/src/gateway/body.rs
@@ -1,4 +1,4 @@
-//! Reads a request's body within its limits of size and time.
+//! Reads a request's body within the limits on its size and its duration.
 
 use std::pin::pin;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 use salvo::prelude::Request;
 use tokio::time::{Instant, timeout_at};
 
-/// Bytes beyond the limit that are read and discarded. Closing a connection with unread bytes
+/// Most bytes over the limit that are read and discarded. Closing a connection with unread bytes
 /// resets it, and the caller may lose the refusal (RFC 9112, section 9.6).
 const DISCARDED_BYTES: u64 = 1 << 20;
 
--- a/crates/daemon/src/gateway/chat.rs
+++ b/crates/daemon/src/gateway/chat.rs
@@ -1,4 +1,4 @@
-//! `POST /v1/chat/completions`: the way of a call through its gateway, top to bottom.
+//! `POST /v1/chat/completions`: submits a call to its owner and renders the answer.
 
 use std::sync::Arc;
 
@@ -13,7 +13,7 @@
 
 use super::Gateway;
 use super::body;
-use super::follow::{AnswerEvent, Follower, StartPosition};
+use super::follow::{AnswerEvent, AnswerFollower, StartPosition};
 use super::render::{self, AnswerForm};
 
 /// Serves chat requests.
@@ -21,8 +21,8 @@
     pub(super) gateway: Arc<Gateway>,
 }
 
-/// A call that has its place, on its way to an answer.
-struct Accepted {
+/// A call that its owner accepted, with what rendering its answer needs.
+struct AcceptedCall {
     call: CallId,
     tenant: TenantId,
     model: String,
@@ -43,7 +43,7 @@
 }
 
 impl ChatHandler {
-    async fn accept(&self, request: &mut Request) -> Result<Accepted, ApiError> {
+    async fn accept(&self, request: &mut Request) -> Result<AcceptedCall, ApiError> {
         let arrived = Instant::now();
         let tenant = self.gateway.authenticate(request)?;
         let permit = self.gateway.admit()?;
@@ -51,14 +51,14 @@
         let mut call = validate(call_headers(request), &chat, &self.gateway.limits)?;
         let form = if chat.stream { AnswerForm::Stream } else { AnswerForm::Whole };
         let repeatable = call.key.is_none();
-        name_call(&mut call, &self.gateway);
+        assign_key(&mut call, &self.gateway);
         let submit = OwnerRequest::Submit { tenant: tenant.clone(), call, repeatable };
         let call = match self.gateway.core.request(submit).await {
             OwnerResponse::Begun { call } | OwnerResponse::Ended { call, .. } => call,
             OwnerResponse::Failed(error) => return Err(error),
             other => return Err(unexpected(&other)),
         };
-        Ok(Accepted { call, tenant, model: chat.model, form, permit, arrived })
+        Ok(AcceptedCall { call, tenant, model: chat.model, form, permit, arrived })
     }
 
     async fn read_chat(&self, request: &mut Request) -> Result<ChatRequest, ApiError> {
@@ -69,10 +69,10 @@
         })
     }
 
-    async fn answer(&self, accepted: Accepted, response: &mut Response) {
+    async fn answer(&self, accepted: AcceptedCall, response: &mut Response) {
         let gateway = &self.gateway;
         let mut follower =
-            Follower::new(gateway, accepted.tenant, accepted.call, StartPosition::default());
+            AnswerFollower::new(gateway, accepted.tenant, accepted.call, StartPosition::default());
         let frame = render::frame(accepted.call, &accepted.model);
         render::name_call(gateway, response, accepted.call);
         let first = follower.next().await;
@@ -99,17 +99,17 @@
     }
 }
 
-/// Gives a call that its caller named neither by key nor by number a key of the gateway's own, so
-/// that the gateway may put the request to a second owner after the first died: the call then has
-/// its place once. A stated number names the call already; a key beside it would make the
-/// caller's own retry at another gateway look like another call.
-fn name_call(call: &mut CallRequest, gateway: &Gateway) {
+/// Assigns a generated key to a call that has neither a key nor a number, so that the gateway may send
+/// the request to a second owner after the first died without submitting the call twice. A number
+/// identifies the call already; with a generated key beside it, the caller's retry at another gateway
+/// would look like another call.
+fn assign_key(call: &mut CallRequest, gateway: &Gateway) {
     if call.key.is_none() && call.number.is_none() {
         call.key = Some(IdempotencyKey::new(gateway.core.generate_key()));
     }
 }
 
-/// An owner's response that does not answer the request put to it.
+/// The error for an owner's response that does not match the request.
 pub(super) fn unexpected(response: &OwnerResponse) -> ApiError {
     let name = match response {
         OwnerResponse::Begun { .. } => "begun",
--- a/crates/daemon/src/gateway/follow.rs
+++ b/crates/daemon/src/gateway/follow.rs
@@ -1,5 +1,5 @@
-//! Follows a call's answer at its owner, from any daemon, across fail-over: the connections of
-//! an [`AnswerReader`].
+//! Follows a call's answer at its owner, from any daemon and across fail-over. It manages the
+//! connections of an [`AnswerReader`].
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
 
 use super::Gateway;
 use super::source::AnswerSource;
-use crate::answers::AnswerBoard;
+use crate::answers::AnswerBuffers;
 use crate::core_handle::CoreHandle;
 use crate::handshake::Identity;
 use crate::logging::part;
@@ -21,74 +21,74 @@
 
 pub use dahlia_node::{AnswerEvent, StartPosition};
 
-/// Pause before asking again who owns the program.
-const RELOCATE_PAUSE: Duration = Duration::from_millis(50);
-/// Longest time without any owner before the follower gives up. Longer than a fail-over.
-const OWNERLESS_LIMIT: Duration = Duration::from_secs(20);
-/// An owner that says nothing for so long is asked anew: it may be frozen.
-const SILENCE_LIMIT: Duration = Duration::from_secs(3);
-/// When a caller may come back after the follower gave up.
-const UNAVAILABLE_RETRY: Duration = Duration::from_secs(2);
+/// Time between lookups of the program's owner.
+const OWNER_LOOKUP_INTERVAL: Duration = Duration::from_millis(50);
+/// Time without any owner after which the follower gives up. Longer than a fail-over.
+const OWNERLESS_TIMEOUT: Duration = Duration::from_secs(20);
+/// After this long without a frame the owner is contacted again, since it may be frozen.
+const OWNER_RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Retry delay for a caller after the follower gave up.
+const UNAVAILABLE_RETRY_DELAY: Duration = Duration::from_secs(2);
 
 /// Reads one call's answer.
-pub struct Follower {
+pub struct AnswerFollower {
     core: CoreHandle,
     identity: Identity,
-    board: AnswerBoard,
+    answers: AnswerBuffers,
     reader: AnswerReader,
     source: Option<AnswerSource>,
     last_contact: Instant,
-    waiting: VecDeque<AnswerEvent>,
+    pending_events: VecDeque<AnswerEvent>,
 }
 
-impl Follower {
-    /// A follower that will yield what comes after `start`.
+impl AnswerFollower {
+    /// Creates a follower of the answer from `start` on.
     pub fn new(gateway: &Gateway, tenant: TenantId, call: CallId, start: StartPosition) -> Self {
         Self {
             core: gateway.core.clone(),
             identity: gateway.identity.clone(),
-            board: gateway.board.clone(),
+            answers: gateway.answers.clone(),
             reader: AnswerReader::new(tenant, call, start),
             source: None,
             last_contact: Instant::now(),
-            waiting: VecDeque::new(),
+            pending_events: VecDeque::new(),
         }
     }
 
-    /// The next event; `None` after the end.
+    /// Returns the next event, or `None` after the end.
     pub async fn next(&mut self) -> Option<AnswerEvent> {
         loop {
-            if let Some(followed) = self.waiting.pop_front() {
-                return Some(followed);
+            if let Some(event) = self.pending_events.pop_front() {
+                return Some(event);
             }
             if self.reader.is_ended() {
                 return None;
             }
             let Some(frame) = self.next_frame().await else {
-                if self.last_contact.elapsed() > OWNERLESS_LIMIT {
+                if self.last_contact.elapsed() > OWNERLESS_TIMEOUT {
                     return Some(self.reader.fail(unavailable()));
                 }
-                sleep(RELOCATE_PAUSE).await;
+                sleep(OWNER_LOOKUP_INTERVAL).await;
                 continue;
             };
             match self.reader.handle_frame(frame) {
                 FrameOutcome::Nothing => {}
-                FrameOutcome::Events(followed) => self.waiting.extend(followed),
+                FrameOutcome::Events(event) => self.pending_events.extend(event),
                 FrameOutcome::FindOwner => {
                     self.source = None;
-                    sleep(RELOCATE_PAUSE).await;
+                    sleep(OWNER_LOOKUP_INTERVAL).await;
                 }
             }
         }
     }
 
-    /// One frame from the present owner, or `None` when there is none to ask at the moment.
+    /// Returns one frame from the current owner, or `None` when no owner answers.
     async fn next_frame(&mut self) -> Option<AnswerFrame> {
         if self.source.is_none() {
             self.source = self.connect().await;
         }
         let source = self.source.as_mut()?;
-        match timeout(SILENCE_LIMIT, source.receive()).await {
+        match timeout(OWNER_RESPONSE_TIMEOUT, source.receive()).await {
             Ok(Ok(frame)) => {
                 self.last_contact = Instant::now();
                 Some(frame)
@@ -109,7 +109,7 @@
         let group = self.reader.call().program.group;
         let read = self.reader.request();
         if self.core.owns(group).await {
-            let frames = serve_answers::open_here(&self.core, &self.board, read);
+            let frames = serve_answers::open_local(&self.core, &self.answers, read);
             return Some(AnswerSource::Local(frames));
         }
         let owner: SocketAddr = self.core.owner(group).await?;
@@ -126,5 +126,5 @@
 fn unavailable() -> ApiError {
     let message = "no owner of the program can be reached; the call keeps its place: ask again \
                    with the same key or number, or read on from your offset";
-    ApiError::new(ErrorKind::Unavailable, message).with_retry_after(UNAVAILABLE_RETRY)
+    ApiError::new(ErrorKind::Unavailable, message).with_retry_after(UNAVAILABLE_RETRY_DELAY)
 }
--- a/crates/daemon/src/gateway/head.rs
+++ b/crates/daemon/src/gateway/head.rs
@@ -8,7 +8,7 @@
 use super::Gateway;
 use super::render;
 
-/// Refuses requests whose head is over its limits.
+/// Refuses requests whose head exceeds a limit.
 pub(super) struct HeadLimits {
     pub(super) gateway: Arc<Gateway>,
 }
--- a/crates/daemon/src/gateway/health.rs
+++ b/crates/daemon/src/gateway/health.rs
@@ -1,4 +1,4 @@
-//! Health and metrics for whoever watches the daemon.
+//! Health, readiness and metrics for monitoring.
 
 use std::sync::Arc;
 
@@ -7,23 +7,23 @@
 
 use super::Gateway;
 
-/// `/healthz`: the process answers.
-pub(super) struct Alive;
+/// `/healthz`: 200 while the process answers.
+pub(super) struct HealthHandler;
 
 #[handler]
-impl Alive {
+impl HealthHandler {
     async fn handle(&self, response: &mut Response) {
         response.render("alive\n");
     }
 }
 
 /// `/readyz`: 200 when the daemon can route calls; 503 with the reason otherwise.
-pub(super) struct Ready {
+pub(super) struct ReadinessHandler {
     pub(super) gateway: Arc<Gateway>,
 }
 
 #[handler]
-impl Ready {
+impl ReadinessHandler {
     async fn handle(&self, response: &mut Response) {
         let status = self.gateway.core.status().await;
         let code = if status.ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
@@ -33,14 +33,14 @@
 }
 
 /// `/metrics`: Prometheus text format.
-pub(super) struct Export {
+pub(super) struct MetricsHandler {
     pub(super) gateway: Arc<Gateway>,
 }
 
 #[handler]
-impl Export {
+impl MetricsHandler {
     async fn handle(&self, response: &mut Response) {
-        // The gauges are taken over from what the node says of itself.
+        // A status query updates the gauges from the node.
         self.gateway.core.status().await;
         match self.gateway.metrics.text() {
             Ok(text) => response.render(text),
--- a/crates/daemon/src/gateway/mod.rs
+++ b/crates/daemon/src/gateway/mod.rs
@@ -1,10 +1,10 @@
-//! Callers' HTTP: validation, routing to the owner, and the answer's way back.
+//! HTTP for callers: validation, routing to the owner, and returning the answer.
 //!
 //! | module | job |
 //! |---|---|
 //! | `chat` | `POST /v1/chat/completions` |
-//! | `answers` | reading on from an offset, and closing a program |
-//! | `source` | where an answer is read: here or at another daemon |
+//! | `answers` | resuming an answer at an offset, and closing a program |
+//! | `source` | the source of an answer: this daemon or another one |
 //! | `follow` | following an answer at its owner across fail-over |
 //! | `body` | a request's body, within its limits |
 //! | `head` | limits on a request's head |
@@ -37,27 +37,27 @@
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
-use crate::answers::AnswerBoard;
+use crate::answers::AnswerBuffers;
 use crate::core_handle::CoreHandle;
 use crate::handshake::Identity;
 use crate::metrics::Metrics;
 
-/// Headers beyond the setting that the HTTP parser lets through, so that the typed refusal can be
-/// given. More end the connection with the parser's own answer.
-const HEADERS_BEYOND: usize = 20;
+/// Headers over the limit that the HTTP parser still accepts, so that the request gets a typed refusal.
+/// With more headers the parser sends its own answer and closes the connection.
+const EXTRA_PARSED_HEADERS: usize = 20;
 /// The HTTP parser's buffer, in multiples of the limit on a request's head.
 const HEAD_BUFFER_FACTOR: usize = 2;
-/// When a caller may come back after the daemon had no place for its request.
-const BUSY_RETRY: Duration = Duration::from_secs(1);
+/// Retry delay for a caller when the daemon is at its limit of requests or is stopping.
+const BUSY_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// What every handler needs.
+/// The state shared by all handlers.
 pub struct Gateway {
     /// Routes requests to owners.
     pub core: CoreHandle,
-    /// This daemon towards its peers.
+    /// The identity of this daemon towards its peers.
     pub identity: Identity,
-    /// Text of answers that are generated here.
-    pub board: AnswerBoard,
+    /// Buffers of answers that this daemon receives from engines.
+    pub answers: AnswerBuffers,
     /// Checks tenants' credentials.
     pub tenants: TenantKey,
     /// Limits on requests.
@@ -68,20 +68,20 @@
 }
 
 impl Gateway {
-    /// Puts a gateway together.
+    /// Creates a gateway.
     pub fn new(
         core: CoreHandle,
         identity: Identity,
-        board: AnswerBoard,
+        answers: AnswerBuffers,
         tenants: TenantKey,
         limits: RequestLimits,
         metrics: Arc<Metrics>,
     ) -> Arc<Self> {
         let permits = Arc::new(Semaphore::new(limits.concurrent_requests as usize));
-        Arc::new(Self { core, identity, board, tenants, limits, metrics, permits })
+        Arc::new(Self { core, identity, answers, tenants, limits, metrics, permits })
     }
 
-    /// Finds the tenant of a request.
+    /// Returns the tenant of a request by its credential.
     fn authenticate(&self, request: &Request) -> Result<TenantId, ApiError> {
         let header = request.headers().get("authorization");
         let text = header.and_then(|value| value.to_str().ok()).unwrap_or_default();
@@ -96,30 +96,30 @@
         })
     }
 
-    /// Requests in progress.
+    /// The number of requests in progress.
     pub fn in_progress(&self) -> usize {
         let limit = self.limits.concurrent_requests as usize;
         limit.saturating_sub(self.permits.available_permits())
     }
 
-    /// Refuses all further requests, at once and with the advice to go elsewhere.
+    /// Refuses all further requests at once, and advises their callers to use another daemon.
     pub fn close(&self) {
         self.permits.close();
     }
 
-    /// Takes a place among the requests in progress, or refuses at once.
+    /// Acquires a permit for one request, or refuses at once.
     fn admit(&self) -> Result<OwnedSemaphorePermit, ApiError> {
         self.permits.clone().try_acquire_owned().map_err(|error| match error {
             TryAcquireError::Closed => {
                 let message = "this daemon is stopping; ask another one";
-                ApiError::new(ErrorKind::Unavailable, message).with_retry_after(BUSY_RETRY)
+                ApiError::new(ErrorKind::Unavailable, message).with_retry_after(BUSY_RETRY_DELAY)
             }
             TryAcquireError::NoPermits => {
                 let limit = self.limits.concurrent_requests;
                 let message = format!(
                     "this daemon serves {limit} requests already (limits.concurrent_requests)"
                 );
-                ApiError::new(ErrorKind::Overloaded, message).with_retry_after(BUSY_RETRY)
+                ApiError::new(ErrorKind::Overloaded, message).with_retry_after(BUSY_RETRY_DELAY)
             }
         })
     }
@@ -132,11 +132,10 @@
 }
 
 impl GatewayServer {
-    /// Takes no more connections and lets those that are open send what they have, for as long
-    /// as `limit`.
+    /// Stops accepting connections, and lets open ones finish sending for at most `limit`.
     pub async fn finish(&mut self, limit: Duration) {
         self.handle.stop_graceful(limit);
-        // A server that takes longer is stopped by force afterwards.
+        // The caller forcibly stops a server that takes longer.
         let _ = timeout(limit, &mut self.task).await;
     }
 
@@ -158,8 +157,8 @@
         .http1_mut()
         .timer(TokioTimer::new())
         .header_read_timeout(receive)
-        .max_headers(gateway.limits.headers as usize + HEADERS_BEYOND)
-        // Bounds memory; `head` checks exactly, and gives a typed refusal up to here.
+        .max_headers(gateway.limits.headers as usize + EXTRA_PARSED_HEADERS)
+        // Bounds memory. Up to this size, `head` checks exactly and gives a typed refusal.
         .max_buf_size(gateway.limits.head_bytes as usize * HEAD_BUFFER_FACTOR);
     let handle = server.handle();
     let task = tokio::spawn(server.serve(router(gateway)));
@@ -178,8 +177,10 @@
                 .get(read),
         )
         .push(Router::with_path("v1/programs/{program}").delete(close))
-        .push(Router::with_path("healthz").get(health::Alive))
-        .push(Router::with_path("readyz").get(health::Ready { gateway: gateway.clone() }))
-        .push(Router::with_path("metrics").get(health::Export { gateway: gateway.clone() }))
+        .push(Router::with_path("healthz").get(health::HealthHandler))
+        .push(
+            Router::with_path("readyz").get(health::ReadinessHandler { gateway: gateway.clone() }),
+        )
+        .push(Router::with_path("metrics").get(health::MetricsHandler { gateway: gateway.clone() }))
         .push(Router::with_path("{**path}").goal(unserved::UnservedHandler { gateway }))
 }
--- a/crates/daemon/src/gateway/render.rs
+++ b/crates/daemon/src/gateway/render.rs
@@ -14,7 +14,7 @@
 use tokio::sync::OwnedSemaphorePermit;
 
 use super::Gateway;
-use super::follow::{AnswerEvent, Follower};
+use super::follow::{AnswerEvent, AnswerFollower};
 
 /// How a caller wants its answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -25,13 +25,13 @@
     Whole,
 }
 
-/// The names that every part of an answer repeats.
+/// The fields that every part of an answer repeats.
 pub(super) fn frame(call: CallId, model: &str) -> AnswerFrame {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    AnswerFrame { id: call.to_string(), model: model.to_owned(), created: since.as_secs() }
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    AnswerFrame { id: call.to_string(), model: model.to_owned(), created: since_epoch.as_secs() }
 }
 
-/// Names the call and the serving daemon in the headers.
+/// Sets the headers that identify the call and the serving daemon.
 pub(super) fn name_call(gateway: &Gateway, response: &mut Response, call: CallId) {
     set(response, headers::PROGRAM, &call.program.to_string());
     set(response, headers::CHAIN, &call.chain.0.to_string());
@@ -39,7 +39,7 @@
     set(response, headers::SERVED_BY, &gateway.identity.daemon.to_string());
 }
 
-/// Writes an error: status, name, whether and when to come back, and the body.
+/// Writes an error: status, name, whether and when to retry, and the body.
 pub(super) fn error(gateway: &Gateway, response: &mut Response, error: &ApiError) {
     gateway.metrics.count_error(error.kind);
     let status = StatusCode::from_u16(error.kind.http_status());
@@ -62,12 +62,12 @@
     response: &mut Response,
     frame: AnswerFrame,
     first: Option<AnswerEvent>,
-    mut follower: Follower,
+    mut follower: AnswerFollower,
 ) {
     let mut content = String::new();
     let mut next = first;
-    while let Some(followed) = next {
-        match followed {
+    while let Some(event) = next {
+        match event {
             AnswerEvent::Text { text, .. } => content.push_str(&text),
             AnswerEvent::End { usage } => {
                 let answer = Message { role: Role::Assistant, content };
@@ -90,7 +90,7 @@
     response: &mut Response,
     frame: AnswerFrame,
     first: Option<AnswerEvent>,
-    follower: Follower,
+    follower: AnswerFollower,
     permit: OwnedSemaphorePermit,
 ) {
     if let Some(AnswerEvent::Failed(failure)) = &first {
@@ -99,13 +99,14 @@
     }
     set(response, "content-type", "text/event-stream");
     set(response, "cache-control", "no-cache");
-    let state = StreamState { gateway: gateway.clone(), frame, follower, first, sent: 0, permit };
+    let state =
+        StreamState { gateway: gateway.clone(), frame, follower, first, sent_pieces: 0, permit };
     response.stream(stream::unfold(state, |mut state| async move {
-        let followed = match state.first.take() {
-            Some(followed) => Some(followed),
+        let event = match state.first.take() {
+            Some(event) => Some(event),
             None => state.follower.next().await,
         };
-        let text = state.event(followed?);
+        let text = state.event(event?);
         Some((Ok::<_, Infallible>(text), state))
     }));
 }
@@ -113,20 +114,20 @@
 struct StreamState {
     gateway: Arc<Gateway>,
     frame: AnswerFrame,
-    follower: Follower,
+    follower: AnswerFollower,
     first: Option<AnswerEvent>,
-    sent: u64,
-    /// Keeps the request's place until its last byte.
+    sent_pieces: u64,
+    /// Holds the request's permit until the last byte.
     #[allow(dead_code)]
     permit: OwnedSemaphorePermit,
 }
 
 impl StreamState {
-    fn event(&mut self, followed: AnswerEvent) -> String {
-        match followed {
+    fn event(&mut self, event: AnswerEvent) -> String {
+        match event {
             AnswerEvent::Text { attempt, offset, text } => {
-                let chunk = self.frame.piece(&text, self.sent == 0);
-                self.sent += 1;
+                let chunk = self.frame.piece(&text, self.sent_pieces == 0);
+                self.sent_pieces += 1;
                 let end = offset + text.len() as u64;
                 let call = self.frame.id.split_once('/').map_or("", |(_, rest)| rest);
                 format!("id: {call}/{attempt}/{end}\n{}", data(&chunk))
--- a/crates/daemon/src/gateway/source.rs
+++ b/crates/daemon/src/gateway/source.rs
@@ -1,4 +1,4 @@
-//! Where frames of an answer come from.
+//! The source of an answer's frames.
 
 use dahlia_node::wire::AnswerFrame;
 use snafu::Snafu;
@@ -6,7 +6,7 @@
 
 use crate::frames::{FrameError, FrameStream};
 
-/// Where frames of an answer come from.
+/// The source of an answer's frames.
 pub(super) enum AnswerSource {
     /// Another daemon.
     Peer(Box<FrameStream>),
@@ -14,7 +14,7 @@
     Local(mpsc::Receiver<AnswerFrame>),
 }
 
-/// Why no frame came.
+/// Why no further frame is available.
 #[derive(Debug, Snafu)]
 pub(super) enum SourceError {
     /// The connection to the owner broke.
--- a/crates/daemon/src/gateway/unserved.rs
+++ b/crates/daemon/src/gateway/unserved.rs
@@ -8,10 +8,10 @@
 use super::Gateway;
 use super::render;
 
-/// Longest part of a path that an error repeats, in characters.
+/// Most characters of a path that an error repeats.
 const SHOWN_PATH: usize = 128;
 
-/// Answers whatever no other handler took with a typed `not_found`.
+/// Answers requests that match no other handler with a typed `not_found`.
 pub(super) struct UnservedHandler {
     pub(super) gateway: Arc<Gateway>,
 }
--- a/crates/daemon/src/group_log.rs
+++ b/crates/daemon/src/group_log.rs
@@ -1,5 +1,5 @@
-//! The log of this daemon's replica groups: changes of a batch become durable by one sync, off
-//! the task that drives the node.
+//! The log of this daemon's replica groups. One sync makes the changes of a batch durable, outside the
+//! task that drives the node.
 
 use std::path::Path;
 use std::thread;
@@ -16,17 +16,17 @@
 
 use crate::logging::part;
 
-/// The part of the data folder that holds groups.
+/// The subfolder of the data folder that holds groups.
 const FOLDER: &str = "groups";
-/// A batch that waits longer for a thread to write it is logged.
-const SLOW_START: Duration = Duration::from_secs(1);
-/// How often a full disk is tried again.
-const FULL_RETRY: Duration = Duration::from_millis(200);
+/// A batch that waits longer than this for a writing thread is logged.
+const SLOW_START_THRESHOLD: Duration = Duration::from_secs(1);
+/// Time between retries on a full disk.
+const FULL_DISK_RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Why the log did not open.
 #[derive(Debug, Snafu)]
 pub enum OpenGroupsError {
-    /// The folder cannot be made.
+    /// The folder cannot be created.
     #[snafu(display("opening the folder of groups: {source}"))]
     Folder {
         /// Cause.
@@ -40,31 +40,31 @@
     },
 }
 
-/// Why changes are not durable, for good.
+/// Why changes can permanently not be made durable.
 #[derive(Debug, Snafu)]
 pub enum SyncError {
-    /// The disk failed. What it holds of the last batch is known only after a new start.
+    /// The disk failed. What it holds of the last batch is known only after a restart.
     #[snafu(display("making groups durable: {source}"))]
     Disk {
         /// Cause.
         source: LogError,
     },
-    /// The thread that wrote did not end as it should, or an earlier sync has failed.
+    /// The writing thread panicked or was cancelled, or an earlier sync failed.
     #[snafu(display("the log of groups is lost"))]
     Lost,
 }
 
-/// Opens the log under a data folder, or begins one with the incarnation `fresh`.
+/// Opens the log in a data folder, or creates one with the incarnation `new_incarnation`.
 ///
-/// Blocks while the disk is full. Nothing of this daemon can run before: who it is must be
-/// durable first, and the room may come from outside only.
+/// Blocks while the disk is full. The daemon cannot run before its identity is durable, and only
+/// something outside can free space.
 ///
 /// # Errors
 /// [`OpenGroupsError`] when the folder cannot be used or the log is damaged.
 pub fn open(
     folder: &Path,
     settings: DurableSettings,
-    fresh: Incarnation,
+    new_incarnation: Incarnation,
 ) -> Result<OpenedLog, OpenGroupsError> {
     let folder = folder.join(FOLDER);
     let disk = FolderDisk::open(&folder).context(FolderSnafu)?;
@@ -74,11 +74,11 @@
             log::error!(target: part::STORE, "Waiting for room before the start: {error}.");
         }
         has_waited = true;
-        thread::sleep(FULL_RETRY);
+        thread::sleep(FULL_DISK_RETRY_INTERVAL);
     };
     let disks = || -> Box<dyn Disk> { Box::new(disk.reopen()) };
-    let opened =
-        DurableLog::open_waiting_for_space(disks, &settings, fresh, wait).context(LogSnafu)?;
+    let opened = DurableLog::open_waiting_for_space(disks, &settings, new_incarnation, wait)
+        .context(LogSnafu)?;
     let LogIdentity { incarnation, start_count } = opened.log.identity();
     log::info!(
         target: part::STORE,
@@ -89,46 +89,46 @@
     Ok(opened)
 }
 
-/// Makes changes durable. Without a data folder there are none.
+/// Makes changes durable. Without a data folder it does nothing.
 #[derive(Default)]
 pub struct GroupLog {
     log: Option<DurableLog>,
 }
 
 impl GroupLog {
-    /// Writes to this log.
+    /// Wraps an open log.
     pub fn new(log: DurableLog) -> Self {
         Self { log: Some(log) }
     }
 
-    /// Makes changes durable by one sync. Returns the groups that should be recorded anew.
+    /// Makes changes durable with one sync. Returns the groups that need a new image.
     ///
-    /// A full disk is waited for: meanwhile this daemon says nothing, so that others take over.
+    /// Waits while the disk is full. Meanwhile this daemon sends nothing, so that others take over.
     ///
     /// # Errors
-    /// [`SyncError`]; nothing that depends on these or later changes may ever leave.
+    /// [`SyncError`]. Nothing that depends on these or later changes may ever be sent.
     pub async fn sync(&mut self, changes: Vec<DurableChange>) -> Result<Vec<GroupId>, SyncError> {
-        let mut work = Work { log: self.log.take().ok_or(SyncError::Lost)?, changes };
+        let mut task = AppendTask { log: self.log.take().ok_or(SyncError::Lost)?, changes };
         let mut is_full = false;
         loop {
             let result;
             let queued_at = Instant::now();
-            (work, result) =
-                spawn_blocking(move || work.run(queued_at)).await.map_err(|_| SyncError::Lost)?;
+            (task, result) =
+                spawn_blocking(move || task.run(queued_at)).await.map_err(|_| SyncError::Lost)?;
             match result {
-                Ok(wanted) => {
+                Ok(groups_needing_image) => {
                     if is_full {
                         log::warn!(target: part::STORE, "The disk has room again.");
                     }
-                    self.log = Some(work.log);
-                    return Ok(wanted);
+                    self.log = Some(task.log);
+                    return Ok(groups_needing_image);
                 }
                 Err(error) if error.is_full() => {
                     if !is_full {
                         log::error!(target: part::STORE, "Waiting for room: {error}.");
                     }
                     is_full = true;
-                    sleep(FULL_RETRY).await;
+                    sleep(FULL_DISK_RETRY_INTERVAL).await;
                 }
                 Err(error) => return Err(error).context(DiskSnafu),
             }
@@ -137,30 +137,36 @@
 }
 
 impl GroupLog {
-    /// Lets the next process of this daemon be a later life than `by`, if nothing is lost by it.
-    pub async fn begin_anew(&mut self, by: Incarnation) {
+    /// Gives the next process of this daemon a later incarnation than `by`, if that loses nothing.
+    pub async fn advance_incarnation(&mut self, by: Incarnation) {
         let Some(mut log) = self.log.take() else { return };
         match spawn_blocking(move || log.advance_incarnation(by)).await {
-            Ok(Ok(true)) => log::warn!(target: part::STORE, "The next start is a life after {by}."),
+            Ok(Ok(true)) => {
+                log::warn!(target: part::STORE, "The next start uses an incarnation after {by}.")
+            }
             Ok(Ok(false)) => {
-                log::error!(target: part::STORE, "The groups here belong to a life before {by}.");
+                log::error!(target: part::STORE, "The groups here belong to an incarnation before {by}.");
+            }
+            Ok(Err(error)) => {
+                log::error!(target: part::STORE, "The incarnation could not be advanced: {error}.")
+            }
+            Err(error) => {
+                log::error!(target: part::STORE, "The incarnation could not be advanced: {error}.")
             }
-            Ok(Err(error)) => log::error!(target: part::STORE, "No later life: {error}."),
-            Err(error) => log::error!(target: part::STORE, "No later life: {error}."),
         }
     }
 }
 
-/// One append on a thread that may block.
-struct Work {
+/// An append that runs on a blocking thread.
+struct AppendTask {
     log: DurableLog,
     changes: Vec<DurableChange>,
 }
 
-impl Work {
+impl AppendTask {
     fn run(mut self, queued_at: Instant) -> (Self, Result<Vec<GroupId>, LogError>) {
         let waited = queued_at.elapsed();
-        if waited >= SLOW_START {
+        if waited >= SLOW_START_THRESHOLD {
             log::warn!(
                 target: part::STORE,
                 waited_ms = waited.as_millis() as u64;
--- a/crates/daemon/src/known_peers.rs
+++ b/crates/daemon/src/known_peers.rs
@@ -1,7 +1,7 @@
-//! Where the other daemons listen, as a document that is kept under the data folder.
+//! Addresses of the other daemons, saved as a document in the data folder.
 //!
-//! Seeds may be stale or away. A daemon that remembers the others finds them at its next start,
-//! and makes itself known to those that keep nothing.
+//! Seeds may be stale or down. With the saved addresses a restarted daemon finds the others, and
+//! announces itself to those that save nothing.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -13,43 +13,43 @@
 use crate::core_handle::CoreHandle;
 use crate::logging::part;
 
-/// The document's number among those that are kept. It is never shared: each daemon has its own.
-pub(crate) const NUMBER: u32 = u32::MAX;
-/// How often the list is compared with what is kept. Machines come and go a few times a minute at
-/// most; one that came in the last moments before an end is found by its seeds.
-const LOOK_INTERVAL: Duration = Duration::from_secs(2);
-/// How long addresses of the earlier life stay in the list although nobody was heard there: this
-/// life may end before all others are back. Longer than a restart of all machines.
-const KEEP_RECALLED: Duration = Duration::from_secs(60);
-/// The most addresses in the list: three times the daemons of the largest deployment planned for.
-const MOST_ADDRESSES: usize = 1_024;
+/// The number of this document. It is never shared, since each daemon has its own list.
+pub(crate) const DOCUMENT_NUMBER: u32 = u32::MAX;
+/// How often the list is compared with the saved one. Machines come and go a few times a minute at
+/// most. One that came just before a stop finds the others by its seeds.
+const CHECK_INTERVAL: Duration = Duration::from_secs(2);
+/// How long addresses from before the restart stay in the list although no daemon has answered there:
+/// this process may end before all others are back. Longer than a restart of all machines.
+const RESTORED_ADDRESS_LIFETIME: Duration = Duration::from_secs(60);
+/// Most addresses in the list: three times the daemons of the largest planned deployment.
+const MAX_ADDRESSES: usize = 1_024;
 
-/// Follows the addresses of the daemons that are known.
+/// Tracks the addresses of the known daemons.
 pub(crate) struct KnownPeers {
     core: CoreHandle,
-    recalled: BTreeSet<SocketAddr>,
-    recalled_until: Instant,
-    held: BTreeSet<SocketAddr>,
+    restored: BTreeSet<SocketAddr>,
+    restored_until: Instant,
+    saved: BTreeSet<SocketAddr>,
     version: u64,
-    next_look: Instant,
+    next_check: Instant,
 }
 
 impl KnownPeers {
-    /// Begins with no list.
+    /// Starts with an empty list.
     pub(crate) fn new(core: CoreHandle) -> Self {
         let now = Instant::now();
         Self {
             core,
-            recalled: BTreeSet::new(),
-            recalled_until: now + KEEP_RECALLED,
-            held: BTreeSet::new(),
+            restored: BTreeSet::new(),
+            restored_until: now + RESTORED_ADDRESS_LIFETIME,
+            saved: BTreeSet::new(),
             version: 0,
-            next_look: now + LOOK_INTERVAL,
+            next_check: now + CHECK_INTERVAL,
         }
     }
 
-    /// Makes this daemon known at the addresses that an earlier life kept.
-    pub(crate) async fn recall(&mut self, document: &SharedDocument) {
+    /// Announces this daemon at the addresses that were saved before the restart.
+    pub(crate) async fn restore(&mut self, document: &SharedDocument) {
         self.version = document.version;
         let Some(addresses) = decode(&document.bytes) else {
             log::warn!(target: part::STORE, "The kept addresses are passed over: malformed.");
@@ -58,24 +58,24 @@
         log::info!(
             target: part::STORE,
             addresses = addresses.len(), version = document.version;
-            "Daemons that an earlier life knew are greeted."
+            "Contacting the peers that were known before the restart."
         );
         self.core.send_event(Event::PreviousPeers(addresses.clone())).await;
-        self.recalled = addresses.into_iter().collect();
-        self.held = self.recalled.clone();
+        self.restored = addresses.into_iter().collect();
+        self.saved = self.restored.clone();
     }
 
-    /// Waits until the list differs from the last one, and gives it. May be dropped at any time.
+    /// Waits until the list differs from the last one, and returns it. Safe to cancel at any time.
     pub(crate) async fn changed(&mut self) -> SharedDocument {
         loop {
-            sleep_until(self.next_look).await;
-            self.next_look = Instant::now() + LOOK_INTERVAL;
+            sleep_until(self.next_check).await;
+            self.next_check = Instant::now() + CHECK_INTERVAL;
             let addresses = self.addresses().await;
-            if !addresses.is_empty() && addresses != self.held {
+            if !addresses.is_empty() && addresses != self.saved {
                 self.version += 1;
                 let bytes = encode(&addresses);
-                self.held = addresses;
-                return SharedDocument { number: NUMBER, version: self.version, bytes };
+                self.saved = addresses;
+                return SharedDocument { number: DOCUMENT_NUMBER, version: self.version, bytes };
             }
         }
     }
@@ -85,9 +85,9 @@
         let members = self.core.daemons().await;
         let others = members.iter().filter(|member| member.record.info.daemon != own);
         let known = others.map(|member| member.record.info.address);
-        let is_recent = Instant::now() < self.recalled_until;
-        let recalled = self.recalled.iter().filter(|_| is_recent).copied();
-        known.chain(recalled).take(MOST_ADDRESSES).collect()
+        let is_recent = Instant::now() < self.restored_until;
+        let restored = self.restored.iter().filter(|_| is_recent).copied();
+        known.chain(restored).take(MAX_ADDRESSES).collect()
     }
 }
 
@@ -99,5 +99,5 @@
 fn decode(bytes: &[u8]) -> Option<Vec<SocketAddr>> {
     let decoded = bincode::serde::decode_from_slice(bytes, bincode::config::standard());
     let (addresses, _): (Vec<SocketAddr>, usize) = decoded.ok()?;
-    (addresses.len() <= MOST_ADDRESSES).then_some(addresses)
+    (addresses.len() <= MAX_ADDRESSES).then_some(addresses)
 }
--- a/crates/daemon/src/platform_state.rs
+++ b/crates/daemon/src/layout_client.rs
@@ -1,4 +1,4 @@
-//! The node's steps with the store that keeps the layout of groups.
+//! Performs the node's reads and writes of the layout of groups in its store.
 
 use dahlia_node::{Event, LayoutStep};
 
@@ -6,20 +6,20 @@
 use crate::layout_store::{LayoutStore, LayoutStoreError, SharedLayoutStore};
 use crate::logging::part;
 
-/// Carries out steps with the layout's store, each in a task of its own.
-pub struct PlatformState {
+/// Performs steps on the layout's store, each in its own task.
+pub struct LayoutClient {
     store: Option<SharedLayoutStore>,
     core: CoreHandle,
 }
 
-impl PlatformState {
-    /// Uses `store`; without one every step fails.
+impl LayoutClient {
+    /// A client of `store`. Without a store every step fails.
     pub fn new(store: Option<SharedLayoutStore>, core: CoreHandle) -> Self {
         Self { store, core }
     }
 
     /// Reads or writes the layout of groups.
-    pub fn layout(&self, step: LayoutStep) {
+    pub fn perform(&self, step: LayoutStep) {
         let core = self.core.clone();
         let Some(store) = self.store.clone() else {
             tokio::spawn(async move { core.send_event(Event::Layout(LayoutStep::Failed)).await });
@@ -44,8 +44,8 @@
     Ok(found.map_or(LayoutStep::Read, LayoutStep::Value))
 }
 
-/// Creates the value if it is missing. Whatever the answer was, the value read back afterwards
-/// decides: the answer may be lost after the change took effect, and another daemon may have won.
+/// Creates the value if it is missing, then reads it back. Only the value read back counts: the reply
+/// may be lost after the write took effect, or another daemon may have created the value first.
 async fn create(store: &dyn LayoutStore, layout: Vec<u8>) -> Result<LayoutStep, LayoutStoreError> {
     if let Err(error) = store.create(layout).await {
         log::debug!(target: part::CONFIGURATION, "Writing the layout of groups: {error}.");
--- a/crates/daemon/src/ledger_breaker.rs
+++ b/crates/daemon/src/ledger_breaker.rs
@@ -1,11 +1,11 @@
-//! A circuit breaker for each group's ledger: callers are not held for a group without an owner.
+//! A circuit breaker for each group's ledger, so that callers do not wait for a group without an owner.
 //!
-//! Without I/O and without time of its own: admissions, answers and silences go in; what may be
-//! asked, and for how long, comes out. A group counts as silent from a command without an answer
-//! on. While its members may still be electing an owner, callers are held, up to a number: the
-//! owner is most likely there before they could come back. Later one command at a time is let through
-//! to find out when the group answers again. Ends of turns are always let through, and their answers
-//! count as well.
+//! It has no I/O and no clock of its own. Its inputs are admissions, answers and time-outs; its output
+//! is which commands may be sent, and how long to wait for them. A group counts as unresponsive after a
+//! command without an answer. While its members may still be electing an owner, a limited number of
+//! callers is held, because the new owner is probably there before they could retry. Later one probe at
+//! a time finds out when the group answers again. Commands that end turns are always sent, and their
+//! answers count as well.
 
 use std::collections::BTreeMap;
 
@@ -16,18 +16,18 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LedgerBreakerSettings {
-    /// Milliseconds that a caller is held for an answer of a ledger.
+    /// Milliseconds that a caller waits for an answer of a ledger.
     pub answer_timeout_ms: u64,
-    /// The most of a caller's remaining time that it is held for one.
+    /// Largest share of a caller's remaining time that it waits for an answer.
     pub most_of_patience: f64,
-    /// Milliseconds after which a caller may come back to a group that may be electing an owner.
+    /// Milliseconds after which a caller may retry at a group that may be electing an owner.
     pub retry_after_ms: u64,
-    /// Milliseconds that a silent group may take to elect an owner: two rounds of votes.
+    /// Milliseconds that an unresponsive group may take to elect an owner: two rounds of votes.
     pub succession_ms: u64,
-    /// Callers that are held meanwhile for one group; first turns get half of the places, since a
-    /// program that has turns behind it loses more.
+    /// Most callers held for one group during an election. First turns get at most half of it, since a
+    /// program with earlier turns loses more.
     pub most_held: u32,
-    /// Milliseconds after which a caller may come back to a group that is silent for longer.
+    /// Milliseconds after which a caller may retry at a group that is unresponsive for longer.
     pub outage_retry_ms: u64,
 }
 
@@ -59,78 +59,78 @@
     }
 }
 
-/// How far a turn's program is, as the places for held callers count it.
+/// The stage of a turn's program, which decides how many callers may be held.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Stage {
-    /// It is its program's first.
+    /// The turn is its program's first.
     First,
-    /// Its program has turns behind it, or may have.
+    /// The program has earlier turns, or may have.
     UnderWay,
 }
 
-/// Whether a command may be put to a group that a caller is waiting for.
+/// Whether a command for which a caller waits may be sent to a group.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
-    /// Yes, for this long.
+    /// Yes.
     Ask {
-        /// How long the caller is held.
+        /// How long the caller waits.
         wait: Duration,
     },
-    /// Yes, in the hope of a new owner. [`LedgerBreaker::end_hold`] must follow, whatever came
-    /// of it.
+    /// Yes, since a new owner is probably elected soon. [`LedgerBreaker::end_hold`] must follow, whatever
+    /// the result.
     Hold {
-        /// How long the caller is held.
+        /// How long the caller waits.
         wait: Duration,
     },
-    /// Yes, to find out whether the group answers again. [`LedgerBreaker::end_probe`] must
-    /// follow, whatever came of it.
+    /// Yes, as a probe whether the group answers again. [`LedgerBreaker::end_probe`] must follow, whatever
+    /// the result.
     Probe {
-        /// How long the caller is held.
+        /// How long the caller waits.
         wait: Duration,
     },
-    /// No: the group is silent.
+    /// No: the group is unresponsive.
     Refuse {
-        /// When it is worth coming back.
+        /// When a retry is worthwhile.
         retry_after: Duration,
     },
 }
 
-/// What a silent group is being asked.
+/// An outage of one group.
 #[derive(Debug, Clone, Copy)]
-struct Silence {
+struct Outage {
     since: Timestamp,
     is_probed: bool,
 }
 
-/// The breakers of all groups. Groups that answer need no entry.
+/// The breakers of all groups. Only unresponsive groups have an entry.
 #[derive(Debug)]
 pub struct LedgerBreaker {
     settings: LedgerBreakerSettings,
-    silent: BTreeMap<GroupId, Silence>,
-    held: BTreeMap<GroupId, u32>,
+    outages: BTreeMap<GroupId, Outage>,
+    held_callers: BTreeMap<GroupId, u32>,
 }
 
 impl LedgerBreaker {
-    /// Breakers that are all closed.
+    /// Creates breakers that are all closed.
     pub fn new(settings: LedgerBreakerSettings) -> Self {
-        Self { settings, silent: BTreeMap::new(), held: BTreeMap::new() }
+        Self { settings, outages: BTreeMap::new(), held_callers: BTreeMap::new() }
     }
 
-    /// When it is worth coming back to a silent group.
+    /// The retry delay for an unresponsive group.
     pub fn retry_after(&self, group: GroupId, now: Timestamp) -> Duration {
         let is_outage =
-            self.silent.get(&group).is_some_and(|silence| !self.may_elect(silence, now));
+            self.outages.get(&group).is_some_and(|outage| !self.may_be_electing(outage, now));
         let settings = &self.settings;
         let millis = if is_outage { settings.outage_retry_ms } else { settings.retry_after_ms };
         Duration::from_millis(millis)
     }
 
-    /// Whether a group counts as silent.
+    /// Whether a group counts as unresponsive.
     pub fn is_unresponsive(&self, group: GroupId) -> bool {
-        self.silent.contains_key(&group)
+        self.outages.contains_key(&group)
     }
 
-    /// Asks to put a command to a group for a caller that waits `patience` at most.
+    /// Decides whether to send a command to a group for a caller that waits at most `patience`.
     pub fn admit(
         &mut self,
         group: GroupId,
@@ -139,63 +139,63 @@
         now: Timestamp,
     ) -> Admission {
         let wait = self.wait(patience);
-        let Some(silence) = self.silent.get(&group).copied() else {
+        let Some(outage) = self.outages.get(&group).copied() else {
             return Admission::Ask { wait };
         };
-        if self.may_elect(&silence, now) && self.has_place(group, stage) {
-            *self.held.entry(group).or_default() += 1;
+        if self.may_be_electing(&outage, now) && self.has_hold_capacity(group, stage) {
+            *self.held_callers.entry(group).or_default() += 1;
             return Admission::Hold { wait };
         }
-        if silence.is_probed {
+        if outage.is_probed {
             return Admission::Refuse { retry_after: self.retry_after(group, now) };
         }
-        self.silent.insert(group, Silence { is_probed: true, ..silence });
+        self.outages.insert(group, Outage { is_probed: true, ..outage });
         Admission::Probe { wait }
     }
 
-    /// A caller that was held was answered, went without an answer, or left.
+    /// Ends a hold, after an answer or a time-out or because the caller left.
     pub fn end_hold(&mut self, group: GroupId) {
-        if let Some(held) = self.held.get_mut(&group) {
-            *held = held.saturating_sub(1);
+        if let Some(held_callers) = self.held_callers.get_mut(&group) {
+            *held_callers = held_callers.saturating_sub(1);
         }
     }
 
-    /// A probe was answered, went without an answer, or lost its caller.
+    /// Ends a probe, after an answer or a time-out or because the caller left.
     pub fn end_probe(&mut self, group: GroupId) {
-        if let Some(silence) = self.silent.get_mut(&group) {
-            silence.is_probed = false;
+        if let Some(outage) = self.outages.get_mut(&group) {
+            outage.is_probed = false;
         }
     }
 
-    /// A command of any kind was answered, however late.
+    /// Records an answer to a command of any kind, however late.
     pub fn record_answer(&mut self, group: GroupId) {
-        self.silent.remove(&group);
+        self.outages.remove(&group);
     }
 
-    /// A command had no answer for `waited`. A caller in a hurry waits less than an answer may
-    /// well take: that says nothing about the group.
+    /// Records that a command had no answer for `waited`. A wait shorter than half of the answer timeout
+    /// is ignored, since a healthy group may take longer to answer.
     pub fn record_timeout(&mut self, group: GroupId, waited: Duration, now: Timestamp) {
         if waited.times(2) >= self.answer_timeout() {
             self.record_missing_owner(group, now);
         }
     }
 
-    /// The owner's part of the system said that nobody answers for a group.
+    /// Records the routing layer's report that a group has no owner.
     pub fn record_missing_owner(&mut self, group: GroupId, now: Timestamp) {
-        self.silent.entry(group).or_insert(Silence { since: now, is_probed: false });
+        self.outages.entry(group).or_insert(Outage { since: now, is_probed: false });
     }
 
     /// Whether a group's members may still be electing an owner.
-    fn may_elect(&self, silence: &Silence, now: Timestamp) -> bool {
-        now.since(silence.since) < Duration::from_millis(self.settings.succession_ms)
+    fn may_be_electing(&self, outage: &Outage, now: Timestamp) -> bool {
+        now.since(outage.since) < Duration::from_millis(self.settings.succession_ms)
     }
 
-    fn has_place(&self, group: GroupId, stage: Stage) -> bool {
+    fn has_hold_capacity(&self, group: GroupId, stage: Stage) -> bool {
         let most = match stage {
             Stage::First => self.settings.most_held / 2,
             Stage::UnderWay => self.settings.most_held,
         };
-        self.held.get(&group).copied().unwrap_or_default() < most
+        self.held_callers.get(&group).copied().unwrap_or_default() < most
     }
 
     fn wait(&self, patience: Duration) -> Duration {
--- a/crates/daemon/src/ledger_client.rs
+++ b/crates/daemon/src/ledger_client.rs
@@ -1,4 +1,4 @@
-//! Puts a relay's commands to the ledgers in replica groups.
+//! Sends a relay's commands to the ledgers in replica groups.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -21,7 +21,7 @@
 use crate::ledger_breaker::{Admission, LedgerBreaker, LedgerBreakerSettings, Stage};
 use crate::turn_away::TurnAwaySettings;
 
-/// The ledgers of all groups, by way of this daemon's node. Cheap to clone.
+/// A client of the ledgers of all groups, through this daemon's node. Cheap to clone.
 #[derive(Clone)]
 pub struct LedgerClient {
     core: CoreHandle,
@@ -33,27 +33,27 @@
     turn_away: TurnAwaySettings,
 }
 
-/// What the other groups say of a turn that the own group does not have.
-enum Elsewhere {
+/// The result of looking up a turn in the other groups.
+enum TurnLookup {
     Found(ChargedChain),
     Refused(TurnRefusal),
 }
 
-/// Frees the place of a probe or of a caller that is held, also when its caller leaves.
-struct PlaceGuard<'a> {
+/// Ends a probe or a hold at the breaker when it is dropped, also when the caller leaves.
+struct BreakerGuard<'a> {
     client: &'a LedgerClient,
     group: GroupId,
     free: fn(&mut LedgerBreaker, GroupId),
 }
 
-impl Drop for PlaceGuard<'_> {
+impl Drop for BreakerGuard<'_> {
     fn drop(&mut self) {
         (self.free)(&mut self.client.breaker(), self.group);
     }
 }
 
 impl LedgerClient {
-    /// A client of a system of `groups` groups: the node's `group_count`.
+    /// Creates a client for `groups` groups, the node's `group_count`.
     pub fn new(core: CoreHandle, groups: u32, settings: LedgerBreakerSettings) -> Self {
         let breaker = Arc::new(Mutex::new(LedgerBreaker::new(settings)));
         Self {
@@ -67,12 +67,12 @@
         }
     }
 
-    /// A client that goes by the node's clock, and turns callers away like this when cut off.
+    /// Sets the retry delays while this daemon is cut off, and uses the node's clock for them.
     pub fn with_turn_away(self, turn_away: TurnAwaySettings, clock: Clock) -> Self {
         Self { turn_away, clock, ..self }
     }
 
-    /// A client in `region`, which keeps turns in a group at home there.
+    /// Sets the client's region. Retained turns then go to a group whose home is there.
     pub fn with_region(self, region: Region, homes: GroupHomes) -> Self {
         Self { region, homes, ..self }
     }
@@ -81,16 +81,16 @@
         self.breaker.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Asks for a caller that waits for the answer before anything else can be done for it.
+    /// Sends a command for a waiting caller, and logs the reply.
     async fn ask_group(
         &self,
         group: GroupId,
         command: LedgerCommand,
-        until: Instant,
+        deadline: Instant,
     ) -> Result<LedgerReply, LedgerUnavailable> {
         let turn = command.turn().cloned();
         let asked = Instant::now();
-        let reply = self.ask_admitted(group, command, until).await;
+        let reply = self.ask_admitted(group, command, deadline).await;
         let request = turn.as_ref().map_or("-", |turn| turn.name());
         let took_ms = asked.elapsed().as_millis() as u64;
         match &reply {
@@ -113,16 +113,16 @@
         &self,
         group: GroupId,
         command: LedgerCommand,
-        until: Instant,
+        deadline: Instant,
     ) -> Result<LedgerReply, LedgerUnavailable> {
         let mut reach = self.core.reachability();
         if let Some(cut) = reach.borrow_and_update().cut_off {
-            return Err(LedgerUnavailable { was_not_submitted: true, ..self.turned_away(cut) });
+            return Err(LedgerUnavailable { was_not_submitted: true, ..self.cut_off_error(cut) });
         }
         let now = self.clock.now();
-        let admission = self.breaker().admit(group, stage(&command), left(until), now);
-        let guard = |free| Some(PlaceGuard { client: self, group, free });
-        let (wait, _place) = match admission {
+        let admission = self.breaker().admit(group, stage_of(&command), time_left(deadline), now);
+        let guard = |free| Some(BreakerGuard { client: self, group, free });
+        let (wait, _guard) = match admission {
             Admission::Ask { wait } => (wait, None),
             Admission::Hold { wait } => (wait, guard(LedgerBreaker::end_hold)),
             Admission::Probe { wait } => (wait, guard(LedgerBreaker::end_probe)),
@@ -135,27 +135,28 @@
             }
         };
         let client = self.clone();
-        let mut answer = Box::pin(async move { client.answer_of(group, command).await });
+        let mut answer = Box::pin(async move { client.send_command(group, command).await });
         let end = Instant::now() + time::Duration::from_micros(wait.as_micros());
-        // Both ways the caller is let go, but a late answer still tells that the group is back.
+        // In both other cases the caller stops waiting, but the command goes on: a late answer still
+        // shows that the group is back.
         select! {
             biased;
             reply = &mut answer => reply,
-            cut = cut_off(&mut reach) => {
+            cut = wait_for_cut_off(&mut reach) => {
                 tokio::spawn(answer);
-                Err(self.turned_away(cut))
+                Err(self.cut_off_error(cut))
             }
             () = sleep_until(end) => {
                 tokio::spawn(answer);
                 let now = self.clock.now();
-                self.note(group, |breaker| breaker.record_timeout(group, wait, now));
+                self.update_breaker(group, |breaker| breaker.record_timeout(group, wait, now));
                 self.unavailable(group, format!("{group} did not answer in time"))
             }
         }
     }
 
-    /// Another daemon may reach the owners.
-    fn turned_away(&self, cut: CutOff) -> LedgerUnavailable {
+    /// The error while this daemon is cut off. Another daemon may reach the owners.
+    fn cut_off_error(&self, cut: CutOff) -> LedgerUnavailable {
         let retry_after = self.turn_away.retry_after(cut, rand::random(), self.clock.now());
         LedgerUnavailable {
             reason: "this daemon is cut off".to_owned(),
@@ -164,21 +165,21 @@
         }
     }
 
-    /// The answer of a group, however long it takes.
-    async fn answer_of(
+    /// Sends a command to a group and waits for the answer, however long it takes.
+    async fn send_command(
         &self,
         group: GroupId,
         command: LedgerCommand,
     ) -> Result<LedgerReply, LedgerUnavailable> {
         match self.core.request(Request::Ledger { group, command }).await {
             Response::Ledger(reply) => {
-                self.note(group, |breaker| breaker.record_answer(group));
+                self.update_breaker(group, |breaker| breaker.record_answer(group));
                 Ok(reply)
             }
             Response::Failed(error) => {
                 if error.kind == ErrorKind::Unavailable {
                     let now = self.clock.now();
-                    self.note(group, |breaker| breaker.record_missing_owner(group, now));
+                    self.update_breaker(group, |breaker| breaker.record_missing_owner(group, now));
                 }
                 self.unavailable(group, format!("{group}: {error}"))
             }
@@ -186,12 +187,12 @@
         }
     }
 
-    /// Tells the breaker something, and says when it changes its mind on a group.
-    fn note(&self, group: GroupId, tell: impl FnOnce(&mut LedgerBreaker)) {
+    /// Updates the breaker, and logs when a group becomes unresponsive or answers again.
+    fn update_breaker(&self, group: GroupId, update: impl FnOnce(&mut LedgerBreaker)) {
         let mut breaker = self.breaker();
-        let was_silent = breaker.is_unresponsive(group);
-        tell(&mut breaker);
-        match (was_silent, breaker.is_unresponsive(group)) {
+        let was_unresponsive = breaker.is_unresponsive(group);
+        update(&mut breaker);
+        match (was_unresponsive, breaker.is_unresponsive(group)) {
             (false, true) => log::warn!(target: "ledger", group:% = group; "A group is silent."),
             (true, false) => log::info!(target: "ledger", group:% = group; "A group is back."),
             _ => {}
@@ -203,19 +204,20 @@
         Err(LedgerUnavailable { reason, retry_after, was_not_submitted: false })
     }
 
-    /// A new program may go on from a turn of an earlier program, which another group holds.
-    /// Its chain is taken over, and the turn opened again. Opening by the chain instead, without
-    /// recording it, would give a repeated opening another answer than the first.
-    async fn open_from_elsewhere(
+    /// Opens a turn that continues from a turn of an earlier program in another group. The earlier
+    /// turn's chain is imported first, and then the turn is opened again. Opening with the chain without
+    /// recording it would give a repeated opening another answer than the first.
+    async fn open_with_import(
         &self,
         open: OpenTurn,
         previous: TurnId,
         own: GroupId,
-        until: Instant,
+        deadline: Instant,
     ) -> Result<LedgerReply, LedgerUnavailable> {
-        let chain = match self.find_elsewhere(&open.program, &previous, own, until).await? {
-            Elsewhere::Found(chain) => chain,
-            Elsewhere::Refused(refusal) => return Ok(LedgerReply::Refused(refusal)),
+        let chain = match self.find_in_other_groups(&open.program, &previous, own, deadline).await?
+        {
+            TurnLookup::Found(chain) => chain,
+            TurnLookup::Refused(refusal) => return Ok(LedgerReply::Refused(refusal)),
         };
         let ChargedChain { chain, charge } = chain;
         let (program, at) = (open.program.clone(), Timestamp::ZERO);
@@ -226,43 +228,45 @@
             }
             None => LedgerCommand::Import(import),
         };
-        match self.ask_group(own, command, until).await? {
-            LedgerReply::Imported => self.ask_group(own, LedgerCommand::Open(open), until).await,
+        match self.ask_group(own, command, deadline).await? {
+            LedgerReply::Imported => self.ask_group(own, LedgerCommand::Open(open), deadline).await,
             other => Ok(other),
         }
     }
 
-    /// Only when every group says so there is no such turn.
-    async fn find_elsewhere(
+    /// Looks for a turn in all other groups. The turn does not exist only when every group says so.
+    async fn find_in_other_groups(
         &self,
         program: &ProgramName,
         turn: &TurnId,
         own: GroupId,
-        until: Instant,
-    ) -> Result<Elsewhere, LedgerUnavailable> {
+        deadline: Instant,
+    ) -> Result<TurnLookup, LedgerUnavailable> {
         let read = || self.read_command(program, turn);
         let others = (0..self.groups).map(GroupId).filter(|group| *group != own);
-        let replies = join_all(others.map(|group| self.ask_group(group, read(), until))).await;
+        let replies = join_all(others.map(|group| self.ask_group(group, read(), deadline))).await;
         let mut refusal = TurnRefusal::NoSuchTurn { previous: turn.clone() };
-        let mut silent = None;
+        let mut unavailable_reply = None;
         for reply in replies {
             match reply {
-                Ok(LedgerReply::ChargedChain(found)) => return Ok(Elsewhere::Found(found)),
+                Ok(LedgerReply::ChargedChain(found)) => return Ok(TurnLookup::Found(found)),
                 Ok(LedgerReply::Chain(chain)) => {
-                    return Ok(Elsewhere::Found(ChargedChain { chain, charge: None }));
+                    return Ok(TurnLookup::Found(ChargedChain { chain, charge: None }));
                 }
                 Ok(LedgerReply::Refused(TurnRefusal::NoSuchTurn { .. })) => {}
                 Ok(LedgerReply::Refused(other)) => refusal = other,
                 Ok(other) => {
-                    silent = Some(self.unavailable(own, format!("a group answered {other:?}")))
+                    unavailable_reply =
+                        Some(self.unavailable(own, format!("a group answered {other:?}")))
                 }
-                Err(error) => silent = Some(Err(error)),
+                Err(error) => unavailable_reply = Some(Err(error)),
             }
         }
-        silent.unwrap_or(Ok(Elsewhere::Refused(refusal)))
+        unavailable_reply.unwrap_or(Ok(TurnLookup::Refused(refusal)))
     }
 
-    /// Where there are regions, the program itself may have turns in the other group.
+    /// The command that reads a turn's chain. With regions it also reads the program's charge, since the
+    /// program itself may have turns in the other group.
     fn read_command(&self, program: &ProgramName, turn: &TurnId) -> LedgerCommand {
         let (turn, at) = (turn.clone(), Timestamp::ZERO);
         if self.homes.groups_at(&self.region, self.groups).is_empty() {
@@ -277,18 +281,18 @@
         command: LedgerCommand,
         patience: Duration,
     ) -> Result<LedgerReply, LedgerUnavailable> {
-        let until = Instant::now() + time::Duration::from_micros(patience.as_micros());
+        let deadline = Instant::now() + time::Duration::from_micros(patience.as_micros());
         if let LedgerCommand::Close(_) = command {
-            return self.answer_of(group, command).await;
+            return self.send_command(group, command).await;
         }
-        let reply = self.ask_group(group, command.clone(), until).await?;
+        let reply = self.ask_group(group, command.clone(), deadline).await?;
         match (command, reply) {
             (
                 LedgerCommand::Open(open),
                 LedgerReply::Refused(TurnRefusal::NoSuchTurn { previous }),
             ) => {
-                let opened = self.open_from_elsewhere(open, previous, group, until).await;
-                // The first opening was put to the ledger, whatever came of the later steps.
+                let opened = self.open_with_import(open, previous, group, deadline).await;
+                // The first opening was submitted to the ledger, whatever the later steps returned.
                 opened.map_err(|error| LedgerUnavailable { was_not_submitted: false, ..error })
             }
             (_, reply) => Ok(reply),
@@ -322,8 +326,9 @@
     }
 }
 
-/// Whether a program has turns behind it. Where their text is not kept this cannot be told.
-fn stage(command: &LedgerCommand) -> Stage {
+/// The stage of a command's program. It is unknown, and counts as under way, where the text of turns is
+/// not retained.
+fn stage_of(command: &LedgerCommand) -> Stage {
     match command {
         LedgerCommand::Open(OpenTurn { input: Some(input), .. }) if input.previous.is_none() => {
             Stage::First
@@ -332,8 +337,8 @@
     }
 }
 
-/// Returns when this daemon is cut off.
-async fn cut_off(reach: &mut watch::Receiver<Reachability>) -> CutOff {
+/// Waits until this daemon is cut off.
+async fn wait_for_cut_off(reach: &mut watch::Receiver<Reachability>) -> CutOff {
     let seen = reach.wait_for(|reach| reach.cut_off.is_some()).await;
     match seen.ok().and_then(|reach| reach.cut_off) {
         Some(cut) => cut,
@@ -342,8 +347,8 @@
     }
 }
 
-/// What is left until a moment.
-fn left(until: Instant) -> Duration {
-    let left = until.saturating_duration_since(Instant::now());
-    Duration::from_micros(left.as_micros() as u64)
+/// The time left before a deadline.
+fn time_left(deadline: Instant) -> Duration {
+    let time_left = deadline.saturating_duration_since(Instant::now());
+    Duration::from_micros(time_left.as_micros() as u64)
 }
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -7,30 +7,30 @@
 //! | `assembly` | starts a whole daemon and stops it in order |
 //! | `control` | starts the parts that control the system |
 //! | `core` | the task that drives the node |
-//! | `core_handle` | how all other parts talk to that task |
+//! | `core_handle` | the other parts' channel to that task |
 //! | `gateway` | callers' HTTP |
 //! | `operators` | operators' RPC |
 //! | `peers`, `frames`, `datagrams`, `handshake` | connections between daemons |
-//! | `engines`, `attempt` | tasks that talk to engines |
+//! | `engines`, `attempt` | tasks that communicate with engines |
 //! | `chunk_store` | the thread that owns the data folder |
 //! | `group_log` | syncs of replica groups |
-//! | `configuration_key` | the configuration at the key-value service |
-//! | `failure_reports` | failures of back ends, told to other daemons and heard from them |
-//! | `first_document` | the configuration that a new system starts with |
-//! | `known_peers` | where other daemons listen, kept for the next start |
-//! | `document_copies` | copies of shared documents under the data folder |
-//! | `layout_store` | where the first layout of groups is kept |
-//! | `ledger_breaker` | tells silent ledgers from those that answer |
-//! | `ledger_client` | puts a relay's commands to ledgers in replica groups |
-//! | `limit_client` | puts a relay's requests to the keepers of tenants' rate limits |
-//! | `group_services` | both of these, as a relay takes them |
-//! | `listeners` | sockets that a daemon listens on |
-//! | `load_sharing` | loads of servers, told to other daemons and heard from them |
+//! | `configuration_client` | access to the configuration in the key-value service |
+//! | `failure_reports` | reports of back-end failures to and from other daemons |
+//! | `first_document` | the initial configuration of a new system |
+//! | `known_peers` | addresses of other daemons, saved for the next start |
+//! | `document_copies` | copies of shared documents in the data folder |
+//! | `layout_store` | storage of the first layout of groups |
+//! | `ledger_breaker` | a circuit breaker for ledgers that do not answer |
+//! | `ledger_client` | sends a relay's commands to the ledgers in replica groups |
+//! | `limit_client` | sends a relay's requests to the keepers of tenants' rate limits |
+//! | `group_services` | both clients behind the traits that a relay uses |
+//! | `listeners` | listening sockets |
+//! | `load_sharing` | load reports of servers to and from other daemons |
 //! | `machine_list` | reads the platform's list of machines |
-//! | `node_settings` | what a node is told of the settings |
-//! | `turn_away` | when callers may come back whom a daemon that is cut off turned away |
-//! | `traffic` | what was sent to other daemons, by kind |
-//! | `answers`, `serve_answers` | text of answers, and its readers |
+//! | `node_settings` | the node's settings, derived from the daemon's |
+//! | `turn_away` | retry delays for callers that a cut-off daemon refuses |
+//! | `traffic` | bytes and messages sent to other daemons, by kind |
+//! | `answers`, `serve_answers` | buffers of answers' text, and serving their readers |
 
 mod answers;
 pub mod assembly;
@@ -38,7 +38,7 @@
 mod chunk_store;
 pub mod cli;
 pub mod clock;
-mod configuration_key;
+mod configuration_client;
 pub mod control;
 pub mod core;
 pub mod core_handle;
@@ -53,6 +53,7 @@
 pub mod group_services;
 mod handshake;
 mod known_peers;
+mod layout_client;
 pub mod layout_store;
 pub mod ledger_breaker;
 pub mod ledger_client;
@@ -66,7 +67,6 @@
 mod node_settings;
 mod operators;
 pub mod peers;
-mod platform_state;
 pub mod reconnect;
 mod serve_answers;
 pub mod settings;
--- a/crates/daemon/src/limit_client.rs
+++ b/crates/daemon/src/limit_client.rs
@@ -1,4 +1,5 @@
-//! Puts a relay's requests to the keepers of tenants' rate limits: the owners of replica groups.
+//! Sends a relay's requests to the keepers of tenants' rate limits, which are the owners of replica
+//! groups.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -15,10 +16,10 @@
 use crate::clock::Clock;
 use crate::core_handle::CoreHandle;
 
-/// How often it is asked how many daemons there are.
-const SHARERS_INTERVAL: time::Duration = time::Duration::from_secs(2);
+/// How often the number of gateways is updated.
+const GATEWAY_COUNT_INTERVAL: time::Duration = time::Duration::from_secs(2);
 
-/// The keepers of all limits, by way of this daemon's node. Cheap to clone.
+/// A client of the keepers of all limits, through this daemon's node. Cheap to clone.
 #[derive(Clone)]
 pub struct LimitClient {
     core: CoreHandle,
@@ -28,14 +29,14 @@
 }
 
 impl LimitClient {
-    /// A client of a system of `groups` groups. [`Self::run`] must be driven beside it.
+    /// Creates a client for `groups` groups. [`Self::run`] must run in its own task.
     pub fn new(core: CoreHandle, clock: Clock, groups: u32, settings: LimitSettings) -> Self {
         let own = core.replica_id();
         let gateway = LimitGateway::new(settings, own.daemon, own.incarnation);
-        Self::of(gateway, core, clock, groups)
+        Self::with_gateway(gateway, core, clock, groups)
     }
 
-    /// The same on a machine where an earlier process may have let requests pass.
+    /// Creates a client on a machine where a previous process may have admitted requests.
     pub fn after_restart(
         core: CoreHandle,
         clock: Clock,
@@ -44,22 +45,22 @@
     ) -> Self {
         let own = core.replica_id();
         let gateway = LimitGateway::new(settings, own.daemon, own.incarnation);
-        Self::of(gateway.after_restart(clock.now()), core, clock, groups)
+        Self::with_gateway(gateway.after_restart(clock.now()), core, clock, groups)
     }
 
-    fn of(gateway: LimitGateway, core: CoreHandle, clock: Clock, groups: u32) -> Self {
+    fn with_gateway(gateway: LimitGateway, core: CoreHandle, clock: Clock, groups: u32) -> Self {
         Self { core, clock, groups, gateway: Arc::new(Mutex::new(gateway)) }
     }
 
-    /// Reports to keepers what was admitted, for as long as the process runs.
+    /// Reports admitted requests to the keepers while the process runs.
     pub async fn run(self) {
         let interval = self.gateway().report_interval();
         let interval = time::Duration::from_micros(interval.as_micros());
-        let mut sharers_due = Instant::now();
+        let mut gateway_count_due = Instant::now();
         loop {
             sleep(interval).await;
-            if Instant::now() >= sharers_due {
-                sharers_due = Instant::now() + SHARERS_INTERVAL;
+            if Instant::now() >= gateway_count_due {
+                gateway_count_due = Instant::now() + GATEWAY_COUNT_INTERVAL;
                 let daemons = self.core.status().await.live_daemons;
                 let now = self.clock.now();
                 self.gateway().set_gateway_count(daemons as u32, now);
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Reports to one keeper at once.
+    /// Sends one keeper its report at once.
     fn report_now(&self, keeper: GroupId) {
         let report = self.gateway().due_report(keeper, self.clock.now());
         if let Some(report) = report {
@@ -79,8 +80,8 @@
         }
     }
 
-    /// Reports what was admitted while a report was on its way, if it cannot wait.
-    fn report_what_is_due(&self, keeper: GroupId) {
+    /// Reports what was admitted while the last report was in flight, if that is due.
+    fn report_if_due(&self, keeper: GroupId) {
         if self.gateway().is_report_due(keeper, self.clock.now()) {
             self.report_now(keeper);
         }
@@ -94,14 +95,14 @@
     async fn report(&self, keeper: GroupId, report: UsageReport) {
         let number = report.sequence;
         let command = LimitCommand::Report(report);
-        let was_silent = self.gateway().is_keeper_unresponsive(keeper, self.clock.now());
-        match self.ask(keeper, command).await {
+        let was_unresponsive = self.gateway().is_keeper_unresponsive(keeper, self.clock.now());
+        match self.send_command(keeper, command).await {
             Ok(reply) => {
-                if was_silent {
+                if was_unresponsive {
                     log::info!(target: "limits", group:% = keeper; "A keeper of limits is back.");
                 }
                 self.gateway().handle_acknowledgement(keeper, number, &reply, self.clock.now());
-                self.report_what_is_due(keeper);
+                self.report_if_due(keeper);
             }
             Err(cause) => {
                 log::warn!(
@@ -114,7 +115,11 @@
         }
     }
 
-    async fn ask(&self, keeper: GroupId, command: LimitCommand) -> Result<LimitReply, String> {
+    async fn send_command(
+        &self,
+        keeper: GroupId,
+        command: LimitCommand,
+    ) -> Result<LimitReply, String> {
         match self.core.request(Request::Limits { group: keeper, command }).await {
             Response::Limits(reply) => Ok(reply),
             Response::Failed(error) => Err(error.to_string()),
@@ -122,20 +127,20 @@
         }
     }
 
-    /// The keeper's verdict and who gave it, or this gateway's own when there is none in time.
-    async fn verdict(
+    /// Returns the keeper's decision and its term, or this gateway's own decision when the keeper does not
+    /// answer in time.
+    async fn ask_keeper(
         &self,
         keeper: GroupId,
         tenant: &TenantId,
         limit: VersionedLimit,
         program: Option<ProgramKey>,
-        most_wait: Duration,
+        max_wait: Duration,
     ) -> (Admission, Option<KeeperTerm>) {
-        let command =
-            LimitCommand::Ask { tenant: tenant.clone(), limit, program, max_wait: most_wait };
-        let patience = self.gateway().answer_timeout(keeper, most_wait, self.clock.now());
+        let command = LimitCommand::Ask { tenant: tenant.clone(), limit, program, max_wait };
+        let patience = self.gateway().answer_timeout(keeper, max_wait, self.clock.now());
         let patience = time::Duration::from_micros(patience.as_micros());
-        let answer = timeout(patience, self.ask(keeper, command)).await;
+        let answer = timeout(patience, self.send_command(keeper, command)).await;
         let now = self.clock.now();
         let mut gateway = self.gateway();
         let cause = match answer {
@@ -143,7 +148,7 @@
                 let answer = KeeperAnswer { verdict, is_scarce, keeper: counted_by };
                 let admission = gateway.handle_answer(keeper, tenant, program, answer, now);
                 drop(gateway);
-                self.report_what_is_due(keeper);
+                self.report_if_due(keeper);
                 return (admission, Some(counted_by));
             }
             Ok(Ok(other)) => format!("it answered {other:?}"),
@@ -165,17 +170,18 @@
     }
 }
 
-/// A request that waits for its turn. Its permit goes back if its caller leaves before.
-struct Waiting<'a> {
+/// The permit of a delayed request. It is refunded on drop if the caller leaves before the delay is
+/// over.
+struct DelayedPermit<'a> {
     client: &'a LimitClient,
     tenant: &'a TenantId,
     program: Option<ProgramKey>,
-    has_passed: bool,
+    was_used: bool,
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for DelayedPermit<'_> {
     fn drop(&mut self) {
-        if !self.has_passed {
+        if !self.was_used {
             self.client.refund(self.tenant, self.program);
         }
     }
@@ -187,12 +193,12 @@
         tenant: &TenantId,
         limit: VersionedLimit,
         program: Option<ProgramKey>,
-        most_wait: Duration,
+        max_wait: Duration,
     ) -> Result<(), LimitReached> {
         let keeper = group_of_tenant(tenant, self.groups);
         let first = self.gateway().admit(keeper, tenant, limit, program, self.clock.now());
         let (admission, counted_by) = match first {
-            Admission::Ask => self.verdict(keeper, tenant, limit, program, most_wait).await,
+            Admission::Ask => self.ask_keeper(keeper, tenant, limit, program, max_wait).await,
             decided => (decided, None),
         };
         match admission {
@@ -203,20 +209,20 @@
             }
             Admission::PassAfter(Duration::ZERO) => {}
             Admission::PassAfter(wait) => {
-                let mut waiting = Waiting { client: self, tenant, program, has_passed: false };
+                let mut permit = DelayedPermit { client: self, tenant, program, was_used: false };
                 log::info!(
                     target: "limits",
                     tenant = tenant.as_str(), wait_ms = wait.as_millis();
                     "A request waits for its tenant's limit."
                 );
                 sleep(time::Duration::from_micros(wait.as_micros())).await;
-                waiting.has_passed = true;
+                permit.was_used = true;
                 if let Some(counted_by) = counted_by {
-                    let waited = DelayedRequest { counted_by, program };
-                    self.gateway().record_delayed(keeper, tenant, waited);
+                    let delayed = DelayedRequest { counted_by, program };
+                    self.gateway().record_delayed(keeper, tenant, delayed);
                 }
             }
-            Admission::Refuse { retry_after } => return Err(reached(tenant, retry_after)),
+            Admission::Refuse { retry_after } => return Err(limit_reached(tenant, retry_after)),
             Admission::Ask => unreachable!("a verdict is no question"),
         }
         Ok(())
@@ -230,7 +236,7 @@
     }
 }
 
-fn reached(tenant: &TenantId, retry_after: Duration) -> LimitReached {
+fn limit_reached(tenant: &TenantId, retry_after: Duration) -> LimitReached {
     log::info!(
         target: "limits",
         tenant = tenant.as_str(), retry_after_ms = retry_after.as_millis();
--- a/crates/daemon/src/logging.rs
+++ b/crates/daemon/src/logging.rs
@@ -1,4 +1,4 @@
-//! Logs of a daemon: the parts that speak. Form, bounds and settings are `dahlia_logging`'s.
+//! The parts of a daemon that log. Format, bounds and settings are in `dahlia_logging`.
 
 pub use dahlia_logging::{LogSettings, LoggingError, dropped_lines, flush, install};
 
--- a/crates/daemon/src/machine_list.rs
+++ b/crates/daemon/src/machine_list.rs
@@ -1,4 +1,4 @@
-//! Reads the platform's list of machines for the node.
+//! Polls the platform's list of machines for the node.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,11 +12,11 @@
 use crate::core_handle::CoreHandle;
 use crate::logging::part;
 
-/// How often the list is read. It lags by itself; engines that leave also say so themselves.
+/// How often the list is read. The list itself lags, and leaving engines also report it themselves.
 const READ_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Reads the list at `address` for as long as the daemon runs.
-pub async fn follow(address: SocketAddr, core: CoreHandle) {
+/// Polls the list at `address` while the daemon runs.
+pub async fn poll(address: SocketAddr, core: CoreHandle) {
     let client = MachineListClient::new(&address.to_string(), ClientSettings::default());
     let mut ticks = interval(READ_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -28,7 +28,7 @@
                 reachable = true;
                 core.send_event(Event::Machines(translate(list))).await;
             }
-            // The last list stays in use: it is a hint, and engines are asked themselves.
+            // The last list stays in use: it is only a hint, and engines are polled directly.
             Err(error) => {
                 if std::mem::replace(&mut reachable, false) {
                     log::warn!(target: part::ENGINES, "No list of machines. {error}.");
--- a/crates/daemon/src/reconnect.rs
+++ b/crates/daemon/src/reconnect.rs
@@ -1,14 +1,14 @@
-//! How soon a peer is dialled again.
+//! Backoff between attempts to reconnect to a peer.
 
 use std::time::Duration;
 
-/// Pause after the first failure.
-const FIRST: Duration = Duration::from_millis(50);
-/// Longest pause. A peer that lost power for a second must be reached soon after it is back;
-/// four attempts a second to one that stays away cost little.
-const LONGEST: Duration = Duration::from_millis(200);
+/// Delay after the first failure.
+const FIRST_DELAY: Duration = Duration::from_millis(50);
+/// Longest delay. A peer that lost power for a second must be reached soon after it is back.
+/// Four attempts a second to a peer that stays down cost little.
+const MAX_DELAY: Duration = Duration::from_millis(200);
 
-/// Pauses between attempts to reach one peer; they double up to a limit.
+/// Delays between attempts to reach one peer. They double up to a limit.
 #[derive(Debug, Clone, Copy)]
 pub struct ReconnectBackoff {
     next: Duration,
@@ -16,20 +16,20 @@
 
 impl Default for ReconnectBackoff {
     fn default() -> Self {
-        Self { next: FIRST }
+        Self { next: FIRST_DELAY }
     }
 }
 
 impl ReconnectBackoff {
-    /// The peer was reached: the next failure counts as the first.
+    /// Restarts the backoff after a successful connection.
     pub fn reset(&mut self) {
-        self.next = FIRST;
+        self.next = FIRST_DELAY;
     }
 
-    /// How long to wait after a failure.
+    /// Returns the delay after a failure, and doubles the next one.
     pub fn next_delay(&mut self) -> Duration {
-        let pause = self.next;
-        self.next = (pause * 2).min(LONGEST);
-        pause
+        let delay = self.next;
+        self.next = (delay * 2).min(MAX_DELAY);
+        delay
     }
 }
--- a/crates/daemon/src/serve_answers.rs
+++ b/crates/daemon/src/serve_answers.rs
@@ -1,4 +1,4 @@
-//! Serves the text of answers to gateways of other daemons, and of this one.
+//! Serves the text of answers to the gateways of other daemons and of this one.
 
 use std::time::Duration;
 
@@ -9,22 +9,21 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Instant, MissedTickBehavior, interval, sleep_until};
 
-use crate::answers::{Answer, AnswerBoard};
+use crate::answers::{AnswerBuffer, AnswerBuffers};
 use crate::core_handle::CoreHandle;
 use crate::frames::{FrameError, FrameStream};
 use crate::logging::part;
 
-/// How often a reader without news is told that the owner is there.
-const KEEP_ALIVE: Duration = Duration::from_secs(1);
+/// Time between keep-alive frames to a reader.
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Frames that may wait for a reader in this process.
-const LOCAL_FRAMES: usize = 16;
-/// Shortest time between two pieces for one reader. Text that comes faster than this is sent in
-/// larger pieces: each piece costs a system call and a wake-up at four places. The first piece
-/// never waits, nor does the end.
+/// Most frames queued for a reader in this process.
+const LOCAL_QUEUE_CAPACITY: usize = 16;
+/// Shortest time between two pieces for one reader. Faster text is sent in larger pieces, since each
+/// piece costs a system call and a wake-up in four places. The first piece and the end never wait.
 const PIECE_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Where a reader gets its frames.
+/// The destination of a reader's frames.
 pub enum AnswerSink {
     /// A gateway of another daemon.
     Peer(Box<FrameStream>),
@@ -41,7 +40,7 @@
         /// Cause.
         source: FrameError,
     },
-    /// The gateway of this daemon no longer wants it.
+    /// The gateway of this daemon has dropped the receiver.
     #[snafu(display("its gateway here gave it up"))]
     Gone,
 }
@@ -58,27 +57,32 @@
     }
 }
 
-/// Opens an answer of a program that is owned here, without a connection.
-pub fn open_here(
+/// Opens an answer of a program that this daemon owns, without a connection.
+pub fn open_local(
     core: &CoreHandle,
-    board: &AnswerBoard,
+    answers: &AnswerBuffers,
     read: ReadAnswer,
 ) -> mpsc::Receiver<AnswerFrame> {
-    let (sender, frames) = mpsc::channel(LOCAL_FRAMES);
-    tokio::spawn(serve(core.clone(), board.clone(), read, AnswerSink::Local(sender)));
+    let (sender, frames) = mpsc::channel(LOCAL_QUEUE_CAPACITY);
+    tokio::spawn(serve(core.clone(), answers.clone(), read, AnswerSink::Local(sender)));
     frames
 }
 
-/// Serves one reader until the call's outcome, or until this daemon is no longer the owner.
-pub async fn serve(core: CoreHandle, board: AnswerBoard, read: ReadAnswer, mut sink: AnswerSink) {
-    if let Err(error) = serve_reader(&core, &board, &read, &mut sink).await {
+/// Serves one reader until the call has an outcome or this daemon is no longer the owner.
+pub async fn serve(
+    core: CoreHandle,
+    answers: AnswerBuffers,
+    read: ReadAnswer,
+    mut sink: AnswerSink,
+) {
+    if let Err(error) = serve_reader(&core, &answers, &read, &mut sink).await {
         log::debug!(target: part::PEERS, "A reader of {} left. {error}.", read.call);
     }
 }
 
 async fn serve_reader(
     core: &CoreHandle,
-    board: &AnswerBoard,
+    answers: &AnswerBuffers,
     read: &ReadAnswer,
     sink: &mut AnswerSink,
 ) -> Result<(), ServeError> {
@@ -89,17 +93,17 @@
     let request = Request::AwaitOutcome { tenant: read.tenant.clone(), call: read.call };
     let outcome = core.request(request);
     tokio::pin!(outcome);
-    let mut reader = Reader::new(board, read);
-    let mut beats = interval(KEEP_ALIVE);
-    beats.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut reader = Reader::new(answers, read);
+    let mut keep_alives = interval(KEEP_ALIVE_INTERVAL);
+    keep_alives.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         tokio::select! {
             response = &mut outcome => {
                 sink.send(last_frame(response)).await?;
                 return Ok(());
             }
-            () = reader.changed() => reader.send_new(sink).await?,
-            _ = beats.tick() => {
+            () = reader.changed() => reader.send_new_text(sink).await?,
+            _ = keep_alives.tick() => {
                 if !core.owns(read.call.program.group).await {
                     sink.send(AnswerFrame::NotOwner { hint: None }).await?;
         return Ok(());
@@ -122,9 +126,9 @@
     }
 }
 
-/// Where one reader stands in a call's text.
+/// The position of one reader in a call's text.
 struct Reader {
-    answer: std::sync::Arc<Answer>,
+    answer: std::sync::Arc<AnswerBuffer>,
     changes: watch::Receiver<u64>,
     attempt: u32,
     offset: u64,
@@ -132,27 +136,27 @@
 }
 
 impl Reader {
-    fn new(board: &AnswerBoard, read: &ReadAnswer) -> Self {
-        let answer = board.answer(read.call);
+    fn new(answers: &AnswerBuffers, read: &ReadAnswer) -> Self {
+        let answer = answers.answer(read.call);
         let mut changes = answer.subscribe();
-        // Text that is there already counts as news.
+        // Text that exists already counts as a change.
         changes.mark_changed();
         Self { answer, changes, attempt: read.attempt, offset: read.offset, last_piece: None }
     }
 
-    /// Waits until there is text to send, and until it may be sent.
+    /// Waits until there is new text and the interval since the last piece is over.
     async fn changed(&mut self) {
         if let Some(last_piece) = self.last_piece {
             sleep_until(last_piece + PIECE_INTERVAL).await;
         }
         if self.changes.changed().await.is_err() {
-            // The text is complete; only the outcome is still to come.
+            // The text is complete; only the outcome is still missing.
             std::future::pending::<()>().await;
         }
     }
 
-    async fn send_new(&mut self, sink: &mut AnswerSink) -> Result<(), ServeError> {
-        let Some(piece) = self.answer.after(self.attempt, self.offset) else {
+    async fn send_new_text(&mut self, sink: &mut AnswerSink) -> Result<(), ServeError> {
+        let Some(piece) = self.answer.text_after(self.attempt, self.offset) else {
             return Ok(());
         };
         self.attempt = piece.attempt;
--- a/crates/daemon/src/traffic.rs
+++ b/crates/daemon/src/traffic.rs
@@ -1,4 +1,4 @@
-//! What a daemon has sent to others, by kind of message, without headers of TCP, UDP and IP.
+//! Counts of bytes and messages sent to other daemons, by kind, without headers of TCP, UDP and IP.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -6,19 +6,19 @@
 use prometheus::core::Collector;
 use prometheus::{IntCounter, IntCounterVec, Opts};
 
-/// Counts of one kind of message.
+/// Counters of one kind of message.
 #[derive(Debug)]
-struct Sent {
+struct KindCounters {
     kind: MessageKind,
     bytes: IntCounter,
     messages: IntCounter,
 }
 
-/// What a daemon has sent to others.
+/// Traffic sent to other daemons.
 #[derive(Debug)]
 pub struct Traffic {
-    by_kind: Vec<Sent>,
-    all_bytes: AtomicU64,
+    by_kind: Vec<KindCounters>,
+    total_bytes: AtomicU64,
     collectors: [IntCounterVec; 2],
 }
 
@@ -34,50 +34,50 @@
 }
 
 impl Traffic {
-    /// Nothing sent yet.
+    /// Creates counters at zero.
     ///
     /// # Errors
     /// [`prometheus::Error`] when a name is malformed.
     pub fn new() -> Result<Self, prometheus::Error> {
-        let counters =
+        let new_counter =
             |name: &str, help: &str| IntCounterVec::new(Opts::new(name, help), &["kind"]);
-        let bytes = counters(
+        let bytes = new_counter(
             "dahlialadder_control_bytes_total",
             "Bytes sent to other daemons, by what they are about.",
         )?;
-        let messages = counters(
+        let messages = new_counter(
             "dahlialadder_control_messages_total",
             "Messages sent to other daemons, by what they are about.",
         )?;
-        let of = |kind: MessageKind| Sent {
+        let of = |kind: MessageKind| KindCounters {
             kind,
             bytes: bytes.with_label_values(&[kind.name()]),
             messages: messages.with_label_values(&[kind.name()]),
         };
         let by_kind = MessageKind::ALL.into_iter().map(of).collect();
-        Ok(Self { by_kind, all_bytes: AtomicU64::new(0), collectors: [bytes, messages] })
+        Ok(Self { by_kind, total_bytes: AtomicU64::new(0), collectors: [bytes, messages] })
     }
 
-    /// Counts a message.
+    /// Counts a sent message.
     pub fn count(&self, kind: MessageKind, bytes: usize) {
-        self.all_bytes.fetch_add(bytes as u64, Ordering::Relaxed);
-        if let Some(sent) = self.by_kind.get(kind as usize) {
-            sent.bytes.inc_by(bytes as u64);
-            sent.messages.inc();
+        self.total_bytes.fetch_add(bytes as u64, Ordering::Relaxed);
+        if let Some(counters) = self.by_kind.get(kind as usize) {
+            counters.bytes.inc_by(bytes as u64);
+            counters.messages.inc();
         }
     }
 
     /// Bytes of all messages.
     pub fn total_bytes(&self) -> u64 {
-        self.all_bytes.load(Ordering::Relaxed)
+        self.total_bytes.load(Ordering::Relaxed)
     }
 
-    /// What was sent of each kind.
+    /// Totals of each kind.
     pub fn totals_by_kind(&self) -> impl Iterator<Item = KindTotals> {
-        self.by_kind.iter().map(|sent| KindTotals {
-            kind: sent.kind,
-            bytes: sent.bytes.get(),
-            messages: sent.messages.get(),
+        self.by_kind.iter().map(|counters| KindTotals {
+            kind: counters.kind,
+            bytes: counters.bytes.get(),
+            messages: counters.messages.get(),
         })
     }
 
