--- a/crates/daemon/src/assembly.rs
+++ b/crates/daemon/src/assembly.rs
@@ -1,4 +1,4 @@
-//! A whole daemon: starts its parts, and stops them in order.
+//! Starts all parts of a daemon, and stops them in order.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,20 +18,20 @@
 use crate::operators::{self, Operators};
 use crate::settings::Settings;
 
-/// How often a planned stop looks whether everything has ended.
-const DRAIN_POLL: Duration = Duration::from_millis(50);
+/// How often a planned stop checks whether everything has ended.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What connections get at least to send what they have at the end of a planned stop.
-const SHORTEST_FINISH: Duration = Duration::from_millis(200);
+/// Shortest time that connections get to finish sending at the end of a planned stop.
+const MIN_FINISH_TIME: Duration = Duration::from_millis(200);
 
-/// A daemon that runs.
+/// A running daemon.
 pub struct RunningDaemon {
     core: CoreHandle,
     gateway: GatewayServer,
-    requests: Arc<Gateway>,
+    gateway_state: Arc<Gateway>,
     control: ControlParts,
     operators: JoinHandle<()>,
-    drain_limit: Duration,
+    drain_timeout: Duration,
     /// Where callers connect.
     pub gateway_address: SocketAddr,
     /// Where operators connect.
@@ -50,7 +50,7 @@
         listen("operators", settings.daemon.operators_address)?;
     let control = start_control(settings)?;
     let core = control.core.clone();
-    let gateway_parts = Gateway::new(
+    let state = Gateway::new(
         core.clone(),
         control.identity.clone(),
         control.answers.clone(),
@@ -58,8 +58,8 @@
         settings.limits.clone(),
         control.metrics.clone(),
     );
-    let requests = gateway_parts.clone();
-    let gateway = gateway::serve(gateway_listener, gateway_parts)
+    let gateway_state = state.clone();
+    let gateway = gateway::serve(gateway_listener, state)
         .context(ListenSnafu { part: "callers", address: gateway_address })?;
     let operators = Operators {
         core: core.clone(),
@@ -77,10 +77,10 @@
     Ok(RunningDaemon {
         core,
         gateway,
-        requests,
+        gateway_state,
         control,
         operators: serving,
-        drain_limit: Duration::from_millis(settings.daemon.drain_ms),
+        drain_timeout: Duration::from_millis(settings.daemon.drain_ms),
         gateway_address,
         operators_address,
         peer_address,
@@ -88,18 +88,18 @@
 }
 
 impl RunningDaemon {
-    /// A planned stop: hands groups over, lets requests end, then closes. Bounded by the
-    /// settings.
+    /// Performs a planned stop: hands groups over, lets requests end, then closes. The settings limit how
+    /// long it takes.
     pub async fn drain(mut self) {
         log::info!(target: part::DAEMON, "Planned stop.");
         let started = Instant::now();
         self.core.drain().await;
-        // The listener stays open: a caller that connects now is told to go elsewhere. With the
-        // listener idle it would wait in the kernel's queue until this process ends.
-        self.requests.close();
-        // A node whose disk is full answers nothing, this question neither.
-        while !timeout(self.drain_limit, self.is_idle()).await.unwrap_or(true) {
-            if started.elapsed() > self.drain_limit {
+        // The listener stays open, so that a caller that connects now is advised to use another daemon.
+        // Without accepts it would wait in the kernel's queue until this process ends.
+        self.gateway_state.close();
+        // A node whose disk is full does not answer this query either, hence the timeout.
+        while !timeout(self.drain_timeout, self.is_idle()).await.unwrap_or(true) {
+            if started.elapsed() > self.drain_timeout {
                 let status = self.core.status().await;
                 log::warn!(
                     target: part::DAEMON,
@@ -109,24 +109,24 @@
                 );
                 break;
             }
-            sleep(DRAIN_POLL).await;
+            sleep(DRAIN_POLL_INTERVAL).await;
         }
-        // A request counts as ended when its last byte is on its way; connections may still
-        // have to send it.
-        let left = self.drain_limit.saturating_sub(started.elapsed()).max(SHORTEST_FINISH);
-        self.gateway.finish(left).await;
+        // A request counts as ended when its last byte is buffered. Its connection may still have to
+        // send it.
+        let time_left = self.drain_timeout.saturating_sub(started.elapsed()).max(MIN_FINISH_TIME);
+        self.gateway.finish(time_left).await;
         self.stop();
     }
 
-    /// Whether nobody depends on this daemon any more. An answer that is read from another
-    /// daemon leaves no trace in the node, yet its caller's connection is here.
+    /// Whether no caller or group depends on this daemon any more. The node does not know about answers
+    /// that are read from other daemons, but their callers' connections are here.
     async fn is_idle(&self) -> bool {
         let status = self.core.status().await;
-        let answered = self.requests.in_progress() == 0;
-        answered && status.attempts == 0 && status.requests == 0 && status.groups_led == 0
+        let has_no_requests = self.gateway_state.in_progress() == 0;
+        has_no_requests && status.attempts == 0 && status.requests == 0 && status.groups_led == 0
     }
 
-    /// Waits until the node's task has ended by itself; see [`ControlParts::wait_until_ended`].
+    /// Waits until the node's task ends by itself; see [`ControlParts::wait_until_ended`].
     pub async fn wait_until_ended(&mut self) {
         let _ = self.control.wait_until_ended().await;
     }
@@ -140,10 +140,14 @@
     }
 }
 
-/// A listener, and where it listens: the port may be left to the system.
-fn listen(part: &'static str, wanted: SocketAddr) -> Result<(TcpListener, SocketAddr), StartError> {
-    let listener = listeners::listen(wanted).context(ListenSnafu { part, address: wanted })?;
-    let address = listeners::local(&listener, wanted);
+/// Opens a listener. Returns it with its address, since the system may choose the port.
+fn listen(
+    part: &'static str,
+    configured: SocketAddr,
+) -> Result<(TcpListener, SocketAddr), StartError> {
+    let listener =
+        listeners::listen(configured).context(ListenSnafu { part, address: configured })?;
+    let address = listeners::local_address(&listener, configured);
     Ok((listener, address))
 }
 
--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -177,7 +177,7 @@
     let peers = listeners::listen_to_peers(configured);
     let (peer_listener, socket) =
         peers.context(ListenSnafu { part: "peers", address: configured })?;
-    let peer_address = listeners::local(&peer_listener, configured);
+    let peer_address = listeners::local_address(&peer_listener, configured);
     let key = PeerKey::new(settings.credentials.peer_key.as_bytes());
     let identity = Identity { daemon: replica.daemon, incarnation: replica.incarnation, key };
     let metrics = Metrics::new().context(MetricsSnafu)?;
--- a/crates/daemon/src/datagrams.rs
+++ b/crates/daemon/src/datagrams.rs
@@ -1,8 +1,8 @@
 //! Membership messages between daemons as datagrams (UDP).
 //!
-//! They are small, may be lost, and go to ever changing peers: over connections, hundreds of
-//! daemons would each hold one to every other. A message that does not fit into a datagram goes
-//! over a connection.
+//! These messages are small, may be lost, and go to changing peers. Over connections, each of hundreds
+//! of daemons would need one to every other. A message that does not fit into a datagram goes over a
+//! connection.
 
 use std::io;
 use std::net::SocketAddr;
@@ -21,12 +21,12 @@
 use crate::peers::PeerEvent;
 use crate::traffic::Traffic;
 
-/// Largest datagram: fits into an Ethernet frame with the headers of UDP and IPv6.
-const LARGEST_DATAGRAM: usize = 1_400;
-/// Room for what is received; anything longer is cut off and refused.
-const RECEIVE_BYTES: usize = 2_048;
+/// Largest datagram in bytes. It fits into an Ethernet frame with the headers of UDP and IPv6.
+const MAX_DATAGRAM_BYTES: usize = 1_400;
+/// Size of the receive buffer. A longer datagram is truncated and refused.
+const RECEIVE_BUFFER_BYTES: usize = 2_048;
 
-/// A datagram: who sends, the message, and a keyed hash over both.
+/// A datagram: the sender, the message, and a keyed hash over both.
 #[derive(Debug, Serialize, Deserialize)]
 struct Datagram {
     daemon: DaemonId,
@@ -35,7 +35,7 @@
     proof: [u8; 32],
 }
 
-/// Why a message does not go as a datagram.
+/// Why a message cannot be sent as a datagram.
 #[derive(Debug, Snafu)]
 pub enum DatagramError {
     /// It can't be encoded.
@@ -47,9 +47,9 @@
     /// It does not fit.
     #[snafu(display("The message has {bytes} bytes with its envelope; at most {most} fit"))]
     TooLong {
-        /// With its envelope.
+        /// Its size with the envelope.
         bytes: usize,
-        /// How many fit.
+        /// The most that fit.
         most: usize,
     },
 }
@@ -63,24 +63,24 @@
 }
 
 impl DatagramSender {
-    /// Sends from `socket`.
+    /// Creates a sender that uses `socket`.
     pub fn new(identity: Identity, socket: Arc<UdpSocket>, traffic: Arc<Traffic>) -> Self {
         Self { identity, socket, traffic }
     }
 
-    /// Sends a message if it fits; it may still be lost on the way.
+    /// Sends a message if it fits. It may still be lost on the way.
     ///
     /// # Errors
     /// Why nothing was sent.
     pub fn send(&self, peer: SocketAddr, message: &PeerMessage) -> Result<(), DatagramError> {
         let bytes = self.encode(message).context(EncodingSnafu)?;
-        if bytes.len() > LARGEST_DATAGRAM {
-            return TooLongSnafu { bytes: bytes.len(), most: LARGEST_DATAGRAM }.fail();
+        if bytes.len() > MAX_DATAGRAM_BYTES {
+            return TooLongSnafu { bytes: bytes.len(), most: MAX_DATAGRAM_BYTES }.fail();
         }
         match self.socket.try_send_to(&bytes, peer) {
             Ok(sent) => self.traffic.count(message.kind(), sent),
             Err(error) => {
-                log::debug!(target: part::PEERS, "No datagram to {peer}: {error}.");
+                log::debug!(target: part::PEERS, "Sending a datagram to {peer} failed: {error}.");
             }
         }
         Ok(())
@@ -96,13 +96,13 @@
     }
 }
 
-/// Receives datagrams for as long as the daemon runs. Those without a right proof are dropped.
+/// Receives datagrams while the daemon runs. Those without a valid proof are dropped.
 pub async fn receive(socket: Arc<UdpSocket>, identity: Identity, inbox: mpsc::Sender<PeerEvent>) {
-    let mut buffer = [0; RECEIVE_BYTES];
+    let mut buffer = [0; RECEIVE_BUFFER_BYTES];
     loop {
         let (length, peer) = match socket.recv_from(&mut buffer).await {
             Ok(received) => received,
-            // A peer that is gone makes itself known here by ICMP; the next datagram may be good.
+            // An ICMP error reports a peer that is gone. The next datagram may be valid.
             Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => continue,
             Err(error) => {
                 log::warn!(target: part::PEERS, "Receiving datagrams failed: {error}.");
@@ -122,10 +122,10 @@
 }
 
 fn decode(bytes: &[u8], identity: &Identity) -> Option<(ReplicaId, PeerMessage)> {
-    let config = bincode::config::standard().with_limit::<RECEIVE_BYTES>();
+    let config = bincode::config::standard().with_limit::<RECEIVE_BUFFER_BYTES>();
     let (datagram, _): (Datagram, usize) = bincode::serde::decode_from_slice(bytes, config).ok()?;
     let Datagram { daemon, incarnation, message, proof } = datagram;
-    // Nothing of the message is looked at before its sender has shown the key.
+    // The message is decoded only after its sender has proved that it has the key.
     if !identity.key.verify(&proof_text(daemon, incarnation, &message), &proof) {
         return None;
     }
--- a/crates/daemon/src/first_document.rs
+++ b/crates/daemon/src/first_document.rs
@@ -1,4 +1,4 @@
-//! The configuration's first document, made of the engines in the settings file.
+//! The first document of the configuration, generated from the engines in the settings file.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,8 +7,8 @@
 
 use crate::settings::EngineSettings;
 
-/// The document that serves `engines` as the settings name them; none without engines. The same
-/// engines give the same text on every daemon.
+/// Generates the document for `engines` from the settings; none without engines. The same engines give
+/// the same text on every daemon.
 pub fn first_document(engines: &[EngineSettings]) -> Option<String> {
     if engines.is_empty() {
         return None;
@@ -33,7 +33,7 @@
     Some(document.to_text())
 }
 
-/// Takes an identifier apart: `<base>`, `<base>@<version>` or `<base>/<adapter>@<version>`.
+/// Parses a model identifier: `<base>`, `<base>@<version>` or `<base>/<adapter>@<version>`.
 fn model_entry(model: &ModelId, engines: BTreeSet<EngineId>) -> ModelEntry {
     let (name, version) = model.as_str().split_once('@').unwrap_or((model.as_str(), ""));
     let (base, adapter) = match name.split_once('/') {
--- a/crates/daemon/src/frames.rs
+++ b/crates/daemon/src/frames.rs
@@ -1,4 +1,4 @@
-//! Frames between daemons: a 4-byte length, then a `bincode` value.
+//! Frames between daemons: a 4-byte length followed by a `bincode` value.
 
 use std::io;
 use std::net::SocketAddr;
@@ -14,10 +14,10 @@
 use tokio::net::TcpStream;
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
-/// Bytes of the length in front of each frame.
+/// Size of the length field in front of each frame, in bytes.
 const LENGTH_BYTES: usize = 4;
 
-/// A fault on a connection to a peer, with the step and the peer.
+/// An error on a connection to a peer, with the step and the peer.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum FrameError {
@@ -39,7 +39,7 @@
         /// Cause.
         source: io::Error,
     },
-    /// A frame does not hold what was expected.
+    /// A frame does not contain the expected value.
     #[snafu(display("decoding a frame from {peer}: {source}"))]
     Decode {
         /// The peer.
@@ -47,7 +47,7 @@
         /// Cause.
         source: bincode::error::DecodeError,
     },
-    /// A value could not be written as a frame.
+    /// A value could not be encoded as a frame.
     #[snafu(display("encoding a frame for {peer}: {source}"))]
     Encode {
         /// The peer.
@@ -61,7 +61,7 @@
         /// The peer.
         peer: SocketAddr,
     },
-    /// The peer did not show the peer key, or speaks another version.
+    /// The peer did not prove that it has the peer key, or uses another protocol version.
     #[snafu(display("{peer} was refused: {reason}"))]
     Refused {
         /// The peer.
@@ -69,7 +69,7 @@
         /// Why.
         reason: String,
     },
-    /// Nothing came in time.
+    /// The step took too long.
     #[snafu(display("{step} {peer}: timed out"))]
     TimedOut {
         /// The step.
@@ -79,18 +79,18 @@
     },
 }
 
-/// A machine that lost power or is cut off resets nothing: a connection to it takes bytes until
-/// the kernel gives up, after many seconds. Bytes that are not acknowledged for so long break it;
-/// it is made anew at once, and every protocol above repeats what matters.
+/// A connection breaks when sent bytes stay unacknowledged for this long. A machine that lost power or
+/// is cut off sends no reset, and without this timeout the kernel would accept bytes for many seconds.
+/// The connection is opened again at once, and every protocol above repeats what matters.
 pub const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(800);
-/// Time between probes of a silent connection, and before the first one.
+/// Time between keep-alive probes of an idle connection, and before the first one.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
-/// Unanswered probes that break a connection.
-const MOST_PROBES: u32 = 2;
+/// Number of unanswered probes that break a connection.
+const MAX_PROBES: u32 = 2;
 
-/// Largest first frame of a connection, in bytes. A sender that has not shown the peer key yet
-/// may not make this daemon set memory aside for more.
-const LARGEST_FIRST_FRAME: usize = 64 * 1024;
+/// Largest first frame of a connection, in bytes. A sender that has not proved that it has the peer
+/// key may not make this daemon allocate more.
+const MAX_FIRST_FRAME_BYTES: usize = 64 * 1024;
 
 /// A connection that carries frames.
 pub struct FrameStream {
@@ -99,27 +99,28 @@
 }
 
 impl FrameStream {
-    /// Takes over a connection. Frames received are small until [`FrameStream::trust`].
+    /// Wraps a connection. Received frames must be small until [`FrameStream::trust`] is called.
     pub fn new(stream: TcpStream, peer: SocketAddr) -> Self {
-        // Frames are small and wait for an answer; batching by the kernel would only delay them.
+        // Frames are small and their senders wait for answers, so batching by the kernel would only
+        // delay them.
         let _ = stream.set_nodelay(true);
-        notice_silence(&stream);
+        set_tcp_timeouts(&stream);
         let codec =
-            LengthDelimitedCodec::builder().max_frame_length(LARGEST_FIRST_FRAME).new_codec();
+            LengthDelimitedCodec::builder().max_frame_length(MAX_FIRST_FRAME_BYTES).new_codec();
         Self { framed: Framed::new(stream, codec), peer }
     }
 
-    /// The other side is a daemon of this system: frames may be as large as the protocol allows.
+    /// Allows frames of the protocol's full size, once the peer is known to be a daemon of this system.
     pub fn trust(&mut self) {
         self.framed.codec_mut().set_max_frame_length(MAX_FRAME_BYTES);
     }
 
-    /// The other side's address.
+    /// The peer's address.
     pub fn peer(&self) -> SocketAddr {
         self.peer
     }
 
-    /// Sends one value. Returns the bytes of its frame.
+    /// Sends one value. Returns the size of its frame in bytes.
     ///
     /// # Errors
     /// [`FrameError`] when the value cannot be encoded or the connection is broken.
@@ -129,8 +130,8 @@
         Ok(length)
     }
 
-    /// Puts one value into the buffer that [`FrameStream::flush`] sends. Returns the bytes of its
-    /// frame.
+    /// Adds one value to the buffer that [`FrameStream::flush`] sends. Returns the size of its frame in
+    /// bytes.
     ///
     /// # Errors
     /// [`FrameError`] when the value cannot be encoded or the connection is broken.
@@ -142,7 +143,7 @@
         Ok(length)
     }
 
-    /// Sends what is in the buffer.
+    /// Sends the buffered frames.
     ///
     /// # Errors
     /// [`FrameError`] when the connection is broken.
@@ -152,8 +153,8 @@
         flushed.context(TransferSnafu { step, peer: self.peer })
     }
 
-    /// Waits until the other side closes the connection or it breaks.
-    pub async fn ended(&mut self) {
+    /// Waits until the peer closes the connection or it breaks.
+    pub async fn wait_until_closed(&mut self) {
         while let Some(Ok(_)) = self.framed.next().await {}
     }
 
@@ -170,18 +171,19 @@
     }
 }
 
-/// A socket that refuses an option still works; its end is noticed later.
-fn notice_silence(stream: &TcpStream) {
+/// Sets keep-alive probes and the acknowledgement timeout. A socket that refuses an option still works,
+/// but a lost peer is detected later.
+fn set_tcp_timeouts(stream: &TcpStream) {
     let socket = SockRef::from(stream);
     let probes = TcpKeepalive::new()
         .with_time(PROBE_INTERVAL)
         .with_interval(PROBE_INTERVAL)
-        .with_retries(MOST_PROBES);
+        .with_retries(MAX_PROBES);
     let _ = socket.set_tcp_keepalive(&probes);
     let _ = socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT));
 }
 
-/// Writes a value as a frame's contents.
+/// Encodes a value as a frame's contents.
 ///
 /// # Errors
 /// [`FrameError::Encode`] naming the peer it was meant for.
@@ -190,12 +192,12 @@
     Ok(bytes.context(EncodeSnafu { peer })?.into())
 }
 
-/// Reads a value from a frame's contents, whoever wrote them.
+/// Decodes a value from a frame's contents, which may come from an untrusted sender.
 ///
 /// # Errors
 /// [`FrameError::Decode`] when they are malformed or claim more than the protocol's largest frame.
 pub fn decode<T: DeserializeOwned>(frame: &[u8], peer: SocketAddr) -> Result<T, FrameError> {
-    // The limit bounds what a forged length inside the frame may make the decoder allocate.
+    // The limit bounds what the decoder allocates for a forged length inside the frame.
     let config = bincode::config::standard().with_limit::<MAX_FRAME_BYTES>();
     let decoded = bincode::serde::decode_from_slice(frame, config);
     let (value, _) = decoded.context(DecodeSnafu { peer })?;
--- a/crates/daemon/src/group_services.rs
+++ b/crates/daemon/src/group_services.rs
@@ -1,4 +1,4 @@
-//! What a relay needs of the owners of replica groups, in one place.
+//! The clients of ledgers and of rate limits behind the traits that a relay uses.
 
 use dahlia_ledger::{LedgerCommand, LedgerReply};
 use dahlia_limits::{ProgramKey, VersionedLimit};
@@ -8,12 +8,12 @@
 use crate::ledger_client::LedgerClient;
 use crate::limit_client::LimitClient;
 
-/// Ledgers of turns, and keepers of limits. Cheap to clone.
+/// Clients of the owners of replica groups. Cheap to clone.
 #[derive(Clone)]
 pub struct GroupServices {
-    /// Ledgers of turns.
+    /// Client of the ledgers of turns.
     pub ledger: LedgerClient,
-    /// Keepers of limits.
+    /// Client of the keepers of limits.
     pub limits: LimitClient,
 }
 
--- a/crates/daemon/src/handshake.rs
+++ b/crates/daemon/src/handshake.rs
@@ -1,4 +1,4 @@
-//! The first frame of a connection between daemons, and the proof that its sender has the key.
+//! The first frame of a connection between daemons, which proves that its sender has the peer key.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,20 +10,20 @@
 
 use crate::frames::{FrameError, FrameStream};
 
-/// How long the first frame of a connection may take to arrive.
+/// Timeout for the first frame of a connection.
 pub const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long the operating system may take to make a connection. Far longer than a round trip
-/// between regions. It repeats a lost first packet only after a second, and one sent to a
-/// machine without power is lost: dialling anew finds a machine that is back much sooner.
+/// Timeout for opening a connection. Far longer than a round trip between regions. The operating system
+/// repeats a lost first packet only after a second, and a packet to a machine without power is lost, so
+/// a new attempt reaches a machine that is back much sooner.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Who this daemon is towards its peers.
+/// The identity that this daemon proves to its peers.
 #[derive(Clone)]
 pub struct Identity {
     /// This daemon.
     pub daemon: DaemonId,
-    /// This life of it.
+    /// Its current incarnation.
     pub incarnation: Incarnation,
     /// The key that all daemons share.
     pub key: PeerKey,
@@ -44,7 +44,7 @@
         let connected = connecting.map_err(|_| FrameError::TimedOut { step, peer })?;
         let stream = connected.map_err(|source| FrameError::Connect { peer, source })?;
         let mut frames = FrameStream::new(stream, peer);
-        // This side chose whom to connect to.
+        // This daemon chose the address, so the peer is trusted without a proof.
         frames.trust();
         frames.send(&self.hello(purpose)).await?;
         Ok(frames)
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -10,7 +10,7 @@
     TextEncoder,
 };
 
-/// Upper bounds in seconds. The wish is 1.4 s for 95 in 100.
+/// Upper bounds in seconds. The target is 1.4 s at the 95th percentile.
 const FIRST_TEXT_BUCKETS: [f64; 12] =
     [0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 1.4, 2.5, 5.0, 10.0];
 
@@ -21,7 +21,7 @@
     pub requests: IntCounter,
     /// Attempts started at engines.
     pub attempts: IntCounter,
-    /// Attempts taken over from an earlier owner.
+    /// Attempts taken over from a previous owner.
     pub resumed: IntCounter,
     /// Seconds from a call's arrival to its first text.
     pub first_text: Histogram,
@@ -45,10 +45,10 @@
 }
 
 impl Metrics {
-    /// Fresh metrics.
+    /// Creates and registers all metrics.
     ///
     /// # Errors
-    /// [`prometheus::Error`] when a name is malformed or stands twice.
+    /// [`prometheus::Error`] when a name is malformed or registered twice.
     pub fn new() -> Result<Arc<Self>, prometheus::Error> {
         let registry = Registry::new();
         let counter = |name: &str, help: &str| -> Result<IntCounter, prometheus::Error> {
@@ -135,7 +135,7 @@
         Ok(Arc::new(metrics))
     }
 
-    /// Where other parts of the process add their metrics.
+    /// The registry, where other parts of the process add their metrics.
     pub fn registry(&self) -> &Registry {
         &self.registry
     }
@@ -156,7 +156,7 @@
         self.attempt_outcomes.with_label_values(&[outcome]).inc();
     }
 
-    /// Takes over what the node says of itself.
+    /// Updates the gauges from the node's status.
     pub fn record_status(&self, status: &NodeStatus) {
         self.groups_led.set(status.groups_led as i64);
         self.live_daemons.set(status.live_daemons as i64);
@@ -168,13 +168,13 @@
         self.ready.set(i64::from(status.ready));
         self.groups_short.set(status.groups_short as i64);
         if let Some(sharing) = &status.load_sharing {
-            self.note_load_sharing(sharing);
+            self.record_load_sharing(sharing);
         }
         let dropped = crate::logging::dropped_lines();
         self.dropped_log_lines.inc_by(dropped.saturating_sub(self.dropped_log_lines.get()));
     }
 
-    fn note_load_sharing(&self, sharing: &LoadSharingStatus) {
+    fn record_load_sharing(&self, sharing: &LoadSharingStatus) {
         self.load_followers.set(sharing.followers as i64);
         let passed_over = &self.load_aggregators_passed_over;
         passed_over.inc_by(sharing.passed_over.saturating_sub(passed_over.get()));
@@ -183,13 +183,13 @@
         }
     }
 
-    /// Takes over whom the daemon reaches.
+    /// Updates the gauges from the daemon's reachability.
     pub fn record_reachability(&self, reach: &Reachability) {
         self.silent_zones.set(reach.silent_zones.len() as i64);
         self.cut_off.set(i64::from(reach.cut_off.is_some()));
     }
 
-    /// All metrics as text.
+    /// All metrics in the Prometheus text format.
     ///
     /// # Errors
     /// [`prometheus::Error`] when a value cannot be written.
--- a/crates/daemon/src/metrics_server.rs
+++ b/crates/daemon/src/metrics_server.rs
@@ -1,4 +1,5 @@
-//! Serves a daemon's metrics on an address of their own, where callers' HTTP is not the product's.
+//! Serves a daemon's metrics on a separate address, for processes whose HTTP for callers is not this
+//! crate's gateway.
 
 use std::io;
 use std::net::SocketAddr;
@@ -15,22 +16,22 @@
 
 /// The path of the metrics.
 pub const METRICS_PATH: &str = "metrics";
-/// Readers that may wait to be accepted.
+/// Most connections that wait to be accepted.
 const BACKLOG: u32 = 16;
 
-/// Brings metrics of other parts up to date before each reading.
+/// Updates the metrics of other parts before each read.
 pub type RefreshMetrics = Arc<dyn Fn() + Send + Sync>;
 
-struct Export {
+struct MetricsHandler {
     core: CoreHandle,
     metrics: Arc<Metrics>,
     refresh: RefreshMetrics,
 }
 
 #[handler]
-impl Export {
+impl MetricsHandler {
     async fn handle(&self, response: &mut Response) {
-        // The node's gauges are taken over when it is asked for its status.
+        // A status query updates the gauges from the node.
         self.core.status().await;
         (self.refresh)();
         match self.metrics.text() {
@@ -43,7 +44,7 @@
     }
 }
 
-/// Serves `/metrics` for as long as the process runs. Returns where it listens.
+/// Serves `/metrics` while the process runs. Returns the listener's address.
 ///
 /// # Errors
 /// The address is taken.
@@ -58,8 +59,8 @@
     socket.bind(address)?;
     let listener = socket.listen(BACKLOG)?;
     let bound = listener.local_addr()?;
-    let export = Export { core, metrics, refresh };
-    let router = Router::new().push(Router::with_path(METRICS_PATH).get(export));
+    let handler = MetricsHandler { core, metrics, refresh };
+    let router = Router::new().push(Router::with_path(METRICS_PATH).get(handler));
     let acceptor = TcpAcceptor::try_from(listener)?;
     tokio::spawn(Server::new(acceptor).serve(router));
     Ok(bound)
--- a/crates/daemon/src/node_settings.rs
+++ b/crates/daemon/src/node_settings.rs
@@ -1,4 +1,4 @@
-//! What a node is told of the daemon's settings.
+//! The node's settings, derived from the daemon's.
 
 use std::net::SocketAddr;
 
@@ -12,7 +12,7 @@
 use crate::first_document::first_document;
 use crate::settings::Settings;
 
-/// The settings of the node of a process that is `own` and is reached at `address`.
+/// The settings of the node with the identifier `own`, which is reachable at `address`.
 pub(crate) fn node_settings(
     settings: &Settings,
     own: ReplicaId,
@@ -54,7 +54,7 @@
         configuration: settings.configuration.clone(),
         follows_configuration: true,
         first_document: first_document(&settings.platform.engines),
-        // Of the process, not of its replicas: their identifiers may outlive it.
+        // The seed depends on the process and not on the replica, whose identifier may outlive it.
         seed: clock.incarnation().0 ^ (u64::from(own.daemon.0) << 40),
         faults: NodeFaults::default(),
     }
--- a/crates/daemon/src/operators/configuration.rs
+++ b/crates/daemon/src/operators/configuration.rs
@@ -1,4 +1,4 @@
-//! The operators' configuration: what is in force, changes, history, and following it.
+//! The operators' configuration: showing, changing, listing and watching it.
 
 use std::pin::Pin;
 use std::time::Duration;
@@ -18,12 +18,12 @@
 
 use super::{Operators, invalid, status};
 
-/// When an operator may come back after the daemon could not answer.
-const RETRY: Duration = Duration::from_secs(1);
-/// Changes listed when the request does not say.
+/// Retry delay for an operator when the daemon cannot answer.
+const RETRY_DELAY: Duration = Duration::from_secs(1);
+/// Changes listed by default.
 const DEFAULT_HISTORY: u32 = 20;
-/// Most changes listed: as many as a record carries.
-const LONGEST_HISTORY: u32 = dahlia_configuration::MAX_RECENT_CHANGES as u32 + 1;
+/// Most changes listed: as many as a record contains.
+const MAX_HISTORY: u32 = dahlia_configuration::MAX_RECENT_CHANGES as u32 + 1;
 
 type Generations =
     Pin<Box<dyn Stream<Item = Result<rpc::ConfigurationGeneration, Status>> + Send + 'static>>;
@@ -36,12 +36,12 @@
     ) -> Result<Response<rpc::ConfigurationGeneration>, Status> {
         let wanted = Generation(request.into_inner().generation);
         let view = self.configuration().await?;
-        let mut held = view.current.iter().chain(&view.previous);
+        let mut records = view.current.iter().chain(&view.previous);
         let found = match wanted {
-            Generation(0) => held.next(),
-            _ => held.find(|record| record.generation() == wanted),
+            Generation(0) => records.next(),
+            _ => records.find(|record| record.generation() == wanted),
         };
-        let found = found.ok_or_else(|| not_held(wanted))?;
+        let found = found.ok_or_else(|| generation_not_found(wanted))?;
         Ok(Response::new(generation(found)))
     }
 
@@ -58,7 +58,7 @@
             repeated: request.repeated,
         };
         match self.core.propose_change(proposal).await {
-            Some(verdict) => answer(verdict, request),
+            Some(outcome) => answer(outcome, request),
             None => Err(status(&unknown("the daemon is stopping"))),
         }
     }
@@ -69,20 +69,20 @@
     ) -> Result<Response<rpc::HistoryResponse>, Status> {
         let limit = match request.into_inner().limit {
             0 => DEFAULT_HISTORY,
-            limit if limit <= LONGEST_HISTORY => limit,
+            limit if limit <= MAX_HISTORY => limit,
             limit => {
-                let problem = format!("is {limit}; allowed: 1 to {LONGEST_HISTORY}");
+                let problem = format!("is {limit}; allowed: 1 to {MAX_HISTORY}");
                 return Err(invalid("limit", &problem));
             }
         };
         let view = self.configuration().await?;
         let changes = view.current.iter().flat_map(|record| record.changes());
-        let shown = |change: &ChangeSummary| {
-            let mut held = view.current.iter().chain(&view.previous);
-            let record = held.find(|record| record.change() == change);
+        let with_text = |change: &ChangeSummary| {
+            let mut records = view.current.iter().chain(&view.previous);
+            let record = records.find(|record| record.change() == change);
             summary(change, record.map_or("", |record| record.text()))
         };
-        let generations = changes.take(limit as usize).map(shown).collect();
+        let generations = changes.take(limit as usize).map(with_text).collect();
         Ok(Response::new(rpc::HistoryResponse { generations }))
     }
 
@@ -106,11 +106,11 @@
         view.ok_or_else(|| {
             let message = "this daemon does not know yet which generation is in force";
             let error = ApiError::new(ErrorKind::Unavailable, message);
-            status(&error.with_retry_after(RETRY))
+            status(&error.with_retry_after(RETRY_DELAY))
         })
     }
 
-    /// The document in force on this daemon; the defaults before the first.
+    /// The document in force on this daemon, or the defaults if there is none yet.
     pub(super) async fn document(&self) -> Result<Document, Status> {
         let view = self.configuration().await?;
         Ok(view.current.map(|record| record.document().clone()).unwrap_or_default())
@@ -118,10 +118,10 @@
 }
 
 fn answer(
-    verdict: ChangeOutcome,
+    outcome: ChangeOutcome,
     request: rpc::ApplyConfigurationRequest,
 ) -> Result<Response<rpc::ConfigurationGeneration>, Status> {
-    let error = match verdict {
+    let error = match outcome {
         ChangeOutcome::Accepted(record) => return Ok(Response::new(generation(&record))),
         ChangeOutcome::AcceptedEarlier(change) => {
             return Ok(Response::new(summary(&change, &request.document)));
@@ -169,7 +169,7 @@
 }
 
 fn unavailable(message: &str) -> ApiError {
-    ApiError::new(ErrorKind::Unavailable, message).with_retry_after(RETRY)
+    ApiError::new(ErrorKind::Unavailable, message).with_retry_after(RETRY_DELAY)
 }
 
 fn unknown(cause: &str) -> ApiError {
@@ -179,7 +179,7 @@
     ApiError::new(ErrorKind::Unknown, message)
 }
 
-fn not_held(wanted: Generation) -> Status {
+fn generation_not_found(wanted: Generation) -> Status {
     let message = match wanted {
         Generation(0) => "no generation of the configuration exists yet".to_owned(),
         wanted => format!(
--- a/crates/daemon/src/operators/convert.rs
+++ b/crates/daemon/src/operators/convert.rs
@@ -1,4 +1,4 @@
-//! Views of the node as messages of the operators' schema.
+//! Converts views of the node to messages of the operators' schema.
 
 use dahlia_api::operators as rpc;
 use dahlia_node::request::{
@@ -19,7 +19,7 @@
         }),
         chains: view.chains,
         turns: view.turns,
-        held: view.cache_holders.into_iter().map(held).collect(),
+        held: view.cache_holders.into_iter().map(cache_holder).collect(),
         owner: view.owner.to_string(),
         epoch: view.epoch.0,
         calls: view.calls.into_iter().map(call).collect(),
@@ -34,7 +34,7 @@
     }
 }
 
-fn held(view: CacheHolderView) -> rpc::HeldCache {
+fn cache_holder(view: CacheHolderView) -> rpc::HeldCache {
     rpc::HeldCache { engine: view.engine.to_string(), engine_incarnation: view.incarnation.0 }
 }
 
--- a/crates/daemon/src/operators/machines.rs
+++ b/crates/daemon/src/operators/machines.rs
@@ -1,4 +1,4 @@
-//! Daemons and engines.
+//! Listing daemons and engines, and draining this daemon.
 
 use dahlia_api::operators as rpc;
 use dahlia_api::operators::machines_server::Machines;
--- a/crates/daemon/src/operators/mod.rs
+++ b/crates/daemon/src/operators/mod.rs
@@ -1,4 +1,4 @@
-//! Operators' RPC. Any daemon answers for all: requests go to the owner of their program.
+//! RPC for operators. Any daemon accepts any request, and routes it to the owner of its program.
 
 mod configuration;
 mod convert;
@@ -22,18 +22,18 @@
 
 use crate::core_handle::CoreHandle;
 
-/// What every operators' service needs.
+/// The state shared by all services for operators.
 #[derive(Clone)]
 pub struct Operators {
     /// Routes requests to owners.
     pub core: CoreHandle,
-    /// The token that operators show.
+    /// The operators' bearer token.
     pub token: Arc<str>,
     /// The generation in force here.
     pub in_force: watch::Receiver<Option<Arc<ConfigurationRecord>>>,
 }
 
-/// Serves operators on `listener` for as long as the daemon runs.
+/// Serves operators on `listener` while the daemon runs.
 ///
 /// # Errors
 /// [`tonic::transport::Error`] when the server cannot run.
@@ -63,7 +63,7 @@
     Err(status(&ApiError::new(ErrorKind::Unauthorized, message)))
 }
 
-/// An error as an RPC status, with its name and when to come back in the metadata.
+/// Converts an error to an RPC status, with its name and retry delay in the metadata.
 pub(crate) fn status(error: &ApiError) -> Status {
     let mut status = Status::new(error.kind.rpc_code(), error.message.clone());
     let metadata = status.metadata_mut();
--- a/crates/daemon/src/operators/programs.rs
+++ b/crates/daemon/src/operators/programs.rs
@@ -16,15 +16,15 @@
 
 use super::{Operators, convert, invalid, status};
 
-/// Longest idle expiry.
-const LONGEST_IDLE_EXPIRY_MS: u64 = 30 * 24 * 3_600 * 1_000;
-/// Longest name of a tenant, a model or a request key.
-const LONGEST_NAME: usize = 64;
-/// Programs listed when the request does not say.
-const DEFAULT_LIST: u32 = 100;
+/// Longest idle expiry, in milliseconds.
+const MAX_IDLE_EXPIRY_MS: u64 = 30 * 24 * 3_600 * 1_000;
+/// Longest name of a tenant, a model or a request key, in bytes.
+const MAX_NAME_BYTES: usize = 64;
+/// Programs listed by default.
+const DEFAULT_LIST_LIMIT: u32 = 100;
 /// Most programs listed at once.
-const LONGEST_LIST: u32 = 1_000;
-/// A group whose owner does not answer a listing in this time is left out, by name.
+const MAX_LIST_LIMIT: u32 = 1_000;
+/// Timeout for one group's part of a listing. A group that misses it is listed as unreachable.
 const LIST_TIMEOUT: StdDuration = StdDuration::from_secs(2);
 
 #[tonic::async_trait]
@@ -35,7 +35,7 @@
     ) -> Result<Response<rpc::Program>, Status> {
         let request = request.into_inner();
         let specification = specification(&request, &self.document().await?)?;
-        let program = self.identify(&request).await?;
+        let program = self.choose_id(&request).await?;
         self.ask_program(OwnerRequest::Create { program, specification }).await
     }
 
@@ -44,9 +44,9 @@
         request: Request<rpc::ListProgramsRequest>,
     ) -> Result<Response<rpc::ListProgramsResponse>, Status> {
         let request = request.into_inner();
-        let limit = if request.limit == 0 { DEFAULT_LIST } else { request.limit };
-        if limit > LONGEST_LIST {
-            return Err(invalid("limit", &format!("is {limit}; allowed: 1 to {LONGEST_LIST}")));
+        let limit = if request.limit == 0 { DEFAULT_LIST_LIMIT } else { request.limit };
+        if limit > MAX_LIST_LIMIT {
+            return Err(invalid("limit", &format!("is {limit}; allowed: 1 to {MAX_LIST_LIMIT}")));
         }
         let mut listed = rpc::ListProgramsResponse::default();
         for group in self.core.groups().await {
@@ -99,19 +99,19 @@
         }
     }
 
-    /// Draws the new program's identifier. A request key gives the same identifier each time, so
-    /// that a repeat after a lost answer creates nothing new.
-    async fn identify(&self, request: &rpc::CreateProgramRequest) -> Result<ProgramId, Status> {
+    /// Chooses the new program's identifier. A request key gives the same identifier each time, so that a
+    /// repeat after a lost answer creates no second program.
+    async fn choose_id(&self, request: &rpc::CreateProgramRequest) -> Result<ProgramId, Status> {
         let number = if request.request_key.is_empty() {
             rand::rng().next_u64()
         } else {
-            number_of_key(&request.tenant, &request.request_key)
+            hash_request_key(&request.tenant, &request.request_key)
         };
         let group = if request.request_key.is_empty() {
             self.core.group_for_program(number).await
         } else {
             let groups = self.core.groups().await;
-            // Any daemon must come to the same group, so the choice does not look at ownership.
+            // Every daemon must choose the same group, so the choice ignores ownership.
             let count = groups.len() as u64;
             (count > 0).then(|| groups[(number % count.max(1)) as usize])
         };
@@ -159,14 +159,14 @@
         stated => Tokens(stated),
     };
     check_budget(&tenant, budget, document)?;
-    if request.request_key.len() > LONGEST_NAME {
-        return Err(invalid("request_key", &format!("the limit is {LONGEST_NAME} bytes")));
+    if request.request_key.len() > MAX_NAME_BYTES {
+        return Err(invalid("request_key", &format!("the limit is {MAX_NAME_BYTES} bytes")));
     }
     if budget == Tokens::ZERO {
         return Err(invalid("budget_tokens", "is 0; at least 1 is needed"));
     }
-    if request.idle_expiry_ms > LONGEST_IDLE_EXPIRY_MS {
-        let problem = format!("the limit is {LONGEST_IDLE_EXPIRY_MS} (30 days)");
+    if request.idle_expiry_ms > MAX_IDLE_EXPIRY_MS {
+        let problem = format!("the limit is {MAX_IDLE_EXPIRY_MS} (30 days)");
         return Err(invalid("idle_expiry_ms", &problem));
     }
     let idle_expiry = match request.idle_expiry_ms {
@@ -183,7 +183,7 @@
         return Ok(());
     }
     let message = format!("the budget is {budget}; the limit of tenant {tenant} is {most} tokens");
-    // Only an operator's change of the limit or of the request helps, not time.
+    // A retry without a change of the limit or of the request would fail again.
     let error = ApiError::new(ErrorKind::LimitReached, message).without_retry();
     Err(status(&error.with_field("budget_tokens")))
 }
@@ -191,11 +191,11 @@
 #[allow(clippy::result_large_err)]
 fn check_name(field: &str, name: &str) -> Result<(), Status> {
     let plain = |character: char| character.is_ascii_alphanumeric() || "-_@/:".contains(character);
-    if !name.is_empty() && name.len() <= LONGEST_NAME && name.chars().all(plain) {
+    if !name.is_empty() && name.len() <= MAX_NAME_BYTES && name.chars().all(plain) {
         return Ok(());
     }
-    let shown: String = name.chars().take(LONGEST_NAME + 1).collect();
-    let allowed = format!("1 to {LONGEST_NAME} letters, digits, '-', '_', '@', '/', ':'");
+    let shown: String = name.chars().take(MAX_NAME_BYTES + 1).collect();
+    let allowed = format!("1 to {MAX_NAME_BYTES} letters, digits, '-', '_', '@', '/', ':'");
     let problem = format!("is {shown:?}; allowed: {allowed}");
     Err(invalid(field, &problem))
 }
@@ -205,7 +205,7 @@
     text.parse().map_err(|error| invalid("program", &format!("{error}")))
 }
 
-fn number_of_key(tenant: &str, key: &str) -> u64 {
+fn hash_request_key(tenant: &str, key: &str) -> u64 {
     let mut hasher = Sha256::new();
     hasher.update((tenant.len() as u64).to_le_bytes());
     hasher.update(tenant.as_bytes());
--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -1,5 +1,5 @@
-//! Connections to other daemons. Each daemon dials for what it sends; messages to a peer that
-//! cannot be reached are dropped, since every protocol above repeats what matters.
+//! Connections to other daemons. Each daemon opens a connection for what it sends. Messages to an
+//! unreachable peer are dropped, since every protocol above repeats what matters.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -22,14 +22,14 @@
 use crate::reconnect::ReconnectBackoff;
 use crate::traffic::Traffic;
 
-/// Messages that may wait for one peer; later ones are dropped.
-const QUEUE_PER_PEER: usize = 4_096;
-/// Pause after an accept that failed, most likely for want of file descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// A connection without a message to send for so long is given up.
-const IDLE_CONNECTION: Duration = Duration::from_secs(120);
+/// Most messages queued for one peer. Further ones are dropped.
+const PEER_QUEUE_CAPACITY: usize = 4_096;
+/// Delay after a failed accept, which most likely lacked file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// A connection is closed after this long without a message to send.
+const IDLE_CONNECTION_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// What arrives from other daemons.
+/// An event from the connections to other daemons.
 pub enum PeerEvent {
     /// A message.
     Message {
@@ -38,13 +38,13 @@
         /// The message.
         message: PeerMessage,
     },
-    /// A connection that this daemon made broke: the daemon there may have died.
+    /// A connection that this daemon opened broke. The daemon there may have died.
     ConnectionLost(SocketAddr),
-    /// A gateway reads an answer here.
+    /// A gateway of another daemon reads an answer here.
     Answer {
-        /// What it reads.
+        /// The answer and the position to read from.
         read: ReadAnswer,
-        /// Where the frames go.
+        /// The connection for the frames.
         frames: FrameStream,
     },
 }
@@ -53,26 +53,26 @@
 #[derive(Clone)]
 pub struct PeerSender {
     identity: Identity,
-    lost: mpsc::Sender<PeerEvent>,
+    lost_connections: mpsc::Sender<PeerEvent>,
     traffic: Arc<Traffic>,
     datagrams: DatagramSender,
     clock: Clock,
-    drop_lines: Arc<Mutex<LogLineLimit>>,
+    drop_log_limit: Arc<Mutex<LogLineLimit>>,
     queues: Arc<Mutex<HashMap<SocketAddr, mpsc::Sender<PeerMessage>>>>,
 }
 
 impl PeerSender {
     /// A sender without connections.
-    /// Connections that break are told to `lost`.
+    /// Connections that break are told to `lost_connections`.
     pub fn new(
         identity: Identity,
-        lost: mpsc::Sender<PeerEvent>,
+        lost_connections: mpsc::Sender<PeerEvent>,
         datagrams: DatagramSender,
         traffic: Arc<Traffic>,
         clock: Clock,
     ) -> Self {
-        let (drop_lines, queues) = (Arc::default(), Arc::default());
-        Self { identity, lost, traffic, datagrams, clock, drop_lines, queues }
+        let (drop_log_limit, queues) = (Arc::default(), Arc::default());
+        Self { identity, lost_connections, traffic, datagrams, clock, drop_log_limit, queues }
     }
 
     /// Sends a message to the daemon at `peer`; drops it when the queue is full.
@@ -82,9 +82,9 @@
             match self.datagrams.send(peer, &message) {
                 Ok(()) => return,
                 Err(error) if transport == Transport::DatagramOnly => {
-                    return self.note_dropped(&message, &error);
+                    return self.log_dropped(&message, &error);
                 }
-                // It goes over a connection.
+                // The message goes over a connection instead.
                 Err(_) => {}
             }
         }
@@ -93,10 +93,17 @@
         let queue = match open {
             Some(queue) => queue.clone(),
             None => {
-                let (queue, waiting) = mpsc::channel(QUEUE_PER_PEER);
+                let (queue, queued) = mpsc::channel(PEER_QUEUE_CAPACITY);
                 queues.insert(peer, queue.clone());
-                let (lost, traffic) = (self.lost.clone(), self.traffic.clone());
-                tokio::spawn(pump(self.identity.clone(), peer, waiting, lost, traffic));
+                let (lost_connections, traffic) =
+                    (self.lost_connections.clone(), self.traffic.clone());
+                tokio::spawn(run_connection(
+                    self.identity.clone(),
+                    peer,
+                    queued,
+                    lost_connections,
+                    traffic,
+                ));
                 queue
             }
         };
@@ -105,9 +112,9 @@
         }
     }
 
-    /// A message that goes by datagrams alone was not sent.
-    fn note_dropped(&self, message: &PeerMessage, error: &DatagramError) {
-        let mut lines = self.drop_lines.lock().unwrap_or_else(PoisonError::into_inner);
+    /// Logs that a message which may only go as a datagram was not sent.
+    fn log_dropped(&self, message: &PeerMessage, error: &DatagramError) {
+        let mut lines = self.drop_log_limit.lock().unwrap_or_else(PoisonError::into_inner);
         let Some(passed_over) = lines.allow(self.clock.now()) else { return };
         log::warn!(
             target: part::PEERS,
@@ -117,15 +124,15 @@
     }
 }
 
-/// Sends what is queued for one peer for as long as something comes.
-async fn pump(
+/// Connects to one peer and sends its queued messages until the queue closes or stays idle.
+async fn run_connection(
     identity: Identity,
     peer: SocketAddr,
-    mut waiting: mpsc::Receiver<PeerMessage>,
-    lost: mpsc::Sender<PeerEvent>,
+    mut queued: mpsc::Receiver<PeerMessage>,
+    lost_connections: mpsc::Sender<PeerEvent>,
     traffic: Arc<Traffic>,
 ) {
-    let mut pauses = ReconnectBackoff::default();
+    let mut backoff = ReconnectBackoff::default();
     let mut failures: u32 = 0;
     loop {
         match identity.connect(peer, ConnectionPurpose::Messages).await {
@@ -135,15 +142,16 @@
                     peer:% = peer, failures_before = std::mem::take(&mut failures);
                     "Connected."
                 );
-                pauses.reset();
-                if pump_connected(frames, &mut waiting, &traffic).await {
+                backoff.reset();
+                if send_until_closed(frames, &mut queued, &traffic).await {
                     return;
                 }
                 log::warn!(target: part::PEERS, peer:% = peer; "Lost a connection.");
-                let _ = lost.send(PeerEvent::ConnectionLost(peer)).await;
+                let _ = lost_connections.send(PeerEvent::ConnectionLost(peer)).await;
             }
             Err(error) => {
-                // One line for a row of failures; the next one tells how many there were.
+                // Only the first of a series of failures is a warning. The next `Connected.` line has
+                // their count.
                 let level = if failures == 0 { log::Level::Warn } else { log::Level::Debug };
                 failures += 1;
                 log::log!(
@@ -151,55 +159,55 @@
                 );
             }
         }
-        // What queued up meanwhile is stale: its senders repeat with newer contents.
-        while waiting.try_recv().is_ok() {}
-        if waiting.is_closed() {
+        // Messages queued meanwhile are stale: their senders repeat them with newer contents.
+        while queued.try_recv().is_ok() {}
+        if queued.is_closed() {
             return;
         }
-        sleep(pauses.next_delay()).await;
+        sleep(backoff.next_delay()).await;
     }
 }
 
-/// Returns whether the connection ended because nothing is left to send.
-async fn pump_connected(
+/// Sends messages until the connection ends. Returns whether it ended for lack of messages.
+async fn send_until_closed(
     mut frames: FrameStream,
-    waiting: &mut mpsc::Receiver<PeerMessage>,
+    queued: &mut mpsc::Receiver<PeerMessage>,
     traffic: &Traffic,
 ) -> bool {
     loop {
         let message = tokio::select! {
-            next = timeout(IDLE_CONNECTION, waiting.recv()) => match next {
+            next = timeout(IDLE_CONNECTION_TIMEOUT, queued.recv()) => match next {
                 Ok(Some(message)) => message,
                 _ => return true,
             },
-            // The other side never writes here, so anything that can be read is its end.
-            () = frames.ended() => return false,
+            // The peer never writes on this connection, so anything readable is its end.
+            () = frames.wait_until_closed() => return false,
         };
-        if let Err(error) = send_waiting(&mut frames, message, waiting, traffic).await {
+        if let Err(error) = send_batch(&mut frames, message, queued, traffic).await {
             log::debug!(target: part::PEERS, cause:% = error; "Sending failed.");
             return false;
         }
     }
 }
 
-/// Sends a message and those that wait behind it with as few system calls as possible.
-async fn send_waiting(
+/// Sends a message and those queued behind it with as few system calls as possible.
+async fn send_batch(
     frames: &mut FrameStream,
     first: PeerMessage,
-    waiting: &mut mpsc::Receiver<PeerMessage>,
+    queued: &mut mpsc::Receiver<PeerMessage>,
     traffic: &Traffic,
 ) -> Result<(), FrameError> {
     let mut next = Some(first);
     while let Some(message) = next {
         traffic.count(message.kind(), frames.feed(&message).await?);
-        next = waiting.try_recv().ok();
+        next = queued.try_recv().ok();
     }
     frames.flush().await
 }
 
-/// Accepts connections for as long as the daemon runs.
+/// Accepts connections while the daemon runs.
 pub async fn listen(listener: TcpListener, identity: Identity, inbox: mpsc::Sender<PeerEvent>) {
-    // Connections end with this task, so that peers see at once that the daemon is gone.
+    // Connections end with this task, so that peers notice at once that the daemon is gone.
     let mut connections = JoinSet::new();
     loop {
         while connections.try_join_next().is_some() {}
@@ -210,7 +218,7 @@
             }
             Err(error) => {
                 log::warn!(target: part::PEERS, "Accepting a connection failed: {error}.");
-                sleep(ACCEPT_PAUSE).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -34,13 +34,13 @@
     /// Addresses of the platform's services.
     #[serde(default)]
     pub platform: PlatformSettings,
-    /// How the operators' configuration spreads and is accepted.
+    /// Acceptance and distribution of the operators' configuration.
     #[serde(default)]
     pub configuration: dahlia_configuration::ConfigurationSettings,
     /// Limits on callers' requests.
     #[serde(default)]
     pub limits: RequestLimits,
-    /// What may be lost at once; the voters of each replica group follow from it.
+    /// Simultaneous losses to tolerate. They determine the voters of each replica group.
     #[serde(default)]
     pub tolerance: LossTolerance,
     /// The first layout of replica groups.
@@ -49,7 +49,7 @@
     /// Timing and bounds of replica groups.
     #[serde(default)]
     pub groups: GroupSettings,
-    /// Bulk history, as owners keep it.
+    /// How owners store bulk history.
     #[serde(default)]
     pub history: HistorySettings,
     /// The store under `daemon.data_folder`, if there is one.
@@ -61,24 +61,24 @@
     /// Timing and bounds of membership.
     #[serde(default)]
     pub membership: MembershipSettings,
-    /// Sharing what few daemons read of an outside source; absent where none is followed.
+    /// Sharing of an external source that a few daemons read. Absent where no source is followed.
     #[serde(default)]
     pub feed: Option<FeedSettings>,
-    /// Sharing loads of servers with other daemons; absent where this one has no part in it.
+    /// Sharing of server loads with other daemons. Absent where this one takes no part.
     #[serde(default)]
     pub load_sharing: Option<LoadSharingSettings>,
-    /// Telling cut-off zones from silent daemons; absent where nothing is to be made of it.
+    /// Distinguishing cut-off zones from unresponsive daemons. Absent where this is not used.
     pub zone_liveness: Option<ZoneLivenessSettings>,
-    /// Keeping tenants' rate limits over all gateways.
+    /// Enforcing tenants' rate limits across all gateways.
     #[serde(default)]
     pub rate_limits: LimitSettings,
-    /// Upkeep of groups' members. `voters` and `keeps_lost_voters` are worked out.
+    /// Maintenance of groups' members. `voters` and `keeps_lost_voters` are computed.
     #[serde(default)]
     pub maintenance: MaintenanceSettings,
-    /// Groups whose ledger does not answer.
+    /// The circuit breaker for groups whose ledger does not answer.
     #[serde(default)]
     pub ledger_breaker: LedgerBreakerSettings,
-    /// Callers of a daemon that is cut off.
+    /// Refusing callers while this daemon is cut off.
     #[serde(default)]
     pub turn_away: TurnAwaySettings,
     /// Calls and their attempts.
@@ -99,7 +99,7 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DaemonSettings {
-    /// Number of this daemon, unique in the system; kept over restarts.
+    /// Number of this daemon. Unique in the system, and the same after a restart.
     pub id: DaemonId,
     /// Zone, e.g. `hall-a`.
     pub zone: Zone,
@@ -111,16 +111,16 @@
     pub gateway_address: SocketAddr,
     /// Where operators connect (RPC).
     pub operators_address: SocketAddr,
-    /// Peer addresses of daemons to start from; may include this one.
+    /// Peer addresses of daemons to contact first. May include this one.
     pub seeds: Vec<SocketAddr>,
-    /// Folder for bulk data; absent on machines that keep nothing.
+    /// Data folder. Absent on machines that store nothing.
     #[serde(default)]
     pub data_folder: Option<PathBuf>,
-    /// Whether replicas of groups may be placed here. A daemon that holds none reaches their
-    /// owners all the same.
+    /// Whether replicas of groups may be placed here. A daemon without replicas can still reach their
+    /// owners.
     #[serde(default = "default_holds_groups")]
     pub holds_groups: bool,
-    /// Milliseconds that a planned stop may take before it cuts what is left.
+    /// Milliseconds that a planned stop may take before remaining requests are aborted.
     #[serde(default = "default_drain")]
     pub drain_ms: u64,
 }
@@ -192,8 +192,8 @@
 pub struct LayoutSettings {
     /// Number of groups in the system.
     pub groups: u32,
-    /// Daemons that must be live before the groups are laid out. Absent: as many as `tolerance`
-    /// needs, or those that came when for 3 s no further one has.
+    /// Daemons that must be live before the groups are laid out. If absent, as many as `tolerance` needs,
+    /// or those present once no further daemon has joined for 3 s.
     pub bootstrap_daemons: Option<u32>,
 }
 
@@ -207,11 +207,11 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct CallsSettings {
-    /// Attempts of one call before it is given up.
+    /// Most attempts of one call.
     pub attempts: u32,
     /// Milliseconds that an attempt may run before it is cancelled.
     pub attempt_limit_ms: u64,
-    /// Milliseconds that the records of an ended program are kept, for late repeats of its calls.
+    /// Milliseconds that the records of an ended program are kept for late repeats of its calls.
     pub keep_records_ms: u64,
 }
 
@@ -229,7 +229,7 @@
     }
 }
 
-/// Why settings were not taken.
+/// Why settings were rejected.
 #[derive(Debug, Snafu)]
 pub enum SettingsError {
     /// The file could not be read.
@@ -270,7 +270,8 @@
     Ok(settings)
 }
 
-const SHORTEST_SECRET: usize = 16;
+/// Shortest key or token, in bytes.
+const MIN_SECRET_BYTES: usize = 16;
 
 impl Settings {
     /// Checks every field that has bounds.
@@ -309,7 +310,7 @@
 }
 
 impl Settings {
-    /// The engines must make a document that could be applied.
+    /// Checks that the engines produce a valid first document.
     fn check_engines(&self) -> Result<(), InvalidSetting> {
         let engines = &self.platform.engines;
         let document = first_document(engines)
@@ -343,12 +344,12 @@
 }
 
 fn check_secret(field: &str, secret: &str) -> Result<(), InvalidSetting> {
-    if secret.len() >= SHORTEST_SECRET {
+    if secret.len() >= MIN_SECRET_BYTES {
         return Ok(());
     }
     Err(InvalidSetting {
         field: field.to_owned(),
         value: format!("{} characters long", secret.len()),
-        allowed: format!("at least {SHORTEST_SECRET} characters"),
+        allowed: format!("at least {MIN_SECRET_BYTES} characters"),
     })
 }
--- a/crates/daemon/src/turn_away.rs
+++ b/crates/daemon/src/turn_away.rs
@@ -1,21 +1,23 @@
-//! When a caller may come back whom a cut-off daemon turned away.
+//! Retry delays for callers that a cut-off daemon refuses.
 
 use dahlia_node::CutOff;
 use dahlia_types::{Duration, InvalidSetting, Timestamp, check_range};
 use serde::{Deserialize, Serialize};
 
-/// Settings of turning callers away.
+/// Settings for refusing callers while this daemon is cut off.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct TurnAwaySettings {
-    /// Milliseconds after a daemon began to say that it is not ready until new connections go to
-    /// others. Follows from whoever spreads callers' connections.
+    /// Milliseconds from a daemon's first not-ready report until new connections go to other daemons. It
+    /// depends on the load balancer of the callers' connections.
     pub callers_gone_ms: u64,
-    /// Milliseconds over which those turned away come back, so that they don't all come at once.
+    /// Milliseconds over which the retries of refused callers are spread, so that they don't all come at
+    /// once.
     pub spread_ms: u64,
-    /// The least milliseconds after which a caller may come back while its zone is cut off.
+    /// Shortest retry delay in milliseconds while the whole zone is cut off.
     pub shortest_ms: u64,
-    /// The same where only this daemon is cut off: another one of its zone may serve the caller now.
+    /// Retry delay in milliseconds where only this daemon is cut off: another one of its zone may serve the
+    /// caller at once.
     pub elsewhere_ms: u64,
 }
 
@@ -37,7 +39,7 @@
         check_range("turn_away.elsewhere_ms", self.elsewhere_ms, 1, 60_000)
     }
 
-    /// When a caller may come back that is turned away at `now`. `draw` is uniform from 0 to 1.
+    /// The retry delay of a caller that is refused at `now`. `draw` is uniform from 0 to 1.
     pub fn retry_after(&self, cut: CutOff, draw: f64, now: Timestamp) -> Duration {
         if cut.is_alone {
             return Duration::from_millis(self.elsewhere_ms);
