--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -62,8 +62,7 @@
 }
 
 impl PeerSender {
-    /// A sender without connections.
-    /// Connections that break are told to `lost_connections`.
+    /// Creates a sender without connections. It reports broken connections to `lost_connections`.
     pub fn new(
         identity: Identity,
         lost_connections: mpsc::Sender<PeerEvent>,
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -113,7 +113,7 @@
     pub operators_address: SocketAddr,
     /// Peer addresses of daemons to contact first. May include this one.
     pub seeds: Vec<SocketAddr>,
-    /// Data folder. Absent on machines that store nothing.
+    /// Folder for bulk data. Absent on machines that store nothing.
     #[serde(default)]
     pub data_folder: Option<PathBuf>,
     /// Whether replicas of groups may be placed here. A daemon without replicas can still reach their
--- a/crates/daemon/tests/callers.rs
+++ b/crates/daemon/tests/callers.rs
@@ -1,4 +1,4 @@
-//! The callers' side over real sockets: answers whole and streamed, history, order, keys.
+//! HTTP for callers over real sockets: whole and streamed answers, history, order and keys.
 
 mod support;
 
@@ -14,8 +14,8 @@
 use serde_json::json;
 use support::{Plan, System, TENANT, credential, send, streamed, whole};
 
-/// The part of an answer that says which call with which prompt it answers.
-fn answer_begins(call: &str, messages: &[(Role, &str)]) -> String {
+/// The header of an answer, which identifies its call and its prompt.
+fn answer_header(call: &str, messages: &[(Role, &str)]) -> String {
     let attempt: AttemptId = format!("{call}/1").parse().expect("a call");
     let message =
         |(role, content): &(Role, &str)| Message { role: *role, content: (*content).into() };
@@ -29,7 +29,7 @@
     let program = system.program().await;
     let reply = send(system.chat(0, &program, &whole("Fault code 31", 24))).await;
     assert_eq!(reply.call(), format!("{program}/0/1"));
-    let expected = answer_begins(&reply.call(), &[(Role::User, "Fault code 31")]);
+    let expected = answer_header(&reply.call(), &[(Role::User, "Fault code 31")]);
     assert!(reply.content().starts_with(&expected), "{} / {expected}", reply.content());
     let body = reply.json();
     assert_eq!(body["object"], json!("chat.completion"));
@@ -43,12 +43,12 @@
     let program = system.program().await;
     let reply = send(system.chat(0, &program, &streamed("Fault code 31", 24))).await;
     let text = reply.streamed_text();
-    let expected = answer_begins(&reply.call(), &[(Role::User, "Fault code 31")]);
+    let expected = answer_header(&reply.call(), &[(Role::User, "Fault code 31")]);
     assert!(text.starts_with(&expected), "{text}");
     let events = reply.events();
     let positions: Vec<&str> = events.iter().filter_map(|event| event.id.as_deref()).collect();
     let last = *positions.last().expect("pieces have positions");
-    // Attempt 0 stands for the outcome, when that was there before any piece was read.
+    // Attempt 0 is the outcome, in case it was available before any piece was read.
     let of_attempt = |attempt: u32| format!("0/1/{attempt}/{}", text.len());
     assert!(last == of_attempt(1) || last == of_attempt(0), "{last}");
     assert!(events[0].data.contains(r#""role":"assistant""#), "{:?}", events[0]);
@@ -79,20 +79,20 @@
         }
     }
     let call = format!("{program}/0/1");
-    assert!(text.starts_with(&answer_begins(&call, &[(Role::User, "Fault code 31")])), "{text}");
+    assert!(text.starts_with(&answer_header(&call, &[(Role::User, "Fault code 31")])), "{text}");
     let read = send(system.read(0, &call, "")).await;
     assert_eq!(text, read.streamed_text());
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn history_is_held_here_when_only_the_new_message_is_sent() {
+async fn history_is_added_when_only_the_new_message_is_sent() {
     let system = System::one_daemon().await;
     let program = system.program().await;
     let first = system.ask(&program, "Fault code 31").await.content();
     let second = system.ask(&program, "Serial 4711").await;
     let prompt =
         [(Role::User, "Fault code 31"), (Role::Assistant, &*first), (Role::User, "Serial 4711")];
-    assert!(second.content().starts_with(&answer_begins(&second.call(), &prompt)), "{second:?}");
+    assert!(second.content().starts_with(&answer_header(&second.call(), &prompt)), "{second:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -108,7 +108,7 @@
     let second = send(system.chat(0, &program, &body)).await;
     let prompt =
         [(Role::User, "Fault code 31"), (Role::Assistant, &*first), (Role::User, "Serial 4711")];
-    assert!(second.content().starts_with(&answer_begins(&second.call(), &prompt)), "{second:?}");
+    assert!(second.content().starts_with(&answer_header(&second.call(), &prompt)), "{second:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -152,11 +152,11 @@
     let answer = first.content();
     let prompt =
         [(Role::User, "Fault code 31"), (Role::Assistant, &*answer), (Role::User, "Serial 4711")];
-    assert!(second.content().starts_with(&answer_begins(&second.call(), &prompt)), "{second:?}");
+    assert!(second.content().starts_with(&answer_header(&second.call(), &prompt)), "{second:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn broken_stream_is_read_on_at_another_gateway() {
+async fn broken_stream_is_resumed_at_another_gateway() {
     let system = System::start(Plan { daemons: 2, ..Plan::default() }).await;
     let program = system.program().await;
     let request = system.chat(0, &program, &streamed("Fault code 31", 64));
@@ -175,7 +175,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn stream_is_read_on_while_it_is_generated() {
+async fn stream_is_resumed_while_it_is_generated() {
     let system = System::start(Plan { daemons: 2, speed: 2.0, ..Plan::default() }).await;
     let program = system.program().await;
     let first = system.chat(0, &program, &streamed("Fault code 31", 64)).send().await;
@@ -205,11 +205,11 @@
         (Role::Assistant, &*first),
         (Role::User, "Look the serial up"),
     ];
-    assert!(branch.content().starts_with(&answer_begins(&branch.call(), &prompt)), "{branch:?}");
+    assert!(branch.content().starts_with(&answer_header(&branch.call(), &prompt)), "{branch:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn ended_program_leaves_no_cache_and_takes_no_calls() {
+async fn ended_program_leaves_no_cache_and_accepts_no_calls() {
     let system = System::one_daemon().await;
     let program = system.program().await;
     system.ask(&program, "Fault code 31").await.content();
--- a/crates/daemon/tests/configuration/acceptance.rs
+++ b/crates/daemon/tests/configuration/acceptance.rs
@@ -1,4 +1,4 @@
-//! Changes that operators apply, and how they reach every daemon.
+//! Acceptance of operators' changes, and their distribution to every daemon.
 
 use std::time::Duration;
 
@@ -12,8 +12,8 @@
     OPERATOR_TOKEN, Operator, Plan, System, error_name, wait_for, wait_until_in_force,
 };
 
-/// The letter's bound on the spread of a generation.
-const SPREAD_LIMIT: Duration = Duration::from_secs(7);
+/// The users' limit on the time to distribute a generation.
+const MAX_SPREAD_TIME: Duration = Duration::from_secs(7);
 const CHANGES: u64 = 20;
 
 async fn all_operators(system: &System) -> Vec<Operator> {
@@ -25,17 +25,17 @@
 }
 
 /// Applies change `change` of a series: each raises a limit by one.
-async fn count_up(operator: &mut Operator, change: u64) -> ConfigurationGeneration {
+async fn raise_limit(operator: &mut Operator, change: u64) -> ConfigurationGeneration {
     let (before, after) = (499 + change, 500 + change);
     let (from, to) = (format!("open_calls = {before}"), format!("open_calls = {after}"));
     operator.edit(&from, &to, &format!("change-{change}")).await
 }
 
-fn spread_times(mut times: Vec<Duration>, case: &str) {
+fn check_spread_times(mut times: Vec<Duration>, case: &str) {
     times.sort();
     let (middle, last) = (times[times.len() / 2], times[times.len() - 1]);
     println!("in force on all 4 daemons, {case}: p50 {middle:?}, longest {last:?}");
-    assert!(last < SPREAD_LIMIT, "{times:?}");
+    assert!(last < MAX_SPREAD_TIME, "{times:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -47,16 +47,16 @@
     let mut times = Vec::new();
     for change in 1..=CHANGES {
         let at = change as usize % operators.len();
-        let applied = count_up(&mut operators[at], change).await;
+        let applied = raise_limit(&mut operators[at], change).await;
         assert_eq!(applied.generation, change + 1);
         times.push(wait_until_in_force(&mut operators, change + 1).await);
     }
-    spread_times(times, "service up");
-    let told = wait_for("daemons to tell their generation", async || {
-        let told = operators[0].generations().await;
-        told.values().all(|generation| *generation == CHANGES + 1).then_some(told)
+    check_spread_times(times, "service up");
+    let generations = wait_for("daemons to tell their generation", async || {
+        let generations = operators[0].generations().await;
+        generations.values().all(|generation| *generation == CHANGES + 1).then_some(generations)
     });
-    assert_eq!(told.await.len(), 4);
+    assert_eq!(generations.await.len(), 4);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -67,18 +67,18 @@
     let mut times = Vec::new();
     for change in 1..=CHANGES {
         let at = change as usize % operators.len();
-        // Nobody can learn of the change from the service: watches say nothing, reads give the
-        // state before it, and then there is no service at all.
-        let blind =
+        // No daemon can learn of the change from the service: watches report nothing, reads return the
+        // state before it, and then the service is down.
+        let no_updates =
             KeyValueFaults { silent_watches: true, stale_reads: true, ..Default::default() };
-        system.key_value_faults(blind).await;
-        count_up(&mut operators[at], change).await;
+        system.set_key_value_faults(no_updates).await;
+        raise_limit(&mut operators[at], change).await;
         let outage = KeyValueFaults { outage: Some(Outage::Refuse), ..Default::default() };
-        system.key_value_faults(outage).await;
+        system.set_key_value_faults(outage).await;
         times.push(wait_until_in_force(&mut operators, change + 1).await);
-        system.key_value_faults(KeyValueFaults::default()).await;
+        system.set_key_value_faults(KeyValueFaults::default()).await;
     }
-    spread_times(times, "service down right after the acceptance");
+    check_spread_times(times, "service down right after the acceptance");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -86,7 +86,7 @@
     let system = System::start(Plan::default()).await;
     let mut operators = all_operators(&system).await;
     wait_until_in_force(&mut operators, 1).await;
-    system.key_value_faults(KeyValueFaults { lose_replies: 1, ..Default::default() }).await;
+    system.set_key_value_faults(KeyValueFaults { lose_replies: 1, ..Default::default() }).await;
     let applied = operators[1].edit("open_calls = 500", "open_calls = 501", "once").await;
     assert_eq!((applied.generation, applied.change_id.as_str()), (2, "once"));
     let seen = system.key_value_control().observations::<KeyValueObservation>(0).await;
@@ -106,7 +106,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn of_two_operators_who_race_one_is_told_the_generation_it_lost_to() {
+async fn the_loser_of_a_race_gets_the_generation_it_lost_to() {
     let system = System::start(Plan::default()).await;
     let mut operators = all_operators(&system).await;
     wait_until_in_force(&mut operators, 1).await;
@@ -125,7 +125,7 @@
     assert!(loser.message().contains(&named), "{}", loser.message());
 }
 
-/// Runs a command of `dahliactl` and gives its output, or the failure with its exit code.
+/// Runs a command of `dahliactl` and returns its output, or the exit code and the failure.
 async fn ctl(system: &System, words: &[&str]) -> Result<String, (u8, String)> {
     let address = system.daemons[0].operators.to_string();
     let mut all = vec!["--address", &address, "--token", OPERATOR_TOKEN];
--- a/crates/daemon/tests/configuration/engines.rs
+++ b/crates/daemon/tests/configuration/engines.rs
@@ -1,4 +1,4 @@
-//! Engines that leave, by each of the three sources, and orders that follow from the document.
+//! Engines that leave, reported by each of the three sources, and orders derived from the document.
 
 use std::cell::OnceCell;
 use std::collections::BTreeSet;
@@ -15,19 +15,19 @@
 
 use crate::support::{MODEL, Operator, Plan, System, engine_id, wait_for, wait_until_in_force};
 
-/// A leaving engine may get work for so long; the list of machines lags by half a second and is
-/// read every two.
-const LEAVING_LIMIT: Duration = Duration::from_secs(4);
-/// How long callers go on after an engine began to leave.
-const PRESSURE: Duration = Duration::from_secs(6);
-/// Tokens of an answer: a third of a second of an engine's time.
-const TOKENS: u64 = 16;
-/// Callers that each have a call open all the time; more than the engines run at once.
+/// Longest time for which a leaving engine may still get work. The list of machines lags by half a second
+/// and is read every two seconds.
+const MAX_WORK_AFTER_LEAVING: Duration = Duration::from_secs(4);
+/// How long callers continue after an engine began to leave.
+const LOAD_AFTER_LEAVING: Duration = Duration::from_secs(6);
+/// Tokens of an answer, which take an engine a third of a second.
+const ANSWER_TOKENS: u64 = 16;
+/// Callers that always have one open call each. More than the engines run at once.
 const CALLERS: usize = 12;
 
 /// Who takes the engine out of service.
 #[derive(Clone, Copy, Debug)]
-enum Source {
+enum LeaveSource {
     Nobody,
     Itself,
     List,
@@ -39,14 +39,14 @@
     Timestamp(since.as_micros() as u64)
 }
 
-/// What two engines saw, of which engine 1 was taken out of service.
-struct Seen {
+/// The observations of two engines, of which engine 1 was taken out of service.
+struct EngineRecords {
     from: Timestamp,
     leaving: Vec<(Timestamp, EngineObservation)>,
     other: Vec<(Timestamp, EngineObservation)>,
 }
 
-impl Seen {
+impl EngineRecords {
     /// Time from the beginning to the last work that engine 1 got.
     fn last_work(&self) -> Duration {
         Duration::from_micros(last_accepted(&self.leaving).since(self.from).as_micros())
@@ -54,8 +54,8 @@
 }
 
 /// Keeps the queues of two engines full, and takes engine 1 out of service.
-async fn keep_calling(source: Source) -> Seen {
-    // The baseline queues at the engines, so that there is something to take back.
+async fn record_work_while_leaving(source: LeaveSource) -> EngineRecords {
+    // The baseline policy queues at the engines, so that there are attempts to recall.
     let plan = Plan { max_batch: 2, policy: "least-loaded", ..Plan::default() };
     let system = System::start(plan).await;
     let mut operator = Operator::at(&system.daemons[1]).await;
@@ -64,30 +64,33 @@
     let callers = join_all((0..CALLERS).map(|_| call_until(&system, &began)));
     let leaving = async {
         wait_for("calls to wait at engine 1", async || {
-            let seen = system.seen_by_engine(1).await;
+            let seen = system.engine_observations(1).await;
             (accepted(&seen).len() >= started(&seen).len() + 2).then_some(())
         })
         .await;
         let from = wall_clock();
-        take_out(&system, &mut operator, source).await;
+        take_out_of_service(&system, &mut operator, source).await;
         began.set(Instant::now()).expect("is set once");
         from
     };
     let (_, from) = tokio::join!(callers, leaving);
-    let seen = Seen {
+    let seen = EngineRecords {
         from,
-        leaving: system.seen_by_engine(1).await,
-        other: system.seen_by_engine(2).await,
+        leaving: system.engine_observations(1).await,
+        other: system.engine_observations(2).await,
     };
     println!("{source:?}: last work {:?} after", seen.last_work());
     seen
 }
 
-async fn leave(source: Source) {
-    let seen = keep_calling(source).await;
-    assert!(seen.last_work() < LEAVING_LIMIT, "{:?}", seen.last_work());
+async fn check_leaving(source: LeaveSource) {
+    let seen = record_work_while_leaving(source).await;
+    assert!(seen.last_work() < MAX_WORK_AFTER_LEAVING, "{:?}", seen.last_work());
     let later = last_accepted(&seen.other).since(seen.from);
-    assert!(later.as_millis() > LEAVING_LIMIT.as_millis() as u64, "callers went on: {later:?}");
+    assert!(
+        later.as_millis() > MAX_WORK_AFTER_LEAVING.as_millis() as u64,
+        "callers went on: {later:?}"
+    );
     let moved = never_started(&seen.leaving);
     assert!(!moved.is_empty(), "what waited there was taken back");
     let ran_elsewhere = calls(&started(&seen.other));
@@ -95,15 +98,15 @@
     assert!(moved.is_disjoint(&started(&seen.leaving)), "nothing that was taken back ran");
 }
 
-async fn take_out(system: &System, operator: &mut Operator, source: Source) {
+async fn take_out_of_service(system: &System, operator: &mut Operator, source: LeaveSource) {
     match source {
-        Source::Nobody => {}
-        Source::Itself => {
+        LeaveSource::Nobody => {}
+        LeaveSource::Itself => {
             let faults = EngineFaults { leaving: true, ..EngineFaults::default() };
             system.engine(1).set_faults(&faults).await.expect("control answers");
         }
-        Source::List => system.list_engine(1, MachineState::Leaving).await,
-        Source::Configuration => {
+        LeaveSource::List => system.set_listed_state(1, MachineState::Leaving).await,
+        LeaveSource::Configuration => {
             let serving = "[engines.engine-1]\nrole = \"serving\"";
             let draining = "[engines.engine-1]\nrole = \"draining\"";
             operator.edit(serving, draining, "drain").await;
@@ -114,8 +117,8 @@
 /// One call after the other, until some time after the engine began to leave.
 async fn call_until(system: &System, began: &OnceCell<Instant>) {
     let program = system.program(MODEL).await.expect("is created").program;
-    while began.get().is_none_or(|began| began.elapsed() < PRESSURE) {
-        let (code, body) = system.call(&program, TOKENS).await;
+    while began.get().is_none_or(|began| began.elapsed() < LOAD_AFTER_LEAVING) {
+        let (code, body) = system.call(&program, ANSWER_TOKENS).await;
         assert_eq!(code, 200, "{body}");
     }
 }
@@ -165,25 +168,25 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_engine_that_says_it_leaves_gets_no_new_work_and_its_queue_moves() {
-    leave(Source::Itself).await;
+    check_leaving(LeaveSource::Itself).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_engine_that_the_list_says_leaves_gets_no_new_work_and_its_queue_moves() {
-    leave(Source::List).await;
+    check_leaving(LeaveSource::List).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_engine_that_the_configuration_drains_gets_no_new_work_and_its_queue_moves() {
-    leave(Source::Configuration).await;
+    check_leaving(LeaveSource::Configuration).await;
 }
 
-/// Shows that the tests above would notice: an engine that nobody takes out of service goes on
-/// getting work for as long as callers call.
+/// Shows that the tests above can fail: an engine that nobody takes out of service gets work as long as
+/// callers send calls.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_engine_that_nobody_takes_out_of_service_keeps_getting_work() {
-    let seen = keep_calling(Source::Nobody).await;
-    assert!(seen.last_work() > LEAVING_LIMIT, "{:?}", seen.last_work());
+    let seen = record_work_while_leaving(LeaveSource::Nobody).await;
+    assert!(seen.last_work() > MAX_WORK_AFTER_LEAVING, "{:?}", seen.last_work());
     assert!(never_started(&seen.leaving).is_empty(), "nothing is taken back");
 }
 
@@ -193,9 +196,9 @@
     let mut operator = Operator::at(&system.daemons[1]).await;
     wait_until_in_force(std::slice::from_mut(&mut operator), 1).await;
     let program = system.program(MODEL).await.expect("is created").program;
-    let (code, body) = system.call(&program, TOKENS).await;
+    let (code, body) = system.call(&program, ANSWER_TOKENS).await;
     assert_eq!(code, 200, "{body}");
-    let used = if accepted(&system.seen_by_engine(1).await).is_empty() { 2 } else { 1 };
+    let used = if accepted(&system.engine_observations(1).await).is_empty() { 2 } else { 1 };
     let engine = engine_client(&system, used);
     let held = engine.inventory().await.expect("answers").entries;
     assert_eq!(held.len(), 1, "the program's cache is kept over the pause: {held:?}");
@@ -206,8 +209,8 @@
         model.engines.remove(&engine_id(used));
     }
     operator.apply(1, &document.to_text(), "remove").await.expect("is accepted");
-    let mut asked = [operator, Operator::at(&system.daemons[0]).await];
-    wait_until_in_force(&mut asked, 2).await;
+    let mut operators = [operator, Operator::at(&system.daemons[0]).await];
+    wait_until_in_force(&mut operators, 2).await;
     system.close(&program).await;
     wait_for("the removed engine to hold nothing", async || {
         let held = engine.inventory().await.expect("answers").entries;
@@ -216,7 +219,7 @@
     .await;
 }
 
-/// The next version of the model, in the document's terms.
+/// Replaces the model's entry in the document by its next version.
 fn with_next_version(document: &str) -> String {
     let entry = "[models.agent-llm]\nbase = \"agent-llm\"\nversion = \"\"";
     assert!(document.contains(entry), "{document}");
@@ -250,7 +253,7 @@
     })
     .await;
     for number in 1..=3 {
-        let seen = system.seen_by_engine(number).await;
+        let seen = system.engine_observations(number).await;
         let orders: Vec<EngineOrder> = seen
             .into_iter()
             .filter_map(|(_, event)| match event {
--- a/crates/daemon/tests/configuration/support.rs
+++ b/crates/daemon/tests/configuration/support.rs
@@ -1,6 +1,6 @@
-//! Daemons on loopback that can be killed, with stand-ins for the platform, as operators and
-//! engines see them. Each daemon has a runtime of its own: shutting that down ends all of its
-//! tasks and connections at once, as a death of its process does.
+//! Daemons on loopback that can be killed, with stand-ins for the platform. Each daemon has its own
+//! runtime. Shutting that down ends all of its tasks and connections at once, as a crash of its process
+//! does.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -40,16 +40,16 @@
 const TENANT_KEY: &str = "tenant-key-of-tests";
 const GROUPS: u64 = 4;
 /// A generous bound on any wait; a run that reaches it has failed.
-const WAIT_LIMIT: Duration = Duration::from_secs(30);
-const POLL: Duration = Duration::from_millis(5);
-/// Longest time for one request of an operator or a look at a daemon.
-const REQUEST_LIMIT: Duration = Duration::from_secs(10);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Timeout for one request of an operator or one status query.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What to start.
+/// The system to start.
 pub struct Plan {
-    /// Daemons, all with a replica of each group if there are three.
+    /// Number of daemons. If there are three, each has a replica of each group.
     pub daemons: u32,
-    /// Engines.
+    /// Number of engines.
     pub engines: u32,
     /// Attempts that an engine runs at once.
     pub max_batch: u32,
@@ -66,7 +66,7 @@
 /// One daemon.
 pub struct DaemonUnderTest {
     id: u32,
-    /// None while it is dead.
+    /// None after the daemon was killed.
     runtime: Option<Runtime>,
     pub gateway: SocketAddr,
     pub operators: SocketAddr,
@@ -80,7 +80,7 @@
 }
 
 impl DaemonUnderTest {
-    /// Ends it at once.
+    /// Ends the daemon at once.
     pub fn kill(&mut self) {
         if let Some(runtime) = self.runtime.take() {
             runtime.shutdown_background();
@@ -128,7 +128,7 @@
             plan,
         };
         for id in 1..=system.plan.daemons {
-            let daemon = system.start_daemon(id, system.peers_of_living()).await;
+            let daemon = system.start_daemon(id, system.running_peer_addresses()).await;
             system.daemons.push(daemon);
         }
         system.wait_until_served().await;
@@ -156,16 +156,16 @@
         }
     }
 
-    /// Starts the daemon of this position again, with an empty memory.
+    /// Restarts the daemon at this position, without its previous state.
     pub async fn restart_daemon(&mut self, position: usize) {
         let id = self.daemons[position].id;
-        let daemon = self.start_daemon(id, self.peers_of_living()).await;
+        let daemon = self.start_daemon(id, self.running_peer_addresses()).await;
         self.daemons[position] = daemon;
     }
 
-    fn peers_of_living(&self) -> Vec<SocketAddr> {
-        let living = self.daemons.iter().filter(|daemon| daemon.runtime.is_some());
-        living.map(|daemon| daemon.peers).collect()
+    fn running_peer_addresses(&self) -> Vec<SocketAddr> {
+        let running_daemons = self.daemons.iter().filter(|daemon| daemon.runtime.is_some());
+        running_daemons.map(|daemon| daemon.peers).collect()
     }
 
     fn settings(&self, id: u32, seeds: &[SocketAddr]) -> String {
@@ -238,13 +238,13 @@
     /// Status code and body of `/readyz`; none when the daemon does not answer.
     pub async fn readiness(&self, daemon: &DaemonUnderTest) -> Option<(u16, Value)> {
         let url = format!("http://{}/readyz", daemon.gateway);
-        let answer = self.http.get(url).timeout(REQUEST_LIMIT).send().await.ok()?;
+        let answer = self.http.get(url).timeout(REQUEST_TIMEOUT).send().await.ok()?;
         let code = answer.status().as_u16();
         Some((code, answer.json().await.ok()?))
     }
 
-    /// Puts faults of the key-value service in force.
-    pub async fn key_value_faults(&self, faults: KeyValueFaults) {
+    /// Sets the faults of the key-value service.
+    pub async fn set_key_value_faults(&self, faults: KeyValueFaults) {
         self.key_value_control().set_faults(&faults).await.expect("control answers");
     }
 
@@ -261,15 +261,15 @@
         self.engines[number as usize - 1].address()
     }
 
-    /// What engine `number` saw, with its wall clock.
-    pub async fn seen_by_engine(&self, number: u32) -> Vec<(Timestamp, EngineObservation)> {
+    /// The observations of engine `number`, with its wall clock.
+    pub async fn engine_observations(&self, number: u32) -> Vec<(Timestamp, EngineObservation)> {
         let seen = self.engine(number).observations(0).await.expect("control answers");
         assert_eq!(seen.dropped, 0, "the log of observations is whole");
         seen.observations.into_iter().map(|seen| (seen.at, seen.event)).collect()
     }
 
     /// Sets the state of an engine's machine on the platform's list.
-    pub async fn list_engine(&self, number: u32, state: MachineState) {
+    pub async fn set_listed_state(&self, number: u32, state: MachineState) {
         let machine = Machine {
             name: engine_id(number).to_string(),
             kind: MachineKind::Engine,
@@ -295,8 +295,8 @@
     }
 
     pub async fn create(&self, request: CreateProgramRequest) -> Result<Program, Status> {
-        let living = self.daemons.iter().find(|daemon| daemon.runtime.is_some());
-        let channel = connect(living.expect("one lives").operators).await;
+        let running_daemons = self.daemons.iter().find(|daemon| daemon.runtime.is_some());
+        let channel = connect(running_daemons.expect("one lives").operators).await;
         let answer = ProgramsClient::new(channel).create(with_token(request)).await;
         answer.map(tonic::Response::into_inner)
     }
@@ -309,7 +309,7 @@
         closed.expect("is closed");
     }
 
-    /// Sends a call and gives status code and body.
+    /// Sends a call and returns status code and body.
     pub async fn call(&self, program: &str, tokens: u64) -> (u16, Value) {
         let body = json!({
             "model": "",
@@ -341,7 +341,7 @@
 
 async fn connect(address: SocketAddr) -> Channel {
     let endpoint = Endpoint::from_shared(format!("http://{address}")).expect("an address");
-    endpoint.timeout(REQUEST_LIMIT).connect().await.expect("the daemon listens")
+    endpoint.timeout(REQUEST_TIMEOUT).connect().await.expect("the daemon listens")
 }
 
 fn with_token<T>(message: T) -> tonic::Request<T> {
@@ -397,7 +397,7 @@
         self.apply(shown.generation, &document, change).await.expect("is accepted")
     }
 
-    /// Generations by daemon as the asked one knows them.
+    /// Generations by daemon, as this operator's daemon knows them.
     pub async fn generations(&mut self) -> BTreeMap<String, u64> {
         let listed = self.machines.list_daemons(with_token(Default::default())).await;
         let daemons = listed.expect("answers").into_inner().daemons.into_iter();
@@ -405,7 +405,7 @@
     }
 }
 
-/// Waits until every daemon says that `generation` is in force, and gives the time that took.
+/// Waits until every daemon reports that `generation` is in force, and returns how long that took.
 pub async fn wait_until_in_force(operators: &mut [Operator], generation: u64) -> Duration {
     let started = Instant::now();
     for operator in operators {
@@ -414,22 +414,22 @@
             if shown.as_ref().is_ok_and(|shown| *shown >= generation) {
                 break;
             }
-            assert!(started.elapsed() < WAIT_LIMIT, "{shown:?} is in force, not {generation}");
-            sleep(POLL).await;
+            assert!(started.elapsed() < WAIT_TIMEOUT, "{shown:?} is in force, not {generation}");
+            sleep(POLL_INTERVAL).await;
         }
     }
     started.elapsed()
 }
 
-/// Tries until `attempt` gives something.
+/// Calls `attempt` until it returns a value.
 pub async fn wait_for<T>(what: &str, mut attempt: impl AsyncFnMut() -> Option<T>) -> T {
     let started = Instant::now();
     loop {
         if let Some(found) = attempt().await {
             return found;
         }
-        assert!(started.elapsed() < WAIT_LIMIT, "waited too long for {what}");
-        sleep(POLL).await;
+        assert!(started.elapsed() < WAIT_TIMEOUT, "waited too long for {what}");
+        sleep(POLL_INTERVAL).await;
     }
 }
 
--- a/crates/daemon/tests/core_handle.rs
+++ b/crates/daemon/tests/core_handle.rs
@@ -1,18 +1,18 @@
-//! What the handle of a core tells its other parts.
+//! Reachability as published through the handle of a core.
 
 use dahlia_daemon::core_handle::channel;
 use dahlia_node::Reachability;
 use dahlia_types::{DaemonId, Incarnation, ReplicaId, Zone};
 
-/// A part that starts later would miss a cut that goes on.
+/// Otherwise a part that subscribes late would miss a cut that is still going on.
 #[test]
-fn whom_a_daemon_reaches_is_news_to_a_part_that_asks_late() {
+fn reachability_counts_as_changed_for_a_late_subscriber() {
     let own = ReplicaId { daemon: DaemonId(1), incarnation: Incarnation(1) };
     let (core, _inbox) = channel(own);
     let silent_zones = [Zone::new("b")].into();
     core.reachability_sender().send_replace(Reachability { silent_zones, cut_off: None });
     let mut reach = core.reachability();
-    assert!(reach.has_changed().expect("its sender lives"));
+    assert!(reach.has_changed().expect("its sender exists"));
     reach.borrow_and_update();
-    assert!(!reach.has_changed().expect("its sender lives"), "told once");
+    assert!(!reach.has_changed().expect("its sender exists"), "reported once");
 }
--- a/crates/daemon/tests/durable_groups.rs
+++ b/crates/daemon/tests/durable_groups.rs
@@ -1,5 +1,5 @@
-//! Store daemons with disks on loopback, reached through a gateway that holds no groups: they end
-//! all at once, and one of them loses its disk.
+//! Store daemons with disks on loopback, reached through a gateway without groups. The tests stop all
+//! stores at once, remove disks, and retire stores.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -20,11 +20,11 @@
 const GROUPS: u32 = 4;
 const PROGRAMS: u64 = 40;
 /// A generous bound on any wait; a run that reaches it has failed.
-const WAIT_LIMIT: Duration = Duration::from_secs(30);
-const POLL: Duration = Duration::from_millis(10);
-const ANSWER_LIMIT: Duration = Duration::from_secs(1);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// One daemon on a runtime of its own, whose end ends all its tasks at once.
+/// One daemon on its own runtime. Shutting that down ends all its tasks at once.
 struct Daemon {
     settings: Settings,
     running: Option<(Runtime, ControlParts)>,
@@ -40,16 +40,17 @@
         let guard = runtime.enter();
         let control = start_control(&self.settings).expect("it starts");
         drop(guard);
-        // It comes back at the address where others knew it.
+        // A restart uses the address that the other daemons know.
         self.settings.daemon.peer_address = control.peer_address;
         self.running = Some((runtime, control));
     }
 
-    /// Ends it. A sync that is under way ends first: the next process would not meet it.
+    /// Stops the daemon. A sync in progress finishes first, as the next process would not overlap with it
+    /// either.
     async fn kill(&mut self) {
         if let Some((runtime, control)) = self.running.take() {
             control.stop();
-            tokio::task::spawn_blocking(move || runtime.shutdown_timeout(WAIT_LIMIT))
+            tokio::task::spawn_blocking(move || runtime.shutdown_timeout(WAIT_TIMEOUT))
                 .await
                 .expect("the runtime ends");
         }
@@ -104,12 +105,12 @@
         gateway.settings.daemon.holds_groups = false;
         gateway.start();
         let system = Self { stores, gateway, folders, _key_value: key_value };
-        system.wait_until_whole().await;
+        system.wait_until_all_led_and_complete().await;
         system
     }
 
-    /// Sums of groups led and of groups without all voters over the stores that run.
-    async fn groups(&self) -> (usize, usize) {
+    /// Counts groups that are led and groups that lack a voter, over all running stores.
+    async fn count_groups(&self) -> (usize, usize) {
         let mut sums = (0, 0);
         for store in self.stores.iter().filter(|store| store.running.is_some()) {
             let status = store.control().core.status().await;
@@ -118,15 +119,20 @@
         sums
     }
 
-    async fn wait_until_whole(&self) {
+    async fn wait_until_all_led_and_complete(&self) {
         let started = Instant::now();
-        while self.groups().await != (GROUPS as usize, 0) {
-            assert!(started.elapsed() < WAIT_LIMIT, "led, short: {:?}", self.groups().await);
-            sleep(POLL).await;
+        while self.count_groups().await != (GROUPS as usize, 0) {
+            assert!(
+                started.elapsed() < WAIT_TIMEOUT,
+                "led, short: {:?}",
+                self.count_groups().await
+            );
+            sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Until then the others would take the group for whole with the life that is gone.
+    /// Waits until all stores know the replica. Before that, they would count the group as complete with
+    /// the previous incarnation.
     async fn wait_until_known(&self, replica: ReplicaId) {
         let started = Instant::now();
         for store in &self.stores {
@@ -135,8 +141,8 @@
                 daemons.iter().any(|member| member.record.info.replica() == replica)
             };
             while !knows().await {
-                assert!(started.elapsed() < WAIT_LIMIT, "{replica} is not known");
-                sleep(POLL).await;
+                assert!(started.elapsed() < WAIT_TIMEOUT, "{replica} is not known");
+                sleep(POLL_INTERVAL).await;
             }
         }
     }
@@ -146,16 +152,16 @@
         let started = Instant::now();
         loop {
             let answer = self.gateway.control().core.request(request.clone());
-            let answer = timeout(ANSWER_LIMIT, answer).await;
+            let answer = timeout(ANSWER_TIMEOUT, answer).await;
             if matches!(answer, Ok(Response::Program(_))) {
                 return;
             }
-            assert!(started.elapsed() < WAIT_LIMIT, "{request:?}: {answer:?}");
-            sleep(POLL).await;
+            assert!(started.elapsed() < WAIT_TIMEOUT, "{request:?}: {answer:?}");
+            sleep(POLL_INTERVAL).await;
         }
     }
 
-    async fn create(&self, numbers: std::ops::Range<u64>) {
+    async fn create_programs(&self, numbers: std::ops::Range<u64>) {
         for number in numbers {
             let specification = ProgramSpecification {
                 tenant: TenantId::new("roof-crew"),
@@ -167,8 +173,8 @@
         }
     }
 
-    /// Every program that was acknowledged is there.
-    async fn show(&self, numbers: std::ops::Range<u64>) {
+    /// Checks that every acknowledged program exists.
+    async fn check_programs(&self, numbers: std::ops::Range<u64>) {
         for number in numbers {
             self.program(Request::Show { program: program(number), with_calls: false }).await;
         }
@@ -215,71 +221,71 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn all_stores_end_at_once_and_nothing_acknowledged_is_lost() {
+async fn nothing_acknowledged_is_lost_when_all_stores_stop_at_once() {
     let mut system = System::start().await;
     let identities: Vec<ReplicaId> = system.stores.iter().map(Daemon::replica).collect();
     assert_eq!(system.gateway.control().core.status().await.groups_held, 0);
-    system.create(0..PROGRAMS).await;
+    system.create_programs(0..PROGRAMS).await;
     for store in &mut system.stores {
         store.kill().await;
     }
-    let back = Instant::now();
+    let restarted_at = Instant::now();
     system.stores.iter_mut().for_each(Daemon::start);
-    while system.groups().await.0 != GROUPS as usize {
-        assert!(back.elapsed() < WAIT_LIMIT, "{:?}", system.groups().await);
-        sleep(POLL).await;
+    while system.count_groups().await.0 != GROUPS as usize {
+        assert!(restarted_at.elapsed() < WAIT_TIMEOUT, "{:?}", system.count_groups().await);
+        sleep(POLL_INTERVAL).await;
     }
-    println!("All groups led again after {:?}.", back.elapsed());
-    system.show(0..PROGRAMS).await;
-    println!("All programs shown after {:?}.", back.elapsed());
-    let kept: Vec<ReplicaId> = system.stores.iter().map(Daemon::replica).collect();
-    assert_eq!(kept, identities);
-    system.wait_until_whole().await;
+    println!("All groups led again after {:?}.", restarted_at.elapsed());
+    system.check_programs(0..PROGRAMS).await;
+    println!("All programs shown after {:?}.", restarted_at.elapsed());
+    let identities_after: Vec<ReplicaId> = system.stores.iter().map(Daemon::replica).collect();
+    assert_eq!(identities_after, identities);
+    system.wait_until_all_led_and_complete().await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_lost_disk_is_replaced_and_the_next_one_may_be_lost() {
+async fn disks_may_be_lost_one_after_the_other() {
     let mut system = System::start().await;
-    system.create(0..PROGRAMS).await;
+    system.create_programs(0..PROGRAMS).await;
     for lost in 0..STORES as usize {
         let identity = system.stores[lost].replica();
         system.stores[lost].kill().await;
         let folder = system.folders[lost].path().to_owned();
         std::fs::remove_dir_all(&folder).expect("the disk is emptied");
         std::fs::create_dir(&folder).expect("an empty disk");
-        let back = Instant::now();
+        let restarted_at = Instant::now();
         system.stores[lost].start();
         let replica = system.stores[lost].replica();
         assert!(replica.incarnation > identity.incarnation);
         system.wait_until_known(replica).await;
-        system.wait_until_whole().await;
-        println!("Whole again after {:?}.", back.elapsed());
+        system.wait_until_all_led_and_complete().await;
+        println!("Whole again after {:?}.", restarted_at.elapsed());
         let next = PROGRAMS + lost as u64;
-        system.create(next..next + 1).await;
+        system.create_programs(next..next + 1).await;
     }
-    // By now no store has the disk that it had when the programs were acknowledged.
-    system.show(0..PROGRAMS + u64::from(STORES)).await;
+    // Now no store has the disk that it had when the programs were acknowledged.
+    system.check_programs(0..PROGRAMS + u64::from(STORES)).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_store_is_emptied_while_it_serves_and_its_disk_is_needed_no_more() {
+async fn a_retired_store_hands_over_its_replicas_while_it_serves() {
     let mut system = System::start().await;
-    system.create(0..PROGRAMS).await;
+    system.create_programs(0..PROGRAMS).await;
     let retiring = system.stores[0].replica().daemon;
     let core = system.stores[0].control().core.clone();
     assert!(core.status().await.groups_held > 0, "there is something to move");
     core.send_event(Event::Retire).await;
     let ordered = Instant::now();
     while !core.status().await.retired {
-        assert!(ordered.elapsed() < WAIT_LIMIT, "{:?}", core.status().await);
-        sleep(POLL).await;
+        assert!(ordered.elapsed() < WAIT_TIMEOUT, "{:?}", core.status().await);
+        sleep(POLL_INTERVAL).await;
     }
     println!("Emptied after {:?}.", ordered.elapsed());
     assert_eq!(core.status().await.groups_led, 0);
     system.stores[0].kill().await;
     std::fs::remove_dir_all(system.folders[0].path()).expect("the disk is taken away");
-    system.wait_until_whole().await;
-    system.show(0..PROGRAMS).await;
+    system.wait_until_all_led_and_complete().await;
+    system.check_programs(0..PROGRAMS).await;
     for store in &system.stores[1..] {
         let status = store.control().core.status().await;
         assert_eq!(status.groups_held, GROUPS as usize, "three stores hold all but {retiring}");
@@ -287,21 +293,21 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_store_whose_replicas_have_nowhere_to_go_is_not_called_empty() {
+async fn a_store_whose_replicas_cannot_move_is_not_reported_as_retired() {
     let system = System::start().await;
-    system.create(0..PROGRAMS).await;
+    system.create_programs(0..PROGRAMS).await;
     for store in &system.stores[..2] {
         store.control().core.send_event(Event::Retire).await;
     }
-    // The other two are then voters of all groups, and a third has to stay.
+    // The other two are then voters of all groups, and a third voter has to stay.
     let started = Instant::now();
     let held = async |store: &Daemon| store.control().core.status().await.groups_held;
     while held(&system.stores[2]).await + held(&system.stores[3]).await < 2 * GROUPS as usize {
-        assert!(started.elapsed() < WAIT_LIMIT, "replicas move to those that stay");
-        sleep(POLL).await;
+        assert!(started.elapsed() < WAIT_TIMEOUT, "replicas move to those that stay");
+        sleep(POLL_INTERVAL).await;
     }
-    system.create(PROGRAMS..PROGRAMS + u64::from(GROUPS)).await;
+    system.create_programs(PROGRAMS..PROGRAMS + u64::from(GROUPS)).await;
     let retired = async |store: &Daemon| store.control().core.status().await.retired;
     assert!(!(retired(&system.stores[0]).await && retired(&system.stores[1]).await));
-    system.show(0..PROGRAMS).await;
+    system.check_programs(0..PROGRAMS).await;
 }
--- a/crates/daemon/tests/earlier_clock.rs
+++ b/crates/daemon/tests/earlier_clock.rs
@@ -1,4 +1,5 @@
-//! A daemon without a disk that starts while its clock is behind that of its last life.
+//! A daemon without a disk whose clock was set back before its restart. Its incarnation is then earlier
+//! than the previous one, so the other daemons would ignore it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,21 +12,21 @@
 use tokio::task::spawn_blocking;
 use tokio::time::{Instant, sleep, timeout};
 
-const WITNESS: u32 = 1;
+const OBSERVER: u32 = 1;
 const GATEWAY: u32 = 2;
-/// How far the clock of the gateway's first life is ahead, in milliseconds.
-const AHEAD_MS: u64 = 3_600_000;
+/// How far the clock of the gateway's first process is ahead, in milliseconds.
+const CLOCK_LEAD_MS: u64 = 3_600_000;
 /// A generous bound on any wait; a run that reaches it has failed.
-const WAIT_LIMIT: Duration = Duration::from_secs(30);
-const POLL: Duration = Duration::from_millis(10);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// One life of a daemon, on a runtime of its own, whose end frees its address.
-struct Life {
+/// One process of a daemon, on its own runtime. Shutting that down frees its address.
+struct DaemonProcess {
     runtime: Runtime,
     control: ControlParts,
 }
 
-impl Life {
+impl DaemonProcess {
     fn start(
         address: SocketAddr,
         id: u32,
@@ -44,9 +45,9 @@
         self.control.core.replica_id().incarnation
     }
 
-    async fn end(self) {
+    async fn shut_down(self) {
         self.control.stop();
-        let ended = spawn_blocking(move || self.runtime.shutdown_timeout(WAIT_LIMIT)).await;
+        let ended = spawn_blocking(move || self.runtime.shutdown_timeout(WAIT_TIMEOUT)).await;
         ended.expect("the runtime ends");
     }
 }
@@ -87,40 +88,40 @@
     start_control_with(&settings, external)
 }
 
-async fn wait_until_known(witness: &ControlParts, incarnation: Incarnation) {
+async fn wait_until_known(observer: &ControlParts, incarnation: Incarnation) {
     let started = Instant::now();
     loop {
-        let daemons = witness.core.daemons().await;
+        let daemons = observer.core.daemons().await;
         let found = daemons.iter().find(|member| member.record.info.daemon == DaemonId(GATEWAY));
         if found.is_some_and(|member| member.record.info.incarnation == incarnation) {
             return;
         }
-        assert!(started.elapsed() < WAIT_LIMIT, "the witness knows {found:?}");
-        sleep(POLL).await;
+        assert!(started.elapsed() < WAIT_TIMEOUT, "the observer knows {found:?}");
+        sleep(POLL_INTERVAL).await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_life_that_begins_before_the_last_one_ends_and_goes_on_after_it() {
+async fn a_daemon_with_an_earlier_incarnation_stops_and_restarts_with_a_later_one() {
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    let witness = Life::start(any, WITNESS, &[], None);
-    let seeds = [witness.control.peer_address];
-    let Incarnation(now) = witness.incarnation();
-    let ahead = Life::start(any, GATEWAY, &seeds, Some(Incarnation(now + AHEAD_MS)));
+    let observer = DaemonProcess::start(any, OBSERVER, &[], None);
+    let seeds = [observer.control.peer_address];
+    let Incarnation(now) = observer.incarnation();
+    let ahead = DaemonProcess::start(any, GATEWAY, &seeds, Some(Incarnation(now + CLOCK_LEAD_MS)));
     let (last, address) = (ahead.incarnation(), ahead.control.peer_address);
-    wait_until_known(&witness.control, last).await;
-    ahead.end().await;
+    wait_until_known(&observer.control, last).await;
+    ahead.shut_down().await;
 
-    let mut behind = Life::start(address, GATEWAY, &seeds, None);
+    let mut behind = DaemonProcess::start(address, GATEWAY, &seeds, None);
     assert!(behind.incarnation() < last, "its clock is behind");
-    let told =
-        timeout(WAIT_LIMIT, behind.control.wait_until_ended()).await.expect("it ends by itself");
-    assert_eq!(told, Some(last));
-    behind.end().await;
+    let superseded_by =
+        timeout(WAIT_TIMEOUT, behind.control.wait_until_ended()).await.expect("it ends by itself");
+    assert_eq!(superseded_by, Some(last));
+    behind.shut_down().await;
 
-    let next = Life::start(address, GATEWAY, &seeds, told);
+    let next = DaemonProcess::start(address, GATEWAY, &seeds, superseded_by);
     assert!(next.incarnation() > last);
-    wait_until_known(&witness.control, next.incarnation()).await;
-    next.end().await;
-    witness.end().await;
+    wait_until_known(&observer.control, next.incarnation()).await;
+    next.shut_down().await;
+    observer.shut_down().await;
 }
--- a/crates/daemon/tests/hostile_input.rs
+++ b/crates/daemon/tests/hostile_input.rs
@@ -1,4 +1,4 @@
-//! What arrives from outside in any form: no panic, no large allocation, a clear error.
+//! Malformed and hostile input: it causes no panic and no large allocation, and gets a clear error.
 
 mod support;
 
@@ -24,10 +24,10 @@
 
 const SEED: u64 = 20_261_202;
 const CASES: u32 = 512;
-/// Longer than the time in which a connection has to introduce itself.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Longer than the handshake timeout of a connection.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(20);
 
-fn bounded() -> ProptestConfig {
+fn proptest_config() -> ProptestConfig {
     ProptestConfig {
         cases: CASES,
         rng_seed: RngSeed::Fixed(SEED),
@@ -57,11 +57,11 @@
 }
 
 proptest! {
-    #![proptest_config(bounded())]
+    #![proptest_config(proptest_config())]
 
     #[test]
     fn random_frames_are_decoded_or_refused(frame in bytes()) {
-        // Whatever was decoded is a value that can be written again.
+        // Every decoded value can be encoded again.
         if let Ok(message) = decode::<PeerMessage>(&frame, peer()) {
             prop_assert!(encode(&message, peer()).is_ok());
         }
@@ -85,7 +85,7 @@
     }
 
     #[test]
-    fn flipped_bytes_never_pass_for_more_than_a_value(
+    fn frames_with_flipped_bytes_are_decoded_or_refused(
         tenant in "[a-z]{1,64}", position: prop::sample::Index, flip in 1_u8..,
     ) {
         let mut frame = encode(&hello(tenant, 1, 1), peer()).expect("is written").to_vec();
@@ -146,7 +146,7 @@
 
     #[test]
     fn identifiers_have_one_form(text in "p-[0-9+]{1,3}-[0-9a-fA+]{16}(/[0-9+]{1,2}/[0-9+]{1,2}/[0-9+]{1,2})?") {
-        // Two texts for one program would be two keys in a caller's own records.
+        // Two spellings of one program would be two keys in a caller's own records.
         if let Ok(program) = text.parse::<ProgramId>() {
             prop_assert_eq!(program.to_string(), text.clone());
         }
@@ -162,7 +162,7 @@
     }
 
     #[test]
-    fn random_texts_are_no_identifiers(text in "\\PC{0,60}") {
+    fn parsed_random_texts_round_trip(text in "\\PC{0,60}") {
         if let Ok(program) = text.parse::<ProgramId>() {
             prop_assert_eq!(program.to_string(), text);
         }
@@ -218,7 +218,7 @@
 }
 
 #[test]
-fn claimed_lengths_set_no_memory_aside() {
+fn forged_lengths_allocate_no_memory() {
     // An `AnswerFrame::Piece` whose text claims nearly all of a 64-bit length.
     let claimed = [0, 1, 0, 253, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x7f];
     let refused = decode::<AnswerFrame>(&claimed, peer()).expect_err("is refused").to_string();
@@ -226,18 +226,19 @@
 }
 
 /// Sends bytes to the daemon's port for peers and waits until it ends the connection.
-async fn refused_by_peers(system: &System, bytes: &[u8]) {
+async fn expect_refusal(system: &System, bytes: &[u8]) {
     let address = system.daemons[0].peer_address;
     let mut connection = TcpStream::connect(address).await.expect("connects");
     connection.write_all(bytes).await.expect("is open");
     let mut rest = Vec::new();
     // A reset is a refusal as well.
-    let _ = timeout(PATIENCE, connection.read_to_end(&mut rest)).await.expect("is ended in time");
-    assert_eq!(rest, b"", "nothing is said to a stranger");
+    let _ =
+        timeout(CLOSE_TIMEOUT, connection.read_to_end(&mut rest)).await.expect("is ended in time");
+    assert_eq!(rest, b"", "an unauthenticated peer gets no answer");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn strangers_at_the_port_for_peers_are_refused() {
+async fn unauthenticated_peers_are_refused() {
     let system = System::one_daemon().await;
     let framed = |contents: &[u8]| {
         let mut frame = (contents.len() as u32).to_be_bytes().to_vec();
@@ -245,14 +246,14 @@
         frame
     };
     let forged = encode(&hello("roof-crew".to_owned(), 0, 0), peer()).expect("is written");
-    refused_by_peers(&system, b"GET / HTTP/1.1\r\n\r\n").await;
-    refused_by_peers(&system, &u32::MAX.to_be_bytes()).await;
-    refused_by_peers(&system, &(70_000_u32).to_be_bytes()).await;
-    refused_by_peers(&system, &framed(b"")).await;
-    refused_by_peers(&system, &framed(b"\xff\xff\xff\xff\xff\xff")).await;
-    refused_by_peers(&system, &framed(&forged)).await;
+    expect_refusal(&system, b"GET / HTTP/1.1\r\n\r\n").await;
+    expect_refusal(&system, &u32::MAX.to_be_bytes()).await;
+    expect_refusal(&system, &(70_000_u32).to_be_bytes()).await;
+    expect_refusal(&system, &framed(b"")).await;
+    expect_refusal(&system, &framed(b"\xff\xff\xff\xff\xff\xff")).await;
+    expect_refusal(&system, &framed(&forged)).await;
     // A frame that stops in the middle, from a sender that stays connected.
-    refused_by_peers(&system, &framed(&forged)[..20]).await;
+    expect_refusal(&system, &framed(&forged)[..20]).await;
     let program = system.program().await;
     system.ask(&program, "Fault code 31").await.content();
 }
--- a/crates/daemon/tests/ledger_breaker.rs
+++ b/crates/daemon/tests/ledger_breaker.rs
@@ -10,8 +10,8 @@
 
 const NOW: Timestamp = Timestamp(1_000_000);
 
-/// One that holds no callers for a new owner.
-fn breaker() -> LedgerBreaker {
+/// A breaker that holds no callers during an election.
+fn breaker_without_holds() -> LedgerBreaker {
     LedgerBreaker::new(LedgerBreakerSettings { most_held: 0, ..LedgerBreakerSettings::default() })
 }
 
@@ -20,8 +20,8 @@
 }
 
 #[test]
-fn a_silent_group_is_asked_by_one_probe_at_a_time_until_it_answers() {
-    let mut breaker = breaker();
+fn an_unresponsive_group_gets_one_probe_at_a_time_until_it_answers() {
+    let mut breaker = breaker_without_holds();
     for _ in 0..3 {
         assert_eq!(admit(&mut breaker, GROUP, PATIENCE), Admission::Ask { wait: WAIT });
     }
@@ -33,7 +33,7 @@
     assert_eq!(
         admit(&mut breaker, GROUP, PATIENCE),
         REFUSED,
-        "another one's silence ends no probe"
+        "a time-out of another command does not end the probe"
     );
     breaker.end_probe(GROUP);
     assert_eq!(admit(&mut breaker, GROUP, PATIENCE), Admission::Probe { wait: WAIT });
@@ -43,11 +43,11 @@
 }
 
 #[test]
-fn a_caller_in_a_hurry_is_held_for_its_share_and_proves_no_silence() {
-    let mut breaker = breaker();
+fn a_caller_with_little_time_waits_for_its_share_and_its_time_out_is_ignored() {
+    let mut breaker = breaker_without_holds();
     let share = Duration::from_millis(350);
-    let hurried = admit(&mut breaker, GROUP, Duration::from_secs(1));
-    assert_eq!(hurried, Admission::Ask { wait: share });
+    let admission = admit(&mut breaker, GROUP, Duration::from_secs(1));
+    assert_eq!(admission, Admission::Ask { wait: share });
     breaker.record_timeout(GROUP, share, NOW);
     assert_eq!(admit(&mut breaker, GROUP, PATIENCE), Admission::Ask { wait: WAIT });
     breaker.record_missing_owner(GROUP, NOW);
@@ -61,11 +61,12 @@
     assert!(error.contains("ledger_breaker.most_of_patience"), "{error}");
 }
 
-/// Turns of a group whose owner is lost wait for its successor: they are few, and it comes soon.
+/// Callers of a group whose owner is lost wait for the new owner, since they are few and the election is
+/// short.
 #[test]
-fn callers_are_held_while_an_owner_may_be_elected_and_first_turns_get_half_of_the_places() {
+fn callers_are_held_during_an_election_and_first_turns_get_half_of_the_capacity() {
     let settings = LedgerBreakerSettings { most_held: 4, ..LedgerBreakerSettings::default() };
-    let succession = Duration::from_millis(settings.succession_ms);
+    let election_time = Duration::from_millis(settings.succession_ms);
     let mut breaker = LedgerBreaker::new(settings);
     breaker.record_missing_owner(GROUP, NOW);
     let held = Admission::Hold { wait: WAIT };
@@ -74,7 +75,7 @@
         assert_eq!(ask(&mut breaker, Stage::First, NOW), held);
     }
     let third = ask(&mut breaker, Stage::First, NOW);
-    assert_eq!(third, Admission::Probe { wait: WAIT }, "no place, and nobody asks as a probe");
+    assert_eq!(third, Admission::Probe { wait: WAIT }, "no capacity is left, and no probe is open");
     assert_eq!(ask(&mut breaker, Stage::First, NOW), REFUSED);
     for _ in 0..2 {
         assert_eq!(ask(&mut breaker, Stage::UnderWay, NOW), held);
@@ -86,8 +87,8 @@
     for _ in 0..4 {
         breaker.end_hold(GROUP);
     }
-    // Nobody was elected in time: holding helps nobody, and coming back soon neither.
-    let later = NOW + succession;
+    // No owner was elected in time, so neither holding callers nor an early retry helps.
+    let later = NOW + election_time;
     let refused = Admission::Refuse { retry_after: Duration::from_millis(1_000) };
     assert_eq!(ask(&mut breaker, Stage::UnderWay, later), refused);
     breaker.end_probe(GROUP);
--- a/crates/daemon/tests/ledger_client.rs
+++ b/crates/daemon/tests/ledger_client.rs
@@ -1,4 +1,4 @@
-//! The client of the ledgers, against groups played by ledgers in memory.
+//! The client of the ledgers, with groups simulated by ledgers in memory.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -20,9 +20,9 @@
 use tokio::sync::watch;
 
 const GROUPS: u32 = 4;
-const PATIENCE: Duration = Duration::from_secs(4);
+const TIMEOUT: Duration = Duration::from_secs(4);
 
-/// A client, and a task that answers for all groups but `silent`.
+/// Creates a client, and a task that answers for all groups except `silent`.
 fn client(silent: Option<GroupId>) -> LedgerClient {
     let own = ReplicaId { daemon: DaemonId(1), incarnation: Incarnation(1) };
     let (core, mut inbox) = channel(own);
@@ -67,51 +67,51 @@
     })
 }
 
-async fn end_whole(client: &LedgerClient, program: &ProgramName, turn: &str) {
+async fn complete_turn(client: &LedgerClient, program: &ProgramName, turn: &str) {
     let output = b"out".to_vec();
     let end = TurnEnd::Completed { generated: Tokens(1), output, served_by: "server".into() };
     let (program, turn) = (program.clone(), TurnId::new(None, turn));
     let close = CloseTurn { program, turn, end, at: Timestamp::ZERO };
-    let reply = client.submit(LedgerCommand::Close(close), PATIENCE).await;
+    let reply = client.submit(LedgerCommand::Close(close), TIMEOUT).await;
     assert_eq!(reply, Ok(LedgerReply::Closed));
 }
 
 #[tokio::test]
-async fn a_program_goes_on_from_a_turn_in_another_group() {
+async fn a_program_continues_from_a_turn_in_another_group() {
     let client = client(None);
     let (earlier, later) = (program_in(0), program_in(3));
-    client.submit(open(&earlier, "one", None), PATIENCE).await.expect("opened");
-    let early = client.submit(open(&later, "two", Some("one")), PATIENCE).await;
+    client.submit(open(&earlier, "one", None), TIMEOUT).await.expect("opened");
+    let early = client.submit(open(&later, "two", Some("one")), TIMEOUT).await;
     let previous = TurnId::new(None, "one");
     assert_eq!(early, Ok(LedgerReply::Refused(TurnRefusal::NotEnded { previous })));
-    end_whole(&client, &earlier, "one").await;
+    complete_turn(&client, &earlier, "one").await;
     for _ in 0..2 {
-        match client.submit(open(&later, "two", Some("one")), PATIENCE).await {
+        match client.submit(open(&later, "two", Some("one")), TIMEOUT).await {
             Ok(LedgerReply::Opened(opened)) => assert_eq!(opened.history, b"inout"),
             other => panic!("not opened: {other:?}"),
         }
     }
-    end_whole(&client, &later, "two").await;
-    match client.submit(open(&later, "three", Some("two")), PATIENCE).await {
+    complete_turn(&client, &later, "two").await;
+    match client.submit(open(&later, "three", Some("two")), TIMEOUT).await {
         Ok(LedgerReply::Opened(opened)) => assert_eq!(opened.history, b"inoutinout"),
         other => panic!("not opened: {other:?}"),
     }
 }
 
 #[tokio::test]
-async fn there_is_no_such_turn_only_when_every_group_says_so() {
+async fn a_turn_is_missing_only_when_every_group_says_so() {
     let previous = TurnId::new(None, "unknown");
-    let nobody = LedgerReply::Refused(TurnRefusal::NoSuchTurn { previous });
+    let no_such_turn = LedgerReply::Refused(TurnRefusal::NoSuchTurn { previous });
     let command = open(&program_in(0), "one", Some("unknown"));
-    assert_eq!(client(None).submit(command.clone(), PATIENCE).await, Ok(nobody));
-    let unsure = client(Some(GroupId(2))).submit(command, PATIENCE).await;
-    assert!(unsure.expect_err("one group is silent").reason.contains("no owner"));
+    assert_eq!(client(None).submit(command.clone(), TIMEOUT).await, Ok(no_such_turn));
+    let reply = client(Some(GroupId(2))).submit(command, TIMEOUT).await;
+    assert!(reply.expect_err("one group is silent").reason.contains("no owner"));
 }
 
-/// Groups that answer only while the test says so, and count what they are asked.
+/// Groups that answer only while `answers` is set, and count their requests.
 struct Owner {
     answers: watch::Sender<bool>,
-    asked: Arc<AtomicUsize>,
+    request_count: Arc<AtomicUsize>,
     reach: watch::Sender<Reachability>,
 }
 
@@ -128,11 +128,11 @@
     let own = ReplicaId { daemon: DaemonId(1), incarnation: Incarnation(1) };
     let (core, mut inbox) = channel(own);
     let reach = core.reachability_sender();
-    let owner = Owner { answers: watch::Sender::new(false), asked: Arc::default(), reach };
-    let (answers, asked) = (owner.answers.subscribe(), Arc::clone(&owner.asked));
+    let owner = Owner { answers: watch::Sender::new(false), request_count: Arc::default(), reach };
+    let (answers, request_count) = (owner.answers.subscribe(), Arc::clone(&owner.request_count));
     tokio::spawn(async move {
         while let Some(CoreMessage::Request(_, reply)) = inbox.recv().await {
-            asked.fetch_add(1, Ordering::SeqCst);
+            request_count.fetch_add(1, Ordering::SeqCst);
             let mut answers = answers.clone();
             tokio::spawn(async move {
                 let _ = answers.wait_for(|answers| *answers).await;
@@ -144,15 +144,15 @@
 }
 
 #[tokio::test]
-async fn callers_are_not_held_for_a_silent_group_and_come_back_when_it_answers() {
+async fn callers_of_an_unresponsive_group_are_refused_until_it_answers() {
     let (client, owner) = client_with_owner();
     let program = program_in(0);
-    let first = client.submit(open(&program, "one", None), PATIENCE).await.expect_err("silent");
+    let first = client.submit(open(&program, "one", None), TIMEOUT).await.expect_err("silent");
     assert_eq!(first.retry_after, Some(Duration::from_millis(400)));
     assert!(!first.was_not_submitted, "it may be recorded");
     let both = || {
         let (two, three) = (open(&program, "two", None), open(&program, "three", None));
-        futures::future::join(client.submit(two, PATIENCE), client.submit(three, PATIENCE))
+        futures::future::join(client.submit(two, TIMEOUT), client.submit(three, TIMEOUT))
     };
     for _ in 0..2 {
         let (probe, refused) = both().await;
@@ -161,54 +161,58 @@
     }
     assert!(both().now_or_never().is_none(), "the probe's caller leaves");
     let (probe, _) = both().await;
-    assert!(!probe.expect_err("silent").was_not_submitted, "its place is free");
-    assert_eq!(owner.asked.load(Ordering::SeqCst), 5);
+    assert!(!probe.expect_err("silent").was_not_submitted, "the probe has ended");
+    assert_eq!(owner.request_count.load(Ordering::SeqCst), 5);
     owner.answers.send_replace(true);
-    assert!(client.submit(open(&program, "two", None), PATIENCE).await.is_ok());
+    assert!(client.submit(open(&program, "two", None), TIMEOUT).await.is_ok());
     let (first, second) = both().await;
     assert!(first.is_ok() && second.is_ok());
 }
 
 #[tokio::test]
-async fn an_end_is_put_to_a_silent_group_and_waits_longer() {
+async fn closing_a_turn_waits_for_an_unresponsive_group() {
     let (client, owner) = client_with_owner();
     let program = program_in(0);
-    client.submit(open(&program, "one", None), PATIENCE).await.expect_err("silent");
+    client.submit(open(&program, "one", None), TIMEOUT).await.expect_err("silent");
     let end = TurnEnd::NotRun;
     let turn = TurnId::new(None, "one");
     let close = CloseTurn { program: program.clone(), turn, end, at: Timestamp::ZERO };
-    let closing = client.submit(LedgerCommand::Close(close), PATIENCE);
+    let closing = client.submit(LedgerCommand::Close(close), TIMEOUT);
     let answering = async {
-        // An opening is given up in the meantime.
-        client.submit(open(&program, "two", None), PATIENCE).await.expect_err("silent");
+        // Meanwhile, opening another turn times out.
+        client.submit(open(&program, "two", None), TIMEOUT).await.expect_err("silent");
         owner.answers.send_replace(true);
     };
     let (closed, ()) = tokio::join!(closing, answering);
     assert_eq!(closed, Ok(LedgerReply::Closed));
 }
 
-/// Those that wait are let go as soon as the cut is known, and later ones are not held at all; with
-/// the cut's end all are served again.
+/// Waiting callers are refused as soon as the cut is known, and later ones at once. After the end of the
+/// cut all are served again.
 #[tokio::test]
-async fn callers_of_a_daemon_that_is_cut_off_are_let_go_at_once() {
+async fn callers_of_a_cut_off_daemon_are_refused_at_once() {
     let (client, owner) = client_with_owner_and(LedgerBreakerSettings::default());
     let program = program_in(0);
-    let waiting = client.submit(open(&program, "one", None), PATIENCE);
+    let waiting = client.submit(open(&program, "one", None), TIMEOUT);
     let cutting = async {
-        while owner.asked.load(Ordering::SeqCst) == 0 {
+        while owner.request_count.load(Ordering::SeqCst) == 0 {
             tokio::task::yield_now().await;
         }
         let cut = CutOff { since: Timestamp::ZERO, is_alone: true };
         owner.reach.send_replace(Reachability { cut_off: Some(cut), ..Reachability::default() });
     };
-    let (let_go, ()) = tokio::join!(waiting, cutting);
-    let let_go = let_go.expect_err("cut off");
-    assert!(!let_go.was_not_submitted, "it may be recorded");
-    assert_eq!(let_go.retry_after, Some(Duration::from_millis(50)), "another one may reach it");
-    let refused = client.submit(open(&program, "two", None), PATIENCE).now_or_never();
+    let (refusal, ()) = tokio::join!(waiting, cutting);
+    let refusal = refusal.expect_err("cut off");
+    assert!(!refusal.was_not_submitted, "it may be recorded");
+    assert_eq!(
+        refusal.retry_after,
+        Some(Duration::from_millis(50)),
+        "another daemon may reach the owner"
+    );
+    let refused = client.submit(open(&program, "two", None), TIMEOUT).now_or_never();
     assert!(refused.expect("at once").expect_err("cut off").was_not_submitted);
-    assert_eq!(owner.asked.load(Ordering::SeqCst), 1);
+    assert_eq!(owner.request_count.load(Ordering::SeqCst), 1);
     owner.reach.send_replace(Reachability::default());
     owner.answers.send_replace(true);
-    assert!(client.submit(open(&program, "three", None), PATIENCE).await.is_ok());
+    assert!(client.submit(open(&program, "three", None), TIMEOUT).await.is_ok());
 }
--- a/crates/daemon/tests/ledger_regions.rs
+++ b/crates/daemon/tests/ledger_regions.rs
@@ -1,5 +1,5 @@
-//! The client of the ledgers where there are regions: which group holds a turn, and programs that
-//! come to another region.
+//! The client of the ledgers in a system with regions: which group holds a turn, and programs that move
+//! to another region.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -20,14 +20,14 @@
 
 const GROUPS: u32 = 8;
 const BUDGET: u64 = 100;
-const PATIENCE: Duration = Duration::from_secs(4);
+const TIMEOUT: Duration = Duration::from_secs(4);
 
-/// The ledgers of all groups, and who was asked what.
+/// The ledgers of all groups, and a record of the requests to them.
 #[derive(Default)]
 struct Groups {
     ledgers: BTreeMap<GroupId, Ledger>,
     asked: Vec<(GroupId, &'static str)>,
-    /// The home region of groups that have no owner now.
+    /// The home region of the groups that have no owner.
     lost: Option<Region>,
 }
 
@@ -68,15 +68,15 @@
         Self { groups, client }
     }
 
-    fn in_region(&self, region: &str) -> LedgerClient {
+    fn client_in(&self, region: &str) -> LedgerClient {
         self.client.clone().with_region(Region::new(region), homes())
     }
 
-    fn lose(&self, region: &str) {
+    fn cut_off_region(&self, region: &str) {
         self.groups.lock().expect("not poisoned").lost = Some(Region::new(region));
     }
 
-    /// Groups that were asked since the last time, each once.
+    /// Takes the groups that got commands of `kind` since the last call.
     fn asked(&self, kind: &str) -> Vec<GroupId> {
         let asked = std::mem::take(&mut self.groups.lock().expect("not poisoned").asked);
         asked.into_iter().filter(|(_, name)| *name == kind).map(|(group, _)| group).collect()
@@ -121,26 +121,31 @@
     LedgerCommand::Close(CloseTurn { program: program(), turn, end, at: Timestamp::ZERO })
 }
 
-type Answer = Result<LedgerReply, LedgerUnavailable>;
+type SubmitResult = Result<LedgerReply, LedgerUnavailable>;
 
-async fn ask(client: &LedgerClient, command: LedgerCommand) -> Answer {
-    client.submit_for_retained_turn(command, PATIENCE).await
+async fn submit(client: &LedgerClient, command: LedgerCommand) -> SubmitResult {
+    client.submit_for_retained_turn(command, TIMEOUT).await
 }
 
-async fn run(client: &LedgerClient, turn: &str, previous: Option<&str>, tokens: u64) -> OpenedTurn {
-    let opened = match ask(client, open(turn, previous, tokens)).await {
+async fn run_turn(
+    client: &LedgerClient,
+    turn: &str,
+    previous: Option<&str>,
+    tokens: u64,
+) -> OpenedTurn {
+    let opened = match submit(client, open(turn, previous, tokens)).await {
         Ok(LedgerReply::Opened(opened)) => opened,
         other => panic!("{turn} is not opened: {other:?}"),
     };
-    assert_eq!(ask(client, close(turn, tokens)).await, Ok(LedgerReply::Closed));
+    assert_eq!(submit(client, close(turn, tokens)).await, Ok(LedgerReply::Closed));
     opened
 }
 
 #[tokio::test]
-async fn all_commands_on_a_kept_turn_go_to_one_group_at_home() {
+async fn all_commands_on_a_retained_turn_go_to_one_home_group() {
     let system = System::new();
     for region in ["east", "north", "south"] {
-        run(&system.in_region(region), &format!("in-{region}"), None, 10).await;
+        run_turn(&system.client_in(region), &format!("in-{region}"), None, 10).await;
         let asked = system.groups.lock().expect("not poisoned").asked.split_off(0);
         assert_eq!(asked, [(home_group(region), "open"), (home_group(region), "close")]);
     }
@@ -150,48 +155,48 @@
 async fn other_turns_and_systems_of_one_region_use_all_groups() {
     let system = System::new();
     let anywhere = group_of(&program(), GROUPS);
-    let _ = system.in_region("east").submit(open("one", None, 10), PATIENCE).await;
-    assert_eq!(system.asked("open"), [anywhere], "a turn that is not kept");
-    let _ = ask(&system.client, open("two", None, 10)).await;
+    let _ = system.client_in("east").submit(open("one", None, 10), TIMEOUT).await;
+    assert_eq!(system.asked("open"), [anywhere], "a turn that is not retained");
+    let _ = submit(&system.client, open("two", None, 10)).await;
     assert_eq!(system.asked("open"), [anywhere], "no regions");
 }
 
 #[tokio::test]
-async fn a_program_goes_on_in_another_region_with_its_history_and_its_charge() {
+async fn a_program_continues_in_another_region_with_its_history_and_its_charge() {
     let system = System::new();
-    let (east, north) = (system.in_region("east"), system.in_region("north"));
-    run(&east, "one", None, 60).await;
+    let (east, north) = (system.client_in("east"), system.client_in("north"));
+    run_turn(&east, "one", None, 60).await;
     let used = Tokens(60);
     let spent = TurnRefusal::BudgetSpent { budget: Tokens(BUDGET), used };
-    let refused = ask(&north, open("two", Some("one"), 41)).await;
+    let refused = submit(&north, open("two", Some("one"), 41)).await;
     assert_eq!(refused, Ok(LedgerReply::Refused(spent)));
     for _ in 0..2 {
-        let reply = ask(&north, open("two", Some("one"), 30)).await;
+        let reply = submit(&north, open("two", Some("one"), 30)).await;
         let Ok(LedgerReply::Opened(opened)) = reply else { panic!("not opened: {reply:?}") };
         assert_eq!(opened.history, b"inout");
         assert_eq!(opened.last_served_by.as_deref(), Some("server"));
     }
     assert_eq!(system.used(home_group("north")), Some(90), "a repeat is charged once");
-    assert_eq!(ask(&north, close("two", 30)).await, Ok(LedgerReply::Closed));
-    let back = run(&east, "three", Some("two"), 10).await;
+    assert_eq!(submit(&north, close("two", 30)).await, Ok(LedgerReply::Closed));
+    let back = run_turn(&east, "three", Some("two"), 10).await;
     assert_eq!(back.history, b"inoutinout");
     assert_eq!(system.used(home_group("east")), Some(100));
     assert!(matches!(
-        ask(&east, open("four", Some("three"), 1)).await,
+        submit(&east, open("four", Some("three"), 1)).await,
         Ok(LedgerReply::Refused(TurnRefusal::BudgetSpent { .. }))
     ));
 }
 
 #[tokio::test]
-async fn while_a_region_is_lost_nobody_says_that_its_turns_are_not_there() {
+async fn turns_of_a_lost_region_are_not_reported_as_missing() {
     let system = System::new();
-    let (east, north) = (system.in_region("east"), system.in_region("north"));
-    run(&east, "one", None, 10).await;
-    run(&north, "own", None, 10).await;
-    system.lose("east");
-    run(&north, "next", Some("own"), 10).await;
-    let unsure = ask(&north, open("two", Some("one"), 10)).await;
-    assert!(unsure.expect_err("it may be there").reason.contains("no owner"));
-    let refused = ask(&east, open("three", None, 10)).await;
+    let (east, north) = (system.client_in("east"), system.client_in("north"));
+    run_turn(&east, "one", None, 10).await;
+    run_turn(&north, "own", None, 10).await;
+    system.cut_off_region("east");
+    run_turn(&north, "next", Some("own"), 10).await;
+    let reply = submit(&north, open("two", Some("one"), 10)).await;
+    assert!(reply.expect_err("it may be there").reason.contains("no owner"));
+    let refused = submit(&east, open("three", None, 10)).await;
     assert!(refused.is_err(), "its own region cannot: {refused:?}");
 }
--- a/crates/daemon/tests/load_sharing.rs
+++ b/crates/daemon/tests/load_sharing.rs
@@ -1,4 +1,4 @@
-//! Loads of servers between real daemons on loopback: told by one, heard by another.
+//! Load sharing between real daemons on loopback.
 
 use std::time::Duration;
 
@@ -10,8 +10,8 @@
 use tokio::time::{sleep, timeout};
 
 /// A generous bound on any wait; a run that reaches it has failed.
-const WAIT_LIMIT: Duration = Duration::from_secs(30);
-const TELL_INTERVAL: Duration = Duration::from_millis(50);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
+const REPORT_INTERVAL: Duration = Duration::from_millis(50);
 const SETTINGS: &str = r#"
     [daemon]
     id = 1
@@ -30,16 +30,16 @@
 
 struct Gateway {
     control: ControlParts,
-    heard: UnboundedReceiver<PeerLoads>,
+    received: UnboundedReceiver<PeerLoads>,
     load: ItemLoad,
 }
 
 fn start(number: u32, seeds: &[&Gateway]) -> Gateway {
-    let mut settings: Settings = toml::from_str(SETTINGS).expect("the settings are whole");
+    let mut settings: Settings = toml::from_str(SETTINGS).expect("the settings are complete");
     settings.daemon.id.0 = number;
     settings.daemon.seeds = seeds.iter().map(|it| it.control.peer_address).collect();
     settings.load_sharing = Some(LoadSharingSettings::default());
-    let (loads, heard) = mpsc::unbounded_channel();
+    let (loads, received) = mpsc::unbounded_channel();
     let external = ExternalParts {
         layout_store: None,
         key_value: None,
@@ -49,23 +49,23 @@
     };
     let control = start_control_with(&settings, external).expect("it starts");
     let load = ItemLoad { item: u64::from(number), in_flight: number, ..ItemLoad::default() };
-    Gateway { control, heard, load }
+    Gateway { control, received, load }
 }
 
-/// Waits until the gateway has heard of exactly these loads.
-async fn hears(gateway: &mut Gateway, expected: &[ItemLoad]) {
+/// Waits until the gateway has received exactly these loads.
+async fn wait_for_loads(gateway: &mut Gateway, expected: &[ItemLoad]) {
     let waits = async {
-        while let Some(heard) = gateway.heard.recv().await {
-            if heard.loads == expected {
+        while let Some(received) = gateway.received.recv().await {
+            if received.loads == expected {
                 return;
             }
         }
     };
-    timeout(WAIT_LIMIT, waits).await.expect("the loads are heard");
+    timeout(WAIT_TIMEOUT, waits).await.expect("the loads are received");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn each_gateway_hears_what_the_others_make() {
+async fn each_gateway_receives_the_loads_of_the_others() {
     let first = start(1, &[]);
     let second = start(2, &[&first]);
     let third = start(3, &[&first]);
@@ -75,15 +75,15 @@
         tokio::spawn(async move {
             loop {
                 core.send_event(Event::OwnLoads(vec![load])).await;
-                sleep(TELL_INTERVAL).await;
+                sleep(REPORT_INTERVAL).await;
             }
         });
     }
     let loads = [gateways[0].load, gateways[1].load, gateways[2].load];
-    for (place, gateway) in gateways.iter_mut().enumerate() {
-        let mut others = loads.to_vec();
-        others.remove(place);
-        hears(gateway, &others).await;
+    for (position, gateway) in gateways.iter_mut().enumerate() {
+        let mut other_loads = loads.to_vec();
+        other_loads.remove(position);
+        wait_for_loads(gateway, &other_loads).await;
     }
     let mut followers = 0;
     for gateway in &gateways {
@@ -93,5 +93,5 @@
         assert!(text.contains(&format!("dahlialadder_load_followers {}", status.followers)));
         gateway.control.stop();
     }
-    assert!(followers >= 2, "the daemon that adds up has two followers");
+    assert!(followers >= 2, "the aggregator has two followers");
 }
--- a/crates/daemon/tests/metrics.rs
+++ b/crates/daemon/tests/metrics.rs
@@ -4,7 +4,7 @@
 
 use support::{System, TENANT, send};
 
-/// The value of a metric's line.
+/// The value of the metric `name` in the text format.
 fn value(text: &str, name: &str) -> f64 {
     let line = text.lines().find_map(|line| line.strip_prefix(&format!("{name} ")));
     line.unwrap_or_else(|| panic!("no {name} in {text}")).parse().expect("a number")
@@ -18,7 +18,7 @@
     system.ask(&program, "Serial 4711").await.content();
     let poor = system.program_with(TENANT, 3).await.program;
     assert_eq!(system.ask(&poor, "A question longer than three tokens").await.status, 402);
-    // The gauges are taken when the daemon is asked how it is.
+    // A status query updates the gauges.
     system.status(0).await;
     let text = system.metrics(0).await;
     let value = |name: &str| value(&text, name);
--- a/crates/daemon/tests/operators.rs
+++ b/crates/daemon/tests/operators.rs
@@ -1,4 +1,4 @@
-//! Operators' RPC and the operators' command line, over real sockets.
+//! The RPC and the command line for operators, over real sockets.
 
 mod support;
 
@@ -12,7 +12,7 @@
 use support::{MODEL, OPERATOR_TOKEN, Plan, System, TENANT, with_token};
 use tonic::{Code, Request, Status};
 
-fn good() -> CreateProgramRequest {
+fn valid_request() -> CreateProgramRequest {
     CreateProgramRequest {
         tenant: TENANT.to_owned(),
         model: MODEL.to_owned(),
@@ -21,24 +21,24 @@
     }
 }
 
-fn stated(status: &Status) -> String {
+fn error_text(status: &Status) -> String {
     let name = status.metadata().get(headers::RPC_ERROR).expect("every error has its name");
     let name = name.to_str().expect("plain characters");
     format!("{:?} {name}: {}", status.code(), status.message())
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn token_is_needed() {
+async fn token_is_required() {
     let system = System::one_daemon().await;
     let mut operators = system.operators(0).await;
-    let missing = operators.create(Request::new(good())).await.expect_err("is refused");
+    let missing = operators.create(Request::new(valid_request())).await.expect_err("is refused");
     assert_eq!(missing.code(), Code::Unauthenticated);
     for header in ["Bearer ", "Bearer wrong-token", "Basic x", OPERATOR_TOKEN] {
-        let mut request = Request::new(good());
+        let mut request = Request::new(valid_request());
         let value = header.parse().expect("plain characters");
         request.metadata_mut().insert("authorization", value);
         let wrong = operators.create(request).await.expect_err("is refused");
-        assert_eq!(stated(&wrong), stated(&missing), "{header}");
+        assert_eq!(error_text(&wrong), error_text(&missing), "{header}");
     }
     let listed = operators.list(with_token(ListProgramsRequest::default())).await;
     assert_eq!(listed.expect("is answered").into_inner().programs.len(), 0);
@@ -49,37 +49,38 @@
     let system = System::one_daemon().await;
     let mut operators = system.operators(0).await;
     let requests = [
-        CreateProgramRequest { tenant: String::new(), ..good() },
-        CreateProgramRequest { tenant: "roof crew".to_owned(), ..good() },
-        CreateProgramRequest { tenant: "x".repeat(65), ..good() },
-        CreateProgramRequest { model: String::new(), ..good() },
-        CreateProgramRequest { budget_tokens: u64::MAX, ..good() },
-        CreateProgramRequest { idle_expiry_ms: u64::MAX, ..good() },
-        CreateProgramRequest { request_key: "x".repeat(65), ..good() },
+        CreateProgramRequest { tenant: String::new(), ..valid_request() },
+        CreateProgramRequest { tenant: "roof crew".to_owned(), ..valid_request() },
+        CreateProgramRequest { tenant: "x".repeat(65), ..valid_request() },
+        CreateProgramRequest { model: String::new(), ..valid_request() },
+        CreateProgramRequest { budget_tokens: u64::MAX, ..valid_request() },
+        CreateProgramRequest { idle_expiry_ms: u64::MAX, ..valid_request() },
+        CreateProgramRequest { request_key: "x".repeat(65), ..valid_request() },
     ];
     let mut errors = Vec::new();
     for request in requests {
         let refused = operators.create(with_token(request)).await.expect_err("is refused");
-        errors.push(stated(&refused));
+        errors.push(error_text(&refused));
     }
     let show = ShowProgramRequest { program: "p-1".to_owned(), ..Default::default() };
-    errors.push(stated(&operators.show(with_token(show)).await.expect_err("is refused")));
+    errors.push(error_text(&operators.show(with_token(show)).await.expect_err("is refused")));
     let list = ListProgramsRequest { limit: 1_001, ..Default::default() };
-    errors.push(stated(&operators.list(with_token(list)).await.expect_err("is refused")));
-    let created = operators.create(with_token(good())).await.expect("is created").into_inner();
+    errors.push(error_text(&operators.list(with_token(list)).await.expect_err("is refused")));
+    let created =
+        operators.create(with_token(valid_request())).await.expect("is created").into_inner();
     let raise = RaiseBudgetRequest { program: created.program.clone(), total_tokens: 999 };
     let lowered = operators.raise_budget(with_token(raise)).await.expect_err("is refused");
-    errors.push(stated(&lowered).replace(&created.program, "<program>"));
+    errors.push(error_text(&lowered).replace(&created.program, "<program>"));
     let unknown = "p-0-00000000000000ff".to_owned();
     let show = ShowProgramRequest { program: unknown, ..Default::default() };
-    errors.push(stated(&operators.show(with_token(show)).await.expect_err("is refused")));
+    errors.push(error_text(&operators.show(with_token(show)).await.expect_err("is refused")));
     insta::assert_snapshot!(errors.join("\n"));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn budget_that_is_not_stated_is_the_configuration_s() {
+async fn missing_budget_defaults_to_the_configuration() {
     let system = System::one_daemon().await;
-    let request = CreateProgramRequest { budget_tokens: 0, ..good() };
+    let request = CreateProgramRequest { budget_tokens: 0, ..valid_request() };
     let created = system.operators(0).await.create(with_token(request)).await.expect("is created");
     let budget = created.into_inner().budget.expect("has one");
     let defaults = dahlia_configuration::Document::default().defaults;
@@ -89,7 +90,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn repeated_request_key_creates_nothing_new() {
     let system = System::start(Plan { daemons: 2, ..Plan::default() }).await;
-    let keyed = || CreateProgramRequest { request_key: "site-17".to_owned(), ..good() };
+    let keyed = || CreateProgramRequest { request_key: "site-17".to_owned(), ..valid_request() };
     let first = system.operators(0).await.create(with_token(keyed())).await.expect("is created");
     let again = system.operators(1).await.create(with_token(keyed())).await.expect("is found");
     assert_eq!(first.get_ref().program, again.get_ref().program);
@@ -135,12 +136,12 @@
         shown += &format!("$ {}\n", command.join(" "));
         shown += &ctl(&system, command).await.expect("is answered");
     }
-    // A life of an engine is named by its start.
-    let plain: Vec<String> = shown.lines().map(without_incarnation).collect();
-    insta::assert_snapshot!(plain.join("\n"));
+    // An engine's incarnation is the time of its start, which differs from run to run.
+    let masked: Vec<String> = shown.lines().map(mask_incarnation).collect();
+    insta::assert_snapshot!(masked.join("\n"));
 }
 
-fn without_incarnation(line: &str) -> String {
+fn mask_incarnation(line: &str) -> String {
     match line.split_once("incarnation\": ") {
         Some((before, _)) => format!("{before}incarnation\": <start>"),
         None => line.to_owned(),
--- a/crates/daemon/tests/peer_connections.rs
+++ b/crates/daemon/tests/peer_connections.rs
@@ -1,4 +1,4 @@
-//! Connections between daemons notice a peer that falls silent.
+//! Connections between daemons detect a peer that stops answering.
 
 use std::net::TcpStream as StdStream;
 use std::os::fd::AsFd;
@@ -7,10 +7,10 @@
 use socket2::SockRef;
 use tokio::net::{TcpListener, TcpStream};
 
-/// Loopback loses no packets, so that only the options can be checked here; days of the users'
-/// bench with losses of power check what they do.
+/// Loopback loses no packets, so only the socket options can be checked here. The users' bench checks
+/// their effect with losses of power.
 #[tokio::test]
-async fn bytes_that_nobody_acknowledges_break_a_connection() {
+async fn unacknowledged_bytes_break_a_connection() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let stream = TcpStream::connect(address).await.unwrap();
--- a/crates/daemon/tests/refusals.rs
+++ b/crates/daemon/tests/refusals.rs
@@ -1,4 +1,4 @@
-//! Every error answer to a caller: status, headers and body; and the limits that lead to them.
+//! Error answers to callers, with status, headers and body, and the limits that lead to them.
 
 mod support;
 
@@ -13,31 +13,31 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Far longer than any limit that a test sets.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Far longer than any time limit that a test sets.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(20);
 /// Heads of at most 8 KiB and bodies of at most 4 KiB, received within 200 ms, one request at a time.
-const SMALL: &str = "body_bytes = 4096\nmessages = 2\nmessage_bytes = 1000\nreceive_ms = 200\n\
+const SMALL_LIMITS: &str = "body_bytes = 4096\nmessages = 2\nmessage_bytes = 1000\nreceive_ms = 200\n\
                      key_bytes = 8\nconcurrent_requests = 1\n\
                      head_bytes = 8192\nheaders = 10";
 
-async fn small_system() -> System {
-    System::start(Plan { limits: SMALL, ..Plan::default() }).await
+async fn system_with_small_limits() -> System {
+    System::start(Plan { limits: SMALL_LIMITS, ..Plan::default() }).await
 }
 
-/// The error answer, with what differs from run to run taken out.
-fn stated(reply: &Reply, program: &str) -> Value {
+/// The error answer, with the program masked because it differs from run to run.
+fn masked_error(reply: &Reply, program: &str) -> Value {
     let text = reply.error().to_string().replace(program, "<program>");
     serde_json::from_str(&text).expect("still JSON")
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn requests_with_wrong_fields_are_refused_by_name() {
-    let system = small_system().await;
+    let system = system_with_small_limits().await;
     let program = system.program().await;
     let chat = |body: &Value| system.chat(0, &program, body);
     let user = |text: &str| json!({"role": "user", "content": text});
     let good = whole("Fault code 31", 8);
-    let mut stated_errors = Vec::new();
+    let mut errors = Vec::new();
     let requests = [
         ("no message", chat(&json!({"messages": []}))),
         ("too many messages", chat(&json!({"messages": [user("a"), user("b"), user("c")]}))),
@@ -57,9 +57,9 @@
     ];
     for (name, request) in requests {
         let reply = send(request).await;
-        stated_errors.push(json!({"request": name, "answer": stated(&reply, &program)}));
+        errors.push(json!({"request": name, "answer": masked_error(&reply, &program)}));
     }
-    insta::assert_json_snapshot!(stated_errors);
+    insta::assert_json_snapshot!(errors);
     assert_eq!(system.accepted().await.len(), 0);
 }
 
@@ -84,7 +84,10 @@
     let reused = send(request("Flash unit 2")).await;
     let numbered = system.chat(0, &program, &whole("Flash unit 2", 8));
     let renumbered = send(numbered.header(headers::CALL_NUMBER, 1)).await;
-    insta::assert_json_snapshot!(json!([stated(&reused, &program), stated(&renumbered, &program)]));
+    insta::assert_json_snapshot!(json!([
+        masked_error(&reused, &program),
+        masked_error(&renumbered, &program)
+    ]));
     assert_eq!(system.accepted().await.len(), 1);
 }
 
@@ -97,7 +100,10 @@
     let close = system.client.delete(system.url(0, &path)).bearer_auth(credential(TENANT));
     assert_eq!(send(close).await.status, StatusCode::NO_CONTENT);
     let closed = system.ask(&program, "One more").await;
-    insta::assert_json_snapshot!(json!([stated(&exhausted, &program), stated(&closed, &program)]));
+    insta::assert_json_snapshot!(json!([
+        masked_error(&exhausted, &program),
+        masked_error(&closed, &program)
+    ]));
     assert_eq!(system.accepted().await.len(), 0);
 }
 
@@ -119,11 +125,11 @@
         let mut answers = Vec::new();
         for request in requests {
             let request = request.headers(bearer("another-tenant"));
-            answers.push(stated(&send(request).await, name));
+            answers.push(masked_error(&send(request).await, name));
         }
         pairs.push(answers);
     }
-    // Another tenant's program cannot be told from one that does not exist.
+    // Another tenant's program looks like one that does not exist.
     assert_eq!(pairs[0], pairs[1]);
     insta::assert_json_snapshot!(pairs[0]);
     assert_eq!(system.accepted().await.len(), 1);
@@ -167,7 +173,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn body_without_declared_length_is_cut_at_the_limit() {
-    let system = small_system().await;
+    let system = system_with_small_limits().await;
     let program = system.program().await;
     let pieces = (0..64).map(|_| Ok::<_, std::io::Error>(" ".repeat(1_024)));
     let body = Body::wrap_stream(stream::iter(pieces));
@@ -176,14 +182,14 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn endless_body_is_cut() {
-    let system = small_system().await;
+async fn endless_body_is_refused() {
+    let system = system_with_small_limits().await;
     let program = system.program().await;
     let piece = || Ok::<_, std::io::Error>(" ".repeat(64 * 1_024));
     let body = Body::wrap_stream(stream::repeat_with(piece));
     let request = system.chat(0, &program, &json!({})).body(body).send();
-    // It is refused or reset; either way it ends, and its place is free again.
-    if let Ok(answer) = timeout(PATIENCE, request).await.expect("ends in time") {
+    // The request is refused or reset. Either way it ends, and its permit is free again.
+    if let Ok(answer) = timeout(ANSWER_TIMEOUT, request).await.expect("ends in time") {
         assert_eq!(answer.status(), StatusCode::PAYLOAD_TOO_LARGE);
     }
     system.ask(&program, "Fault code 31").await.content();
@@ -203,7 +209,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn request_without_a_place_is_refused_at_once() {
-    let system = System::start(Plan { limits: SMALL, speed: 1.0, ..Plan::default() }).await;
+    let system = System::start(Plan { limits: SMALL_LIMITS, speed: 1.0, ..Plan::default() }).await;
     let program = system.program().await;
     let other = system.program().await;
     let first = system.chat(0, &program, &streamed("Fault code 31", 2_000)).send().await;
@@ -211,30 +217,30 @@
     first.chunk().await.expect("no break").expect("a first piece");
     let refused = system.ask(&other, "Serial 4711").await;
     insta::assert_json_snapshot!(refused.error());
-    // The first request still has its place, so the second did not wait for it.
+    // The first request still holds its permit, so the second did not wait for it.
     let metrics = system.metrics(0).await;
     assert!(metrics.contains("dahlialadder_attempts_total 1"), "{metrics}");
     assert_eq!(system.status(0).await["attempts"], json!(1));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn slow_body_is_given_up() {
-    let system = small_system().await;
+async fn slow_body_times_out() {
+    let system = system_with_small_limits().await;
     let program = system.program().await;
-    let mut connection = head(&system, &program, 100).await;
+    let mut connection = send_head(&system, &program, 100).await;
     connection.write_all(b"{\"messages\"").await.expect("is open");
     let answer = read_to_end(&mut connection).await;
     assert!(answer.starts_with("HTTP/1.1 400 "), "{answer}");
     assert!(answer.contains("the body did not arrive within 200 ms"), "{answer}");
-    // Its place is free again.
+    // Its permit is free again.
     system.ask(&program, "Fault code 31").await.content();
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn truncated_body_is_not_run() {
-    let system = small_system().await;
+    let system = system_with_small_limits().await;
     let program = system.program().await;
-    let mut connection = head(&system, &program, 100).await;
+    let mut connection = send_head(&system, &program, 100).await;
     connection.write_all(b"{\"messages\"").await.expect("is open");
     connection.shutdown().await.expect("is open");
     let answer = read_to_end(&mut connection).await;
@@ -244,8 +250,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn slow_head_is_given_up() {
-    let system = small_system().await;
+async fn slow_head_times_out() {
+    let system = system_with_small_limits().await;
     let mut connection = TcpStream::connect(system.gateway(0)).await.expect("connects");
     connection.write_all(b"POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\n").await.expect("open");
     let answer = read_to_end(&mut connection).await;
@@ -254,7 +260,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn head_over_its_limits_is_typed() {
-    let system = small_system().await;
+    let system = system_with_small_limits().await;
     let health = || system.client.get(system.url(0, "/healthz"));
     let mut many = health();
     for number in 0..12 {
@@ -278,35 +284,36 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn endless_head_is_cut() {
-    let system = small_system().await;
+async fn endless_head_is_refused() {
+    let system = system_with_small_limits().await;
     let mut connection = TcpStream::connect(system.gateway(0)).await.expect("connects");
-    let head = format!("GET /healthz HTTP/1.1\r\nhost: x\r\nx-long: {}", "x".repeat(1 << 20));
+    let send_head = format!("GET /healthz HTTP/1.1\r\nhost: x\r\nx-long: {}", "x".repeat(1 << 20));
     // The daemon may refuse and close before all of it is written.
-    let _ = connection.write_all(head.as_bytes()).await;
+    let _ = connection.write_all(send_head.as_bytes()).await;
     let mut answer = Vec::new();
     // A reset instead of a closed connection is a refusal as well.
-    let _ = timeout(PATIENCE, connection.read_to_end(&mut answer)).await.expect("ends in time");
+    let _ =
+        timeout(ANSWER_TIMEOUT, connection.read_to_end(&mut answer)).await.expect("ends in time");
     let answer = String::from_utf8_lossy(&answer);
     assert!(answer.is_empty() || answer.starts_with("HTTP/1.1 431 "), "{answer}");
     assert_eq!(system.status(0).await["ready"], json!(true));
 }
 
 /// Opens a connection and sends the head of a chat request with a body of `length` bytes.
-async fn head(system: &System, program: &str, length: usize) -> TcpStream {
+async fn send_head(system: &System, program: &str, length: usize) -> TcpStream {
     let mut connection = TcpStream::connect(system.gateway(0)).await.expect("connects");
-    let head = format!(
+    let send_head = format!(
         "POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer {}\r\n\
          x-program-id: {program}\r\ncontent-length: {length}\r\n\r\n",
         credential(TENANT)
     );
-    connection.write_all(head.as_bytes()).await.expect("is open");
+    connection.write_all(send_head.as_bytes()).await.expect("is open");
     connection
 }
 
 async fn read_to_end(connection: &mut TcpStream) -> String {
     let mut answer = Vec::new();
-    let reading = timeout(PATIENCE, connection.read_to_end(&mut answer)).await;
+    let reading = timeout(ANSWER_TIMEOUT, connection.read_to_end(&mut answer)).await;
     reading.expect("ends in time").expect("no break");
     String::from_utf8(answer).expect("text")
 }
--- a/crates/daemon/tests/settings.rs
+++ b/crates/daemon/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings: the file, the flags, and what is said of each mistake. Runs the real binary.
+//! Settings: the file, the flags, and the message for each mistake. Runs the real binary.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -8,7 +8,7 @@
 use dahlia_types::{TenantId, TenantKey};
 use tempfile::TempDir;
 
-const SMALLEST: &str = r#"[daemon]
+const MINIMAL_SETTINGS: &str = r#"[daemon]
 id = 7
 zone = "hall-a"
 region = "gulf-south"
@@ -23,11 +23,11 @@
 peer_key = "peer-key-of-the-tests"
 "#;
 
-struct File {
+struct SettingsFile {
     folder: TempDir,
 }
 
-impl File {
+impl SettingsFile {
     fn with(text: &str) -> Self {
         let folder = TempDir::new().expect("a folder");
         fs::write(folder.path().join("daemon.toml"), text).expect("is written");
@@ -59,17 +59,17 @@
 
 #[test]
 fn valid_settings_are_confirmed() {
-    let output = File::with(SMALLEST).run(&["--check"]);
+    let output = SettingsFile::with(MINIMAL_SETTINGS).run(&["--check"]);
     assert_eq!(output.status.code(), Some(0));
     assert_eq!(output.stdout, b"settings are valid\n");
 }
 
 #[test]
 fn printed_settings_are_valid_settings_and_print_the_same() {
-    let first = File::with(SMALLEST).run(&["--print-settings"]);
+    let first = SettingsFile::with(MINIMAL_SETTINGS).run(&["--print-settings"]);
     assert_eq!(first.status.code(), Some(0));
     let text = String::from_utf8(first.stdout).expect("text");
-    let printed = File::with(&text);
+    let printed = SettingsFile::with(&text);
     assert_eq!(printed.run(&["--check"]).status.code(), Some(0));
     let second = printed.run(&["--print-settings"]);
     assert_eq!(String::from_utf8(second.stdout).expect("text"), text);
@@ -79,11 +79,11 @@
 
 #[test]
 fn an_issued_credential_opens_the_tenants_programs_by_the_same_key() {
-    let file = File::with(SMALLEST);
+    let file = SettingsFile::with(MINIMAL_SETTINGS);
     let output = file.run(&["--issue-credential", "bayou-current"]);
     assert!(output.status.success());
     let credential = String::from_utf8(output.stdout).expect("a line of text");
-    let settings: toml::Value = toml::from_str(SMALLEST).expect("the settings are TOML");
+    let settings: toml::Value = toml::from_str(MINIMAL_SETTINGS).expect("the settings are TOML");
     let key = settings["credentials"]["tenant_key"].as_str().expect("there is a key");
     let tenant = TenantKey::new(key.as_bytes()).check(credential.trim());
     assert_eq!(tenant, Ok(TenantId::new("bayou-current")));
@@ -91,9 +91,9 @@
 }
 
 #[test]
-fn flags_go_before_the_file() {
+fn flags_override_the_file() {
     let flags = ["--print-settings", "--id", "9", "--zone", "hall-b", "--log-level", "debug"];
-    let output = File::with(SMALLEST).run(&flags);
+    let output = SettingsFile::with(MINIMAL_SETTINGS).run(&flags);
     let settings: Settings =
         toml::from_str(&String::from_utf8(output.stdout).expect("text")).expect("TOML");
     assert_eq!(settings.daemon.id.0, 9);
@@ -104,10 +104,10 @@
 #[test]
 fn each_mistake_names_file_field_value_and_what_is_allowed() {
     let changed = |from: &str, to: &str| {
-        assert!(SMALLEST.contains(from), "{from}");
-        SMALLEST.replacen(from, to, 1)
+        assert!(MINIMAL_SETTINGS.contains(from), "{from}");
+        MINIMAL_SETTINGS.replacen(from, to, 1)
     };
-    let with = |more: &str| format!("{SMALLEST}{more}");
+    let with = |more: &str| format!("{MINIMAL_SETTINGS}{more}");
     let files = [
         ("unknown field", changed("id = 7", "id = 7\nidd = 8")),
         ("unknown table", with("[limit]\n")),
@@ -119,20 +119,20 @@
         ("value too small", with("[limits]\nbody_bytes = 1\n")),
         ("value below its sibling", with("[limits]\ngenerated_tokens = 10\n")),
         ("too many losses", with("[tolerance]\nmachines = 1001\n")),
-        ("unknown policy", format!("policy = \"best\"\n{SMALLEST}")),
+        ("unknown policy", format!("policy = \"best\"\n{MINIMAL_SETTINGS}")),
         ("unknown log level", with("[log]\nlevel = \"loud\"\n")),
         ("not TOML", "[daemon".to_owned()),
     ];
     let mut refusals = String::new();
     for (name, text) in &files {
-        refusals += &format!("# {name}\n{}\n", File::with(text).refusal(&["--check"]));
+        refusals += &format!("# {name}\n{}\n", SettingsFile::with(text).refusal(&["--check"]));
     }
     insta::assert_snapshot!(refusals);
 }
 
 #[test]
 fn mistakes_on_the_command_line_end_with_exit_code_2() {
-    let file = File::with(SMALLEST);
+    let file = SettingsFile::with(MINIMAL_SETTINGS);
     let missing = run(&file.folder.path().join("none.toml"), &["--check"]);
     assert_eq!(missing.status.code(), Some(2));
     let message = String::from_utf8(missing.stderr).expect("text");
--- a/crates/daemon/tests/support/mod.rs
+++ b/crates/daemon/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Daemons in this process on loopback, with stand-ins for the platform.
+//! Daemons in the test process on loopback, with stand-ins for the platform.
 #![allow(dead_code)]
 
 use std::net::SocketAddr;
@@ -24,15 +24,15 @@
 pub const MODEL: &str = "agent-llm";
 pub const OPERATOR_TOKEN: &str = "operator-token-of-tests";
 const TENANT_KEY: &str = "tenant-key-of-tests";
-const READY_LIMIT: Duration = Duration::from_secs(20);
-const READY_POLL: Duration = Duration::from_millis(10);
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(10);
 const GROUPS: u64 = 4;
 
-/// What to start.
+/// The system to start.
 pub struct Plan {
     /// Number of daemons. Each group has one replica.
     pub daemons: u32,
-    /// How much faster than real the engine runs.
+    /// How many times faster than real time the engine runs.
     pub speed: f64,
     /// Lines of TOML for the table `limits`.
     pub limits: &'static str,
@@ -44,7 +44,7 @@
     }
 }
 
-/// Daemons that serve, and their platform.
+/// Running daemons and their platform.
 pub struct System {
     pub daemons: Vec<RunningDaemon>,
     pub client: Client,
@@ -101,18 +101,18 @@
             if ready == self.daemons.len() && led == GROUPS {
                 return;
             }
-            assert!(started.elapsed() < READY_LIMIT, "{ready} ready, {led} groups with an owner");
-            sleep(READY_POLL).await;
+            assert!(started.elapsed() < READY_TIMEOUT, "{ready} ready, {led} groups with an owner");
+            sleep(READY_POLL_INTERVAL).await;
         }
     }
 
-    /// What `/readyz` of a daemon says.
+    /// The answer of a daemon's `/readyz`.
     pub async fn status(&self, position: usize) -> Value {
         let answer = self.client.get(self.url(position, "/readyz")).send().await.expect("answers");
         answer.json().await.expect("JSON")
     }
 
-    /// What `/metrics` of a daemon says.
+    /// The answer of a daemon's `/metrics`.
     pub async fn metrics(&self, position: usize) -> String {
         let answer = self.client.get(self.url(position, "/metrics")).send().await.expect("answers");
         answer.text().await.expect("text")
@@ -131,7 +131,7 @@
         ControlClient::new(self.engine.address())
     }
 
-    /// Attempts that the engine took into its queue, with how their answers begin.
+    /// The answer headers of all attempts that the engine accepted into its queue.
     pub async fn accepted(&self) -> Vec<String> {
         let observed = self.engine().observations::<EngineObservation>(0).await.expect("control");
         let begins = observed.observations.into_iter().filter_map(|seen| match seen.event {
@@ -171,12 +171,12 @@
             .json(body)
     }
 
-    /// Sends one user message and returns the whole answer, long enough to say whose it is.
+    /// Sends one user message and returns the whole answer, which is long enough to contain its header.
     pub async fn ask(&self, program: &str, text: &str) -> Reply {
         send(self.chat(0, program, &whole(text, 24))).await
     }
 
-    /// Reads a call's answer on.
+    /// A request that reads or resumes a call's answer.
     pub fn read(&self, position: usize, call: &str, query: &str) -> RequestBuilder {
         let parts: Vec<&str> = call.split('/').collect();
         let [program, chain, number] = parts[..] else { panic!("{call} is no call") };
@@ -251,7 +251,7 @@
     body
 }
 
-/// An answer as it came.
+/// A received HTTP answer.
 #[derive(Debug)]
 pub struct Reply {
     pub status: StatusCode,
@@ -303,7 +303,7 @@
         self.text.split_terminator("\n\n").map(Event::parse).collect()
     }
 
-    /// The text of a streamed answer that ended well.
+    /// The text of a streamed answer that ended with `[DONE]`.
     pub fn streamed_text(&self) -> String {
         let events = self.events();
         assert_eq!(events.last().map(|event| event.data.as_str()), Some("[DONE]"), "{self:?}");
@@ -329,7 +329,7 @@
         }
     }
 
-    /// The piece of text in it.
+    /// The text in the event.
     pub fn content(&self) -> String {
         let data: Value = serde_json::from_str(&self.data).unwrap_or_default();
         data["choices"][0]["delta"]["content"].as_str().unwrap_or_default().to_owned()
--- a/crates/daemon/tests/turn_away.rs
+++ b/crates/daemon/tests/turn_away.rs
@@ -1,4 +1,4 @@
-//! When callers come back whom a daemon that is cut off turned away.
+//! Retry delays for callers that a cut-off daemon refuses.
 
 use dahlia_daemon::turn_away::TurnAwaySettings;
 use dahlia_node::CutOff;
@@ -7,32 +7,50 @@
 struct Case {
     name: &'static str,
     is_alone: bool,
-    /// Since the cut began.
+    /// Time since the cut began.
     age_ms: u64,
     draw: f64,
-    wanted_ms: u64,
+    expected_ms: u64,
 }
 
 #[test]
-fn callers_come_back_when_others_may_take_them() {
+fn callers_retry_when_other_daemons_may_serve_them() {
     let cases = [
         Case {
-            name: "the zone, at first",
+            name: "zone cut off, at the start",
             is_alone: false,
             age_ms: 0,
             draw: 0.0,
-            wanted_ms: 2_000,
+            expected_ms: 2_000,
         },
-        Case { name: "the zone, spread", is_alone: false, age_ms: 0, draw: 1.0, wanted_ms: 2_300 },
-        Case { name: "the zone, on", is_alone: false, age_ms: 1_500, draw: 0.0, wanted_ms: 500 },
         Case {
-            name: "nobody else is in",
+            name: "zone cut off, spread",
+            is_alone: false,
+            age_ms: 0,
+            draw: 1.0,
+            expected_ms: 2_300,
+        },
+        Case {
+            name: "zone cut off, later",
+            is_alone: false,
+            age_ms: 1_500,
+            draw: 0.0,
+            expected_ms: 500,
+        },
+        Case {
+            name: "zone cut off for longer than callers need to move",
             is_alone: false,
             age_ms: 9_000,
             draw: 0.5,
-            wanted_ms: 400,
+            expected_ms: 400,
+        },
+        Case {
+            name: "only this daemon cut off",
+            is_alone: true,
+            age_ms: 0,
+            draw: 1.0,
+            expected_ms: 50,
         },
-        Case { name: "this one alone", is_alone: true, age_ms: 0, draw: 1.0, wanted_ms: 50 },
     ];
     let settings = TurnAwaySettings::default();
     for case in cases {
@@ -40,7 +58,7 @@
         let cut = CutOff { since, is_alone: case.is_alone };
         let now = since + Duration::from_millis(case.age_ms);
         let wait = settings.retry_after(cut, case.draw, now);
-        assert_eq!(wait, Duration::from_millis(case.wanted_ms), "{}", case.name);
+        assert_eq!(wait, Duration::from_millis(case.expected_ms), "{}", case.name);
     }
 }
 
