--- a/crates/daemon/src/known_peers.rs
+++ b/crates/daemon/src/known_peers.rs
@@ -15,7 +15,7 @@
 
 /// The number of this document. It is never shared, since each daemon has its own list.
 pub(crate) const DOCUMENT_NUMBER: u32 = u32::MAX;
-/// How often the list is compared with the saved one. Machines come and go a few times a minute at
+/// Time between comparisons of the list with the saved one. Machines come and go a few times a minute at
 /// most. One that came just before a stop finds the others by its seeds.
 const CHECK_INTERVAL: Duration = Duration::from_secs(2);
 /// How long addresses from before the restart stay in the list although no daemon has answered there:
--- a/crates/daemon/src/ledger_client.rs
+++ b/crates/daemon/src/ledger_client.rs
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Sets the retry delays while this daemon is cut off, and uses the node's clock for them.
+    /// Uses the node's clock, and these retry delays while this daemon is cut off.
     pub fn with_turn_away(self, turn_away: TurnAwaySettings, clock: Clock) -> Self {
         Self { turn_away, clock, ..self }
     }
@@ -109,6 +109,8 @@
         reply
     }
 
+    /// Sends a command if the daemon is connected and the breaker admits it, and waits as long as the
+    /// breaker allows.
     async fn ask_admitted(
         &self,
         group: GroupId,
--- a/crates/daemon/src/machine_list.rs
+++ b/crates/daemon/src/machine_list.rs
@@ -12,7 +12,7 @@
 use crate::core_handle::CoreHandle;
 use crate::logging::part;
 
-/// How often the list is read. The list itself lags, and leaving engines also report it themselves.
+/// Time between reads of the list. The list itself lags, and leaving engines also report it themselves.
 const READ_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Polls the list at `address` while the daemon runs.
--- a/crates/daemon/tests/ledger_client.rs
+++ b/crates/daemon/tests/ledger_client.rs
@@ -115,7 +115,7 @@
     reach: watch::Sender<Reachability>,
 }
 
-/// A client that gives up soon, and holds nobody for a new owner.
+/// Creates a client with a short answer timeout, which holds no callers during an election.
 fn client_with_owner() -> (LedgerClient, Owner) {
     client_with_owner_and(LedgerBreakerSettings {
         answer_timeout_ms: 30,
