--- a/crates/adapters/src/engine/client.rs
+++ b/crates/adapters/src/engine/client.rs
@@ -6,10 +6,11 @@
 
 use super::error::RefusedSnafu;
 use super::{
-    AttemptEnquiry, AttemptState, CacheEvents, CacheEventsRequest, CacheImage, CacheImported,
-    CancelRequest, EngineError, EngineRefusal, EventStream, ExportRequest, FenceRequest, Fenced,
-    FencedOrder, GenerateRequest, HoldRequest, ImportRequest, Inventory, LoadReport, OrderAccepted,
-    ReleaseConfirmed, ReleaseRequest, ReportRequest, ResumeRequest, paths,
+    AttemptState, AttemptStateRequest, CacheEvents, CacheEventsRequest, CacheImage, CancelRequest,
+    EngineError, EngineRefusal, EventStream, ExportRequest, FenceConfirmed, FenceRequest,
+    FencedOrder, GenerateRequest, HoldRequest, ImportConfirmed, ImportRequest, Inventory,
+    LoadReport, OrderAccepted, ReleaseConfirmed, ReleaseRequest, ReportRequest, ResumeRequest,
+    paths,
 };
 use crate::ClientSettings;
 use crate::http::HttpPeer;
@@ -98,14 +99,18 @@
     /// # Errors
     /// [`EngineError`]
     pub async fn attempt(&self, attempt: AttemptId) -> Result<AttemptState, EngineError> {
-        self.post("enquire about attempt", paths::ATTEMPT, &AttemptEnquiry { attempt }).await
+        self.post("enquire about attempt", paths::ATTEMPT, &AttemptStateRequest { attempt }).await
     }
 
     /// Makes the engine refuse older epochs of a program.
     ///
     /// # Errors
     /// [`EngineError`], e.g. when a newer epoch is in force.
-    pub async fn fence(&self, program: ProgramId, epoch: Term) -> Result<Fenced, EngineError> {
+    pub async fn fence(
+        &self,
+        program: ProgramId,
+        epoch: Term,
+    ) -> Result<FenceConfirmed, EngineError> {
         self.post("fence", paths::FENCE, &FenceRequest { program, epoch }).await
     }
 
@@ -113,7 +118,7 @@
     ///
     /// # Errors
     /// [`EngineError`]
-    pub async fn hold(&self, request: &HoldRequest) -> Result<Fenced, EngineError> {
+    pub async fn hold(&self, request: &HoldRequest) -> Result<FenceConfirmed, EngineError> {
         self.post("hold", paths::HOLD, request).await
     }
 
@@ -170,7 +175,7 @@
     ///
     /// # Errors
     /// [`EngineError`]
-    pub async fn import(&self, request: &ImportRequest) -> Result<CacheImported, EngineError> {
+    pub async fn import(&self, request: &ImportRequest) -> Result<ImportConfirmed, EngineError> {
         self.post("import cache", paths::IMPORT, request).await
     }
 
--- a/crates/adapters/src/engine/error.rs
+++ b/crates/adapters/src/engine/error.rs
@@ -29,7 +29,8 @@
     },
     /// A stream carried an event of another attempt. The stream is not read any further.
     #[snafu(display("{step}: {peer} sent an event of {actual} instead of {expected}"))]
-    Crossed {
+    #[serde(rename = "Crossed")]
+    WrongAttempt {
         /// What was being done.
         step: String,
         /// The engine and its address.
@@ -41,7 +42,8 @@
     },
     /// A stream lost or repeated a piece. The stream is not read any further.
     #[snafu(display("{step}: {peer} sent offset {actual} where {expected} comes next"))]
-    OutOfPlace {
+    #[serde(rename = "OutOfPlace")]
+    WrongOffset {
         /// What was being done.
         step: String,
         /// The engine and its address.
@@ -59,7 +61,7 @@
         match self {
             Self::Refused { refusal, .. } => refusal.certainty(),
             Self::Transport { error } => error.certainty(),
-            Self::Crossed { .. } | Self::OutOfPlace { .. } => Certainty::Unknown,
+            Self::WrongAttempt { .. } | Self::WrongOffset { .. } => Certainty::Unknown,
         }
     }
 
--- a/crates/adapters/src/engine/messages.rs
+++ b/crates/adapters/src/engine/messages.rs
@@ -29,7 +29,7 @@
 
 /// Why a generation ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Stop {
+pub enum StopReason {
     /// The model ended its answer.
     End,
     /// `max_generated` was reached.
@@ -65,7 +65,7 @@
         /// Tokens used.
         usage: Usage,
         /// Why it ended.
-        stop: Stop,
+        stop: StopReason,
     },
     /// The attempt left the queue unrun and never starts. Always last.
     NeverStarted,
@@ -113,7 +113,7 @@
 
 /// Asks where an attempt stands, without changing it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct AttemptEnquiry {
+pub struct AttemptStateRequest {
     /// The attempt.
     #[serde(with = "attempt_text")]
     pub attempt: AttemptId,
@@ -138,7 +138,7 @@
         /// Tokens used.
         usage: Usage,
         /// Why it ended.
-        stop: Stop,
+        stop: StopReason,
     },
     /// The engine's record of it has been dropped: it cannot say.
     Forgotten,
@@ -155,7 +155,7 @@
 
 /// The fence is in force.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Fenced {
+pub struct FenceConfirmed {
     /// The engine's life: fences last as long as it.
     pub incarnation: Incarnation,
 }
@@ -267,7 +267,7 @@
 
 /// The prefix is cached here now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CacheImported {
+pub struct ImportConfirmed {
     /// The engine's life.
     pub incarnation: Incarnation,
     /// Tokens cached of it.
--- a/crates/adapters/src/engine/mod.rs
+++ b/crates/adapters/src/engine/mod.rs
@@ -11,10 +11,10 @@
 pub use client::{EngineClient, EngineEndpoint};
 pub use error::EngineError;
 pub use messages::{
-    AfterHold, AttemptEnquiry, AttemptState, CacheImage, CacheImported, CancelRequest,
-    ExportRequest, FenceRequest, Fenced, GenerateEvent, GenerateLine, GenerateRequest, HoldRequest,
-    ImageSegment, ImportRequest, ReleaseConfirmed, ReleaseRequest, ReleaseScope, ResumeRequest,
-    Stop,
+    AfterHold, AttemptState, AttemptStateRequest, CacheImage, CancelRequest, ExportRequest,
+    FenceConfirmed, FenceRequest, GenerateEvent, GenerateLine, GenerateRequest, HoldRequest,
+    ImageSegment, ImportConfirmed, ImportRequest, ReleaseConfirmed, ReleaseRequest, ReleaseScope,
+    ResumeRequest, StopReason,
 };
 pub use orders::{EngineOrder, EngineRole, FencedOrder, OrderAccepted};
 pub use refusal::EngineRefusal;
--- a/crates/adapters/src/engine/stream.rs
+++ b/crates/adapters/src/engine/stream.rs
@@ -6,7 +6,7 @@
 use futures::Stream;
 use tokio::time::timeout;
 
-use super::error::{CrossedSnafu, OutOfPlaceSnafu};
+use super::error::{WrongAttemptSnafu, WrongOffsetSnafu};
 use super::{EngineError, GenerateEvent, GenerateLine};
 use crate::error::TruncatedSnafu;
 use crate::lines::JsonLines;
@@ -75,12 +75,12 @@
         // Answers are matched by attempt and offset alone: the connection proves nothing.
         if line.attempt != self.attempt {
             let (expected, actual) = (self.attempt, line.attempt);
-            return CrossedSnafu { step, peer, expected, actual }.fail();
+            return WrongAttemptSnafu { step, peer, expected, actual }.fail();
         }
         if let GenerateEvent::Token { offset, text } = &line.event {
             if *offset != self.next_offset {
                 let (expected, actual) = (self.next_offset, *offset);
-                return OutOfPlaceSnafu { step, peer, expected, actual }.fail();
+                return WrongOffsetSnafu { step, peer, expected, actual }.fail();
             }
             self.next_offset += text.len() as u64;
         }
--- a/crates/adapters/src/key_value/client.rs
+++ b/crates/adapters/src/key_value/client.rs
@@ -5,9 +5,9 @@
 use serde::de::DeserializeOwned;
 
 use super::{
-    AttachRequest, CompareAndSwapRequest, DeleteRequest, Done, GetAnswer, GetRequest,
+    AttachRequest, CompareAndSwapRequest, DeleteRequest, EmptyAnswer, GetAnswer, GetRequest,
     KeyValueError, KeyValueRefusal, LeaseAnswer, LeaseGrantRequest, LeaseId, LeaseRequest,
-    ListAnswer, ListRequest, Revision, SwapAnswer, Version, Versioned, WatchRequest, WatchStream,
+    ListAnswer, ListRequest, Revision, StoredValue, SwapAnswer, Version, WatchRequest, WatchStream,
     paths,
 };
 use crate::ClientSettings;
@@ -29,7 +29,7 @@
     ///
     /// # Errors
     /// [`KeyValueError`]
-    pub async fn get(&self, key: &str) -> Result<Option<Versioned>, KeyValueError> {
+    pub async fn get(&self, key: &str) -> Result<Option<StoredValue>, KeyValueError> {
         let request = GetRequest { key: key.to_owned() };
         let answer: GetAnswer = self.post("get", paths::GET, &request).await?;
         Ok(answer.found)
@@ -77,7 +77,7 @@
     /// [`KeyValueError`]; after `Unknown` the change may have taken effect.
     pub async fn delete(&self, key: &str, expected: Version) -> Result<(), KeyValueError> {
         let request = DeleteRequest { key: key.to_owned(), expected };
-        let _: Done = self.post("delete", paths::DELETE, &request).await?;
+        let _: EmptyAnswer = self.post("delete", paths::DELETE, &request).await?;
         Ok(())
     }
 
@@ -122,7 +122,7 @@
     /// [`KeyValueError`]
     pub async fn revoke_lease(&self, lease: LeaseId) -> Result<(), KeyValueError> {
         let request = LeaseRequest { lease };
-        let _: Done = self.post("revoke lease", paths::LEASE_REVOKE, &request).await?;
+        let _: EmptyAnswer = self.post("revoke lease", paths::LEASE_REVOKE, &request).await?;
         Ok(())
     }
 
--- a/crates/adapters/src/key_value/messages.rs
+++ b/crates/adapters/src/key_value/messages.rs
@@ -39,7 +39,7 @@
 
 /// A value with the version that names it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Versioned {
+pub struct StoredValue {
     /// The value's version.
     pub version: Version,
     /// The bytes.
@@ -55,7 +55,7 @@
     /// The key.
     pub key: String,
     /// The value.
-    pub versioned: Versioned,
+    pub versioned: StoredValue,
 }
 
 /// Reads one key.
@@ -71,7 +71,7 @@
     /// The service's revision of the state that was read.
     pub revision: Revision,
     /// None when the key does not exist.
-    pub found: Option<Versioned>,
+    pub found: Option<StoredValue>,
 }
 
 /// Reads all keys with a prefix.
@@ -122,7 +122,7 @@
 
 /// Done; there is nothing to tell.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct Done {}
+pub struct EmptyAnswer {}
 
 /// Follows the changes of keys with a prefix.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/adapters/src/key_value/mod.rs
+++ b/crates/adapters/src/key_value/mod.rs
@@ -9,9 +9,9 @@
 pub use client::KeyValueClient;
 pub use error::KeyValueError;
 pub use messages::{
-    AttachRequest, CompareAndSwapRequest, DeleteRequest, Done, GetAnswer, GetRequest, KeyValue,
-    LeaseAnswer, LeaseGrantRequest, LeaseId, LeaseRequest, ListAnswer, ListRequest, Revision,
-    SwapAnswer, Version, Versioned, WatchEvent, WatchRequest,
+    AttachRequest, CompareAndSwapRequest, DeleteRequest, EmptyAnswer, GetAnswer, GetRequest,
+    KeyValue, LeaseAnswer, LeaseGrantRequest, LeaseId, LeaseRequest, ListAnswer, ListRequest,
+    Revision, StoredValue, SwapAnswer, Version, WatchEvent, WatchRequest,
 };
 pub use refusal::KeyValueRefusal;
 pub use watch::WatchStream;
--- a/crates/adapters/src/tool.rs
+++ b/crates/adapters/src/tool.rs
@@ -61,7 +61,7 @@
 
 /// Asks where an attempt stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToolEnquiry {
+pub struct ToolStateRequest {
     /// The attempt.
     #[serde(with = "attempt_text")]
     pub attempt: AttemptId,
@@ -69,7 +69,7 @@
 
 /// Keeps an attempt from starting if it has not; one that runs is not undone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToolCancel {
+pub struct ToolCancelRequest {
     /// The attempt.
     #[serde(with = "attempt_text")]
     pub attempt: AttemptId,
@@ -79,7 +79,7 @@
 
 /// Where an attempt stands at its tool service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum ToolState {
+pub enum ToolAttemptState {
     /// Not seen. It may still arrive: only a cancel makes this final.
     Unseen,
     /// It did not start and never will.
@@ -183,9 +183,9 @@
     ///
     /// # Errors
     /// [`ToolError`]
-    pub async fn attempt(&self, attempt: AttemptId) -> Result<ToolState, ToolError> {
+    pub async fn attempt(&self, attempt: AttemptId) -> Result<ToolAttemptState, ToolError> {
         let step = "enquire about attempt";
-        let answer = self.peer.post(step, paths::ATTEMPT, &ToolEnquiry { attempt }).await?;
+        let answer = self.peer.post(step, paths::ATTEMPT, &ToolStateRequest { attempt }).await?;
         answer.map_err(|refusal| self.refused(step, refusal))
     }
 
@@ -193,9 +193,14 @@
     ///
     /// # Errors
     /// [`ToolError`]
-    pub async fn cancel(&self, attempt: AttemptId, epoch: Term) -> Result<ToolState, ToolError> {
+    pub async fn cancel(
+        &self,
+        attempt: AttemptId,
+        epoch: Term,
+    ) -> Result<ToolAttemptState, ToolError> {
         let step = "cancel";
-        let answer = self.peer.post(step, paths::CANCEL, &ToolCancel { attempt, epoch }).await?;
+        let answer =
+            self.peer.post(step, paths::CANCEL, &ToolCancelRequest { attempt, epoch }).await?;
         answer.map_err(|refusal| self.refused(step, refusal))
     }
 
--- a/crates/adapters/tests/bad_peers.rs
+++ b/crates/adapters/tests/bad_peers.rs
@@ -4,7 +4,7 @@
 
 use std::net::SocketAddr;
 
-use dahlia_adapters::engine::{GenerateEvent, GenerateLine, GenerateRequest, Stop};
+use dahlia_adapters::engine::{GenerateEvent, GenerateLine, GenerateRequest, StopReason};
 use dahlia_adapters::{
     Certainty, ClientSettings, EngineClient, EngineEndpoint, EngineError, KeyValueClient,
     KeyValueError, TransportError,
@@ -51,7 +51,7 @@
 }
 
 fn finished() -> String {
-    line(GenerateEvent::Finished { usage: Usage::default(), stop: Stop::End })
+    line(GenerateEvent::Finished { usage: Usage::default(), stop: StopReason::End })
 }
 
 /// Reads a stream to its end; gives the number of events before the error, if there is one.
@@ -93,7 +93,7 @@
     let usage = Usage::default();
     let expected = [
         Ok(GenerateEvent::Token { offset: 0, text: "ab".to_owned() }),
-        Ok(GenerateEvent::Finished { usage, stop: Stop::End }),
+        Ok(GenerateEvent::Finished { usage, stop: StopReason::End }),
     ];
     assert_eq!(events, expected);
 }
--- a/crates/adapters/tests/wire.rs
+++ b/crates/adapters/tests/wire.rs
@@ -3,7 +3,7 @@
 use dahlia_adapters::ClientSettings;
 use dahlia_adapters::engine::{
     AttemptState, EngineOrder, EngineRefusal, FencedOrder, GenerateEvent, GenerateLine,
-    GenerateRequest, ReleaseRequest, ReleaseScope, Stop,
+    GenerateRequest, ReleaseRequest, ReleaseScope, StopReason,
 };
 use dahlia_adapters::key_value::{CompareAndSwapRequest, KeyValueRefusal, LeaseId, Version};
 use dahlia_types::{
@@ -42,7 +42,7 @@
         GenerateEvent::Started { cached: Tokens(0) },
         GenerateEvent::Alive,
         GenerateEvent::Token { offset: 0, text: "A ".to_owned() },
-        GenerateEvent::Finished { usage, stop: Stop::End },
+        GenerateEvent::Finished { usage, stop: StopReason::End },
         GenerateEvent::NeverStarted,
     ];
     let lines: Vec<String> =
--- a/crates/api/src/chat.rs
+++ b/crates/api/src/chat.rs
@@ -172,7 +172,7 @@
 
 /// The names and time that every part of one answer repeats.
 #[derive(Debug, Clone)]
-pub struct AnswerFrame {
+pub struct AnswerMetadata {
     /// The call's identifier.
     pub id: String,
     /// The model.
@@ -181,7 +181,7 @@
     pub created: u64,
 }
 
-impl AnswerFrame {
+impl AnswerMetadata {
     /// The whole answer.
     pub fn completion(&self, answer: &Message, usage: Usage) -> ChatCompletion {
         let message =
@@ -197,13 +197,13 @@
     }
 
     /// An event with a piece of text; the first one of an answer names the role.
-    pub fn piece(&self, text: &str, first: bool) -> ChatChunk {
+    pub fn text_chunk(&self, text: &str, first: bool) -> ChatChunk {
         let role = first.then(|| "assistant".to_owned());
         self.chunk(Delta { role, content: Some(text.to_owned()) }, None)
     }
 
     /// The event that ends the answer.
-    pub fn end(&self, usage: Usage) -> ChatChunk {
+    pub fn final_chunk(&self, usage: Usage) -> ChatChunk {
         let mut chunk = self.chunk(Delta::default(), Some("stop".to_owned()));
         chunk.usage = Some(usage.into());
         chunk
--- a/crates/daemon/src/attempt.rs
+++ b/crates/daemon/src/attempt.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use dahlia_adapters::engine::{
-    AttemptState, EngineRefusal, EventStream, GenerateEvent, GenerateRequest, Stop,
+    AttemptState, EngineRefusal, EventStream, GenerateEvent, GenerateRequest, StopReason,
 };
 use dahlia_adapters::{Certainty, EngineClient, EngineError};
 use dahlia_node::request::{AttemptEnd, NotRunCause};
@@ -147,12 +147,12 @@
         self.board.append(self.id(), text);
     }
 
-    fn ended(&mut self, usage: Usage, stop: Stop) -> AttemptEnd {
+    fn ended(&mut self, usage: Usage, stop: StopReason) -> AttemptEnd {
         match stop {
-            Stop::End | Stop::Length => {
+            StopReason::End | StopReason::Length => {
                 AttemptEnd::Ran { text: std::mem::take(&mut self.text), usage }
             }
-            Stop::Cancelled => AttemptEnd::Cut { usage },
+            StopReason::Cancelled => AttemptEnd::Cut { usage },
         }
     }
 
@@ -215,7 +215,7 @@
             AttemptState::NeverStarted => {
                 Found::End(not_run("the engine confirmed that it never started"))
             }
-            AttemptState::Finished { usage, stop: Stop::Cancelled } => {
+            AttemptState::Finished { usage, stop: StopReason::Cancelled } => {
                 Found::End(AttemptEnd::Cut { usage })
             }
             AttemptState::Forgotten => {
--- a/crates/daemon/src/configuration_key.rs
+++ b/crates/daemon/src/configuration_key.rs
@@ -1,6 +1,6 @@
 //! The node's steps with the configuration's key in the key-value service.
 
-use dahlia_adapters::key_value::{Version, Versioned, WatchEvent};
+use dahlia_adapters::key_value::{StoredValue, Version, WatchEvent};
 use dahlia_adapters::{Certainty, KeyValueClient, KeyValueError};
 use dahlia_configuration::{CONFIGURATION_KEY, ServiceUnavailable, SwapFailure, VersionedValue};
 use dahlia_node::{Event, KeyValueEvent, KeyValueOperation};
@@ -32,7 +32,7 @@
             }),
             KeyValueOperation::ReadForChange(step) => self.answer(async move {
                 let found = read(client).await;
-                let record = |found: Versioned| VersionedValue {
+                let record = |found: StoredValue| VersionedValue {
                     version: found.version.0,
                     bytes: found.value,
                 };
@@ -74,7 +74,7 @@
     }
 }
 
-async fn read(client: Option<KeyValueClient>) -> Result<Option<Versioned>, ServiceUnavailable> {
+async fn read(client: Option<KeyValueClient>) -> Result<Option<StoredValue>, ServiceUnavailable> {
     let client = client.ok_or(ServiceUnavailable)?;
     client.get(CONFIGURATION_KEY).await.map_err(|error| {
         log::debug!(target: part::CONFIGURATION, "Reading the configuration: {error}.");
--- a/crates/daemon/src/gateway/render.rs
+++ b/crates/daemon/src/gateway/render.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use dahlia_api::chat::AnswerFrame;
+use dahlia_api::chat::AnswerMetadata;
 use dahlia_api::{ApiError, headers};
 use dahlia_types::{CallId, Message, Role};
 use futures::stream;
@@ -26,9 +26,9 @@
 }
 
 /// The names that every part of an answer repeats.
-pub(super) fn frame(call: CallId, model: &str) -> AnswerFrame {
+pub(super) fn frame(call: CallId, model: &str) -> AnswerMetadata {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    AnswerFrame { id: call.to_string(), model: model.to_owned(), created: since.as_secs() }
+    AnswerMetadata { id: call.to_string(), model: model.to_owned(), created: since.as_secs() }
 }
 
 /// Names the call and the serving daemon in the headers.
@@ -60,7 +60,7 @@
 pub(super) async fn whole(
     gateway: &Gateway,
     response: &mut Response,
-    frame: AnswerFrame,
+    frame: AnswerMetadata,
     first: Option<AnswerEvent>,
     mut follower: Follower,
 ) {
@@ -88,7 +88,7 @@
 pub(super) fn stream(
     gateway: &Arc<Gateway>,
     response: &mut Response,
-    frame: AnswerFrame,
+    frame: AnswerMetadata,
     first: Option<AnswerEvent>,
     follower: Follower,
     permit: OwnedSemaphorePermit,
@@ -112,7 +112,7 @@
 
 struct StreamState {
     gateway: Arc<Gateway>,
-    frame: AnswerFrame,
+    frame: AnswerMetadata,
     follower: Follower,
     first: Option<AnswerEvent>,
     sent: u64,
@@ -125,14 +125,14 @@
     fn event(&mut self, followed: AnswerEvent) -> String {
         match followed {
             AnswerEvent::Text { attempt, offset, text } => {
-                let chunk = self.frame.piece(&text, self.sent == 0);
+                let chunk = self.frame.text_chunk(&text, self.sent == 0);
                 self.sent += 1;
                 let end = offset + text.len() as u64;
                 let call = self.frame.id.split_once('/').map_or("", |(_, rest)| rest);
                 format!("id: {call}/{attempt}/{end}\n{}", data(&chunk))
             }
             AnswerEvent::End { usage } => {
-                format!("{}data: [DONE]\n\n", data(&self.frame.end(usage)))
+                format!("{}data: [DONE]\n\n", data(&self.frame.final_chunk(usage)))
             }
             AnswerEvent::Failed(failure) => {
                 self.gateway.metrics.count_error(failure.kind);
--- a/crates/replay/src/world/attempt.rs
+++ b/crates/replay/src/world/attempt.rs
@@ -3,7 +3,7 @@
 //!
 //! Mirrors `dahlia-daemon`'s `attempt` module, whose task waits where this state machine returns.
 
-use dahlia_adapters::engine::{AttemptState, Stop};
+use dahlia_adapters::engine::{AttemptState, StopReason};
 use dahlia_node::request::{AttemptEnd, NotRunCause};
 use dahlia_node::{Event as NodeEvent, StartAttempt};
 use dahlia_types::{AttemptId, DaemonId, Duration, Timestamp, Usage};
@@ -252,7 +252,7 @@
             AttemptState::NeverStarted => {
                 self.end_attempt(id, name, not_run("the engine confirmed that it never started"));
             }
-            AttemptState::Finished { usage, stop: Stop::Cancelled } => {
+            AttemptState::Finished { usage, stop: StopReason::Cancelled } => {
                 self.end_attempt(id, name, AttemptEnd::Cut { usage: *usage });
             }
             AttemptState::Forgotten => {
@@ -345,13 +345,13 @@
         }
     }
 
-    fn finished(&mut self, id: DaemonId, name: u64, usage: Usage, stop: Stop) {
+    fn finished(&mut self, id: DaemonId, name: u64, usage: Usage, stop: StopReason) {
         let Some(task) = self.task(id, name) else { return };
         let end = match stop {
-            Stop::End | Stop::Length => {
+            StopReason::End | StopReason::Length => {
                 AttemptEnd::Ran { text: std::mem::take(&mut task.text), usage }
             }
-            Stop::Cancelled => AttemptEnd::Cut { usage },
+            StopReason::Cancelled => AttemptEnd::Cut { usage },
         };
         self.end_attempt(id, name, end);
     }
--- a/crates/replay/src/world/engine_requests.rs
+++ b/crates/replay/src/world/engine_requests.rs
@@ -1,6 +1,6 @@
 //! What engines do about requests, and what they answer.
 
-use dahlia_adapters::engine::{AttemptState, Stop};
+use dahlia_adapters::engine::{AttemptState, StopReason};
 use dahlia_engine_model::{
     AfterHold, Cancel, EngineCommand, EngineRefusal, EngineReply, Fence, Hold, Priority, Release,
     Submit,
@@ -136,7 +136,7 @@
             answer: AnswerText::new(start.attempt.id.call, &salted),
             prompt: start.messages.iter().map(|message| count_message(message).0).sum(),
             generate,
-            stop: if endless { Stop::Length } else { Stop::End },
+            stop: if endless { StopReason::Length } else { StopReason::End },
             stalls: asked.hang,
             progress: Progress::Queued,
         }
--- a/crates/replay/src/world/streams.rs
+++ b/crates/replay/src/world/streams.rs
@@ -1,6 +1,6 @@
 //! What an engine remembers and tells of attempts.
 
-use dahlia_adapters::engine::{AttemptState, Stop};
+use dahlia_adapters::engine::{AttemptState, StopReason};
 use dahlia_engine_model::{AttemptStatus, EngineEvent, Segment};
 use dahlia_standins::engine::{AnswerText, answer_length, count_message};
 use dahlia_types::{AttemptId, Message, Role, Tokens, Usage};
@@ -23,7 +23,7 @@
     Started,
     NeverStarted,
     Text { attempt: AttemptId, offset: u64, text: String },
-    Finished { usage: Usage, stop: Stop },
+    Finished { usage: Usage, stop: StopReason },
     Broken,
 }
 
@@ -32,7 +32,7 @@
 pub(crate) enum Progress {
     Queued,
     Running { cached: Tokens, generated: Tokens },
-    Ended { usage: Usage, stop: Stop },
+    Ended { usage: Usage, stop: StopReason },
     NeverStarted,
 }
 
@@ -45,7 +45,7 @@
     /// Tokens that it will generate.
     pub(crate) generate: Tokens,
     /// Why it will end if nobody cuts it.
-    pub(crate) stop: Stop,
+    pub(crate) stop: StopReason,
     /// It goes silent and never ends by itself.
     pub(crate) stalls: bool,
     pub(crate) progress: Progress,
@@ -58,7 +58,7 @@
             answer: AnswerText::new(attempt.call, &[]),
             prompt: 0,
             generate: Tokens::ZERO,
-            stop: Stop::Cancelled,
+            stop: StopReason::Cancelled,
             stalls: false,
             progress: Progress::NeverStarted,
         }
@@ -184,7 +184,7 @@
         self.tell_readers(number, attempt);
     }
 
-    fn end_record(&mut self, number: u32, attempt: AttemptId, mut usage: Usage, stop: Stop) {
+    fn end_record(&mut self, number: u32, attempt: AttemptId, mut usage: Usage, stop: StopReason) {
         let now = self.now;
         let Some(engine) = self.engines.get_mut(&number) else { return };
         let Some(record) = engine.records.get_mut(&attempt) else { return };
@@ -195,7 +195,7 @@
             usage.generated = usage.generated.min(Tokens(TOKENS_BEFORE_HANG));
         }
         record.progress = Progress::Ended { usage, stop };
-        let whole = matches!(stop, Stop::End | Stop::Length);
+        let whole = matches!(stop, StopReason::End | StopReason::Length);
         let text = whole.then(|| record.answer.piece(0, record.length()));
         self.seen.note(now, Observation::Ended { engine: number, attempt, usage, text });
         self.tell_readers(number, attempt);
@@ -213,7 +213,7 @@
                 self.tell_readers(number, attempt);
             }
             AttemptStatus::Cut(usage) | AttemptStatus::Finished(usage) => {
-                self.end_record(number, attempt, usage, Stop::Cancelled);
+                self.end_record(number, attempt, usage, StopReason::Cancelled);
             }
             AttemptStatus::Unknown | AttemptStatus::Waiting | AttemptStatus::Running { .. } => {}
         }
--- a/crates/standins/src/engine/core/events.rs
+++ b/crates/standins/src/engine/core/events.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use dahlia_adapters::engine::Stop;
+use dahlia_adapters::engine::StopReason;
 use dahlia_engine_model::{AttemptStatus, EngineEvent};
 use dahlia_types::{AttemptId, ProgramId, Tokens, Usage};
 
@@ -21,9 +21,9 @@
                 self.witness.note(EngineObservation::NeverStarted { attempt });
                 return;
             }
-            AttemptStatus::Cut(usage) => (usage, Stop::Cancelled),
+            AttemptStatus::Cut(usage) => (usage, StopReason::Cancelled),
             // Only a stalled attempt has ended in the model without having ended here.
-            AttemptStatus::Finished(usage) => (usage, Stop::Cancelled),
+            AttemptStatus::Finished(usage) => (usage, StopReason::Cancelled),
             AttemptStatus::Unknown | AttemptStatus::Waiting | AttemptStatus::Running { .. } => {
                 return;
             }
@@ -31,7 +31,7 @@
         self.end(attempt, usage, stop);
     }
 
-    fn end(&self, attempt: AttemptId, mut usage: Usage, stop: Stop) {
+    fn end(&self, attempt: AttemptId, mut usage: Usage, stop: StopReason) {
         let Some(record) = self.records.get(attempt) else { return };
         if record.progress().is_final() {
             return;
--- a/crates/standins/src/engine/core/intake.rs
+++ b/crates/standins/src/engine/core/intake.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use dahlia_adapters::engine::{AttemptState, EngineRefusal, GenerateRequest, Stop};
+use dahlia_adapters::engine::{AttemptState, EngineRefusal, GenerateRequest, StopReason};
 use dahlia_engine_model as model;
 use dahlia_engine_model::EngineCommand;
 use dahlia_types::{AttemptId, Role, Timestamp, Tokens};
@@ -82,7 +82,7 @@
         };
         self.command(EngineCommand::Submit(submit), now)?;
         self.accepted += 1;
-        let stop = if endless { Stop::Length } else { Stop::End };
+        let stop = if endless { StopReason::Length } else { StopReason::End };
         let stalls = asked.hang.then_some(TOKENS_BEFORE_HANG);
         let record = Record::new(Arc::clone(&answer), stop, stalls);
         let subscription = self.subscription(attempt, &record);
--- a/crates/standins/src/engine/handlers.rs
+++ b/crates/standins/src/engine/handlers.rs
@@ -3,9 +3,10 @@
 use std::sync::Arc;
 
 use dahlia_adapters::engine::{
-    AttemptEnquiry, CacheEvents, CacheEventsRequest, CacheImported, CancelRequest, EngineRefusal,
-    ExportRequest, FenceRequest, Fenced, FencedOrder, GenerateRequest, HoldRequest, ImportRequest,
-    OrderAccepted, ReleaseRequest, ReportRequest, ResumeRequest, paths,
+    AttemptStateRequest, CacheEvents, CacheEventsRequest, CancelRequest, EngineRefusal,
+    ExportRequest, FenceConfirmed, FenceRequest, FencedOrder, GenerateRequest, HoldRequest,
+    ImportConfirmed, ImportRequest, OrderAccepted, ReleaseRequest, ReportRequest, ResumeRequest,
+    paths,
 };
 use dahlia_types::Tokens;
 use salvo::Router;
@@ -124,7 +125,7 @@
     answer(&service, state).await
 }
 
-async fn attempt(service: Arc<Service>, request: AttemptEnquiry) -> Reply {
+async fn attempt(service: Arc<Service>, request: AttemptStateRequest) -> Reply {
     service.thawed().await;
     let state = service.with(|core, _| core.records.state(request.attempt));
     answer::<_, EngineRefusal>(&service, Ok(state)).await
@@ -133,7 +134,7 @@
 async fn fence(service: Arc<Service>, request: FenceRequest) -> Reply {
     service.thawed().await;
     let fenced = service.with(|core, now| {
-        core.fence(request, now).map(|()| Fenced { incarnation: core.model.incarnation() })
+        core.fence(request, now).map(|()| FenceConfirmed { incarnation: core.model.incarnation() })
     });
     answer(&service, fenced).await
 }
@@ -143,7 +144,7 @@
     let length = service.clock.to_model(request.length);
     let held = service.with(|core, now| {
         let held = core.hold(request, length, now);
-        held.map(|()| Fenced { incarnation: core.model.incarnation() })
+        held.map(|()| FenceConfirmed { incarnation: core.model.incarnation() })
     });
     answer(&service, held).await
 }
@@ -219,7 +220,7 @@
     };
     // The sender is dropped only when the engine's life ends.
     let Ok(tokens) = complete.await else { return Reply::Lost };
-    answer::<_, EngineRefusal>(&service, Ok(CacheImported { incarnation, tokens })).await
+    answer::<_, EngineRefusal>(&service, Ok(ImportConfirmed { incarnation, tokens })).await
 }
 
 async fn set_faults(service: Arc<Service>, faults: EngineFaults) -> Reply {
--- a/crates/standins/src/engine/observation.rs
+++ b/crates/standins/src/engine/observation.rs
@@ -1,7 +1,7 @@
 //! What an engine saw: the outside evidence on what ran.
 
 use dahlia_adapters::attempt_text;
-use dahlia_adapters::engine::{EngineOrder, ReleaseScope, Stop};
+use dahlia_adapters::engine::{EngineOrder, ReleaseScope, StopReason};
 use dahlia_types::{
     AttemptId, Bytes, Generation, Incarnation, ModelId, ProgramId, TenantId, Term, Tokens, Usage,
 };
@@ -57,7 +57,7 @@
         /// What it used.
         usage: Usage,
         /// Why it ended.
-        stop: Stop,
+        stop: StopReason,
     },
     /// An attempt left unrun and never starts.
     NeverStarted {
--- a/crates/standins/src/engine/openai.rs
+++ b/crates/standins/src/engine/openai.rs
@@ -4,7 +4,7 @@
 use std::io;
 use std::sync::Arc;
 
-use dahlia_adapters::engine::{EngineRefusal, GenerateEvent, GenerateRequest, Stop};
+use dahlia_adapters::engine::{EngineRefusal, GenerateEvent, GenerateRequest, StopReason};
 use dahlia_types::{
     Attempt, AttemptId, CallId, ChainId, GroupId, Message, ModelId, ProgramId, TenantId, Term,
     Tokens, Usage,
@@ -138,7 +138,7 @@
     Reply::Lost
 }
 
-fn completion(id: &str, model: &ModelId, answer: &str, usage: Usage, stop: Stop) -> Value {
+fn completion(id: &str, model: &ModelId, answer: &str, usage: Usage, stop: StopReason) -> Value {
     json!({
         "id": id,
         "object": "chat.completion",
@@ -182,7 +182,7 @@
     id: &str,
     model: &ModelId,
     delta: Value,
-    stop: Option<Stop>,
+    stop: Option<StopReason>,
     usage: Option<Usage>,
 ) -> String {
     let chunk = json!({
@@ -205,10 +205,10 @@
     })
 }
 
-fn finish_reason(stop: Stop) -> &'static str {
+fn finish_reason(stop: StopReason) -> &'static str {
     match stop {
-        Stop::End => "stop",
-        Stop::Length | Stop::Cancelled => "length",
+        StopReason::End => "stop",
+        StopReason::Length | StopReason::Cancelled => "length",
     }
 }
 
--- a/crates/standins/src/engine/records.rs
+++ b/crates/standins/src/engine/records.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-use dahlia_adapters::engine::{AttemptState, Stop};
+use dahlia_adapters::engine::{AttemptState, StopReason};
 use dahlia_types::{AttemptId, CallId, ChainId, ProgramId, Tokens, Usage};
 use tokio::sync::watch;
 
@@ -17,7 +17,7 @@
 pub(super) enum Progress {
     Queued,
     Running { cached: Tokens, generated: Tokens },
-    Ended { usage: Usage, stop: Stop },
+    Ended { usage: Usage, stop: StopReason },
     NeverStarted,
 }
 
@@ -42,14 +42,18 @@
 pub(super) struct Record {
     pub(super) answer: Arc<AnswerText>,
     /// Why it will end if nobody cuts it.
-    pub(super) natural_stop: Stop,
+    pub(super) natural_stop: StopReason,
     /// It goes silent after this many tokens and never ends by itself.
     pub(super) stalls_after: Option<Tokens>,
     progress: watch::Sender<Progress>,
 }
 
 impl Record {
-    pub(super) fn new(answer: Arc<AnswerText>, natural_stop: Stop, stalls: Option<Tokens>) -> Self {
+    pub(super) fn new(
+        answer: Arc<AnswerText>,
+        natural_stop: StopReason,
+        stalls: Option<Tokens>,
+    ) -> Self {
         let progress = watch::Sender::new(Progress::Queued);
         Self { answer, natural_stop, stalls_after: stalls, progress }
     }
@@ -57,7 +61,7 @@
     /// The record of an attempt that was cancelled before it arrived.
     fn tombstone(attempt: AttemptId) -> Self {
         let answer = Arc::new(AnswerText::new(attempt.call, &[]));
-        let record = Self::new(answer, Stop::Cancelled, None);
+        let record = Self::new(answer, StopReason::Cancelled, None);
         record.set(Progress::NeverStarted);
         record
     }
--- a/crates/standins/src/key_value/handlers.rs
+++ b/crates/standins/src/key_value/handlers.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use dahlia_adapters::key_value::{
-    AttachRequest, CompareAndSwapRequest, DeleteRequest, Done, GetAnswer, GetRequest,
+    AttachRequest, CompareAndSwapRequest, DeleteRequest, EmptyAnswer, GetAnswer, GetRequest,
     KeyValueRefusal, LeaseAnswer, LeaseGrantRequest, LeaseRequest, ListRequest, SwapAnswer,
     Version, WatchRequest, paths,
 };
@@ -95,7 +95,7 @@
     let note = |service: &Service, (): &(), _| {
         service.witness.note(KeyValueObservation::Deleted { key: key.clone() });
     };
-    serve_change(service, change, note, |()| Done {}).await
+    serve_change(service, change, note, |()| EmptyAnswer {}).await
 }
 
 async fn watch(service: Arc<Service>, request: WatchRequest) -> Reply {
@@ -126,7 +126,7 @@
 
 async fn revoke(service: Arc<Service>, request: LeaseRequest) -> Reply {
     let change = |service: &Service| service.change(|store, _| store.revoke(request.lease));
-    serve_change(service, change, |_, _, _| (), |()| Done {}).await
+    serve_change(service, change, |_, _, _| (), |()| EmptyAnswer {}).await
 }
 
 async fn attach(service: Arc<Service>, request: AttachRequest) -> Reply {
--- a/crates/standins/src/key_value/store.rs
+++ b/crates/standins/src/key_value/store.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use dahlia_adapters::key_value::{
-    KeyValue, KeyValueRefusal, LeaseId, ListAnswer, Revision, Version, Versioned, WatchEvent,
+    KeyValue, KeyValueRefusal, LeaseId, ListAnswer, Revision, StoredValue, Version, WatchEvent,
 };
 use dahlia_types::{Duration, Timestamp};
 
@@ -11,7 +11,7 @@
 #[derive(Debug, Clone, Default)]
 pub(super) struct Snapshot {
     revision: u64,
-    keys: BTreeMap<String, Versioned>,
+    keys: BTreeMap<String, StoredValue>,
 }
 
 impl Snapshot {
@@ -21,7 +21,7 @@
     }
 
     /// One key.
-    pub(super) fn get(&self, key: &str) -> Option<Versioned> {
+    pub(super) fn get(&self, key: &str) -> Option<StoredValue> {
         self.keys.get(key).cloned()
     }
 
@@ -176,7 +176,7 @@
         self.detach(key);
         self.current.revision += 1;
         let version = Version(self.current.revision);
-        let versioned = Versioned { version, value, lease };
+        let versioned = StoredValue { version, value, lease };
         self.current.keys.insert(key.to_owned(), versioned.clone());
         if let Some(held) = lease.and_then(|lease| self.leases.get_mut(&lease)) {
             held.keys.insert(key.to_owned());
--- a/crates/standins/src/tool/handlers.rs
+++ b/crates/standins/src/tool/handlers.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use dahlia_adapters::tool::{
-    InvokeEvent, InvokeLine, InvokeRequest, ToolCancel, ToolEnquiry, ToolRefusal, paths,
+    InvokeEvent, InvokeLine, InvokeRequest, ToolCancelRequest, ToolRefusal, ToolStateRequest, paths,
 };
 use dahlia_types::AttemptId;
 use futures::StreamExt;
@@ -57,11 +57,11 @@
     }
 }
 
-async fn attempt(service: Arc<Service>, request: ToolEnquiry) -> Reply {
+async fn attempt(service: Arc<Service>, request: ToolStateRequest) -> Reply {
     Reply::json(&service.state(request.attempt))
 }
 
-async fn cancel(service: Arc<Service>, request: ToolCancel) -> Reply {
+async fn cancel(service: Arc<Service>, request: ToolCancelRequest) -> Reply {
     Reply::from_result(service.cancel(request))
 }
 
--- a/crates/standins/src/tool/service.rs
+++ b/crates/standins/src/tool/service.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use dahlia_adapters::attempt_text;
-use dahlia_adapters::tool::{InvokeRequest, ToolCancel, ToolRefusal, ToolState};
+use dahlia_adapters::tool::{InvokeRequest, ToolAttemptState, ToolCancelRequest, ToolRefusal};
 use dahlia_types::{AttemptId, ProgramId, TenantId, Term};
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
@@ -85,7 +85,7 @@
 
 #[derive(Debug, Default)]
 struct State {
-    attempts: BTreeMap<AttemptId, ToolState>,
+    attempts: BTreeMap<AttemptId, ToolAttemptState>,
     epochs: BTreeMap<ProgramId, Term>,
     running: u64,
 }
@@ -138,24 +138,27 @@
     }
 
     /// Where an attempt stands.
-    pub(super) fn state(&self, attempt: AttemptId) -> ToolState {
+    pub(super) fn state(&self, attempt: AttemptId) -> ToolAttemptState {
         if !self.settings.keeps_records {
-            return ToolState::CannotTell;
+            return ToolAttemptState::CannotTell;
         }
-        lock(&self.state).attempts.get(&attempt).cloned().unwrap_or(ToolState::Unseen)
+        lock(&self.state).attempts.get(&attempt).cloned().unwrap_or(ToolAttemptState::Unseen)
     }
 
     /// Keeps an attempt from starting.
-    pub(super) fn cancel(&self, request: ToolCancel) -> Result<ToolState, ToolRefusal> {
-        let ToolCancel { attempt, epoch } = request;
+    pub(super) fn cancel(
+        &self,
+        request: ToolCancelRequest,
+    ) -> Result<ToolAttemptState, ToolRefusal> {
+        let ToolCancelRequest { attempt, epoch } = request;
         let mut state = lock(&self.state);
         observe(&mut state, attempt.call.program, epoch)?;
         if !self.settings.keeps_records {
-            return Ok(ToolState::CannotTell);
+            return Ok(ToolAttemptState::CannotTell);
         }
         let known = state.attempts.entry(attempt).or_insert_with(|| {
             self.witness.note(ToolObservation::NeverStarted { attempt });
-            ToolState::NeverStarted
+            ToolAttemptState::NeverStarted
         });
         Ok(known.clone())
     }
@@ -171,14 +174,16 @@
         observe(&mut state, attempt.call.program, request.attempt.epoch)?;
         match state.attempts.get(&attempt) {
             None => {}
-            Some(ToolState::NeverStarted) => return Err(ToolRefusal::NeverStarts { attempt }),
+            Some(ToolAttemptState::NeverStarted) => {
+                return Err(ToolRefusal::NeverStarts { attempt });
+            }
             Some(_) => return Err(ToolRefusal::AttemptExists { attempt }),
         }
         if overloaded || state.running >= self.settings.max_running {
             return Err(ToolRefusal::Overloaded { retry_after: RETRY_AFTER });
         }
         state.running += 1;
-        state.attempts.insert(attempt, ToolState::Running);
+        state.attempts.insert(attempt, ToolAttemptState::Running);
         self.witness.note(ToolObservation::Started {
             attempt,
             epoch: request.attempt.epoch,
@@ -210,7 +215,7 @@
         });
         let mut state = lock(&self.state);
         state.running -= 1;
-        state.attempts.insert(attempt, ToolState::Ran { body: body.clone() });
+        state.attempts.insert(attempt, ToolAttemptState::Ran { body: body.clone() });
         self.witness.note(ToolObservation::Ended { attempt, reply_lost });
         if reply_lost { Outcome::Lost } else { Outcome::Result(body) }
     }
--- a/crates/standins/tests/engine.rs
+++ b/crates/standins/tests/engine.rs
@@ -4,7 +4,7 @@
 
 use dahlia_adapters::engine::{
     AfterHold, AttemptState, EngineOrder, EngineRefusal, EngineRole, ExportRequest, FencedOrder,
-    GenerateEvent, HoldRequest, ImportRequest, ReleaseRequest, ReleaseScope, Stop,
+    GenerateEvent, HoldRequest, ImportRequest, ReleaseRequest, ReleaseScope, StopReason,
 };
 use dahlia_adapters::{Certainty, EngineClient, EngineError};
 use dahlia_standins::engine::{AnswerText, EngineObservation, answer_length, count_message};
@@ -51,7 +51,7 @@
     let expected = AnswerText::new(request.attempt.id.call, &request.messages);
     assert_eq!(answer.text, expected.piece(0, answer_length(Tokens(40))));
     insta::assert_snapshot!(&answer.text[..40], @"[p-1-0000000000000007/0/1 0d6cb9b1] qomy");
-    assert_eq!(answer.stop, Stop::End);
+    assert_eq!(answer.stop, StopReason::End);
     assert_eq!(answer.usage.generated, Tokens(40));
     assert_eq!(answer.usage.prompt, count_message(&request.messages[0]));
 }
@@ -64,7 +64,7 @@
     request.max_generated = Tokens(10);
     let answer = read_all(client.generate(&request).await.expect("accepted")).await;
     let answer = answer.expect("whole");
-    assert_eq!((answer.stop, answer.usage.generated), (Stop::Length, Tokens(10)));
+    assert_eq!((answer.stop, answer.usage.generated), (StopReason::Length, Tokens(10)));
 }
 
 #[tokio::test]
@@ -182,12 +182,12 @@
     let mut stream = client.generate(&request).await.expect("accepted");
     read_some(&mut stream).await;
     let cancelled = client.cancel(request.attempt.id, Term(1)).await.expect("cancelled");
-    let AttemptState::Finished { usage, stop: Stop::Cancelled } = cancelled else {
+    let AttemptState::Finished { usage, stop: StopReason::Cancelled } = cancelled else {
         panic!("{cancelled:?}")
     };
     assert!(usage.generated >= Tokens(1) && usage.generated < Tokens(100_000), "{usage:?}");
     let ended = read_all(stream).await.expect("a last event");
-    assert_eq!((ended.usage, ended.stop), (usage, Stop::Cancelled));
+    assert_eq!((ended.usage, ended.stop), (usage, StopReason::Cancelled));
     let again = client.cancel(request.attempt.id, Term(1)).await.expect("the same answer");
     assert_eq!(again, cancelled);
     let stale = refusal(client.cancel(request.attempt.id, Term(0)).await);
@@ -226,7 +226,7 @@
     wait_for_state(&client, 1, silent).await;
     let cancelled = client.cancel(request.attempt.id, Term(1)).await.expect("cancelled");
     let AttemptState::Finished { usage, stop } = cancelled else { panic!("{cancelled:?}") };
-    assert_eq!((usage.generated, stop), (Tokens(8), Stop::Cancelled));
+    assert_eq!((usage.generated, stop), (Tokens(8), StopReason::Cancelled));
 }
 
 #[tokio::test]
@@ -250,7 +250,7 @@
     let released = client.release(&ended).await.expect("released");
     assert_eq!(released.incarnation, held.incarnation);
     assert!(released.freed.0 > 0);
-    assert_eq!(read_all(running).await.expect("a last event").stop, Stop::Cancelled);
+    assert_eq!(read_all(running).await.expect("a last event").stop, StopReason::Cancelled);
     assert_eq!(client.inventory().await.expect("inventory").entries, []);
     // Load reports lag by design, so the figure is waited for.
     let freed = async {
--- a/crates/standins/tests/engine_faults.rs
+++ b/crates/standins/tests/engine_faults.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use dahlia_adapters::engine::{AttemptState, CacheEvent, EngineRefusal, GenerateEvent, Stop};
+use dahlia_adapters::engine::{AttemptState, CacheEvent, EngineRefusal, GenerateEvent, StopReason};
 use dahlia_adapters::{Certainty, ClientSettings, EngineClient, EngineError, TransportError};
 use dahlia_standins::control::Nothing;
 use dahlia_standins::engine::{AnswerText, EngineFaults, EngineObservation, StreamCut};
@@ -83,7 +83,7 @@
         let expected = AnswerText::new(request.attempt.id.call, &request.messages);
         let whole = dahlia_standins::engine::answer_length(Tokens(60));
         assert_eq!(begun + &rest.text, expected.piece(0, whole));
-        assert_eq!(rest.stop, Stop::End);
+        assert_eq!(rest.stop, StopReason::End);
     }
 }
 
@@ -158,7 +158,7 @@
     let stream = client.generate(&second).await.expect("accepted");
     let (text, error) = read_all(stream).await.expect_err("the text is another's");
     assert_eq!(text, "", "nothing of another's answer is given out");
-    let EngineError::Crossed { expected, actual, .. } = &error else { panic!("{error}") };
+    let EngineError::WrongAttempt { expected, actual, .. } = &error else { panic!("{error}") };
     assert_eq!((*expected, *actual), (second.attempt.id, first.attempt.id));
     assert_eq!(error.certainty(), Certainty::Unknown);
 }
--- a/crates/standins/tests/other_services.rs
+++ b/crates/standins/tests/other_services.rs
@@ -4,7 +4,7 @@
 
 use dahlia_adapters::engine::{EngineOrder, FencedOrder, ModelState};
 use dahlia_adapters::machines::{Machine, MachineKind, MachineState};
-use dahlia_adapters::tool::{InvokeRequest, ToolRefusal, ToolState};
+use dahlia_adapters::tool::{InvokeRequest, ToolAttemptState, ToolRefusal};
 use dahlia_adapters::weights::WeightRefusal;
 use dahlia_adapters::{
     Certainty, ClientSettings, MachineListClient, PeerError, ToolClient, WeightStoreClient,
@@ -56,11 +56,11 @@
     events.filter(|event| matches!(event, ToolObservation::Started { .. })).count()
 }
 
-async fn wait_until_ran(client: &ToolClient, number: u64) -> ToolState {
+async fn wait_until_ran(client: &ToolClient, number: u64) -> ToolAttemptState {
     let ran = async {
         loop {
             let state = client.attempt(attempt_of(program(number))).await.expect("state");
-            if matches!(state, ToolState::Ran { .. }) {
+            if matches!(state, ToolAttemptState::Ran { .. }) {
                 return state;
             }
             tokio::task::yield_now().await;
@@ -80,7 +80,7 @@
     assert_eq!(again.refusal(), Some(&ToolRefusal::AttemptExists { attempt }));
     assert_eq!(again.certainty(), Certainty::Unknown, "an earlier request ran");
     let state = client.attempt(attempt).await.expect("state");
-    assert_eq!(state, ToolState::Ran { body: result });
+    assert_eq!(state, ToolAttemptState::Ran { body: result });
     assert_eq!(starts(&server).await, 1);
 }
 
@@ -91,7 +91,7 @@
     let error = client.invoke(&flash(1, "flash")).await.expect_err("the result is lost");
     assert_eq!(error.certainty(), Certainty::Unknown, "{error}");
     let state = wait_until_ran(&client, 1).await;
-    assert_eq!(state, ToolState::Ran { body: tool_result("field-app", "flash") });
+    assert_eq!(state, ToolAttemptState::Ran { body: tool_result("field-app", "flash") });
     assert_eq!(starts(&server).await, 1);
 }
 
@@ -104,9 +104,9 @@
     let error = watchful.invoke(&flash(1, "flash")).await.expect_err("it hangs");
     assert_eq!(error.certainty(), Certainty::Unknown, "{error}");
     let state = client.attempt(attempt_of(program(1))).await.expect("state");
-    assert_eq!(state, ToolState::Running);
+    assert_eq!(state, ToolAttemptState::Running);
     let cancelled = client.cancel(attempt_of(program(1)), Term(1)).await.expect("answered");
-    assert_eq!(cancelled, ToolState::Running, "what runs is not undone");
+    assert_eq!(cancelled, ToolAttemptState::Running, "what runs is not undone");
     set_tool_faults(&server, ToolFaults::default()).await;
     wait_until_ran(&client, 1).await;
 }
@@ -116,9 +116,9 @@
     let (server, client) = tool(|_| {}).await;
     let request = flash(1, "flash");
     let attempt = request.attempt.id;
-    assert_eq!(client.attempt(attempt).await.expect("state"), ToolState::Unseen);
+    assert_eq!(client.attempt(attempt).await.expect("state"), ToolAttemptState::Unseen);
     let state = client.cancel(attempt, Term(1)).await.expect("cancelled");
-    assert_eq!(state, ToolState::NeverStarted);
+    assert_eq!(state, ToolAttemptState::NeverStarted);
     let late = client.invoke(&request).await.expect_err("never starts");
     assert_eq!(late.refusal(), Some(&ToolRefusal::NeverStarts { attempt }));
     assert_eq!(late.certainty(), Certainty::NotRun);
@@ -144,7 +144,7 @@
     assert!(matches!(overloaded.refusal(), Some(ToolRefusal::Overloaded { .. })));
     assert_eq!(overloaded.certainty(), Certainty::NotRun);
     let state = client.attempt(request.attempt.id).await.expect("state");
-    assert_eq!(state, ToolState::CannotTell);
+    assert_eq!(state, ToolAttemptState::CannotTell);
 }
 
 #[tokio::test]
--- a/crates/standins/tests/support/mod.rs
+++ b/crates/standins/tests/support/mod.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use dahlia_adapters::engine::{EventStream, GenerateEvent, GenerateRequest, Stop};
+use dahlia_adapters::engine::{EventStream, GenerateEvent, GenerateRequest, StopReason};
 use dahlia_adapters::{ClientSettings, EngineClient, EngineEndpoint, EngineError, KeyValueClient};
 use dahlia_standins::control::Observations;
 use dahlia_standins::engine::{EngineFaults, EngineObservation, count_prompt};
@@ -155,7 +155,7 @@
     /// Tokens used.
     pub usage: Usage,
     /// Why it ended.
-    pub stop: Stop,
+    pub stop: StopReason,
 }
 
 /// Reads a stream to its end.
