--- a/crates/adapters/src/engine/client.rs
+++ b/crates/adapters/src/engine/client.rs
@@ -15,7 +15,7 @@
 use crate::ClientSettings;
 use crate::http::HttpPeer;
 
-/// Where an engine listens.
+/// Address of an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineEndpoint {
     /// The engine.
@@ -56,7 +56,7 @@
     /// Follows a known attempt from byte `from_offset` of its answer, to its end.
     ///
     /// # Errors
-    /// [`EngineError`], e.g. when this life of the engine does not know the attempt.
+    /// [`EngineError`], e.g. when this incarnation of the engine does not know the attempt.
     pub async fn resume(
         &self,
         attempt: AttemptId,
@@ -67,7 +67,7 @@
     }
 
     /// Ends an attempt. One that has not started answers [`AttemptState::NeverStarted`] and
-    /// never starts in this life; a running one is cut and answers with what it used.
+    /// never starts in this incarnation; a running one is cut off and answers with its usage.
     ///
     /// # Errors
     /// [`EngineError`]
@@ -80,8 +80,8 @@
         self.post("cancel", paths::CANCEL, &request).await
     }
 
-    /// As [`Self::cancel`], but leaves an attempt alone that has started: takes work back that
-    /// another engine can do as well.
+    /// Like [`Self::cancel`], but does not end an attempt that has started. Used to take back work
+    /// that another engine can do as well.
     ///
     /// # Errors
     /// [`EngineError`]
@@ -94,7 +94,7 @@
         self.post("recall", paths::CANCEL, &request).await
     }
 
-    /// Asks where an attempt stands, without changing it.
+    /// Reads the state of an attempt without changing it.
     ///
     /// # Errors
     /// [`EngineError`]
@@ -114,7 +114,7 @@
         self.post("fence", paths::FENCE, &FenceRequest { program, epoch }).await
     }
 
-    /// Keeps a program's cache for a time.
+    /// Keeps a program's cache for a limited time.
     ///
     /// # Errors
     /// [`EngineError`]
@@ -122,7 +122,7 @@
         self.post("hold", paths::HOLD, request).await
     }
 
-    /// Frees what the engine holds for a program. Repeating it is harmless.
+    /// Frees the memory that the engine holds for a program. The request is idempotent.
     ///
     /// # Errors
     /// [`EngineError`]
@@ -155,7 +155,7 @@
         self.post("read cache events", paths::CACHE_EVENTS, &request).await
     }
 
-    /// Gives an order of the operators' configuration.
+    /// Sends an order of the operators' configuration.
     ///
     /// # Errors
     /// [`EngineError`], e.g. when a newer generation was seen.
@@ -163,7 +163,7 @@
         self.post("give order", paths::ORDER, order).await
     }
 
-    /// Makes a program's cached prefix ready for another engine.
+    /// Exports a program's cached prefix so that another engine can import it.
     ///
     /// # Errors
     /// [`EngineError`]
@@ -171,7 +171,7 @@
         self.post("export cache", paths::EXPORT, request).await
     }
 
-    /// Takes an exported prefix in; answers when it is cached.
+    /// Imports an exported prefix; returns when it is cached.
     ///
     /// # Errors
     /// [`EngineError`]
@@ -186,7 +186,7 @@
         request: &impl Serialize,
     ) -> Result<T, EngineError> {
         let answer = self.peer.post::<T, EngineRefusal>(step, path, request).await?;
-        answer.map_err(|refusal| self.refused(step, refusal))
+        answer.map_err(|refusal| self.refusal_error(step, refusal))
     }
 
     async fn open_stream(
@@ -198,11 +198,11 @@
         offset: u64,
     ) -> Result<EventStream, EngineError> {
         let answer = self.peer.post_stream::<_, EngineRefusal>(step, path, request).await?;
-        let lines = answer.map_err(|refusal| self.refused(step, refusal))?;
+        let lines = answer.map_err(|refusal| self.refusal_error(step, refusal))?;
         Ok(EventStream::new(lines, attempt, offset))
     }
 
-    fn refused(&self, step: &str, refusal: EngineRefusal) -> EngineError {
+    fn refusal_error(&self, step: &str, refusal: EngineRefusal) -> EngineError {
         RefusedSnafu { step, peer: self.peer.name(), refusal }.build()
     }
 }
--- a/crates/adapters/src/engine/error.rs
+++ b/crates/adapters/src/engine/error.rs
@@ -1,4 +1,4 @@
-//! Why a request to an engine failed.
+//! Errors of requests to an engine.
 
 use dahlia_types::AttemptId;
 use serde::{Deserialize, Serialize};
@@ -14,24 +14,24 @@
     /// The engine refused.
     #[snafu(display("{step}: {peer} refused: {refusal}"))]
     Refused {
-        /// What was being done.
+        /// The operation that failed.
         step: String,
         /// The engine and its address.
         peer: String,
-        /// Why.
+        /// Reason of the refusal.
         refusal: EngineRefusal,
     },
-    /// No usable answer.
+    /// The peer gave no usable answer.
     #[snafu(display("{error}"))]
     Transport {
-        /// What went wrong, with step and peer.
+        /// The transport error, which names the operation and the peer.
         error: TransportError,
     },
     /// A stream carried an event of another attempt. The stream is not read any further.
     #[snafu(display("{step}: {peer} sent an event of {actual} instead of {expected}"))]
     #[serde(rename = "Crossed")]
     WrongAttempt {
-        /// What was being done.
+        /// The operation that failed.
         step: String,
         /// The engine and its address.
         peer: String,
@@ -40,11 +40,11 @@
         /// The attempt of the event.
         actual: AttemptId,
     },
-    /// A stream lost or repeated a piece. The stream is not read any further.
+    /// A stream lost or repeated a piece of the answer. The stream is not read any further.
     #[snafu(display("{step}: {peer} sent offset {actual} where {expected} comes next"))]
     #[serde(rename = "OutOfPlace")]
     WrongOffset {
-        /// What was being done.
+        /// The operation that failed.
         step: String,
         /// The engine and its address.
         peer: String,
@@ -56,7 +56,7 @@
 }
 
 impl EngineError {
-    /// What the failure says about the attempt.
+    /// Whether the attempt may have run in spite of the error.
     pub fn certainty(&self) -> Certainty {
         match self {
             Self::Refused { refusal, .. } => refusal.certainty(),
--- a/crates/adapters/src/engine/messages.rs
+++ b/crates/adapters/src/engine/messages.rs
@@ -1,4 +1,4 @@
-//! Requests to an engine that concern one program, and their answers.
+//! Requests to an engine about one program, and their answers.
 
 use dahlia_types::{
     Attempt, AttemptId, Bytes, Duration, EngineId, Incarnation, Message, ModelId, ProgramId,
@@ -11,19 +11,21 @@
 /// Asks an engine to run one attempt.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GenerateRequest {
-    /// The attempt with its fences. A known attempt is refused, not run again.
+    /// The attempt with its owner's epoch and engine incarnation, which the engine checks. A known
+    /// attempt is refused, not run again.
     pub attempt: Attempt,
-    /// Whose program it is; salts the prefix cache.
+    /// Tenant that owns the program; salts the prefix cache.
     pub tenant: TenantId,
     /// Model, adapter and version.
     pub model: ModelId,
     /// The whole prompt.
     pub messages: Vec<Message>,
-    /// Upper bound that was reserved for the prompt; the engine refuses a longer one unrun.
+    /// Upper bound that was reserved for the prompt; the engine refuses a longer one without
+    /// running it.
     pub prompt_bound: Tokens,
-    /// Most tokens that may be generated.
+    /// Maximum number of tokens to generate.
     pub max_generated: Tokens,
-    /// Urgency; a smaller value is served first.
+    /// Priority; a smaller value is served first.
     pub priority: u64,
 }
 
@@ -41,38 +43,38 @@
 /// One event of a generation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GenerateEvent {
-    /// This life of the engine knows the attempt. Always first.
+    /// This incarnation of the engine knows the attempt. Always the first event.
     Accepted {
-        /// The engine's life.
+        /// The engine's incarnation.
         incarnation: Incarnation,
     },
-    /// The attempt has its place in the batch: from here on it has run.
+    /// The attempt entered the batch; from here on it counts as run.
     Started {
         /// Tokens of the prompt that were found in the prefix cache.
         cached: Tokens,
     },
-    /// A sign of life while nothing else is to tell.
+    /// Heartbeat, sent while there is no other event.
     Alive,
     /// A piece of the answer.
     Token {
-        /// Bytes of the answer before this piece.
+        /// Offset of this piece in the answer, in bytes.
         offset: u64,
-        /// The piece, one or more tokens.
+        /// Text of the piece, one or more tokens.
         text: String,
     },
-    /// The attempt ended. Always last.
+    /// The attempt ended. Always the last event.
     Finished {
         /// Tokens used.
         usage: Usage,
-        /// Why it ended.
+        /// Reason why it ended.
         stop: StopReason,
     },
-    /// The attempt left the queue unrun and never starts. Always last.
+    /// The attempt left the queue before it ran and never starts. Always the last event.
     NeverStarted,
 }
 
 impl GenerateEvent {
-    /// Whether nothing follows it.
+    /// Whether this is the last event of its stream.
     pub fn is_last(&self) -> bool {
         matches!(self, Self::Finished { .. } | Self::NeverStarted)
     }
@@ -88,7 +90,7 @@
     pub event: GenerateEvent,
 }
 
-/// Follows a known attempt from a place in its answer.
+/// Follows a known attempt from an offset in its answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResumeRequest {
     /// The attempt.
@@ -98,7 +100,7 @@
     pub from_offset: u64,
 }
 
-/// Ends an attempt, and keeps it from starting if it has not.
+/// Ends an attempt, and prevents it from starting if it has not started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CancelRequest {
     /// The attempt.
@@ -106,12 +108,12 @@
     pub attempt: AttemptId,
     /// The owner's epoch.
     pub epoch: Term,
-    /// Leave it alone if it has started.
+    /// Leaves the attempt running if it has started.
     #[serde(default)]
     pub only_waiting: bool,
 }
 
-/// Asks where an attempt stands, without changing it.
+/// Asks for the state of an attempt without changing it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AttemptStateRequest {
     /// The attempt.
@@ -119,28 +121,28 @@
     pub attempt: AttemptId,
 }
 
-/// Where an attempt stands at its engine.
+/// State of an attempt at its engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AttemptState {
-    /// This life has not seen it. It may still arrive: only a cancel makes this final.
+    /// This incarnation has not seen it. It may still arrive: only a cancel makes this final.
     Unseen,
-    /// It did not start in this life and never will.
+    /// It did not start in this incarnation and never will.
     NeverStarted,
-    /// Accepted and waiting.
+    /// It was accepted and waits in the queue.
     Queued,
-    /// Running.
+    /// It is running.
     Running {
         /// Tokens generated so far.
         generated: Tokens,
     },
-    /// Ended.
+    /// It has ended.
     Finished {
         /// Tokens used.
         usage: Usage,
-        /// Why it ended.
+        /// Reason why it ended.
         stop: StopReason,
     },
-    /// The engine's record of it has been dropped: it cannot say.
+    /// The engine dropped its record, so the state is unknown.
     Forgotten,
 }
 
@@ -153,14 +155,14 @@
     pub epoch: Term,
 }
 
-/// The fence is in force.
+/// Confirms that the fence is in force.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FenceConfirmed {
-    /// The engine's life: fences last as long as it.
+    /// The engine's incarnation. Fences last only as long as it.
     pub incarnation: Incarnation,
 }
 
-/// What becomes of held cache when the hold lapses.
+/// What happens to held cache when the hold expires.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AfterHold {
     /// It is freed.
@@ -169,25 +171,25 @@
     Cache,
 }
 
-/// Keeps a program's cache over a tool pause, for a time the engine itself bounds.
+/// Keeps a program's cache during a tool call, for a time that the engine itself limits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HoldRequest {
     /// The program.
     pub program: ProgramId,
     /// The owner's epoch.
     pub epoch: Term,
-    /// How long from its arrival.
+    /// Length of the hold, from the arrival of the request.
     pub length: Duration,
-    /// What then happens.
+    /// What happens to the cache afterwards.
     pub after: AfterHold,
 }
 
-/// How far a release goes.
+/// Scope of a release.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ReleaseScope {
     /// Cached prefixes only; the program may come back.
     Cache,
-    /// The program has ended: its attempts are cut and later ones are refused.
+    /// The program has ended: its attempts are cut off and later ones are refused.
     Ended,
 }
 
@@ -198,16 +200,16 @@
     pub program: ProgramId,
     /// The owner's epoch.
     pub epoch: Term,
-    /// How far.
+    /// Scope of the release.
     pub scope: ReleaseScope,
 }
 
-/// The engine holds nothing of the program any more.
+/// Confirms that the engine holds no memory for the program any more.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReleaseConfirmed {
-    /// The engine's life.
+    /// The engine's incarnation.
     pub incarnation: Incarnation,
-    /// What became free by this request.
+    /// Memory that this request freed.
     pub freed: Bytes,
 }
 
@@ -218,11 +220,11 @@
     pub program: ProgramId,
     /// The owner's epoch.
     pub epoch: Term,
-    /// Whose program it is.
+    /// Tenant that owns the program.
     pub tenant: TenantId,
     /// The model that computed the cache.
     pub model: ModelId,
-    /// The prefix wanted.
+    /// Messages of the requested prefix.
     pub messages: Vec<Message>,
 }
 
@@ -235,12 +237,12 @@
     pub tokens: Tokens,
 }
 
-/// An exported prefix. Names what is held; the bytes travel between the engines.
+/// Describes an exported prefix. The bytes themselves go directly between the engines.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheImage {
     /// The engine that holds the bytes.
     pub source: EngineId,
-    /// Its life; another life no longer has them.
+    /// The source's incarnation; a later one no longer has the bytes.
     pub source_incarnation: Incarnation,
     /// The program.
     pub program: ProgramId,
@@ -256,20 +258,20 @@
     pub bytes: Bytes,
 }
 
-/// Takes an exported prefix in.
+/// Imports an exported prefix.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ImportRequest {
     /// The owner's epoch.
     pub epoch: Term,
-    /// What to take in.
+    /// The prefix to import.
     pub image: CacheImage,
 }
 
-/// The prefix is cached here now.
+/// Confirms that the prefix is cached.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ImportConfirmed {
-    /// The engine's life.
+    /// The engine's incarnation.
     pub incarnation: Incarnation,
-    /// Tokens cached of it.
+    /// Number of its tokens that are cached.
     pub tokens: Tokens,
 }
--- a/crates/adapters/src/engine/orders.rs
+++ b/crates/adapters/src/engine/orders.rs
@@ -9,34 +9,35 @@
     /// Takes new attempts.
     #[default]
     Serving,
-    /// Finishes what it has and refuses new attempts.
+    /// Finishes its attempts and refuses new ones.
     Draining,
 }
 
-/// What an order changes. Each is idempotent.
+/// The change that an order makes. Every order is idempotent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EngineOrder {
-    /// Load a model, adapter and version.
+    /// Loads a model, adapter and version.
     LoadModel(ModelId),
-    /// Unload it; its cache is dropped.
+    /// Unloads a model and drops its cache.
     UnloadModel(ModelId),
-    /// Change the role.
+    /// Changes the role.
     SetRole(EngineRole),
 }
 
-/// An order with its fence.
+/// An order with the generation that fences it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FencedOrder {
-    /// The generation that it follows. Older than one seen for the same subject (the model, or
-    /// the role) is refused.
+    /// The configuration generation that it comes from. The engine refuses a generation older
+    /// than one that it has seen for the same subject (the model, or the role).
     pub generation: Generation,
     /// The order.
     pub order: EngineOrder,
 }
 
-/// The order is in force, or has begun. [`super::LoadReport`] tells when a load is complete.
+/// Confirms that the order is in force or has begun. [`super::LoadReport`] shows when a model is
+/// loaded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderAccepted {
-    /// The engine's life: orders last as long as it.
+    /// The engine's incarnation. Orders last only as long as it.
     pub incarnation: Incarnation,
 }
--- a/crates/adapters/src/engine/refusal.rs
+++ b/crates/adapters/src/engine/refusal.rs
@@ -1,4 +1,4 @@
-//! Why an engine did not do as asked.
+//! Reasons for which an engine refuses a request.
 
 use dahlia_types::{
     AttemptId, Duration, Generation, Incarnation, ModelId, ProgramId, Term, Tokens,
@@ -22,12 +22,12 @@
         /// The newest epoch seen.
         seen: Term,
     },
-    /// The request was meant for another life of the engine.
+    /// The request was meant for another incarnation of the engine.
     #[snafu(display("this is life {actual} of the engine, not {expected}"))]
     OtherIncarnation {
-        /// The life that was meant.
+        /// The incarnation in the request.
         expected: Incarnation,
-        /// This life.
+        /// The engine's own incarnation.
         actual: Incarnation,
     },
     /// The program was released as ended.
@@ -36,27 +36,27 @@
         /// The program.
         program: ProgramId,
     },
-    /// The attempt was cancelled before it started and never will.
+    /// The attempt was cancelled before it started, so it never starts.
     #[snafu(display("attempt {attempt} was cancelled before it arrived"))]
     NeverStarts {
         /// The attempt.
         attempt: AttemptId,
     },
-    /// The attempt was accepted before: resume it, it is not run twice.
+    /// The attempt was accepted before. It is not run twice; the caller can resume it.
     #[snafu(display("attempt {attempt} is known already"))]
     AttemptExists {
         /// The attempt.
         attempt: AttemptId,
-        /// Where it stands.
+        /// Its state.
         state: AttemptState,
     },
-    /// The attempt to resume is not known in this life.
+    /// The attempt to resume is not known to this incarnation.
     #[snafu(display("attempt {attempt} is not known here"))]
     NoSuchAttempt {
         /// The attempt.
         attempt: AttemptId,
     },
-    /// The answer is not that long.
+    /// The answer is shorter than the offset asked for.
     #[snafu(display("the answer has {length} bytes, fewer than the offset {offset}"))]
     OffsetBeyondAnswer {
         /// The offset asked for.
@@ -73,23 +73,23 @@
     /// The prompt is longer than the reservation, or than the memory allows.
     #[snafu(display("the prompt has {counted} and at most {limit} are allowed"))]
     PromptTooLong {
-        /// The engine's count.
+        /// Length of the prompt as counted by the engine.
         counted: Tokens,
         /// The limit it exceeds.
         limit: Tokens,
     },
-    /// Too many attempts wait.
+    /// Too many attempts wait in the queue.
     #[snafu(display("{queued} attempts wait and no more are taken"))]
     Overloaded {
-        /// Attempts waiting.
+        /// Number of waiting attempts.
         queued: u32,
-        /// When to come back at the earliest.
+        /// Minimum delay before a retry.
         retry_after: Duration,
     },
-    /// The engine takes no new work: it is leaving or draining.
+    /// The engine takes no new work: it is shutting down or draining.
     #[snafu(display("the engine takes no new work"))]
     Leaving,
-    /// Attempts of the program are under way, so its memory cannot be freed.
+    /// Attempts of the program are in progress, so its memory cannot be freed.
     #[snafu(display("attempts of {program} are under way"))]
     InUse {
         /// The program.
@@ -120,7 +120,7 @@
 }
 
 impl EngineRefusal {
-    /// What it says of the attempt that a `generate` named.
+    /// Whether the attempt of a `generate` request may have run in spite of the refusal.
     pub fn certainty(&self) -> Certainty {
         match self {
             // This request did nothing, but an earlier one with the same attempt did.
--- a/crates/adapters/src/engine/reports.rs
+++ b/crates/adapters/src/engine/reports.rs
@@ -1,4 +1,4 @@
-//! What an engine tells of itself: load, cache events, inventory.
+//! Reports of an engine about itself: load, cache events, inventory.
 
 use dahlia_types::{
     Bytes, Duration, EngineId, Generation, Incarnation, ModelId, ProgramId, Timestamp, Tokens,
@@ -11,42 +11,42 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct ReportRequest {}
 
-/// How far a model is.
+/// Loading state of a model.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ModelState {
-    /// Weights are on their way.
+    /// The weights are being loaded.
     Loading,
-    /// Serves.
+    /// The model serves requests.
     Ready,
 }
 
-/// A model at an engine.
+/// State of one model at an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ModelStatus {
     /// The model.
     pub model: ModelId,
-    /// How far it is.
+    /// Its loading state.
     pub state: ModelState,
 }
 
-/// The load of an engine at a moment that may lie some time back.
+/// Load of an engine, sampled some time before the report is sent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
     /// The engine.
     pub engine: EngineId,
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: Incarnation,
-    /// When it was taken, by the engine's own clock.
+    /// Time of the sample by the engine's own clock.
     pub at: Timestamp,
-    /// How old it was when it was sent.
+    /// Age of the sample when the report was sent.
     pub age: Duration,
     /// What the engine does with new work.
     pub role: EngineRole,
-    /// The engine says that it will stop soon.
+    /// Whether the engine announces that it will shut down soon.
     pub leaving: bool,
-    /// The newest generation that an order carried.
+    /// The newest configuration generation received in an order.
     pub generation: Generation,
-    /// Attempts that wait for a place in the batch.
+    /// Attempts that wait to enter the batch.
     pub queued: u32,
     /// Attempts in the batch.
     pub running: u32,
@@ -56,15 +56,15 @@
     pub kv_used: Tokens,
     /// The part that is pinned by running attempts.
     pub kv_pinned: Tokens,
-    /// KV tokens in all.
+    /// Total capacity in KV tokens.
     pub kv_capacity: Tokens,
     /// Size of one token's KV.
     pub kv_bytes_per_token: Bytes,
-    /// Length of the last step; zero before the first.
+    /// Duration of the last step; zero before the first.
     pub step: Duration,
-    /// Attempts accepted in this life up to the report.
+    /// Attempts accepted by this incarnation up to the report.
     pub accepted: u64,
-    /// Models that it has or loads.
+    /// Models that are loaded or being loaded.
     pub models: Vec<ModelStatus>,
 }
 
@@ -75,40 +75,41 @@
     pub after: u64,
 }
 
-/// Which way a program's cache changed.
+/// Direction in which a program's cache changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CacheChange {
-    /// More is cached.
+    /// More tokens are cached.
     Stored,
-    /// Less is cached.
+    /// Fewer tokens are cached.
     Removed,
 }
 
-/// A change of what is cached for a program.
+/// A change in the number of tokens cached for a program.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Counts up by one in a life; a jump shows a loss.
+    /// Grows by one with each event of an incarnation; a gap means that events were lost.
     pub sequence: u64,
-    /// When, by the engine's own clock.
+    /// Time of the change by the engine's own clock.
     pub at: Timestamp,
     /// The program.
     pub program: ProgramId,
-    /// Which way.
+    /// Direction of the change.
     pub change: CacheChange,
-    /// Tokens now cached for it. Absolute, so that the next event mends a lost one.
+    /// Tokens cached for it after the change. Absolute, so that the next event makes up for a
+    /// lost one.
     pub resident: Tokens,
 }
 
-/// Cache events, late and perhaps with gaps.
+/// Cache events. They are delayed and may have gaps.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvents {
-    /// The engine's life; sequence numbers belong to it.
+    /// The engine's incarnation, within which sequence numbers count.
     pub incarnation: Incarnation,
     /// The events, in order.
     pub events: Vec<CacheEvent>,
 }
 
-/// What a program occupies at an engine.
+/// Memory that a program occupies at an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InventoryEntry {
     /// The program.
@@ -117,18 +118,19 @@
     pub tokens: Tokens,
     /// The same in bytes.
     pub bytes: Bytes,
-    /// How long a hold of it still lasts, if there is one.
+    /// Remaining time of its hold, if there is one.
     pub held_for: Option<Duration>,
 }
 
-/// Every program for which an engine holds anything. Exact at its moment, unlike cache events.
+/// Every program for which an engine holds memory. Exact at the time of the sample, unlike cache
+/// events.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Inventory {
     /// The engine.
     pub engine: EngineId,
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: Incarnation,
-    /// When it was taken, by the engine's own clock.
+    /// Time of the sample by the engine's own clock.
     pub at: Timestamp,
     /// The last cache event that it includes.
     pub sequence: u64,
--- a/crates/adapters/src/engine/stream.rs
+++ b/crates/adapters/src/engine/stream.rs
@@ -1,4 +1,4 @@
-//! The events of one attempt, checked for belonging and for place.
+//! The event stream of one attempt. Each event's attempt and offset are checked.
 
 use std::time::Duration;
 
@@ -11,10 +11,10 @@
 use crate::error::TruncatedSnafu;
 use crate::lines::JsonLines;
 
-/// How long the end of a body may take after the last event.
-const END_LIMIT: Duration = Duration::from_secs(1);
-/// Bytes that may follow the last event.
-const END_BYTES: usize = 1024;
+/// Timeout for reading the end of a body after the last event.
+const BODY_END_TIMEOUT: Duration = Duration::from_secs(1);
+/// Maximum number of bytes read after the last event.
+const MAX_BYTES_AFTER_LAST_EVENT: usize = 1024;
 
 /// The events of one attempt. Ends after the last event or the first error.
 pub struct EventStream {
@@ -44,16 +44,16 @@
         if self.ended {
             return None;
         }
-        let event = self.read().await;
+        let event = self.read_event().await;
         self.ended = event.as_ref().map_or(true, GenerateEvent::is_last);
         Some(event)
     }
 
-    /// After the last event: reads on to the end of the body, which comes at once, so that the
-    /// connection can serve the next request. Bounded in time and bytes.
+    /// Reads the rest of the body after the last event, so that the connection can serve the next
+    /// request. The end follows immediately; the wait is limited in time and bytes.
     pub async fn finish(self) {
-        // Whatever happens here, the last event has been read.
-        let _ = timeout(END_LIMIT, self.lines.read_to_end(END_BYTES)).await;
+        // The result does not matter, since the last event has been read.
+        let _ = timeout(BODY_END_TIMEOUT, self.lines.read_to_end(MAX_BYTES_AFTER_LAST_EVENT)).await;
     }
 
     /// The events as a [`Stream`].
@@ -65,14 +65,14 @@
         }
     }
 
-    async fn read(&mut self) -> Result<GenerateEvent, EngineError> {
+    async fn read_event(&mut self) -> Result<GenerateEvent, EngineError> {
         let line = self.lines.next().await?;
         let step = self.lines.step();
         let peer = self.lines.peer();
         let Some(line) = line else {
             return Err(TruncatedSnafu { step, peer }.build().into());
         };
-        // Answers are matched by attempt and offset alone: the connection proves nothing.
+        // Only attempt and offset identify an answer; the connection does not.
         if line.attempt != self.attempt {
             let (expected, actual) = (self.attempt, line.attempt);
             return WrongAttemptSnafu { step, peer, expected, actual }.fail();
--- a/crates/adapters/src/error.rs
+++ b/crates/adapters/src/error.rs
@@ -1,9 +1,9 @@
-//! Errors of the way to a peer, and how sure they leave the caller.
+//! Transport errors, and whether the request may have taken effect in spite of them.
 
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 
-/// What a failed request says about the peer's state.
+/// Whether a failed request may have had an effect at the peer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Certainty {
     /// The request was not sent or was refused: it certainly had no effect and never will.
@@ -12,24 +12,24 @@
     Unknown,
 }
 
-/// A request that got no usable answer.
+/// Error of a request that got no usable answer.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu, Serialize, Deserialize)]
 #[snafu(visibility(pub(crate)))]
 pub enum TransportError {
-    /// No connection was made, so no byte of the request left.
+    /// No connection was made, so no byte of the request was sent.
     #[snafu(display("{step}: no connection to {peer}: {detail}"))]
     Connect {
-        /// What was being done.
+        /// The operation that failed.
         step: String,
         /// The peer's name and address.
         peer: String,
-        /// The cause, as told by the library.
+        /// The cause, as reported by the library.
         detail: String,
     },
     /// The request could not be built; it was not sent.
     #[snafu(display("{step}: the request to {peer} could not be built: {detail}"))]
     Build {
-        /// What was being done.
+        /// The operation that failed.
         step: String,
         /// The peer's name and address.
         peer: String,
@@ -39,7 +39,7 @@
     /// No answer began within the response timeout.
     #[snafu(display("{step}: {peer} did not answer within {limit_ms} ms"))]
     ResponseTimeout {
-        /// What was being done.
+        /// The operation that failed.
         step: String,
         /// The peer's name and address.
         peer: String,
@@ -49,27 +49,27 @@
     /// A stream was silent for longer than the idle timeout.
     #[snafu(display("{step}: {peer} was silent for {limit_ms} ms in the middle of its answer"))]
     IdleTimeout {
-        /// What was being done.
+        /// The operation that failed.
         step: String,
         /// The peer's name and address.
         peer: String,
         /// The limit in milliseconds.
         limit_ms: u64,
     },
-    /// The connection broke after the request may have left.
+    /// The connection broke after the request may have been sent.
     #[snafu(display("{step}: the connection to {peer} broke: {detail}"))]
     Broken {
-        /// What was being done.
+        /// The operation that failed.
         step: String,
         /// The peer's name and address.
         peer: String,
-        /// The cause, as told by the library.
+        /// The cause, as reported by the library.
         detail: String,
     },
     /// A stream ended before its last event.
     #[snafu(display("{step}: the answer of {peer} ended before its last event"))]
     Truncated {
-        /// What was being done.
+        /// The operation that failed.
         step: String,
         /// The peer's name and address.
         peer: String,
@@ -77,17 +77,17 @@
     /// The answer does not have the documented form.
     #[snafu(display("{step}: the answer of {peer} is malformed: {detail}"))]
     Malformed {
-        /// What was being done.
+        /// The operation that failed.
         step: String,
         /// The peer's name and address.
         peer: String,
-        /// What was wrong, with the place in the text.
+        /// The problem, with its position in the text.
         detail: String,
     },
     /// The answer, or a line of it, is larger than allowed.
     #[snafu(display("{step}: the answer of {peer} exceeds `{field}` of {limit} bytes"))]
     TooLarge {
-        /// What was being done.
+        /// The operation that failed.
         step: String,
         /// The peer's name and address.
         peer: String,
@@ -96,10 +96,10 @@
         /// The limit in bytes.
         limit: u64,
     },
-    /// An error status without the typed body that the protocol requires.
+    /// The peer answered with an error status but without the typed body that the protocol requires.
     #[snafu(display("{step}: {peer} answered with status {status}: {detail}"))]
     Status {
-        /// What was being done.
+        /// The operation that failed.
         step: String,
         /// The peer's name and address.
         peer: String,
@@ -111,13 +111,13 @@
 }
 
 impl TransportError {
-    /// What the failure says about the peer's state.
+    /// Whether the request may have had an effect at the peer.
     pub fn certainty(&self) -> Certainty {
         match self {
             // Without a connection or a request, no byte can have reached the peer.
             Self::Connect { .. } | Self::Build { .. } => Certainty::NotRun,
-            // Everything else happened after bytes may have left; an untyped status may come
-            // from something between the peer and us, after the peer acted.
+            // All other errors occur after bytes may have been sent. A status without typed body
+            // may come from an intermediary, after the peer acted.
             Self::ResponseTimeout { .. }
             | Self::IdleTimeout { .. }
             | Self::Broken { .. }
--- a/crates/adapters/src/http.rs
+++ b/crates/adapters/src/http.rs
@@ -1,4 +1,5 @@
-//! One peer over HTTP/1.1 with JSON: sends a request once and classifies what comes back.
+//! HTTP/1.1 client of one peer with JSON bodies. It sends each request once and classifies the
+//! answer.
 
 use std::error::Error;
 use std::time::Duration;
@@ -14,20 +15,20 @@
 use crate::lines::JsonLines;
 use crate::{ClientSettings, TransportError};
 
-/// Bytes of an unexpected body that are kept in an error.
-const DETAIL_BYTES: usize = 200;
+/// Number of bytes of an unexpected body that an error contains.
+const MAX_DETAIL_BYTES: usize = 200;
 
-/// The body of every error status: the peer's typed refusal.
+/// Body of every answer with an error status: the peer's typed refusal.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ErrorBody<R> {
-    /// Why the request was refused.
+    /// Reason of the refusal.
     pub refusal: R,
 }
 
-/// What a peer answered: its success body, or its typed refusal.
+/// A peer's answer: its success body or its typed refusal.
 pub(crate) type Answer<T, R> = Result<Result<T, R>, TransportError>;
 
-/// A peer with its connections.
+/// A peer and the pool of connections to it.
 #[derive(Debug, Clone)]
 pub(crate) struct HttpPeer {
     name: String,
@@ -123,14 +124,15 @@
         request: &impl Serialize,
     ) -> Result<Response, TransportError> {
         let url = format!("{}{path}", self.base);
-        let sent = self.client.post(url).json(request).send().await;
-        sent.map_err(|error| self.classify(step, &error))
+        let result = self.client.post(url).json(request).send().await;
+        result.map_err(|error| self.classify(step, &error))
     }
 
-    /// Only failures that the library places before the first byte count as not sent. On a kept
-    /// connection that closed, it tries a new one only with a request it had not begun to write.
+    /// Only errors that the library reports from before the first byte count as not sent. When a
+    /// pooled connection has closed, the library opens a new one only for a request that it had
+    /// not begun to write.
     fn classify(&self, step: &str, error: &reqwest::Error) -> TransportError {
-        let detail = with_sources(error);
+        let detail = format_with_sources(error);
         let peer = &self.name;
         if error.is_builder() {
             BuildSnafu { step, peer, detail }.build()
@@ -185,15 +187,15 @@
     {
         let decoded = serde_json::from_slice::<ErrorBody<R>>(body);
         decoded.map(|error| error.refusal).map_err(|_| {
-            let kept = &body[..body.len().min(DETAIL_BYTES)];
+            let kept = &body[..body.len().min(MAX_DETAIL_BYTES)];
             let detail = String::from_utf8_lossy(kept).into_owned();
             StatusSnafu { step, peer: &self.name, status: status.as_u16(), detail }.build()
         })
     }
 }
 
-/// The error and everything beneath it in one line.
-pub(crate) fn with_sources(error: &dyn Error) -> String {
+/// Formats an error and its chain of sources on one line.
+pub(crate) fn format_with_sources(error: &dyn Error) -> String {
     let mut text = error.to_string();
     let mut source = error.source();
     while let Some(cause) = source {
--- a/crates/adapters/src/key_value/client.rs
+++ b/crates/adapters/src/key_value/client.rs
@@ -25,7 +25,7 @@
         Self { peer: HttpPeer::new("key-value service", address, settings) }
     }
 
-    /// Reads a key; none when it does not exist. The answer may be stale.
+    /// Reads a key; returns `None` when it does not exist. The answer may be stale.
     ///
     /// # Errors
     /// [`KeyValueError`]
@@ -44,7 +44,8 @@
         self.post("list", paths::LIST, &request).await
     }
 
-    /// Sets `key` if its version is `expected` (none: it does not exist). Gives the new version.
+    /// Sets `key` if its version is `expected` (`None`: it does not exist). Returns the new
+    /// version.
     ///
     /// # Errors
     /// [`KeyValueError`]; after `Unknown` the change may have taken effect.
@@ -57,7 +58,8 @@
         self.swap(key, expected, value, None).await
     }
 
-    /// The same, and the key lives only as long as `lease`.
+    /// Like [`Self::compare_and_swap`], but attaches the key to `lease`, which deletes it when it
+    /// expires.
     ///
     /// # Errors
     /// [`KeyValueError`]; after `Unknown` the change may have taken effect.
@@ -94,15 +96,15 @@
         let request = WatchRequest { prefix: prefix.to_owned(), from_revision };
         let answer =
             self.peer.post_stream::<_, KeyValueRefusal>(step, paths::WATCH, &request).await;
-        let answer = answer.map_err(|error| self.failed(step, error))?;
-        let lines = answer.map_err(|refusal| self.refused(step, refusal))?;
+        let answer = answer.map_err(|error| self.transport_error(step, error))?;
+        let lines = answer.map_err(|refusal| self.refusal_error(step, refusal))?;
         Ok(WatchStream::new(lines))
     }
 
-    /// Gets a lease that lapses `time_to_live` after its last keep-alive.
+    /// Requests a lease that expires `time_to_live` after its last keep-alive.
     ///
     /// # Errors
-    /// [`KeyValueError`]; after `Unknown` a lease nobody knows may exist until it lapses.
+    /// [`KeyValueError`]; after `Unknown` a lease that no caller knows may exist until it expires.
     pub async fn grant_lease(&self, time_to_live: Duration) -> Result<LeaseAnswer, KeyValueError> {
         let request = LeaseGrantRequest { time_to_live };
         self.post("grant lease", paths::LEASE_GRANT, &request).await
@@ -111,7 +113,7 @@
     /// Extends a lease by its time to live.
     ///
     /// # Errors
-    /// [`KeyValueError`]; after `Unknown` the holder must count on the earlier end.
+    /// [`KeyValueError`]; after `Unknown` the holder must assume the earlier expiry.
     pub async fn keep_alive(&self, lease: LeaseId) -> Result<LeaseAnswer, KeyValueError> {
         self.post("keep lease alive", paths::LEASE_KEEP_ALIVE, &LeaseRequest { lease }).await
     }
@@ -126,7 +128,7 @@
         Ok(())
     }
 
-    /// Makes a key whose version is `expected` live by `lease`. Gives the new version.
+    /// Attaches a key whose version is `expected` to `lease`. Returns the new version.
     ///
     /// # Errors
     /// [`KeyValueError`]; after `Unknown` the change may have taken effect.
@@ -161,15 +163,15 @@
         request: &impl Serialize,
     ) -> Result<T, KeyValueError> {
         let answer = self.peer.post::<T, KeyValueRefusal>(step, path, request).await;
-        let answer = answer.map_err(|error| self.failed(step, error))?;
-        answer.map_err(|refusal| self.refused(step, refusal))
+        let answer = answer.map_err(|error| self.transport_error(step, error))?;
+        answer.map_err(|refusal| self.refusal_error(step, refusal))
     }
 
-    fn failed(&self, step: &str, error: crate::TransportError) -> KeyValueError {
+    fn transport_error(&self, step: &str, error: crate::TransportError) -> KeyValueError {
         KeyValueError::from_transport(step, self.peer.name(), error)
     }
 
-    fn refused(&self, step: &str, refusal: KeyValueRefusal) -> KeyValueError {
+    fn refusal_error(&self, step: &str, refusal: KeyValueRefusal) -> KeyValueError {
         KeyValueError::from_refusal(step, self.peer.name(), refusal)
     }
 }
--- a/crates/adapters/src/key_value/error.rs
+++ b/crates/adapters/src/key_value/error.rs
@@ -1,4 +1,4 @@
-//! Why a request to the key-value service failed.
+//! Errors of requests to the key-value service.
 
 use dahlia_types::Duration;
 use serde::{Deserialize, Serialize};
@@ -14,53 +14,53 @@
     /// The key is in another state than expected; nothing changed.
     #[snafu(display("{step}: conflict at {peer}: the key's version is {actual:?}"))]
     Conflict {
-        /// What was being done.
+        /// The operation that failed.
         step: String,
         /// The service and its address.
         peer: String,
-        /// The key's version; none when it does not exist.
+        /// The key's version; `None` when it does not exist.
         actual: Option<Version>,
     },
     /// The change may have taken effect: read it back.
     #[snafu(display("unknown outcome: {error}"))]
     Unknown {
-        /// What went wrong, with step and peer.
+        /// The transport error, which names the operation and the peer.
         error: TransportError,
     },
-    /// The service could not be reached or does not serve; nothing changed.
+    /// The service could not be reached or does not accept requests; nothing changed.
     #[snafu(display("{step}: {peer} is unavailable: {detail}"))]
     Unavailable {
-        /// What was being done.
+        /// The operation that failed.
         step: String,
         /// The service and its address.
         peer: String,
         /// The cause.
         detail: String,
     },
-    /// Too many requests; nothing changed.
-    #[snafu(display("{step}: {peer} limits the rate; come back in {} ms", retry_after.as_millis()))]
+    /// The rate limit was exceeded; nothing changed.
+    #[snafu(display("{step}: {peer} limits the rate; retry in {} ms", retry_after.as_millis()))]
     RateLimited {
-        /// What was being done.
+        /// The operation that failed.
         step: String,
         /// The service and its address.
         peer: String,
-        /// When to come back at the earliest.
+        /// Minimum delay before a retry.
         retry_after: Duration,
     },
-    /// Another refusal; nothing changed.
+    /// The service refused for another reason; nothing changed.
     #[snafu(display("{step}: {peer} refused: {refusal}"))]
     Refused {
-        /// What was being done.
+        /// The operation that failed.
         step: String,
         /// The service and its address.
         peer: String,
-        /// Why.
+        /// Reason of the refusal.
         refusal: KeyValueRefusal,
     },
 }
 
 impl KeyValueError {
-    /// What the failure says about the change.
+    /// Whether the change may have taken effect.
     pub fn certainty(&self) -> Certainty {
         match self {
             Self::Unknown { .. } => Certainty::Unknown,
--- a/crates/adapters/src/key_value/messages.rs
+++ b/crates/adapters/src/key_value/messages.rs
@@ -7,7 +7,7 @@
 
 use crate::wire_text::base64_bytes;
 
-macro_rules! number {
+macro_rules! number_type {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
         #[derive(
@@ -24,20 +24,20 @@
     };
 }
 
-number!(
-    /// The service's count of all changes, from 1; 0 stands before the first.
+number_type!(
+    /// Counts all changes of the service's data, from 1; 0 is the state before the first.
     Revision
 );
-number!(
-    /// The revision at which a key was last changed; names one state of the key.
+number_type!(
+    /// The revision at which a key was last changed. It identifies one state of the key.
     Version
 );
-number!(
-    /// A lease.
+number_type!(
+    /// Identifies a lease.
     LeaseId
 );
 
-/// A value with the version that names it.
+/// A key's value with its version and lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredValue {
     /// The value's version.
@@ -45,7 +45,7 @@
     /// The bytes.
     #[serde(with = "base64_bytes")]
     pub value: Vec<u8>,
-    /// The lease that the key lives by, if any.
+    /// The lease that the key is attached to, if any.
     pub lease: Option<LeaseId>,
 }
 
@@ -70,7 +70,7 @@
 pub struct GetAnswer {
     /// The service's revision of the state that was read.
     pub revision: Revision,
-    /// None when the key does not exist.
+    /// The value; `None` when the key does not exist.
     pub found: Option<StoredValue>,
 }
 
@@ -81,7 +81,7 @@
     pub prefix: String,
 }
 
-/// The keys' state at one revision. Watch from it to miss nothing.
+/// The keys' state at one revision. A watch from this revision misses no change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListAnswer {
     /// The service's revision of the state that was read.
@@ -95,16 +95,16 @@
 pub struct CompareAndSwapRequest {
     /// The key.
     pub key: String,
-    /// The version expected; none expects that the key does not exist.
+    /// The expected version; `None` means that the key must not exist.
     pub expected: Option<Version>,
     /// The new value.
     #[serde(with = "base64_bytes")]
     pub value: Vec<u8>,
-    /// The lease that the key shall live by, if any.
+    /// The lease to attach the key to, if any.
     pub lease: Option<LeaseId>,
 }
 
-/// The change is committed.
+/// Confirms that the change is committed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SwapAnswer {
     /// The key's new version.
@@ -116,11 +116,11 @@
 pub struct DeleteRequest {
     /// The key.
     pub key: String,
-    /// The version expected.
+    /// The expected version.
     pub expected: Version,
 }
 
-/// Done; there is nothing to tell.
+/// Confirms a request that has no result.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct EmptyAnswer {}
 
@@ -141,14 +141,14 @@
         /// The key and its new state; the version is the revision of the change.
         entry: KeyValue,
     },
-    /// A key was deleted, by request or because its lease lapsed.
+    /// A key was deleted, by request or because its lease expired.
     Deleted {
         /// The key.
         key: String,
         /// The revision of the change.
         revision: Revision,
     },
-    /// Everything up to this revision was sent. Comes now and then as a sign of life.
+    /// All changes up to this revision were sent. Also serves as a periodic heartbeat.
     Progress {
         /// The service's revision.
         revision: Revision,
@@ -158,33 +158,33 @@
 /// Asks for a lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseGrantRequest {
-    /// It lapses this long after the last keep-alive.
+    /// Time from the last keep-alive to the expiry.
     pub time_to_live: Duration,
 }
 
-/// Names a lease.
+/// A request about one lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRequest {
     /// The lease.
     pub lease: LeaseId,
 }
 
-/// A lease in force.
+/// Confirms a lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseAnswer {
     /// The lease.
     pub lease: LeaseId,
-    /// It lapses this long after the service handled the request. The holder must count from
+    /// Time from when the service handled the request to the expiry. The holder must count from
     /// when it sent the request.
     pub time_to_live: Duration,
 }
 
-/// Makes a key live by a lease.
+/// Attaches a key to a lease, which deletes the key when it expires.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AttachRequest {
     /// The key.
     pub key: String,
-    /// The version expected.
+    /// The expected version.
     pub expected: Version,
     /// The lease.
     pub lease: LeaseId,
--- a/crates/adapters/src/key_value/refusal.rs
+++ b/crates/adapters/src/key_value/refusal.rs
@@ -1,4 +1,4 @@
-//! Why the key-value service did not do as asked.
+//! Reasons for which the key-value service refuses a request.
 
 use dahlia_types::Duration;
 use serde::{Deserialize, Serialize};
@@ -12,25 +12,26 @@
     /// The key is in another state than expected.
     #[snafu(display("the key's version is {actual:?}, not the expected one"))]
     Conflict {
-        /// Its version; none when it does not exist.
+        /// The key's version; `None` when it does not exist.
         actual: Option<Version>,
     },
-    /// The service cannot serve.
+    /// The service cannot handle requests.
     #[snafu(display("the service is unavailable"))]
     Unavailable,
-    /// Too many requests.
+    /// The rate limit was exceeded.
     #[snafu(display("the rate limit is reached"))]
     RateLimited {
-        /// When to come back at the earliest.
+        /// Minimum delay before a retry.
         retry_after: Duration,
     },
-    /// The watch's start was compacted away; list and watch from there.
+    /// The watch's start was compacted away. The caller must list the keys and watch from the
+    /// revision of that answer.
     #[snafu(display("changes are kept only after revision {oldest}"))]
     Compacted {
         /// The oldest revision from which a watch may start.
         oldest: Revision,
     },
-    /// The lease does not exist or has lapsed.
+    /// The lease does not exist or has expired.
     #[snafu(display("lease {lease} does not exist"))]
     NoSuchLease {
         /// The lease.
--- a/crates/adapters/src/key_value/watch.rs
+++ b/crates/adapters/src/key_value/watch.rs
@@ -4,10 +4,11 @@
 use crate::error::TruncatedSnafu;
 use crate::lines::JsonLines;
 
-/// The changes that a watch sends. Never ends by itself; ends after the first error.
+/// The changes that a watch sends. The stream ends only after the first error.
 ///
-/// The service sends [`WatchEvent::Progress`] now and then; longer silence than the idle timeout
-/// is an error, so that a watch that broke without a word is noticed.
+/// The service sends [`WatchEvent::Progress`] periodically. When nothing arrives within the idle
+/// timeout, the stream ends with an error, so that a connection that was lost without being closed
+/// is detected.
 pub struct WatchStream {
     lines: JsonLines<WatchEvent>,
     ended: bool,
@@ -18,17 +19,17 @@
         Self { lines, ended: false }
     }
 
-    /// The next event; none after an error. Dropping the future loses no event.
+    /// Returns the next event, or `None` after an error. Dropping the future loses no event.
     pub async fn next(&mut self) -> Option<Result<WatchEvent, KeyValueError>> {
         if self.ended {
             return None;
         }
-        let event = self.read().await;
+        let event = self.read_event().await;
         self.ended = event.is_err();
         Some(event)
     }
 
-    async fn read(&mut self) -> Result<WatchEvent, KeyValueError> {
+    async fn read_event(&mut self) -> Result<WatchEvent, KeyValueError> {
         let line = self.lines.next().await;
         let step = self.lines.step();
         let peer = self.lines.peer();
--- a/crates/adapters/src/lib.rs
+++ b/crates/adapters/src/lib.rs
@@ -1,9 +1,9 @@
-//! Thin adapters to what the platform gives: engines, key-value service, weight store, tools,
+//! Thin adapters to the services of the platform: engines, key-value service, weight store, tools,
 //! machine list.
 //!
-//! Every adapter speaks HTTP/1.1 with JSON bodies; streams are newline-delimited JSON. An adapter
-//! never retries, caches or decides: it sends one request, checks the answer, and says how sure
-//! it is of what happened ([`Certainty`]), so that its caller can decide.
+//! Every adapter uses HTTP/1.1 with JSON bodies; streams are newline-delimited JSON. An adapter
+//! never retries, caches or decides. It sends one request, checks the answer, and reports whether
+//! a failed request may have taken effect ([`Certainty`]), so that its caller can decide.
 
 pub mod engine;
 mod error;
--- a/crates/adapters/src/lines.rs
+++ b/crates/adapters/src/lines.rs
@@ -1,4 +1,4 @@
-//! Newline-delimited JSON, read from a response with a limit for each line and for silence.
+//! Reads newline-delimited JSON from a response, with a maximum line length and an idle timeout.
 
 use std::marker::PhantomData;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 use serde::de::DeserializeOwned;
 
 use crate::error::{BrokenSnafu, IdleTimeoutSnafu, MalformedSnafu, TooLargeSnafu};
-use crate::http::with_sources;
+use crate::http::format_with_sources;
 use crate::{ClientSettings, TransportError};
 
 const NEWLINE_BYTES: usize = 1;
@@ -52,7 +52,7 @@
         &self.peer
     }
 
-    /// The next line, or none at the end of the body. A last line without newline is a
+    /// Returns the next line, or `None` at the end of the body. A last line without newline is a
     /// truncation and is not returned.
     pub(crate) async fn next(&mut self) -> Result<Option<T>, TransportError> {
         loop {
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Reads what is left of the body, up to a limit of bytes. A body that was read to its end
+    /// Reads the rest of the body, up to `limit` bytes. A body that was read to its end
     /// leaves its connection open for the next request.
     pub(crate) async fn read_to_end(mut self, limit: usize) {
         let mut read = 0;
@@ -104,7 +104,7 @@
         let chunk = match read {
             Err(_) => return IdleTimeoutSnafu { step, peer, limit_ms }.fail(),
             Ok(Err(error)) => {
-                return BrokenSnafu { step, peer, detail: with_sources(&error) }.fail();
+                return BrokenSnafu { step, peer, detail: format_with_sources(&error) }.fail();
             }
             Ok(Ok(chunk)) => chunk,
         };
@@ -114,11 +114,11 @@
     }
 
     fn decode(&self, line: &[u8]) -> Result<T, TransportError> {
-        serde_json::from_slice(line).map_err(|error| self.malformed(error.to_string()))
+        serde_json::from_slice(line).map_err(|error| self.malformed_error(error.to_string()))
     }
 
-    /// The error of a line that is not as documented.
-    pub(crate) fn malformed(&self, detail: String) -> TransportError {
+    /// Builds the error for a line that does not have the documented form.
+    pub(crate) fn malformed_error(&self, detail: String) -> TransportError {
         MalformedSnafu { step: &self.step, peer: &self.peer, detail }.build()
     }
 }
--- a/crates/adapters/src/machines.rs
+++ b/crates/adapters/src/machines.rs
@@ -1,4 +1,5 @@
-//! The platform's list of live and leaving machines. It lags: a hint, never a proof.
+//! The platform's list of live and leaving machines. The list is delayed, so callers may take it
+//! only as a hint.
 
 use dahlia_types::{Region, Timestamp, Zone};
 use serde::{Deserialize, Serialize};
@@ -14,7 +15,7 @@
     pub const LIST: &str = "/v1/machines";
 }
 
-/// What runs on a machine.
+/// Kind of process that runs on a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum MachineKind {
     /// A daemon of this system.
@@ -25,29 +26,29 @@
     Tool,
 }
 
-/// What the platform says of a machine.
+/// State of a machine as reported by the platform.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum MachineState {
-    /// It runs.
+    /// The machine runs.
     Live,
-    /// It runs and will be taken away.
+    /// The machine runs and will be removed.
     Leaving,
 }
 
-/// A machine on the list. A machine that is gone is no longer on it.
+/// A machine on the list. Removed machines are not listed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Machine {
-    /// Its name, unique among machines of all times.
+    /// Its name. Names are never reused.
     pub name: String,
-    /// What runs on it.
+    /// Kind of process that runs on it.
     pub kind: MachineKind,
-    /// `address:port` of what runs on it.
+    /// `address:port` of that process.
     pub address: String,
     /// Its zone.
     pub zone: Zone,
     /// Its region.
     pub region: Region,
-    /// What the platform says of it.
+    /// Its state as reported by the platform.
     pub state: MachineState,
 }
 
@@ -55,21 +56,21 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct ListMachinesRequest {}
 
-/// The list as it was some time ago.
+/// The machine list, as it was some time before the answer.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct MachineList {
-    /// Counts the list's changes. A smaller number than seen before is older.
+    /// Counts the list's changes. A list with a smaller revision is older.
     pub revision: u64,
-    /// When this revision came about, in microseconds since 1970 by the platform's clock.
+    /// Creation time of this revision, in microseconds since 1970 by the platform's clock.
     pub at: Timestamp,
     /// The machines, by name.
     pub machines: Vec<Machine>,
 }
 
-/// Why the list was not given.
+/// Reasons for which the service refuses to send the list.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu, Serialize, Deserialize)]
 pub enum MachineListRefusal {
-    /// The service cannot serve.
+    /// The service cannot handle requests.
     #[snafu(display("the service is unavailable"))]
     Unavailable,
     /// The request is malformed or exceeds a limit.
--- a/crates/adapters/src/peer_error.rs
+++ b/crates/adapters/src/peer_error.rs
@@ -1,4 +1,4 @@
-//! The error of a request to a peer that either refuses by type or gives no usable answer.
+//! The error of a request to a peer, which is either a typed refusal or a transport error.
 
 use std::error::Error;
 use std::fmt::{self, Debug, Display};
@@ -7,9 +7,9 @@
 
 use crate::{Certainty, TransportError};
 
-/// A typed refusal: what it says of the work that was asked for.
+/// A peer's typed refusal.
 pub trait TypedRefusal: Display + Debug {
-    /// Whether that work certainly did not run.
+    /// Whether the requested work may have run in spite of the refusal.
     fn certainty(&self) -> Certainty;
 }
 
@@ -18,22 +18,22 @@
 pub enum PeerError<R> {
     /// The peer refused.
     Refused {
-        /// What was being done.
+        /// The operation that failed.
         step: String,
         /// The peer and its address.
         peer: String,
-        /// Why.
+        /// Reason of the refusal.
         refusal: R,
     },
-    /// No usable answer.
+    /// The peer gave no usable answer.
     Transport {
-        /// What went wrong, with step and peer.
+        /// The transport error, which names the operation and the peer.
         error: TransportError,
     },
 }
 
 impl<R: TypedRefusal> PeerError<R> {
-    /// What the failure says about the work that was asked for.
+    /// Whether the requested work may have run in spite of the error.
     pub fn certainty(&self) -> Certainty {
         match self {
             Self::Refused { refusal, .. } => refusal.certainty(),
--- a/crates/adapters/src/tool.rs
+++ b/crates/adapters/src/tool.rs
@@ -1,4 +1,4 @@
-//! Tool and application services: run a call's body, ask later what came of it.
+//! Tool and application services: run a call's body, and read its state later.
 
 use dahlia_types::{Attempt, AttemptId, Duration, ProgramId, Repeatability, TenantId, Term};
 use serde::{Deserialize, Serialize};
@@ -23,28 +23,29 @@
 /// Asks a tool service to run an attempt.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InvokeRequest {
-    /// The attempt with the owner's epoch; the engine's life in it is not read.
+    /// The attempt with the owner's epoch; its engine incarnation is ignored.
     pub attempt: Attempt,
-    /// Whose program it is.
+    /// Tenant that owns the program.
     pub tenant: TenantId,
     /// The service's name.
     pub service: String,
-    /// What to run, UTF-8.
+    /// The input to run, in UTF-8.
     pub body: String,
-    /// Whether the call may run again; the service may take more care with one that may not.
+    /// Whether the call may run again; a service may handle one that may not with more
+    /// care.
     pub repeatability: Repeatability,
 }
 
 /// One line of an invocation's answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum InvokeEvent {
-    /// It runs from here on. Always first.
+    /// The attempt started. Always the first event.
     Started,
-    /// A sign of life.
+    /// Heartbeat.
     Alive,
-    /// It ran to its end. Always last.
+    /// The attempt ran to its end. Always the last event.
     Done {
-        /// The result, UTF-8.
+        /// The result, in UTF-8.
         body: String,
     },
 }
@@ -59,7 +60,7 @@
     pub event: InvokeEvent,
 }
 
-/// Asks where an attempt stands.
+/// Asks for the state of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ToolStateRequest {
     /// The attempt.
@@ -67,7 +68,7 @@
     pub attempt: AttemptId,
 }
 
-/// Keeps an attempt from starting if it has not; one that runs is not undone.
+/// Prevents an attempt from starting if it has not started; a running one is not undone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ToolCancelRequest {
     /// The attempt.
@@ -77,25 +78,25 @@
     pub epoch: Term,
 }
 
-/// Where an attempt stands at its tool service.
+/// State of an attempt at its tool service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ToolAttemptState {
-    /// Not seen. It may still arrive: only a cancel makes this final.
+    /// The service has not seen it. It may still arrive: only a cancel makes this final.
     Unseen,
     /// It did not start and never will.
     NeverStarted,
-    /// It runs.
+    /// It is running.
     Running,
-    /// It ran.
+    /// It ran to its end.
     Ran {
         /// The result.
         body: String,
     },
-    /// The service keeps no record and cannot say.
+    /// The service keeps no record, so the state is unknown.
     CannotTell,
 }
 
-/// Why a tool service did not do as asked.
+/// Reasons for which a tool service refuses a request.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu, Serialize, Deserialize)]
 pub enum ToolRefusal {
     /// A newer owner of the program was seen.
@@ -108,13 +109,13 @@
         /// The newest epoch seen.
         seen: Term,
     },
-    /// The attempt was cancelled before it started and never will.
+    /// The attempt was cancelled before it started, so it never starts.
     #[snafu(display("attempt {attempt} was cancelled before it arrived"))]
     NeverStarts {
         /// The attempt.
         attempt: AttemptId,
     },
-    /// The attempt was taken before; it is not run twice.
+    /// The attempt was accepted before; it is not run twice.
     #[snafu(display("attempt {attempt} is known already"))]
     AttemptExists {
         /// The attempt.
@@ -126,10 +127,10 @@
         /// The name.
         service: String,
     },
-    /// Too much is under way.
+    /// Too many attempts are in progress.
     #[snafu(display("the service is overloaded"))]
     Overloaded {
-        /// When to come back at the earliest.
+        /// Minimum delay before a retry.
         retry_after: Duration,
     },
     /// The request is malformed or exceeds a limit.
@@ -167,29 +168,29 @@
         Self { peer: HttpPeer::new("tool service", address, settings) }
     }
 
-    /// Runs an attempt and waits for its result, however long the service shows signs of life.
-    /// Whoever drops the future must ask later what came of the attempt.
+    /// Runs an attempt and waits for its result as long as the service sends heartbeats. A caller
+    /// that drops the future must read the attempt's state later.
     ///
     /// # Errors
     /// [`ToolError`]; its certainty says whether the attempt may have run.
     pub async fn invoke(&self, request: &InvokeRequest) -> Result<String, ToolError> {
         let step = "invoke";
         let answer = self.peer.post_stream::<_, ToolRefusal>(step, paths::INVOKE, request).await?;
-        let lines = answer.map_err(|refusal| self.refused(step, refusal))?;
+        let lines = answer.map_err(|refusal| self.refusal_error(step, refusal))?;
         self.read_result(lines, request.attempt.id).await
     }
 
-    /// Asks where an attempt stands, without changing it.
+    /// Reads the state of an attempt without changing it.
     ///
     /// # Errors
     /// [`ToolError`]
     pub async fn attempt(&self, attempt: AttemptId) -> Result<ToolAttemptState, ToolError> {
         let step = "enquire about attempt";
         let answer = self.peer.post(step, paths::ATTEMPT, &ToolStateRequest { attempt }).await?;
-        answer.map_err(|refusal| self.refused(step, refusal))
+        answer.map_err(|refusal| self.refusal_error(step, refusal))
     }
 
-    /// Keeps an attempt from starting; tells where it stands. A running one goes on.
+    /// Prevents an attempt from starting and returns its state. A running one continues.
     ///
     /// # Errors
     /// [`ToolError`]
@@ -201,7 +202,7 @@
         let step = "cancel";
         let answer =
             self.peer.post(step, paths::CANCEL, &ToolCancelRequest { attempt, epoch }).await?;
-        answer.map_err(|refusal| self.refused(step, refusal))
+        answer.map_err(|refusal| self.refusal_error(step, refusal))
     }
 
     async fn read_result(
@@ -214,9 +215,9 @@
                 let (step, peer) = (lines.step(), lines.peer());
                 return Err(TruncatedSnafu { step, peer }.build().into());
             };
-            // Results are matched by attempt alone: the connection proves nothing.
+            // Only the attempt identifies a result; the connection does not.
             if line.attempt != attempt {
-                return Err(lines.malformed(format!("an event of {}", line.attempt)).into());
+                return Err(lines.malformed_error(format!("an event of {}", line.attempt)).into());
             }
             if let InvokeEvent::Done { body } = line.event {
                 return Ok(body);
@@ -224,7 +225,7 @@
         }
     }
 
-    fn refused(&self, step: &str, refusal: ToolRefusal) -> ToolError {
+    fn refusal_error(&self, step: &str, refusal: ToolRefusal) -> ToolError {
         PeerError::refused(step, self.peer.name(), refusal)
     }
 }
--- a/crates/adapters/src/weights.rs
+++ b/crates/adapters/src/weights.rs
@@ -17,14 +17,14 @@
     pub const FETCH: &str = "/v1/weights/fetch";
 }
 
-/// Asks what the store has of a model.
+/// Asks for the description of a model's weights.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DescribeRequest {
     /// The model.
     pub model: ModelId,
 }
 
-/// What the store has of a model.
+/// Description of a model's weights in the store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WeightDescription {
     /// The model.
@@ -38,26 +38,26 @@
 pub struct FetchRequest {
     /// The model.
     pub model: ModelId,
-    /// The engine that takes them.
+    /// The engine that receives them.
     pub engine: EngineId,
 }
 
-/// One line of a transfer. The stand-in sends sizes in place of the weights' bytes.
+/// One line of a transfer. The stand-in sends sizes instead of the weights' bytes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FetchEvent {
-    /// The transfer goes on.
+    /// The transfer is in progress.
     Progress {
-        /// Transferred so far.
+        /// Bytes transferred so far.
         transferred: Bytes,
     },
-    /// The transfer is complete. Always last.
+    /// The transfer is complete. Always the last event.
     Done {
-        /// Transferred in all.
+        /// Total bytes transferred.
         transferred: Bytes,
     },
 }
 
-/// Why the store did not do as asked.
+/// Reasons for which the store refuses a request.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu, Serialize, Deserialize)]
 pub enum WeightRefusal {
     /// The store does not have the model.
@@ -66,10 +66,10 @@
         /// The model.
         model: ModelId,
     },
-    /// Too many transfers.
+    /// The rate limit on transfers was exceeded.
     #[snafu(display("the rate limit is reached"))]
     RateLimited {
-        /// When to come back at the earliest.
+        /// Minimum delay before a retry.
         retry_after: Duration,
     },
     /// The request is malformed or exceeds a limit.
@@ -103,7 +103,7 @@
         Self { peer: HttpPeer::new("weight store", address, settings) }
     }
 
-    /// Asks what the store has of a model.
+    /// Reads the description of a model's weights.
     ///
     /// # Errors
     /// [`WeightError`]
@@ -111,10 +111,10 @@
         let step = "describe weights";
         let request = DescribeRequest { model: model.clone() };
         let answer = self.peer.post(step, paths::DESCRIBE, &request).await?;
-        answer.map_err(|refusal| self.refused(step, refusal))
+        answer.map_err(|refusal| self.refusal_error(step, refusal))
     }
 
-    /// Transfers a model's weights; gives their size when all have arrived.
+    /// Transfers a model's weights; returns their size when all have arrived.
     ///
     /// # Errors
     /// [`WeightError`]
@@ -123,7 +123,7 @@
         let request = FetchRequest { model: model.clone(), engine: engine.clone() };
         let answer =
             self.peer.post_stream::<_, WeightRefusal>(step, paths::FETCH, &request).await?;
-        let mut lines = answer.map_err(|refusal| self.refused(step, refusal))?;
+        let mut lines = answer.map_err(|refusal| self.refusal_error(step, refusal))?;
         loop {
             match lines.next().await? {
                 Some(FetchEvent::Progress { .. }) => {}
@@ -136,7 +136,7 @@
         }
     }
 
-    fn refused(&self, step: &str, refusal: WeightRefusal) -> WeightError {
+    fn refusal_error(&self, step: &str, refusal: WeightRefusal) -> WeightError {
         PeerError::refused(step, self.peer.name(), refusal)
     }
 }
--- a/crates/adapters/src/wire_text.rs
+++ b/crates/adapters/src/wire_text.rs
@@ -1,6 +1,6 @@
-//! Text forms of values inside JSON.
+//! Serde modules that write values as text inside JSON.
 
-/// Writes an [`dahlia_types::AttemptId`] as its text form. For `#[serde(with = "attempt_text")]`.
+/// Writes a [`dahlia_types::AttemptId`] as its text form. For `#[serde(with = "attempt_text")]`.
 pub mod attempt_text {
     use dahlia_types::AttemptId;
     use serde::{Deserialize, Deserializer, Serializer, de::Error};
@@ -8,7 +8,7 @@
     /// Writes `<program>/<chain>/<call>/<attempt>`.
     ///
     /// # Errors
-    /// Those of the serializer.
+    /// Errors of the serializer.
     pub fn serialize<S: Serializer>(attempt: &AttemptId, to: S) -> Result<S::Ok, S::Error> {
         to.collect_str(attempt)
     }
@@ -16,7 +16,7 @@
     /// Reads the same form.
     ///
     /// # Errors
-    /// A text that is not an attempt identifier.
+    /// The text is not an attempt identifier.
     pub fn deserialize<'de, D: Deserializer<'de>>(from: D) -> Result<AttemptId, D::Error> {
         let text = String::deserialize(from)?;
         text.parse().map_err(D::Error::custom)
@@ -32,7 +32,7 @@
     /// Writes the bytes as padded base64.
     ///
     /// # Errors
-    /// Those of the serializer.
+    /// Errors of the serializer.
     pub fn serialize<S: Serializer>(bytes: &[u8], to: S) -> Result<S::Ok, S::Error> {
         to.serialize_str(&STANDARD.encode(bytes))
     }
@@ -40,7 +40,7 @@
     /// Reads padded base64.
     ///
     /// # Errors
-    /// A text that is not base64.
+    /// The text is not base64.
     pub fn deserialize<'de, D: Deserializer<'de>>(from: D) -> Result<Vec<u8>, D::Error> {
         let text = String::deserialize(from)?;
         STANDARD.decode(text).map_err(D::Error::custom)
--- a/crates/adapters/tests/wire.rs
+++ b/crates/adapters/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The wire forms, and the settings' checks, as text.
+//! Snapshots of the JSON on the wire, and checks of the settings.
 
 use dahlia_adapters::ClientSettings;
 use dahlia_adapters::engine::{
@@ -12,18 +12,18 @@
 };
 use serde::Serialize;
 
-fn attempt() -> AttemptId {
+fn attempt_id() -> AttemptId {
     "p-12-00f3a1b2c4d5e6f7/0/3/1".parse().expect("well formed")
 }
 
-fn json(value: &impl Serialize) -> String {
+fn to_json(value: &impl Serialize) -> String {
     serde_json::to_string(value).expect("encodes")
 }
 
 #[test]
 fn generate_request() {
     let request = GenerateRequest {
-        attempt: Attempt { id: attempt(), epoch: Term(4), engine_incarnation: Incarnation(9) },
+        attempt: Attempt { id: attempt_id(), epoch: Term(4), engine_incarnation: Incarnation(9) },
         tenant: TenantId::new("bayou"),
         model: ModelId::new("agent-8b/fault-codes@3"),
         messages: vec![Message { role: Role::User, content: "Code 31".to_owned() }],
@@ -46,14 +46,14 @@
         GenerateEvent::NeverStarted,
     ];
     let lines: Vec<String> =
-        events.map(|event| json(&GenerateLine { attempt: attempt(), event })).into();
+        events.map(|event| to_json(&GenerateLine { attempt: attempt_id(), event })).into();
     insta::assert_snapshot!(lines.join("\n"));
 }
 
 #[test]
 fn engine_requests_and_answers() {
     let release = ReleaseRequest {
-        program: attempt().call.program,
+        program: attempt_id().call.program,
         epoch: Term(4),
         scope: ReleaseScope::Ended,
     };
@@ -64,7 +64,7 @@
     let running = AttemptState::Running { generated: Tokens(3) };
     let overloaded =
         EngineRefusal::Overloaded { queued: 5, retry_after: Duration::from_millis(200) };
-    let lines = [json(&release), json(&order), json(&running), json(&overloaded)];
+    let lines = [to_json(&release), to_json(&order), to_json(&running), to_json(&overloaded)];
     insta::assert_snapshot!(lines.join("\n"));
 }
 
@@ -78,17 +78,17 @@
     };
     let conflict = KeyValueRefusal::Conflict { actual: Some(Version(4)) };
     let limited = KeyValueRefusal::RateLimited { retry_after: Duration::from_millis(50) };
-    let lines = [json(&swap), json(&conflict), json(&limited)];
+    let lines = [to_json(&swap), to_json(&conflict), to_json(&limited)];
     insta::assert_snapshot!(lines.join("\n"));
 }
 
 #[test]
-fn requests_read_back_as_written() {
+fn lines_decode_to_what_was_encoded() {
     let line = GenerateLine {
-        attempt: attempt(),
+        attempt: attempt_id(),
         event: GenerateEvent::Token { offset: 3, text: "ü\n\"".to_owned() },
     };
-    let text = json(&line);
+    let text = to_json(&line);
     assert!(!text.contains('\n'), "a line has no line break inside: {text}");
     assert_eq!(serde_json::from_str::<GenerateLine>(&text).expect("reads"), line);
     let wrong = text.replace("p-12-", "q-12-");
@@ -96,12 +96,12 @@
 }
 
 #[test]
-fn settings_are_checked_by_name() {
+fn invalid_settings_are_named_in_errors() {
     ClientSettings::default().check("platform.engine").expect("the defaults are allowed");
     let slow = ClientSettings { connect_timeout_ms: 2_000, ..ClientSettings::default() };
     let error = slow.check("platform.engine").expect_err("connecting may not outlast the answer");
     insta::assert_snapshot!(error, @"setting `platform.engine.connect_timeout_ms` is 2000; allowed: 1 to 1999");
     let none = ClientSettings { idle_timeout_ms: 0, ..ClientSettings::default() };
-    let error = none.check("platform.engine").expect_err("no silence at all");
+    let error = none.check("platform.engine").expect_err("the idle timeout must not be 0");
     insta::assert_snapshot!(error, @"setting `platform.engine.idle_timeout_ms` is 0; allowed: 1 to 86400000");
 }
