--- a/crates/api/src/chat.rs
+++ b/crates/api/src/chat.rs
@@ -1,5 +1,5 @@
-//! The chat-completions protocol, as far as it is served. Unknown request fields are ignored, as
-//! OpenAI's servers do.
+//! The supported part of the chat-completions protocol. Unknown request fields are ignored, as on
+//! OpenAI's servers.
 
 use dahlia_types::{Message, Role, Usage};
 use serde::{Deserialize, Serialize};
@@ -7,18 +7,18 @@
 /// Body of `POST /v1/chat/completions`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ChatRequest {
-    /// The model's name. Informative: the program's specification decides. May be empty.
+    /// The model's name, for information only: the program's specification decides. May be empty.
     #[serde(default)]
     pub model: String,
-    /// What is new since the chain's last answer, or the whole conversation.
+    /// The messages since the chain's last answer, or the whole conversation.
     pub messages: Vec<ChatMessage>,
     /// Whether to stream the answer as server-sent events.
     #[serde(default)]
     pub stream: bool,
-    /// Most tokens to generate.
+    /// Maximum number of tokens to generate.
     #[serde(default)]
     pub max_tokens: Option<u64>,
-    /// The newer name of `max_tokens`; goes first when both are given.
+    /// The newer name of `max_tokens`; takes precedence when both are given.
     #[serde(default)]
     pub max_completion_tokens: Option<u64>,
 }
@@ -54,7 +54,7 @@
 /// One part of a message's content.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ContentPart {
-    /// `text`.
+    /// Type of the part; only `text` is accepted.
     #[serde(rename = "type")]
     pub kind: String,
     /// The text.
@@ -69,9 +69,9 @@
     pub prompt_tokens: u64,
     /// Tokens generated.
     pub completion_tokens: u64,
-    /// Both.
+    /// Sum of prompt and generated tokens.
     pub total_tokens: u64,
-    /// How much of the prompt the engine had cached.
+    /// Details about the prompt's tokens.
     pub prompt_tokens_details: PromptDetails,
 }
 
@@ -93,18 +93,18 @@
     }
 }
 
-/// Answer of a call that is not streamed.
+/// Answer to a call that is not streamed.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ChatCompletion {
     /// The call's identifier.
     pub id: String,
-    /// `chat.completion`.
+    /// Always `chat.completion`.
     pub object: String,
-    /// Seconds since 1970.
+    /// Creation time in seconds since 1970.
     pub created: u64,
-    /// The model that served.
+    /// The model that generated the answer.
     pub model: String,
-    /// One choice.
+    /// Always exactly one choice.
     pub choices: Vec<ChatChoice>,
     /// Tokens used.
     pub usage: ChatUsage,
@@ -113,18 +113,18 @@
 /// The choice of an answer that is not streamed.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ChatChoice {
-    /// 0.
+    /// Always 0.
     pub index: u32,
     /// The answer.
     pub message: AnswerMessage,
-    /// `stop`.
+    /// Always `stop`.
     pub finish_reason: String,
 }
 
 /// The answer's message.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct AnswerMessage {
-    /// `assistant`.
+    /// Always `assistant`.
     pub role: String,
     /// The text.
     pub content: String,
@@ -135,11 +135,11 @@
 pub struct ChatChunk {
     /// The call's identifier.
     pub id: String,
-    /// `chat.completion.chunk`.
+    /// Always `chat.completion.chunk`.
     pub object: String,
-    /// Seconds since 1970.
+    /// Creation time in seconds since 1970.
     pub created: u64,
-    /// The model that serves.
+    /// The model that generates the answer.
     pub model: String,
     /// One choice; none in the last event, which carries the usage.
     pub choices: Vec<ChunkChoice>,
@@ -151,15 +151,15 @@
 /// The choice of a streamed event.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ChunkChoice {
-    /// 0.
+    /// Always 0.
     pub index: u32,
-    /// What is new.
+    /// The part of the answer that this event adds.
     pub delta: Delta,
     /// `stop` in the event that ends the answer.
     pub finish_reason: Option<String>,
 }
 
-/// A piece of the answer.
+/// A part of the answer.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Delta {
     /// `assistant`, in the first event.
@@ -170,19 +170,19 @@
     pub content: Option<String>,
 }
 
-/// The names and time that every part of one answer repeats.
+/// Metadata that is repeated in every event of one answer.
 #[derive(Debug, Clone)]
 pub struct AnswerMetadata {
     /// The call's identifier.
     pub id: String,
     /// The model.
     pub model: String,
-    /// Seconds since 1970.
+    /// Creation time in seconds since 1970.
     pub created: u64,
 }
 
 impl AnswerMetadata {
-    /// The whole answer.
+    /// Builds the whole answer.
     pub fn completion(&self, answer: &Message, usage: Usage) -> ChatCompletion {
         let message =
             AnswerMessage { role: "assistant".to_owned(), content: answer.content.clone() };
@@ -196,13 +196,13 @@
         }
     }
 
-    /// An event with a piece of text; the first one of an answer names the role.
+    /// Builds an event with a part of the text; the first one of an answer contains the role.
     pub fn text_chunk(&self, text: &str, first: bool) -> ChatChunk {
         let role = first.then(|| "assistant".to_owned());
         self.chunk(Delta { role, content: Some(text.to_owned()) }, None)
     }
 
-    /// The event that ends the answer.
+    /// Builds the event that ends the answer.
     pub fn final_chunk(&self, usage: Usage) -> ChatChunk {
         let mut chunk = self.chunk(Delta::default(), Some("stop".to_owned()));
         chunk.usage = Some(usage.into());
@@ -221,7 +221,7 @@
     }
 }
 
-/// Reads a role's name. `developer` is OpenAI's newer name of `system`.
+/// Parses a role's name. `developer` is OpenAI's newer name of `system`.
 pub fn parse_role(name: &str) -> Option<Role> {
     match name {
         "system" | "developer" => Some(Role::System),
--- a/crates/api/src/error.rs
+++ b/crates/api/src/error.rs
@@ -1,11 +1,11 @@
-//! Errors as callers and operators see them, and the one map from errors to statuses.
+//! Errors as callers and operators see them, and the only mapping from errors to statuses.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 
-/// The name of an error. Stable: callers and scripts match on it.
+/// Kind of an error. The names are stable, since callers and scripts match on them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ErrorKind {
@@ -17,35 +17,36 @@
     NotFound,
     /// The program has ended. Not run.
     ProgramClosed,
-    /// The stated call number is not the chain's next one. Not run.
+    /// The call number in the request is not the chain's next one. Not run.
     OutOfOrder,
     /// The key or number was used by a call with other content. Not run.
     KeyReused,
-    /// What is left of the budget does not cover the call. Not run.
+    /// The remaining budget does not cover the call. Not run.
     BudgetExhausted,
     /// The body is over its limit. Not run.
     TooLarge,
-    /// The tenant or program is over a limit of its own. Not run.
+    /// The tenant or program exceeds one of its own limits. Not run.
     LimitReached,
-    /// The system has more work than it can serve in time. Not run.
+    /// The system is overloaded and could not serve the call in time. Not run.
     Overloaded,
-    /// It did not run and never will; the reason is in the message.
+    /// The call did not run and never will; the message gives the reason.
     NotRun,
-    /// It may have run; it will not run again.
+    /// The call may have run; it will not run again.
     Unknown,
-    /// Text that was read came from an attempt that was lost; another one answered differently.
+    /// The caller has read text of an attempt that was lost, and another attempt gave a different
+    /// answer.
     AnswerReplaced,
     /// An operator's change was made from a generation that is no longer the newest.
     ConfigurationConflict,
-    /// No owner of the program can be reached at present. For a call: it may have begun; asking
-    /// again with the same key or number joins it.
+    /// No owner of the program can be reached at present. A call may have begun; a retry with the
+    /// same key or number joins it.
     Unavailable,
-    /// A fault of this system.
+    /// An internal error of this system.
     Internal,
 }
 
 impl ErrorKind {
-    /// The name as it stands in answers.
+    /// Returns the name used in answers.
     pub fn name(self) -> &'static str {
         match self {
             Self::InvalidRequest => "invalid_request",
@@ -69,7 +70,7 @@
 
     /// The HTTP status (RFC 9110; 402, 424 and 429 as registered by IANA).
     ///
-    /// `Unknown` takes 424, which OpenAI's clients do not send again by themselves.
+    /// `Unknown` maps to 424, which OpenAI's clients do not retry automatically.
     pub fn http_status(self) -> u16 {
         match self {
             Self::InvalidRequest => 400,
@@ -105,62 +106,61 @@
         }
     }
 
-    /// Whether the same request can succeed when sent again unchanged.
+    /// Whether a retry of the unchanged request can succeed.
     pub fn should_retry(self) -> bool {
         matches!(self, Self::LimitReached | Self::Overloaded | Self::NotRun | Self::Unavailable)
     }
 }
 
-/// An error answer.
+/// An error that is returned to a caller or operator.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu, Serialize, Deserialize)]
 #[snafu(display("{}: {message}", kind.name()))]
 pub struct ApiError {
-    /// Its name.
+    /// Kind of the error.
     pub kind: ErrorKind,
-    /// One or two sentences for a person.
+    /// Human-readable message of one or two sentences.
     pub message: String,
-    /// The field that is wrong, if one is.
+    /// The invalid field, if the error concerns one.
     pub field: Option<String>,
-    /// When to come back, if that can help.
+    /// Delay before a retry, if a retry can succeed.
     pub retry_after: Option<Duration>,
 }
 
-/// When a caller may come back after an error that can be retried, unless a better estimate
-/// exists.
-const DEFAULT_RETRY: Duration = Duration::from_secs(1);
+/// Delay before a retry of a retryable error, unless a better estimate exists.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl ApiError {
-    /// An error without field. One that can be retried always says when to come back: a client
-    /// that is told nothing asks again at once.
+    /// Creates an error without field. A retryable error always has a delay, because clients retry
+    /// immediately when none is given.
     pub fn new(kind: ErrorKind, message: impl Into<String>) -> Self {
-        let retry_after = kind.should_retry().then_some(DEFAULT_RETRY);
+        let retry_after = kind.should_retry().then_some(DEFAULT_RETRY_AFTER);
         Self { kind, message: message.into(), field: None, retry_after }
     }
 
-    /// The same error naming the wrong field.
+    /// Sets the invalid field.
     pub fn with_field(mut self, field: impl Into<String>) -> Self {
         self.field = Some(field.into());
         self
     }
 
-    /// The same error with the time to come back.
+    /// Sets the delay before a retry.
     pub fn with_retry_after(mut self, after: Duration) -> Self {
         self.retry_after = Some(after);
         self
     }
 
-    /// The same error for a request that fails again however often it is sent unchanged.
+    /// Removes the delay, for a request that fails again whenever it is sent unchanged.
     pub fn without_retry(mut self) -> Self {
         self.retry_after = None;
         self
     }
 
-    /// The value of the HTTP `Retry-After` header: whole seconds, rounded up, at least 1.
+    /// Returns the value of the HTTP `Retry-After` header: whole seconds, rounded up, at least 1.
     pub fn retry_after_seconds(&self) -> Option<u64> {
         self.retry_after.map(|after| after.as_millis().div_ceil(1000).max(1) as u64)
     }
 
-    /// The JSON body, in the shape OpenAI's clients read.
+    /// Builds the JSON body in the form that OpenAI's clients parse.
     pub fn body(&self) -> serde_json::Value {
         serde_json::json!({
             "error": {
--- a/crates/api/src/headers.rs
+++ b/crates/api/src/headers.rs
@@ -8,15 +8,15 @@
 pub const PARENT_CHAIN: &str = "x-parent-chain";
 /// The call's place in its chain, from 1. Also returned with each answer.
 pub const CALL_NUMBER: &str = "x-call-number";
-/// The caller's name for a call that may not be repeated.
+/// The caller's key for a call that must not run more than once.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 /// The error's name, see [`crate::ErrorKind`].
 pub const ERROR: &str = "x-error";
-/// `true` or `false`: whether the same request may be sent again. OpenAI's clients obey it.
+/// `true` or `false`: whether the same request may be retried. OpenAI's clients follow it.
 pub const SHOULD_RETRY: &str = "x-should-retry";
 /// The daemon that served the request.
 pub const SERVED_BY: &str = "x-served-by";
 /// The RPC metadata key that carries the error's name.
 pub const RPC_ERROR: &str = "dahlialadder-error";
-/// The RPC metadata key that carries when to come back, in milliseconds.
+/// The RPC metadata key that carries the delay before a retry, in milliseconds.
 pub const RPC_RETRY_AFTER: &str = "retry-after-ms";
--- a/crates/api/src/lib.rs
+++ b/crates/api/src/lib.rs
@@ -1,7 +1,7 @@
-//! The interfaces towards callers and operators: types, limits and typed errors.
+//! The interfaces to callers and operators: types, limits and typed errors.
 //!
-//! Callers speak an OpenAI-compatible chat-completions protocol over HTTP; operators speak the
-//! RPC of `proto/operators.proto`. Neither server lives here: this crate only fixes what is said.
+//! Callers use an OpenAI-compatible chat-completions protocol over HTTP; operators use the
+//! RPCs of `proto/operators.proto`. This crate defines the messages and contains neither server.
 
 pub mod chat;
 pub mod error;
--- a/crates/api/src/validation.rs
+++ b/crates/api/src/validation.rs
@@ -1,4 +1,4 @@
-//! Checks a caller's request against the limits, before anything is kept of it.
+//! Checks a caller's request against the limits before any of it is stored.
 
 use dahlia_types::{
     ChainId, IdempotencyKey, InvalidSetting, Message, ProgramId, Tokens, check_range,
@@ -14,25 +14,25 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RequestLimits {
-    /// Bytes of a request's head: its target and the names and values of its headers.
+    /// Maximum size of a request's head in bytes: its target and the names and values of its headers.
     pub head_bytes: u64,
-    /// Headers of a request.
+    /// Maximum number of headers of a request.
     pub headers: u64,
-    /// Bytes of a request's body.
+    /// Maximum size of a request's body in bytes.
     pub body_bytes: u64,
-    /// Messages in one request.
+    /// Maximum number of messages in one request.
     pub messages: u64,
-    /// Bytes of one message's text.
+    /// Maximum size of one message's text in bytes.
     pub message_bytes: u64,
-    /// Most tokens a request may ask to generate.
+    /// Maximum number of tokens that a request may ask to generate.
     pub generated_tokens: u64,
-    /// Tokens to generate when the request does not say.
+    /// Maximum number of tokens to generate when the request has no limit of its own.
     pub default_generated_tokens: u64,
-    /// Bytes of an idempotency key.
+    /// Maximum length of an idempotency key in bytes.
     pub key_bytes: u64,
-    /// Milliseconds in which a request's head and body must have arrived.
+    /// Timeout for receiving a request's head and body, in milliseconds.
     pub receive_ms: u64,
-    /// Requests in progress on one daemon.
+    /// Maximum number of requests in progress on one daemon.
     pub concurrent_requests: u64,
 }
 
@@ -57,7 +57,7 @@
     /// Checks each limit.
     ///
     /// # Errors
-    /// [`InvalidSetting`] naming the first one out of its bounds.
+    /// [`InvalidSetting`] naming the first limit out of range.
     pub fn check(&self) -> Result<(), InvalidSetting> {
         check_range("limits.head_bytes", self.head_bytes, 8_192, 1 << 20)?;
         check_range("limits.headers", self.headers, 10, 1_000)?;
@@ -77,15 +77,15 @@
     }
 }
 
-/// A request that is not taken, with the field and the limit it breaks.
+/// Error of a request that fails validation, with the field and the limit it exceeds.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display("{field}: {problem}"))]
 pub struct ValidationError {
-    /// The field or header.
+    /// The invalid field or header.
     pub field: String,
-    /// What is wrong and what is allowed.
+    /// The problem and the allowed values.
     pub problem: String,
-    /// Whether a size is over its limit, rather than a form being wrong.
+    /// Whether a size exceeds its limit; otherwise the form is wrong.
     pub oversize: bool,
 }
 
@@ -96,7 +96,7 @@
     }
 }
 
-/// The headers that matter, as text; absent ones are `None`.
+/// The request headers of a call, as text; absent ones are `None`.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct CallHeaders<'a> {
     /// `X-Program-Id`.
@@ -120,15 +120,15 @@
     pub chain: ChainId,
     /// The chain it branches off from, if the call opens it.
     pub parent: ChainId,
-    /// The stated place in the chain.
+    /// The call's number in its chain, if the request has one.
     pub number: Option<u32>,
     /// The caller's key; a call with one runs at most once.
     pub key: Option<IdempotencyKey>,
-    /// Messages as sent.
+    /// The messages as sent by the caller.
     pub messages: Vec<Message>,
-    /// Most tokens to generate.
+    /// Maximum number of tokens to generate.
     pub max_generated: Tokens,
-    /// Hash over what makes two requests the same call.
+    /// Hash of chain, messages and token limit. Requests with equal digests are the same call.
     pub digest: u64,
 }
 
@@ -141,37 +141,37 @@
     request: &ChatRequest,
     limits: &RequestLimits,
 ) -> Result<CallRequest, ValidationError> {
-    let program = program_header(headers.program)?;
-    let chain = ChainId(number_header(headers::CHAIN, headers.chain)?.unwrap_or(0));
-    let parent = ChainId(number_header(headers::PARENT_CHAIN, headers.parent)?.unwrap_or(0));
-    let number = number_header(headers::CALL_NUMBER, headers.number)?;
+    let program = parse_program(headers.program)?;
+    let chain = ChainId(parse_number(headers::CHAIN, headers.chain)?.unwrap_or(0));
+    let parent = ChainId(parse_number(headers::PARENT_CHAIN, headers.parent)?.unwrap_or(0));
+    let number = parse_number(headers::CALL_NUMBER, headers.number)?;
     if number == Some(0) {
-        return Err(malformed(headers::CALL_NUMBER, "is 0; calls are numbered from 1"));
+        return Err(malformed_error(headers::CALL_NUMBER, "is 0; calls are numbered from 1"));
     }
-    let key = key_header(headers.key, limits)?;
-    let messages = messages(request, limits)?;
-    let max_generated = generated(request, limits)?;
-    let digest = digest(chain, &messages, max_generated);
+    let key = parse_key(headers.key, limits)?;
+    let messages = parse_messages(request, limits)?;
+    let max_generated = parse_max_generated(request, limits)?;
+    let digest = request_digest(chain, &messages, max_generated);
     Ok(CallRequest { program, chain, parent, number, key, messages, max_generated, digest })
 }
 
-fn program_header(value: Option<&str>) -> Result<ProgramId, ValidationError> {
-    let text = value.ok_or_else(|| malformed(headers::PROGRAM, "is missing"))?;
-    text.parse().map_err(|error| malformed(headers::PROGRAM, format!("{error}")))
+fn parse_program(value: Option<&str>) -> Result<ProgramId, ValidationError> {
+    let text = value.ok_or_else(|| malformed_error(headers::PROGRAM, "is missing"))?;
+    text.parse().map_err(|error| malformed_error(headers::PROGRAM, format!("{error}")))
 }
 
-fn number_header(name: &str, value: Option<&str>) -> Result<Option<u32>, ValidationError> {
+fn parse_number(name: &str, value: Option<&str>) -> Result<Option<u32>, ValidationError> {
     let Some(text) = value else {
         return Ok(None);
     };
     let number = text.parse().map_err(|_| {
         let shown: String = text.chars().take(32).collect();
-        malformed(name, format!("is {shown:?}; allowed: 0 to {}", u32::MAX))
+        malformed_error(name, format!("is {shown:?}; allowed: 0 to {}", u32::MAX))
     })?;
     Ok(Some(number))
 }
 
-fn key_header(
+fn parse_key(
     value: Option<&str>,
     limits: &RequestLimits,
 ) -> Result<Option<IdempotencyKey>, ValidationError> {
@@ -179,11 +179,11 @@
         return Ok(None);
     };
     if text.is_empty() {
-        return Err(malformed(headers::IDEMPOTENCY_KEY, "is empty"));
+        return Err(malformed_error(headers::IDEMPOTENCY_KEY, "is empty"));
     }
     let length = text.len() as u64;
     if length > limits.key_bytes {
-        return Err(malformed(
+        return Err(malformed_error(
             headers::IDEMPOTENCY_KEY,
             format!("has {length} bytes; the limit is {} (limits.key_bytes)", limits.key_bytes),
         ));
@@ -191,43 +191,43 @@
     Ok(Some(IdempotencyKey::new(text)))
 }
 
-fn messages(
+fn parse_messages(
     request: &ChatRequest,
     limits: &RequestLimits,
 ) -> Result<Vec<Message>, ValidationError> {
     let count = request.messages.len() as u64;
     if count == 0 {
-        return Err(malformed("messages", "is empty; at least one message is needed"));
+        return Err(malformed_error("messages", "is empty; at least one message is needed"));
     }
     if count > limits.messages {
         let problem = format!("has {count}; the limit is {} (limits.messages)", limits.messages);
-        return Err(oversize("messages", problem));
+        return Err(oversize_error("messages", problem));
     }
-    let mut taken = Vec::with_capacity(request.messages.len());
+    let mut messages = Vec::with_capacity(request.messages.len());
     for (index, message) in request.messages.iter().enumerate() {
         let role = parse_role(&message.role).ok_or_else(|| {
             let shown: String = message.role.chars().take(32).collect();
             let allowed = "system, developer, user, assistant, tool";
-            malformed(
+            malformed_error(
                 format!("messages[{index}].role"),
                 format!("is {shown:?}; allowed: {allowed}"),
             )
         })?;
-        let content = text_of(&message.content, index)?;
+        let content = content_text(&message.content, index)?;
         if content.len() as u64 > limits.message_bytes {
             let problem = format!(
                 "has {} bytes; the limit is {} (limits.message_bytes)",
                 content.len(),
                 limits.message_bytes
             );
-            return Err(oversize(format!("messages[{index}].content"), problem));
+            return Err(oversize_error(format!("messages[{index}].content"), problem));
         }
-        taken.push(Message { role, content });
+        messages.push(Message { role, content });
     }
-    Ok(taken)
+    Ok(messages)
 }
 
-fn text_of(content: &ChatContent, index: usize) -> Result<String, ValidationError> {
+fn content_text(content: &ChatContent, index: usize) -> Result<String, ValidationError> {
     match content {
         ChatContent::Text(text) => Ok(text.clone()),
         ChatContent::Null(_) => Ok(String::new()),
@@ -235,32 +235,35 @@
             if let Some(part) = parts.iter().find(|part| part.kind != "text") {
                 let shown: String = part.kind.chars().take(32).collect();
                 let problem = format!("has a part of type {shown:?}; allowed: text");
-                return Err(malformed(format!("messages[{index}].content"), problem));
+                return Err(malformed_error(format!("messages[{index}].content"), problem));
             }
             Ok(parts.iter().map(|part| part.text.as_str()).collect())
         }
     }
 }
 
-fn generated(request: &ChatRequest, limits: &RequestLimits) -> Result<Tokens, ValidationError> {
-    let (field, asked) = match (request.max_completion_tokens, request.max_tokens) {
+fn parse_max_generated(
+    request: &ChatRequest,
+    limits: &RequestLimits,
+) -> Result<Tokens, ValidationError> {
+    let (field, requested) = match (request.max_completion_tokens, request.max_tokens) {
         (Some(tokens), _) => ("max_completion_tokens", tokens),
         (None, Some(tokens)) => ("max_tokens", tokens),
         (None, None) => return Ok(Tokens(limits.default_generated_tokens)),
     };
-    if asked == 0 || asked > limits.generated_tokens {
+    if requested == 0 || requested > limits.generated_tokens {
         let problem = format!(
-            "is {asked}; allowed: 1 to {} (limits.generated_tokens)",
+            "is {requested}; allowed: 1 to {} (limits.generated_tokens)",
             limits.generated_tokens
         );
-        return Err(malformed(field, problem));
+        return Err(malformed_error(field, problem));
     }
-    Ok(Tokens(asked))
+    Ok(Tokens(requested))
 }
 
-/// Hash over chain, messages and cap: the first eight bytes of a SHA-256, so that daemons of
-/// different builds agree while they are being replaced.
-fn digest(chain: ChainId, messages: &[Message], max_generated: Tokens) -> u64 {
+/// Hashes chain, messages and token limit. The digest is the first eight bytes of a SHA-256, so
+/// that daemons of different builds agree during a rolling upgrade.
+fn request_digest(chain: ChainId, messages: &[Message], max_generated: Tokens) -> u64 {
     let mut hasher = Sha256::new();
     hasher.update(chain.0.to_le_bytes());
     hasher.update(max_generated.0.to_le_bytes());
@@ -274,10 +277,10 @@
     u64::from_le_bytes(*first)
 }
 
-fn malformed(field: impl Into<String>, problem: impl Into<String>) -> ValidationError {
+fn malformed_error(field: impl Into<String>, problem: impl Into<String>) -> ValidationError {
     ValidationError { field: field.into(), problem: problem.into(), oversize: false }
 }
 
-fn oversize(field: impl Into<String>, problem: impl Into<String>) -> ValidationError {
+fn oversize_error(field: impl Into<String>, problem: impl Into<String>) -> ValidationError {
     ValidationError { field: field.into(), problem: problem.into(), oversize: true }
 }
--- a/crates/api/tests/errors.rs
+++ b/crates/api/tests/errors.rs
@@ -1,4 +1,4 @@
-//! Every error by name: its statuses, and whether and when to come back.
+//! Checks the statuses of every error kind, and whether and when it can be retried.
 
 use std::time::Duration;
 
@@ -41,10 +41,10 @@
 }
 
 #[test]
-fn every_kind_that_can_be_retried_says_when() {
+fn every_retryable_kind_has_a_retry_delay() {
     for kind in KINDS {
-        let waits = ApiError::new(kind, "why").retry_after_seconds();
-        assert_eq!(waits.is_some(), kind.should_retry(), "{}", kind.name());
+        let retry_after_seconds = ApiError::new(kind, "why").retry_after_seconds();
+        assert_eq!(retry_after_seconds.is_some(), kind.should_retry(), "{}", kind.name());
     }
 }
 
