--- a/crates/ctl/src/arguments.rs
+++ b/crates/ctl/src/arguments.rs
@@ -1,20 +1,20 @@
-//! Commands and flags.
+//! Commands and flags of the command line.
 
 use std::str::FromStr;
 
 use gumdrop::Options;
 
-/// How answers are shown.
+/// Output format of answers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum OutputForm {
-    /// Columns for a person.
+pub enum OutputFormat {
+    /// A table with columns.
     #[default]
     Table,
-    /// JSON for a script.
+    /// JSON, for scripts.
     Json,
 }
 
-impl FromStr for OutputForm {
+impl FromStr for OutputFormat {
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
@@ -32,15 +32,15 @@
     /// Print help.
     #[options(help = "print this help")]
     pub help: bool,
-    /// Where a daemon serves operators.
+    /// A daemon's address for operators.
     #[options(help = "a daemon's operators' address (or DAHLIA_ADDRESS)", meta = "HOST:PORT")]
     pub address: Option<String>,
     /// The operators' token.
     #[options(help = "the operators' token (or DAHLIA_TOKEN)", meta = "TOKEN")]
     pub token: Option<String>,
-    /// How answers are shown.
+    /// Output format of answers.
     #[options(help = "table or json", meta = "FORM", default = "table")]
-    pub output: OutputForm,
+    pub output: OutputFormat,
     /// The command.
     #[options(command)]
     pub command: Option<Command>,
@@ -49,22 +49,22 @@
 /// What to do.
 #[derive(Debug, Options)]
 pub enum Command {
-    /// Programs.
+    /// Commands on programs.
     #[options(help = "create, list, show and close programs")]
     Programs(Programs),
-    /// Budgets.
+    /// Commands on budgets.
     #[options(help = "show and raise programs' budgets")]
     Budgets(Budgets),
-    /// Sessions.
+    /// Shows a program's sessions.
     #[options(help = "show a program's chains, calls and held cache")]
     Sessions(Sessions),
-    /// Machines.
+    /// Commands on machines.
     #[options(help = "list daemons and stop one as planned")]
     Machines(Machines),
-    /// Engines.
+    /// Commands on engines.
     #[options(help = "list engines")]
     Engines(Engines),
-    /// Configuration.
+    /// Commands on the configuration.
     #[options(help = "show, compare, apply and follow the configuration")]
     Configuration(Configuration),
 }
@@ -75,7 +75,7 @@
     /// Print help.
     #[options(help = "print this help")]
     pub help: bool,
-    /// What to do.
+    /// The command of this group.
     #[options(command, required)]
     pub command: Option<ProgramsCommand>,
 }
@@ -83,18 +83,18 @@
 /// What to do with programs.
 #[derive(Debug, Options)]
 pub enum ProgramsCommand {
-    /// Create one.
+    /// Creates a program.
     #[options(help = "create a program")]
     Create(CreateProgram),
-    /// List them.
+    /// Lists programs.
     #[options(help = "list programs")]
     List(ListPrograms),
-    /// Show one.
+    /// Shows a program.
     #[options(help = "show a program")]
-    Show(OneProgram),
-    /// End one.
+    Show(ProgramArguments),
+    /// Ends a program.
     #[options(help = "end a program and free the engines' memory")]
-    Close(OneProgram),
+    Close(ProgramArguments),
 }
 
 /// `programs create`.
@@ -109,16 +109,16 @@
     /// The model.
     #[options(help = "model, adapter and version", meta = "NAME", required)]
     pub model: String,
-    /// The budget.
+    /// The budget in tokens.
     #[options(help = "tokens in all", meta = "TOKENS", required)]
     pub budget: u64,
-    /// Idle expiry.
+    /// Time without a call after which the program ends, in milliseconds.
     #[options(
         help = "ends after this long without a call (default: 4 hours)",
         meta = "MILLISECONDS"
     )]
     pub idle_expiry: u64,
-    /// Request key.
+    /// Idempotency key of the request.
     #[options(help = "name of this request; repeating it creates nothing new", meta = "KEY")]
     pub request_key: String,
 }
@@ -129,20 +129,20 @@
     /// Print help.
     #[options(help = "print this help")]
     pub help: bool,
-    /// Only this tenant's.
+    /// Restricts the list to this tenant's programs.
     #[options(help = "only this tenant's", meta = "NAME")]
     pub tenant: String,
-    /// At most so many.
+    /// Maximum number of entries.
     #[options(help = "at most so many (default: 100)", meta = "NUMBER")]
     pub limit: u32,
-    /// Also ended ones.
+    /// Whether to include programs that have ended.
     #[options(help = "also those that have ended")]
     pub closed: bool,
 }
 
 /// A command on one program.
 #[derive(Debug, Options)]
-pub struct OneProgram {
+pub struct ProgramArguments {
     /// Print help.
     #[options(help = "print this help")]
     pub help: bool,
@@ -157,7 +157,7 @@
     /// Print help.
     #[options(help = "print this help")]
     pub help: bool,
-    /// What to do.
+    /// The command of this group.
     #[options(command, required)]
     pub command: Option<BudgetsCommand>,
 }
@@ -165,10 +165,10 @@
 /// What to do with budgets.
 #[derive(Debug, Options)]
 pub enum BudgetsCommand {
-    /// Show one.
+    /// Shows a program's budget.
     #[options(help = "show a program's budget")]
-    Show(OneProgram),
-    /// Raise one.
+    Show(ProgramArguments),
+    /// Raises a program's budget.
     #[options(help = "raise a program's budget to a total")]
     Raise(RaiseBudget),
 }
@@ -204,7 +204,7 @@
     /// Print help.
     #[options(help = "print this help")]
     pub help: bool,
-    /// What to do.
+    /// The command of this group.
     #[options(command, required)]
     pub command: Option<MachinesCommand>,
 }
@@ -212,10 +212,10 @@
 /// What to do with machines.
 #[derive(Debug, Options)]
 pub enum MachinesCommand {
-    /// List them.
+    /// Lists daemons.
     #[options(help = "list the daemons that the asked one knows")]
-    List(Plain),
-    /// Stop one as planned.
+    List(NoArguments),
+    /// Starts a planned stop of a daemon.
     #[options(help = "start a planned stop of the asked daemon")]
     Drain(DrainMachine),
 }
@@ -237,7 +237,7 @@
     /// Print help.
     #[options(help = "print this help")]
     pub help: bool,
-    /// What to do.
+    /// The command of this group.
     #[options(command, required)]
     pub command: Option<EnginesCommand>,
 }
@@ -245,9 +245,9 @@
 /// What to do with engines.
 #[derive(Debug, Options)]
 pub enum EnginesCommand {
-    /// List them.
+    /// Lists engines.
     #[options(help = "list the engines that the asked daemon knows")]
-    List(Plain),
+    List(NoArguments),
 }
 
 /// `configuration`.
@@ -256,7 +256,7 @@
     /// Print help.
     #[options(help = "print this help")]
     pub help: bool,
-    /// What to do.
+    /// The command of this group.
     #[options(command, required)]
     pub command: Option<ConfigurationCommand>,
 }
@@ -264,19 +264,19 @@
 /// What to do with the configuration.
 #[derive(Debug, Options)]
 pub enum ConfigurationCommand {
-    /// Show a generation.
+    /// Shows a generation.
     #[options(help = "print a generation's document; its first line names the generation")]
     Show(ShowConfiguration),
-    /// Apply a document.
+    /// Applies a document.
     #[options(help = "make a document the next generation")]
     Apply(ApplyConfiguration),
-    /// Compare a document.
+    /// Compares a document with the generation in force.
     #[options(help = "compare a document with the generation in force")]
-    Diff(OneFile),
-    /// List changes.
+    Diff(FileArguments),
+    /// Lists the changes.
     #[options(help = "list the changes, newest first")]
     History(ShowHistory),
-    /// Follow.
+    /// Follows the generations that come into force.
     #[options(help = "print each generation as it comes into force on the asked daemon")]
     Watch(WatchConfiguration),
 }
@@ -311,7 +311,7 @@
     /// Who makes the change.
     #[options(help = "who makes the change (default: $USER)", meta = "NAME")]
     pub author: Option<String>,
-    /// Identity of the change.
+    /// Identity of an earlier attempt at the change.
     #[options(
         no_short,
         help = "identity of an earlier try whose outcome is unknown (default: a new one)",
@@ -326,7 +326,7 @@
     /// Print help.
     #[options(help = "print this help")]
     pub help: bool,
-    /// At most so many.
+    /// Maximum number of entries.
     #[options(help = "at most so many, up to 65 (default: 20)", meta = "NUMBER")]
     pub limit: u32,
 }
@@ -337,14 +337,14 @@
     /// Print help.
     #[options(help = "print this help")]
     pub help: bool,
-    /// End after so many.
+    /// Number of generations after which to end.
     #[options(help = "end after so many generations (default: never)", meta = "NUMBER")]
     pub count: u32,
 }
 
 /// A command on one file.
 #[derive(Debug, Options)]
-pub struct OneFile {
+pub struct FileArguments {
     /// Print help.
     #[options(help = "print this help")]
     pub help: bool,
@@ -355,7 +355,7 @@
 
 /// A command without flags.
 #[derive(Debug, Options)]
-pub struct Plain {
+pub struct NoArguments {
     /// Print help.
     #[options(help = "print this help")]
     pub help: bool,
--- a/crates/ctl/src/commands.rs
+++ b/crates/ctl/src/commands.rs
@@ -1,4 +1,4 @@
-//! What each command asks of a daemon.
+//! Runs each command by sending its RPC to a daemon.
 
 use std::env;
 
@@ -12,11 +12,11 @@
 use crate::Failure;
 use crate::arguments::{
     Arguments, Budgets, BudgetsCommand, Command, Configuration, CreateProgram, Engines,
-    ListPrograms, Machines, MachinesCommand, OutputForm, Programs, ProgramsCommand, Sessions,
+    ListPrograms, Machines, MachinesCommand, OutputFormat, Programs, ProgramsCommand, Sessions,
 };
 use crate::configuration;
 use crate::connection::{Connection, connect};
-use crate::failure::refused;
+use crate::failure::status_failure;
 use crate::output;
 
 /// Runs one command and returns what to print.
@@ -24,58 +24,64 @@
 /// # Errors
 /// [`Failure`], whose exit code is documented in OPERATIONS.md.
 pub async fn run(arguments: Arguments) -> Result<String, Failure> {
-    let address = setting(arguments.address, "DAHLIA_ADDRESS", "--address")?;
-    let token = setting(arguments.token, "DAHLIA_TOKEN", "--token")?;
-    let command = arguments.command.ok_or_else(|| usage("a command is needed; see --help"))?;
+    let address = flag_or_variable(arguments.address, "DAHLIA_ADDRESS", "--address")?;
+    let token = flag_or_variable(arguments.token, "DAHLIA_TOKEN", "--token")?;
+    let command =
+        arguments.command.ok_or_else(|| usage_error("a command is needed; see --help"))?;
     let connection = connect(&address, &token).await?;
-    let form = arguments.output;
+    let format = arguments.output;
     match command {
-        Command::Programs(Programs { command, .. }) => programs(connection, command, form).await,
-        Command::Budgets(Budgets { command, .. }) => budgets(connection, command, form).await,
-        Command::Sessions(sessions) => show_sessions(connection, sessions, form).await,
-        Command::Machines(Machines { command, .. }) => machines(connection, command, form).await,
-        Command::Engines(Engines { .. }) => engines(connection, form).await,
+        Command::Programs(Programs { command, .. }) => {
+            run_programs(connection, command, format).await
+        }
+        Command::Budgets(Budgets { command, .. }) => run_budgets(connection, command, format).await,
+        Command::Sessions(sessions) => show_sessions(connection, sessions, format).await,
+        Command::Machines(Machines { command, .. }) => {
+            run_machines(connection, command, format).await
+        }
+        Command::Engines(Engines { .. }) => list_engines(connection, format).await,
         Command::Configuration(Configuration { command, .. }) => {
-            configuration::run(connection, command, form).await
+            configuration::run(connection, command, format).await
         }
     }
 }
 
-fn setting(flag: Option<String>, variable: &str, name: &str) -> Result<String, Failure> {
+fn flag_or_variable(flag: Option<String>, variable: &str, name: &str) -> Result<String, Failure> {
     let found = flag.or_else(|| env::var(variable).ok());
-    found.ok_or_else(|| usage(&format!("{name} or {variable} is needed")))
+    found.ok_or_else(|| usage_error(&format!("{name} or {variable} is needed")))
 }
 
-pub(crate) fn usage(message: &str) -> Failure {
+pub(crate) fn usage_error(message: &str) -> Failure {
     Failure::Usage { message: message.to_owned() }
 }
 
-async fn programs(
+async fn run_programs(
     connection: Connection,
     command: Option<ProgramsCommand>,
-    form: OutputForm,
+    format: OutputFormat,
 ) -> Result<String, Failure> {
     match command {
-        Some(ProgramsCommand::Create(create)) => create_program(connection, create, form).await,
-        Some(ProgramsCommand::List(list)) => list_programs(connection, list, form).await,
+        Some(ProgramsCommand::Create(create)) => create_program(connection, create, format).await,
+        Some(ProgramsCommand::List(list)) => list_programs(connection, list, format).await,
         Some(ProgramsCommand::Show(one)) => {
-            let program = show(connection, one.program, false).await?;
-            output::program(&program, form)
+            let program = fetch_program(connection, one.program, false).await?;
+            output::program(&program, format)
         }
         Some(ProgramsCommand::Close(one)) => {
             let request = CloseProgramRequest { program: one.program };
             let answer = ProgramsClient::new(connection).close(request).await;
-            let program = answer.map_err(|status| refused("closing the program", &status))?;
-            output::program(program.get_ref(), form)
+            let program =
+                answer.map_err(|status| status_failure("closing the program", &status))?;
+            output::program(program.get_ref(), format)
         }
-        None => Err(usage("programs: one of create, list, show, close is needed")),
+        None => Err(usage_error("programs: one of create, list, show, close is needed")),
     }
 }
 
 async fn create_program(
     connection: Connection,
     create: CreateProgram,
-    form: OutputForm,
+    format: OutputFormat,
 ) -> Result<String, Failure> {
     let request = CreateProgramRequest {
         tenant: create.tenant,
@@ -86,86 +92,87 @@
         zone: String::new(),
     };
     let answer = ProgramsClient::new(connection).create(request).await;
-    let program = answer.map_err(|status| refused("creating the program", &status))?;
-    output::program(program.get_ref(), form)
+    let program = answer.map_err(|status| status_failure("creating the program", &status))?;
+    output::program(program.get_ref(), format)
 }
 
 async fn list_programs(
     connection: Connection,
     list: ListPrograms,
-    form: OutputForm,
+    format: OutputFormat,
 ) -> Result<String, Failure> {
     let request =
         ListProgramsRequest { tenant: list.tenant, limit: list.limit, include_closed: list.closed };
     let answer = ProgramsClient::new(connection).list(request).await;
-    let listed = answer.map_err(|status| refused("listing programs", &status))?;
-    output::programs(listed.get_ref(), form)
+    let listed = answer.map_err(|status| status_failure("listing programs", &status))?;
+    output::programs(listed.get_ref(), format)
 }
 
-async fn show(
+async fn fetch_program(
     connection: Connection,
     program: String,
     with_calls: bool,
 ) -> Result<Program, Failure> {
     let request = ShowProgramRequest { program, with_calls };
     let answer = ProgramsClient::new(connection).show(request).await;
-    let program = answer.map_err(|status| refused("showing the program", &status))?;
+    let program = answer.map_err(|status| status_failure("showing the program", &status))?;
     Ok(program.into_inner())
 }
 
-async fn budgets(
+async fn run_budgets(
     connection: Connection,
     command: Option<BudgetsCommand>,
-    form: OutputForm,
+    format: OutputFormat,
 ) -> Result<String, Failure> {
     match command {
         Some(BudgetsCommand::Show(one)) => {
-            let program = show(connection, one.program, false).await?;
-            output::budget(&program, form)
+            let program = fetch_program(connection, one.program, false).await?;
+            output::budget(&program, format)
         }
         Some(BudgetsCommand::Raise(raise)) => {
             let request = RaiseBudgetRequest { program: raise.program, total_tokens: raise.total };
             let answer = ProgramsClient::new(connection).raise_budget(request).await;
-            let program = answer.map_err(|status| refused("raising the budget", &status))?;
-            output::budget(program.get_ref(), form)
+            let program = answer.map_err(|status| status_failure("raising the budget", &status))?;
+            output::budget(program.get_ref(), format)
         }
-        None => Err(usage("budgets: one of show, raise is needed")),
+        None => Err(usage_error("budgets: one of show, raise is needed")),
     }
 }
 
 async fn show_sessions(
     connection: Connection,
     sessions: Sessions,
-    form: OutputForm,
+    format: OutputFormat,
 ) -> Result<String, Failure> {
-    let program = show(connection, sessions.program, true).await?;
-    output::sessions(&program, form)
+    let program = fetch_program(connection, sessions.program, true).await?;
+    output::sessions(&program, format)
 }
 
-async fn machines(
+async fn run_machines(
     connection: Connection,
     command: Option<MachinesCommand>,
-    form: OutputForm,
+    format: OutputFormat,
 ) -> Result<String, Failure> {
     let mut client = MachinesClient::new(connection);
     match command {
         Some(MachinesCommand::List(_)) => {
             let answer = client.list_daemons(ListDaemonsRequest {}).await;
-            let listed = answer.map_err(|status| refused("listing daemons", &status))?;
-            output::daemons(listed.get_ref(), form)
+            let listed = answer.map_err(|status| status_failure("listing daemons", &status))?;
+            output::daemons(listed.get_ref(), format)
         }
         Some(MachinesCommand::Drain(drain)) => {
             let request = DrainRequest { daemon: drain.daemon };
             let answer = client.drain(request).await;
-            let drained = answer.map_err(|status| refused("draining the daemon", &status))?;
-            output::drained(drained.get_ref(), form)
+            let drained =
+                answer.map_err(|status| status_failure("draining the daemon", &status))?;
+            output::drain_state(drained.get_ref(), format)
         }
-        None => Err(usage("machines: one of list, drain is needed")),
+        None => Err(usage_error("machines: one of list, drain is needed")),
     }
 }
 
-async fn engines(connection: Connection, form: OutputForm) -> Result<String, Failure> {
+async fn list_engines(connection: Connection, format: OutputFormat) -> Result<String, Failure> {
     let answer = MachinesClient::new(connection).list_engines(ListEnginesRequest {}).await;
-    let listed = answer.map_err(|status| refused("listing engines", &status))?;
-    output::engines(listed.get_ref(), form)
+    let listed = answer.map_err(|status| status_failure("listing engines", &status))?;
+    output::engines(listed.get_ref(), format)
 }
--- a/crates/ctl/src/configuration.rs
+++ b/crates/ctl/src/configuration.rs
@@ -1,4 +1,4 @@
-//! The commands on the configuration.
+//! Commands on the configuration.
 
 use std::time::Duration;
 use std::{env, fs};
@@ -17,18 +17,18 @@
 
 use crate::Failure;
 use crate::arguments::{
-    ApplyConfiguration, ConfigurationCommand, OneFile, OutputForm, ShowConfiguration, ShowHistory,
-    WatchConfiguration,
+    ApplyConfiguration, ConfigurationCommand, FileArguments, OutputFormat, ShowConfiguration,
+    ShowHistory, WatchConfiguration,
 };
-use crate::commands::usage;
+use crate::commands::usage_error;
 use crate::connection::Connection;
-use crate::failure::{DocumentSnafu, ReadSnafu, refused};
+use crate::failure::{DocumentSnafu, ReadSnafu, status_failure};
 use crate::output;
 
-/// Tries of a change whose outcome stays unknown.
-const APPLY_TRIES: u32 = 4;
-/// Pause before the next try.
-const APPLY_PAUSE: Duration = Duration::from_millis(500);
+/// Maximum number of attempts at a change while its outcome is unknown.
+const MAX_APPLY_ATTEMPTS: u32 = 4;
+/// Delay before the next attempt.
+const APPLY_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 type Client = ConfigurationClient<Connection>;
 
@@ -36,47 +36,55 @@
 pub(crate) async fn run(
     connection: Connection,
     command: Option<ConfigurationCommand>,
-    form: OutputForm,
+    format: OutputFormat,
 ) -> Result<String, Failure> {
     let client = ConfigurationClient::new(connection);
     match command {
-        Some(ConfigurationCommand::Show(show)) => show_generation(client, &show, form).await,
-        Some(ConfigurationCommand::Apply(apply)) => apply_document(client, apply, form).await,
-        Some(ConfigurationCommand::Diff(file)) => diff(client, &file, form).await,
-        Some(ConfigurationCommand::History(shown)) => history(client, &shown, form).await,
-        Some(ConfigurationCommand::Watch(watch)) => follow(client, &watch, form).await,
-        None => Err(usage("configuration: one of show, apply, diff, history, watch is needed")),
+        Some(ConfigurationCommand::Show(show)) => show_generation(client, &show, format).await,
+        Some(ConfigurationCommand::Apply(apply)) => apply_document(client, apply, format).await,
+        Some(ConfigurationCommand::Diff(file)) => compare(client, &file, format).await,
+        Some(ConfigurationCommand::History(arguments)) => {
+            list_changes(client, &arguments, format).await
+        }
+        Some(ConfigurationCommand::Watch(watch)) => follow(client, &watch, format).await,
+        None => {
+            Err(usage_error("configuration: one of show, apply, diff, history, watch is needed"))
+        }
     }
 }
 
 async fn show_generation(
     mut client: Client,
     show: &ShowConfiguration,
-    form: OutputForm,
+    format: OutputFormat,
 ) -> Result<String, Failure> {
     let shown = fetch(&mut client, show.generation).await?;
-    output::generation(&shown, form)
+    output::generation(&shown, format)
 }
 
 async fn fetch(client: &mut Client, generation: u64) -> Result<ConfigurationGeneration, Failure> {
     let answer = client.show(ShowConfigurationRequest { generation }).await;
-    let shown = answer.map_err(|status| refused("showing the configuration", &status))?;
+    let shown = answer.map_err(|status| status_failure("showing the configuration", &status))?;
     Ok(shown.into_inner())
 }
 
-async fn history(
+async fn list_changes(
     mut client: Client,
-    shown: &ShowHistory,
-    form: OutputForm,
+    arguments: &ShowHistory,
+    format: OutputFormat,
 ) -> Result<String, Failure> {
-    let answer = client.history(HistoryRequest { limit: shown.limit }).await;
-    let listed = answer.map_err(|status| refused("listing the changes", &status))?;
-    output::history(listed.get_ref(), form)
+    let answer = client.history(HistoryRequest { limit: arguments.limit }).await;
+    let listed = answer.map_err(|status| status_failure("listing the changes", &status))?;
+    output::history(listed.get_ref(), format)
 }
 
-async fn diff(mut client: Client, file: &OneFile, form: OutputForm) -> Result<String, Failure> {
-    let written = BasedDocument::read(&file.file)?;
-    let after = parse(&file.file, &written.text)?;
+async fn compare(
+    mut client: Client,
+    file: &FileArguments,
+    format: OutputFormat,
+) -> Result<String, Failure> {
+    let file_document = FileDocument::read(&file.file)?;
+    let after = parse(&file.file, &file_document.text)?;
     let (generation, before) = match fetch(&mut client, 0).await {
         Ok(shown) => {
             let before = parse(&format!("generation {}", shown.generation), &shown.document)?;
@@ -85,7 +93,7 @@
         Err(Failure::Refused { name, .. }) if name == "not_found" => (0, Document::default()),
         Err(failure) => return Err(failure),
     };
-    output::differences(generation, &differences(&before, &after), form)
+    output::differences(generation, &differences(&before, &after), format)
 }
 
 fn parse(path: &str, text: &str) -> Result<Document, Failure> {
@@ -95,88 +103,91 @@
 async fn apply_document(
     mut client: Client,
     apply: ApplyConfiguration,
-    form: OutputForm,
+    format: OutputFormat,
 ) -> Result<String, Failure> {
-    let written = BasedDocument::read(&apply.file)?;
-    parse(&apply.file, &written.text)?;
-    let expected = apply.expected.or(written.base).ok_or_else(|| {
-        usage("apply: --expected NUMBER is needed: the file was not written by `show`")
+    let file_document = FileDocument::read(&apply.file)?;
+    parse(&apply.file, &file_document.text)?;
+    let expected = apply.expected.or(file_document.base).ok_or_else(|| {
+        usage_error("apply: --expected NUMBER is needed: the file was not written by `show`")
     })?;
     let mut request = ApplyConfigurationRequest {
         expected_generation: expected,
-        document: written.text,
+        document: file_document.text,
         repeated: apply.change.is_some(),
-        change_id: apply.change.unwrap_or_else(fresh_identity),
+        change_id: apply.change.unwrap_or_else(new_change_id),
         author: apply.author.or_else(|| env::var("USER").ok()).unwrap_or("unnamed".to_owned()),
     };
-    for tried in 1.. {
+    for attempt in 1.. {
         let status = match client.apply(request.clone()).await {
-            Ok(answer) => return output::change(answer.get_ref(), form),
+            Ok(answer) => return output::change(answer.get_ref(), format),
             Err(status) => status,
         };
-        if !is_undecided(&status) {
-            return Err(refused("applying the configuration", &status));
+        if !is_outcome_unknown(&status) {
+            return Err(status_failure("applying the configuration", &status));
         }
-        if tried == APPLY_TRIES {
+        if attempt == MAX_APPLY_ATTEMPTS {
             let message = status.message().to_owned();
-            return Err(Failure::Undecided { change: request.change_id, expected, message });
+            return Err(Failure::OutcomeUnknown { change: request.change_id, expected, message });
         }
-        // The same identity finds the earlier try if that was accepted after all.
+        // With the same identity the daemon finds the earlier attempt if that was accepted.
         request.repeated = true;
-        sleep(APPLY_PAUSE).await;
+        sleep(APPLY_RETRY_DELAY).await;
     }
-    unreachable!("the last try returns")
+    unreachable!("the last attempt returns")
 }
 
-/// Whether the change may have been accepted: the daemon says so, or its answer was lost. What a
-/// daemon answers carries the error's name.
-fn is_undecided(status: &Status) -> bool {
+/// Whether the change may have been accepted: the daemon reports an unknown outcome, or its answer
+/// was lost. Every error answer of a daemon contains the error's name.
+fn is_outcome_unknown(status: &Status) -> bool {
     let name = status.metadata().get(headers::RPC_ERROR);
     let is_answered = name.is_some() || status.code() == Code::Unimplemented;
     !is_answered || name.is_some_and(|name| name.as_bytes() == b"unknown")
 }
 
-fn fresh_identity() -> String {
+fn new_change_id() -> String {
     format!("change-{:016x}", rand::rng().random::<u64>())
 }
 
 async fn follow(
     mut client: Client,
     watch: &WatchConfiguration,
-    form: OutputForm,
+    format: OutputFormat,
 ) -> Result<String, Failure> {
     let answer = client.watch(WatchConfigurationRequest {}).await;
-    let mut generations =
-        answer.map_err(|status| refused("following the configuration", &status))?.into_inner();
-    let mut shown = 0;
+    let mut generations = answer
+        .map_err(|status| status_failure("following the configuration", &status))?
+        .into_inner();
+    let mut printed = 0;
     loop {
         let next = generations.message().await;
-        let next = next.map_err(|status| refused("following the configuration", &status))?;
+        let next = next.map_err(|status| status_failure("following the configuration", &status))?;
         let Some(generation) = next else {
             return Ok(String::new());
         };
-        // Printed as it comes; the result is only what is left to print at the end.
-        print!("{}", output::change(&generation, form)?);
-        shown += 1;
-        if shown == watch.count {
+        // Each generation is printed at once; the returned text is what remains to be printed.
+        print!("{}", output::change(&generation, format)?);
+        printed += 1;
+        if printed == watch.count {
             return Ok(String::new());
         }
     }
 }
 
-/// A document as it stands in a file.
-struct BasedDocument {
-    /// The generation named in the first line, as `show` writes it.
+/// A document read from a file, with the generation that it is based on.
+struct FileDocument {
+    /// The generation in the first line, as written by `show`.
     base: Option<u64>,
     /// The document without that line.
     text: String,
 }
 
-impl BasedDocument {
+impl FileDocument {
     fn read(path: &str) -> Result<Self, Failure> {
         let whole = fs::read_to_string(path).context(ReadSnafu { path })?;
         let (first, rest) = whole.split_once('\n').unwrap_or((&whole, ""));
-        let base = first.strip_prefix(output::BASE_LINE).and_then(|text| text.trim().parse().ok());
+        let base = first
+            .strip_prefix(output::GENERATION_LINE_PREFIX)
+            .and_then(|text| text.trim().parse().ok());
         match base {
             Some(base) => Ok(Self { base: Some(base), text: rest.to_owned() }),
             None => Ok(Self { base: None, text: whole }),
--- a/crates/ctl/src/connection.rs
+++ b/crates/ctl/src/connection.rs
@@ -1,4 +1,4 @@
-//! The way to a daemon's operators' side.
+//! The connection to a daemon's RPC server for operators.
 
 use std::time::Duration;
 
@@ -11,19 +11,19 @@
 use crate::Failure;
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(3);
-/// Longer than a fail-over, after which a daemon answers by itself.
+/// Longer than a fail-over, after which a daemon answers with an error of its own.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A connection that shows the operators' token.
-pub(crate) type Connection = InterceptedService<Channel, ShowToken>;
+/// A connection that sends the operators' token.
+pub(crate) type Connection = InterceptedService<Channel, TokenInterceptor>;
 
 /// Adds the token to each request.
 #[derive(Clone)]
-pub(crate) struct ShowToken {
+pub(crate) struct TokenInterceptor {
     header: MetadataValue<Ascii>,
 }
 
-impl Interceptor for ShowToken {
+impl Interceptor for TokenInterceptor {
     fn call(&mut self, mut request: Request<()>) -> Result<Request<()>, Status> {
         request.metadata_mut().insert("authorization", self.header.clone());
         Ok(request)
@@ -43,13 +43,13 @@
     let endpoint = endpoint.connect_timeout(CONNECT_TIMEOUT).timeout(REQUEST_TIMEOUT);
     let channel = endpoint.connect().await.map_err(|error| Failure::Connect {
         address: address.to_owned(),
-        message: cause(&error),
+        message: innermost_cause(&error),
     })?;
-    Ok(InterceptedService::new(channel, ShowToken { header }))
+    Ok(InterceptedService::new(channel, TokenInterceptor { header }))
 }
 
-/// The innermost cause: the outer ones say only that there was an error.
-fn cause(error: &dyn std::error::Error) -> String {
+/// Formats the innermost cause. The outer ones only state that there was an error.
+fn innermost_cause(error: &dyn std::error::Error) -> String {
     let mut innermost = error;
     while let Some(source) = innermost.source() {
         innermost = source;
--- a/crates/ctl/src/failure.rs
+++ b/crates/ctl/src/failure.rs
@@ -1,25 +1,25 @@
-//! Errors by name, and exit codes that scripts can rely on.
+//! Failures of commands, and the stable exit codes for scripts.
 
 use dahlia_api::headers;
 use snafu::Snafu;
 use tonic::Status;
 
-/// Why a command failed.
+/// The failure of a command.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Failure {
     /// The command line is wrong.
     #[snafu(display("{message}"))]
     Usage {
-        /// What is wrong.
+        /// Description of the error.
         message: String,
     },
     /// The daemon could not be reached.
     #[snafu(display("connecting to {address}: {message}"))]
     Connect {
-        /// The daemon.
+        /// The daemon's address.
         address: String,
-        /// Cause.
+        /// The cause.
         message: String,
     },
     /// A file could not be read.
@@ -27,7 +27,7 @@
     Read {
         /// The file.
         path: String,
-        /// Cause.
+        /// The cause.
         source: std::io::Error,
     },
     /// A file is not a valid document.
@@ -35,48 +35,48 @@
     Document {
         /// The file.
         path: String,
-        /// What is wrong.
+        /// The error in the document.
         source: dahlia_configuration::DocumentError,
     },
-    /// Nobody can say whether a change was accepted.
+    /// It is unknown whether a change was accepted.
     #[snafu(display(
         "the change may have been accepted: {message}; find out by the same command with --change \
          {change} --expected {expected}"
     ))]
-    Undecided {
+    OutcomeUnknown {
         /// The change's identity.
         change: String,
         /// The generation that it was made from.
         expected: u64,
-        /// What was heard last.
+        /// The last error message.
         message: String,
     },
     /// The daemon refused.
-    #[snafu(display("{step}: {name}: {message}{}", come_back(*retry_after_ms)))]
+    #[snafu(display("{step}: {name}: {message}{}", format_retry_delay(*retry_after_ms)))]
     Refused {
-        /// What was asked.
+        /// The operation that the daemon refused.
         step: &'static str,
         /// The error's name.
         name: String,
-        /// For a person.
+        /// Human-readable message.
         message: String,
-        /// When to come back.
+        /// Delay before a retry.
         retry_after_ms: Option<u64>,
     },
-    /// An answer could not be shown.
+    /// An answer could not be encoded as JSON.
     #[snafu(display("writing the answer as JSON: {source}"))]
-    Show {
-        /// Cause.
+    EncodeJson {
+        /// The cause.
         source: serde_json::Error,
     },
 }
 
-fn come_back(retry_after_ms: Option<u64>) -> String {
-    retry_after_ms.map(|millis| format!(" (come back in {millis} ms)")).unwrap_or_default()
+fn format_retry_delay(retry_after_ms: Option<u64>) -> String {
+    retry_after_ms.map(|millis| format!(" (retry in {millis} ms)")).unwrap_or_default()
 }
 
-/// Reads a daemon's status.
-pub(crate) fn refused(step: &'static str, status: &Status) -> Failure {
+/// Builds the failure for a daemon's status.
+pub(crate) fn status_failure(step: &'static str, status: &Status) -> Failure {
     let text = |key: &str| status.metadata().get(key).and_then(|value| value.to_str().ok());
     let name = match text(headers::RPC_ERROR) {
         Some(name) => name.to_owned(),
@@ -86,15 +86,15 @@
     Failure::Refused { step, name, message: status.message().to_owned(), retry_after_ms }
 }
 
-/// The exit code of a failure: 2 wrong use, 3 not reached or to be tried again, 4 not found,
-/// 5 conflict, 6 not allowed, 7 refused by a limit or a budget, 8 a change's outcome is unknown,
-/// 1 anything else.
+/// Returns the exit code of a failure: 2 usage error, 3 unreachable or retryable, 4 not found,
+/// 5 conflict, 6 unauthorized, 7 refused by a limit or a budget, 8 the outcome of a change is
+/// unknown, 1 any other error.
 pub fn exit_code(failure: &Failure) -> u8 {
     match failure {
         Failure::Usage { .. } | Failure::Read { .. } | Failure::Document { .. } => 2,
-        Failure::Undecided { .. } => 8,
+        Failure::OutcomeUnknown { .. } => 8,
         Failure::Connect { .. } => 3,
-        Failure::Show { .. } => 1,
+        Failure::EncodeJson { .. } => 1,
         Failure::Refused { name, .. } => match name.as_str() {
             "invalid_request" | "too_large" => 2,
             "unavailable" | "overloaded" | "not_run" => 3,
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -1,10 +1,10 @@
-//! The operators' command line: one RPC for each command, shown as a table or as JSON.
+//! The operators' command line: one RPC for each command, printed as a table or as JSON.
 //!
-//! | module | job |
+//! | module | purpose |
 //! |---|---|
 //! | `arguments` | commands and flags |
-//! | `connection` | the way to a daemon |
-//! | `commands` | what each command asks |
+//! | `connection` | the connection to a daemon |
+//! | `commands` | the RPC of each command |
 //! | `configuration` | the commands on the configuration |
 //! | `output` | tables and JSON |
 //! | `failure` | errors and exit codes |
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -1,4 +1,4 @@
-//! The binary `dahliactl`.
+//! The `dahliactl` binary.
 
 use std::process::ExitCode;
 
--- a/crates/ctl/src/output.rs
+++ b/crates/ctl/src/output.rs
@@ -1,4 +1,4 @@
-//! Answers as tables or JSON.
+//! Formats answers as tables or JSON.
 
 use dahlia_api::operators::{
     Budget, Call, ConfigurationGeneration, Daemon, DrainResponse, Engine, HistoryResponse,
@@ -9,19 +9,22 @@
 use snafu::ResultExt;
 
 use crate::Failure;
-use crate::arguments::OutputForm;
-use crate::failure::ShowSnafu;
+use crate::arguments::OutputFormat;
+use crate::failure::EncodeJsonSnafu;
 
-/// One program.
-pub(crate) fn program(program: &Program, form: OutputForm) -> Result<String, Failure> {
-    show(program, form, || table(&PROGRAM_COLUMNS, &[program_row(program)]))
+/// Formats one program.
+pub(crate) fn program(program: &Program, format: OutputFormat) -> Result<String, Failure> {
+    format_answer(program, format, || format_table(&PROGRAM_COLUMNS, &[program_row(program)]))
 }
 
-/// Several programs.
-pub(crate) fn programs(listed: &ListProgramsResponse, form: OutputForm) -> Result<String, Failure> {
-    show(listed, form, || {
+/// Formats a list of programs.
+pub(crate) fn programs(
+    listed: &ListProgramsResponse,
+    format: OutputFormat,
+) -> Result<String, Failure> {
+    format_answer(listed, format, || {
         let rows: Vec<Vec<String>> = listed.programs.iter().map(program_row).collect();
-        let mut text = table(&PROGRAM_COLUMNS, &rows);
+        let mut text = format_table(&PROGRAM_COLUMNS, &rows);
         if !listed.unreachable_groups.is_empty() {
             text += &format!("groups without an answer: {:?}\n", listed.unreachable_groups);
         }
@@ -29,10 +32,10 @@
     })
 }
 
-/// A program's budget.
-pub(crate) fn budget(program: &Program, form: OutputForm) -> Result<String, Failure> {
+/// Formats a program's budget.
+pub(crate) fn budget(program: &Program, format: OutputFormat) -> Result<String, Failure> {
     let budget = program.budget.unwrap_or_default();
-    show(&budget, form, || {
+    format_answer(&budget, format, || {
         let left = budget.total_tokens.saturating_sub(budget.spent_tokens + budget.reserved_tokens);
         let row = vec![
             program.program.clone(),
@@ -41,17 +44,17 @@
             budget.reserved_tokens.to_string(),
             left.to_string(),
         ];
-        table(&["PROGRAM", "TOTAL", "SPENT", "RESERVED", "LEFT"], &[row])
+        format_table(&["PROGRAM", "TOTAL", "SPENT", "RESERVED", "LEFT"], &[row])
     })
 }
 
-/// A program's calls and held cache.
-pub(crate) fn sessions(program: &Program, form: OutputForm) -> Result<String, Failure> {
-    show(program, form, || {
+/// Formats a program's calls and held cache.
+pub(crate) fn sessions(program: &Program, format: OutputFormat) -> Result<String, Failure> {
+    format_answer(program, format, || {
         let rows: Vec<Vec<String>> = program.calls.iter().map(call_row).collect();
         let columns =
             ["CHAIN", "CALL", "STATE", "ATTEMPTS", "ENGINE", "PROMPT", "CACHED", "GENERATED"];
-        let mut text = table(&columns, &rows);
+        let mut text = format_table(&columns, &rows);
         for held in &program.held {
             text += &format!("cache may be held by {}\n", held.engine);
         }
@@ -59,9 +62,12 @@
     })
 }
 
-/// Daemons.
-pub(crate) fn daemons(listed: &ListDaemonsResponse, form: OutputForm) -> Result<String, Failure> {
-    show(listed, form, || {
+/// Formats a list of daemons.
+pub(crate) fn daemons(
+    listed: &ListDaemonsResponse,
+    format: OutputFormat,
+) -> Result<String, Failure> {
+    format_answer(listed, format, || {
         let row = |daemon: &Daemon| {
             vec![
                 daemon.daemon.clone(),
@@ -85,13 +91,16 @@
             "GENERATION",
             "ADDRESS",
         ];
-        table(&columns, &rows)
+        format_table(&columns, &rows)
     })
 }
 
-/// Engines.
-pub(crate) fn engines(listed: &ListEnginesResponse, form: OutputForm) -> Result<String, Failure> {
-    show(listed, form, || {
+/// Formats a list of engines.
+pub(crate) fn engines(
+    listed: &ListEnginesResponse,
+    format: OutputFormat,
+) -> Result<String, Failure> {
+    format_answer(listed, format, || {
         let row = |engine: &Engine| {
             vec![
                 engine.engine.clone(),
@@ -107,7 +116,7 @@
         let rows: Vec<Vec<String>> = listed.engines.iter().map(row).collect();
         let columns =
             ["ENGINE", "ZONE", "STATE", "MODELS", "RUNNING", "QUEUED", "CACHE TOKENS", "AGE MS"];
-        table(&columns, &rows)
+        format_table(&columns, &rows)
     })
 }
 
@@ -118,39 +127,43 @@
     format!("{} (by {})", engine.state, engine.leaving_by)
 }
 
-/// A generation with its document. The first line is the base that `apply` takes by default.
+/// Formats a generation with its document. The first line names the generation that `apply`
+/// expects by default.
 pub(crate) fn generation(
     shown: &ConfigurationGeneration,
-    form: OutputForm,
+    format: OutputFormat,
 ) -> Result<String, Failure> {
-    show(shown, form, || {
+    format_answer(shown, format, || {
         let newline = if shown.document.ends_with('\n') { "" } else { "\n" };
-        format!("{BASE_LINE}{}\n{}{newline}", shown.generation, shown.document)
+        format!("{GENERATION_LINE_PREFIX}{}\n{}{newline}", shown.generation, shown.document)
     })
 }
 
-/// A change without its document.
-pub(crate) fn change(shown: &ConfigurationGeneration, form: OutputForm) -> Result<String, Failure> {
-    show(shown, form, || table(&CHANGE_COLUMNS, &[change_row(shown)]))
+/// Formats a change without its document.
+pub(crate) fn change(
+    shown: &ConfigurationGeneration,
+    format: OutputFormat,
+) -> Result<String, Failure> {
+    format_answer(shown, format, || format_table(&CHANGE_COLUMNS, &[change_row(shown)]))
 }
 
-/// Changes, newest first.
-pub(crate) fn history(listed: &HistoryResponse, form: OutputForm) -> Result<String, Failure> {
-    show(listed, form, || {
+/// Formats a list of changes, newest first.
+pub(crate) fn history(listed: &HistoryResponse, format: OutputFormat) -> Result<String, Failure> {
+    format_answer(listed, format, || {
         let rows: Vec<Vec<String>> = listed.generations.iter().map(change_row).collect();
-        table(&CHANGE_COLUMNS, &rows)
+        format_table(&CHANGE_COLUMNS, &rows)
     })
 }
 
-/// Fields that differ.
+/// Formats the fields that differ.
 pub(crate) fn differences(
     generation: u64,
     found: &[Difference],
-    form: OutputForm,
+    format: OutputFormat,
 ) -> Result<String, Failure> {
-    let rows: Vec<DifferenceRow<'_>> = found.iter().map(DifferenceRow::of).collect();
-    let shown = DifferencesShown { generation, differences: rows };
-    show(&shown, form, || {
+    let rows: Vec<DifferenceJson<'_>> = found.iter().map(DifferenceJson::of).collect();
+    let shown = DifferencesJson { generation, differences: rows };
+    format_answer(&shown, format, || {
         if found.is_empty() {
             return format!("no difference to generation {generation}\n");
         }
@@ -158,22 +171,22 @@
     })
 }
 
-/// Differences as JSON.
+/// JSON form of the differences.
 #[derive(Serialize)]
-struct DifferencesShown<'a> {
+struct DifferencesJson<'a> {
     generation: u64,
-    differences: Vec<DifferenceRow<'a>>,
+    differences: Vec<DifferenceJson<'a>>,
 }
 
-/// One difference as JSON.
+/// JSON form of one difference.
 #[derive(Serialize)]
-struct DifferenceRow<'a> {
+struct DifferenceJson<'a> {
     field: &'a str,
     before: Option<&'a str>,
     after: Option<&'a str>,
 }
 
-impl<'a> DifferenceRow<'a> {
+impl<'a> DifferenceJson<'a> {
     fn of(difference: &'a Difference) -> Self {
         Self {
             field: &difference.field,
@@ -183,8 +196,8 @@
     }
 }
 
-/// What the first line of a shown document begins with; the generation follows.
-pub(crate) const BASE_LINE: &str = "# generation ";
+/// Prefix of a document's first line in the output of `show`; the generation follows.
+pub(crate) const GENERATION_LINE_PREFIX: &str = "# generation ";
 
 const CHANGE_COLUMNS: [&str; 4] = ["GENERATION", "AUTHOR", "CHANGE", "PROPOSED UNIX MS"];
 
@@ -197,9 +210,12 @@
     ]
 }
 
-/// The state after a drain was asked for.
-pub(crate) fn drained(response: &DrainResponse, form: OutputForm) -> Result<String, Failure> {
-    show(response, form, || format!("{}\n", response.state))
+/// Formats the daemon's state after a request to drain.
+pub(crate) fn drain_state(
+    response: &DrainResponse,
+    format: OutputFormat,
+) -> Result<String, Failure> {
+    format_answer(response, format, || format!("{}\n", response.state))
 }
 
 const PROGRAM_COLUMNS: [&str; 8] =
@@ -233,22 +249,22 @@
     ]
 }
 
-fn show<T: Serialize>(
+fn format_answer<T: Serialize>(
     value: &T,
-    form: OutputForm,
+    format: OutputFormat,
     as_table: impl FnOnce() -> String,
 ) -> Result<String, Failure> {
-    match form {
-        OutputForm::Table => Ok(as_table()),
-        OutputForm::Json => {
-            let text = serde_json::to_string_pretty(value).context(ShowSnafu)?;
+    match format {
+        OutputFormat::Table => Ok(as_table()),
+        OutputFormat::Json => {
+            let text = serde_json::to_string_pretty(value).context(EncodeJsonSnafu)?;
             Ok(text + "\n")
         }
     }
 }
 
-/// Columns as wide as their widest cell, two blanks apart.
-fn table(columns: &[&str], rows: &[Vec<String>]) -> String {
+/// Formats a table whose columns are as wide as their widest cell and two spaces apart.
+fn format_table(columns: &[&str], rows: &[Vec<String>]) -> String {
     let mut widths: Vec<usize> = columns.iter().map(|column| column.len()).collect();
     for row in rows {
         for (width, cell) in widths.iter_mut().zip(row) {
@@ -256,14 +272,14 @@
         }
     }
     let header: Vec<String> = columns.iter().map(|column| (*column).to_owned()).collect();
-    let mut text = line(&header, &widths);
+    let mut text = format_line(&header, &widths);
     for row in rows {
-        text += &line(row, &widths);
+        text += &format_line(row, &widths);
     }
     text
 }
 
-fn line(cells: &[String], widths: &[usize]) -> String {
+fn format_line(cells: &[String], widths: &[usize]) -> String {
     let padded: Vec<String> =
         cells.iter().zip(widths).map(|(cell, width)| format!("{cell:width$}")).collect();
     padded.join("  ").trim_end().to_owned() + "\n"
