--- a/crates/adapters/src/engine/client.rs
+++ b/crates/adapters/src/engine/client.rs
@@ -6,15 +6,16 @@
 
 use super::error::RefusedSnafu;
 use super::{
-    AttemptEnquiry, AttemptState, CacheEvents, CacheEventsRequest, CacheImage, CacheImported,
-    CancelRequest, EngineError, EngineRefusal, EventStream, ExportRequest, FenceRequest, Fenced,
-    FencedOrder, GenerateRequest, HoldRequest, ImportRequest, Inventory, LoadReport, OrderAccepted,
-    ReleaseConfirmed, ReleaseRequest, ReportRequest, ResumeRequest, paths,
+    AttemptState, AttemptStateRequest, CacheEvents, CacheEventsRequest, CacheImage, CancelRequest,
+    EngineError, EngineRefusal, EventStream, ExportRequest, FenceConfirmed, FenceRequest,
+    FencedOrder, GenerateRequest, HoldRequest, ImportConfirmed, ImportRequest, Inventory,
+    LoadReport, OrderAccepted, ReleaseConfirmed, ReleaseRequest, ReportRequest, ResumeRequest,
+    paths,
 };
 use crate::ClientSettings;
 use crate::http::HttpPeer;
 
-/// Where an engine listens.
+/// Address of an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineEndpoint {
     /// The engine.
@@ -55,7 +56,7 @@
     /// Follows a known attempt from byte `from_offset` of its answer, to its end.
     ///
     /// # Errors
-    /// [`EngineError`], e.g. when this life of the engine does not know the attempt.
+    /// [`EngineError`], e.g. when this incarnation of the engine does not know the attempt.
     pub async fn resume(
         &self,
         attempt: AttemptId,
@@ -66,7 +67,7 @@
     }
 
     /// Ends an attempt. One that has not started answers [`AttemptState::NeverStarted`] and
-    /// never starts in this life; a running one is cut and answers with what it used.
+    /// never starts in this incarnation; a running one is cut off and answers with its usage.
     ///
     /// # Errors
     /// [`EngineError`]
@@ -79,8 +80,8 @@
         self.post("cancel", paths::CANCEL, &request).await
     }
 
-    /// As [`Self::cancel`], but leaves an attempt alone that has started: takes work back that
-    /// another engine can do as well.
+    /// Like [`Self::cancel`], but does not end an attempt that has started. Used to take back work
+    /// that another engine can do as well.
     ///
     /// # Errors
     /// [`EngineError`]
@@ -93,31 +94,35 @@
         self.post("recall", paths::CANCEL, &request).await
     }
 
-    /// Asks where an attempt stands, without changing it.
+    /// Reads the state of an attempt without changing it.
     ///
     /// # Errors
     /// [`EngineError`]
     pub async fn attempt(&self, attempt: AttemptId) -> Result<AttemptState, EngineError> {
-        self.post("enquire about attempt", paths::ATTEMPT, &AttemptEnquiry { attempt }).await
+        self.post("enquire about attempt", paths::ATTEMPT, &AttemptStateRequest { attempt }).await
     }
 
     /// Makes the engine refuse older epochs of a program.
     ///
     /// # Errors
     /// [`EngineError`], e.g. when a newer epoch is in force.
-    pub async fn fence(&self, program: ProgramId, epoch: Term) -> Result<Fenced, EngineError> {
+    pub async fn fence(
+        &self,
+        program: ProgramId,
+        epoch: Term,
+    ) -> Result<FenceConfirmed, EngineError> {
         self.post("fence", paths::FENCE, &FenceRequest { program, epoch }).await
     }
 
-    /// Keeps a program's cache for a time.
+    /// Keeps a program's cache for a limited time.
     ///
     /// # Errors
     /// [`EngineError`]
-    pub async fn hold(&self, request: &HoldRequest) -> Result<Fenced, EngineError> {
+    pub async fn hold(&self, request: &HoldRequest) -> Result<FenceConfirmed, EngineError> {
         self.post("hold", paths::HOLD, request).await
     }
 
-    /// Frees what the engine holds for a program. Repeating it is harmless.
+    /// Frees the memory that the engine holds for a program. The request is idempotent.
     ///
     /// # Errors
     /// [`EngineError`]
@@ -150,7 +155,7 @@
         self.post("read cache events", paths::CACHE_EVENTS, &request).await
     }
 
-    /// Gives an order of the operators' configuration.
+    /// Sends an order of the operators' configuration.
     ///
     /// # Errors
     /// [`EngineError`], e.g. when a newer generation was seen.
@@ -158,7 +163,7 @@
         self.post("give order", paths::ORDER, order).await
     }
 
-    /// Makes a program's cached prefix ready for another engine.
+    /// Exports a program's cached prefix so that another engine can import it.
     ///
     /// # Errors
     /// [`EngineError`]
@@ -166,11 +171,11 @@
         self.post("export cache", paths::EXPORT, request).await
     }
 
-    /// Takes an exported prefix in; answers when it is cached.
+    /// Imports an exported prefix; returns when it is cached.
     ///
     /// # Errors
     /// [`EngineError`]
-    pub async fn import(&self, request: &ImportRequest) -> Result<CacheImported, EngineError> {
+    pub async fn import(&self, request: &ImportRequest) -> Result<ImportConfirmed, EngineError> {
         self.post("import cache", paths::IMPORT, request).await
     }
 
@@ -181,7 +186,7 @@
         request: &impl Serialize,
     ) -> Result<T, EngineError> {
         let answer = self.peer.post::<T, EngineRefusal>(step, path, request).await?;
-        answer.map_err(|refusal| self.refused(step, refusal))
+        answer.map_err(|refusal| self.refusal_error(step, refusal))
     }
 
     async fn open_stream(
@@ -193,11 +198,11 @@
         offset: u64,
     ) -> Result<EventStream, EngineError> {
         let answer = self.peer.post_stream::<_, EngineRefusal>(step, path, request).await?;
-        let lines = answer.map_err(|refusal| self.refused(step, refusal))?;
+        let lines = answer.map_err(|refusal| self.refusal_error(step, refusal))?;
         Ok(EventStream::new(lines, attempt, offset))
     }
 
-    fn refused(&self, step: &str, refusal: EngineRefusal) -> EngineError {
+    fn refusal_error(&self, step: &str, refusal: EngineRefusal) -> EngineError {
         RefusedSnafu { step, peer: self.peer.name(), refusal }.build()
     }
 }
--- a/crates/adapters/src/key_value/client.rs
+++ b/crates/adapters/src/key_value/client.rs
@@ -5,9 +5,9 @@
 use serde::de::DeserializeOwned;
 
 use super::{
-    AttachRequest, CompareAndSwapRequest, DeleteRequest, Done, GetAnswer, GetRequest,
+    AttachRequest, CompareAndSwapRequest, DeleteRequest, EmptyAnswer, GetAnswer, GetRequest,
     KeyValueError, KeyValueRefusal, LeaseAnswer, LeaseGrantRequest, LeaseId, LeaseRequest,
-    ListAnswer, ListRequest, Revision, SwapAnswer, Version, Versioned, WatchRequest, WatchStream,
+    ListAnswer, ListRequest, Revision, StoredValue, SwapAnswer, Version, WatchRequest, WatchStream,
     paths,
 };
 use crate::ClientSettings;
@@ -25,11 +25,11 @@
         Self { peer: HttpPeer::new("key-value service", address, settings) }
     }
 
-    /// Reads a key; none when it does not exist. The answer may be stale.
+    /// Reads a key; returns `None` when it does not exist. The answer may be stale.
     ///
     /// # Errors
     /// [`KeyValueError`]
-    pub async fn get(&self, key: &str) -> Result<Option<Versioned>, KeyValueError> {
+    pub async fn get(&self, key: &str) -> Result<Option<StoredValue>, KeyValueError> {
         let request = GetRequest { key: key.to_owned() };
         let answer: GetAnswer = self.post("get", paths::GET, &request).await?;
         Ok(answer.found)
@@ -44,7 +44,8 @@
         self.post("list", paths::LIST, &request).await
     }
 
-    /// Sets `key` if its version is `expected` (none: it does not exist). Gives the new version.
+    /// Sets `key` if its version is `expected` (`None`: it does not exist). Returns the new
+    /// version.
     ///
     /// # Errors
     /// [`KeyValueError`]; after `Unknown` the change may have taken effect.
@@ -57,7 +58,8 @@
         self.swap(key, expected, value, None).await
     }
 
-    /// The same, and the key lives only as long as `lease`.
+    /// Like [`Self::compare_and_swap`], but attaches the key to `lease`, which deletes it when it
+    /// expires.
     ///
     /// # Errors
     /// [`KeyValueError`]; after `Unknown` the change may have taken effect.
@@ -77,7 +79,7 @@
     /// [`KeyValueError`]; after `Unknown` the change may have taken effect.
     pub async fn delete(&self, key: &str, expected: Version) -> Result<(), KeyValueError> {
         let request = DeleteRequest { key: key.to_owned(), expected };
-        let _: Done = self.post("delete", paths::DELETE, &request).await?;
+        let _: EmptyAnswer = self.post("delete", paths::DELETE, &request).await?;
         Ok(())
     }
 
@@ -94,15 +96,15 @@
         let request = WatchRequest { prefix: prefix.to_owned(), from_revision };
         let answer =
             self.peer.post_stream::<_, KeyValueRefusal>(step, paths::WATCH, &request).await;
-        let answer = answer.map_err(|error| self.failed(step, error))?;
-        let lines = answer.map_err(|refusal| self.refused(step, refusal))?;
+        let answer = answer.map_err(|error| self.transport_error(step, error))?;
+        let lines = answer.map_err(|refusal| self.refusal_error(step, refusal))?;
         Ok(WatchStream::new(lines))
     }
 
-    /// Gets a lease that lapses `time_to_live` after its last keep-alive.
+    /// Requests a lease that expires `time_to_live` after its last keep-alive.
     ///
     /// # Errors
-    /// [`KeyValueError`]; after `Unknown` a lease nobody knows may exist until it lapses.
+    /// [`KeyValueError`]; after `Unknown` a lease that no caller knows may exist until it expires.
     pub async fn grant_lease(&self, time_to_live: Duration) -> Result<LeaseAnswer, KeyValueError> {
         let request = LeaseGrantRequest { time_to_live };
         self.post("grant lease", paths::LEASE_GRANT, &request).await
@@ -111,7 +113,7 @@
     /// Extends a lease by its time to live.
     ///
     /// # Errors
-    /// [`KeyValueError`]; after `Unknown` the holder must count on the earlier end.
+    /// [`KeyValueError`]; after `Unknown` the holder must assume the earlier expiry.
     pub async fn keep_alive(&self, lease: LeaseId) -> Result<LeaseAnswer, KeyValueError> {
         self.post("keep lease alive", paths::LEASE_KEEP_ALIVE, &LeaseRequest { lease }).await
     }
@@ -122,11 +124,11 @@
     /// [`KeyValueError`]
     pub async fn revoke_lease(&self, lease: LeaseId) -> Result<(), KeyValueError> {
         let request = LeaseRequest { lease };
-        let _: Done = self.post("revoke lease", paths::LEASE_REVOKE, &request).await?;
+        let _: EmptyAnswer = self.post("revoke lease", paths::LEASE_REVOKE, &request).await?;
         Ok(())
     }
 
-    /// Makes a key whose version is `expected` live by `lease`. Gives the new version.
+    /// Attaches a key whose version is `expected` to `lease`. Returns the new version.
     ///
     /// # Errors
     /// [`KeyValueError`]; after `Unknown` the change may have taken effect.
@@ -161,15 +163,15 @@
         request: &impl Serialize,
     ) -> Result<T, KeyValueError> {
         let answer = self.peer.post::<T, KeyValueRefusal>(step, path, request).await;
-        let answer = answer.map_err(|error| self.failed(step, error))?;
-        answer.map_err(|refusal| self.refused(step, refusal))
+        let answer = answer.map_err(|error| self.transport_error(step, error))?;
+        answer.map_err(|refusal| self.refusal_error(step, refusal))
     }
 
-    fn failed(&self, step: &str, error: crate::TransportError) -> KeyValueError {
+    fn transport_error(&self, step: &str, error: crate::TransportError) -> KeyValueError {
         KeyValueError::from_transport(step, self.peer.name(), error)
     }
 
-    fn refused(&self, step: &str, refusal: KeyValueRefusal) -> KeyValueError {
+    fn refusal_error(&self, step: &str, refusal: KeyValueRefusal) -> KeyValueError {
         KeyValueError::from_refusal(step, self.peer.name(), refusal)
     }
 }
