--- a/crates/engine-model/src/cache.rs
+++ b/crates/engine-model/src/cache.rs
@@ -347,7 +347,7 @@
         if node.pins > 1 {
             return;
         }
-        self.spans.record(node.resident, node.last_use, now, SpanKind::UsedAgain);
+        self.spans.record(node.resident, node.last_use, now, SpanKind::Reused);
         node.active_since = now;
         let resident = node.resident;
         self.pinned += self.footprint(resident);
--- a/crates/engine-model/src/event.rs
+++ b/crates/engine-model/src/event.rs
@@ -191,7 +191,7 @@
     /// A running attempt used it.
     Active,
     /// It lay idle and was used again afterwards.
-    UsedAgain,
+    Reused,
     /// It lay idle until it was evicted or freed.
     Wasted,
 }
--- a/crates/engine-model/src/model.rs
+++ b/crates/engine-model/src/model.rs
@@ -115,7 +115,7 @@
     }
 
     /// The load at `now`. Call [`Self::advance`] first.
-    pub fn load(&self, now: Timestamp) -> LoadReport {
+    pub fn load_report(&self, now: Timestamp) -> LoadReport {
         LoadReport {
             incarnation: self.incarnation,
             at: now,
--- a/crates/engine-model/tests/engine.rs
+++ b/crates/engine-model/tests/engine.rs
@@ -122,7 +122,7 @@
     for program in 1..=3 {
         assert_eq!(finished(&events, attempt(program, 1)).generated, Tokens(900));
     }
-    assert!(bench.engine.load(bench.now).resident <= Tokens(4096));
+    assert!(bench.engine.load_report(bench.now).resident <= Tokens(4096));
 }
 
 #[test]
@@ -154,7 +154,7 @@
     let lapsed = events.iter().any(|event| matches!(event, EngineEvent::HoldLapsed { .. }));
     assert!(lapsed);
     assert_eq!(bench.held(1), 0);
-    assert_eq!(bench.engine.load(bench.now).resident, Tokens::ZERO);
+    assert_eq!(bench.engine.load_report(bench.now).resident, Tokens::ZERO);
 }
 
 #[test]
@@ -180,7 +180,7 @@
     assert!(matches!(reply, EngineReply::Released { .. }));
     bench.run();
     assert_eq!(bench.held(1), 0);
-    assert_eq!(bench.engine.load(bench.now).resident, Tokens::ZERO);
+    assert_eq!(bench.engine.load_report(bench.now).resident, Tokens::ZERO);
     assert!(matches!(bench.engine.status(attempt(1, 1)), AttemptStatus::Cut(_)));
     let late = bench.submit(submit(1, 2, prompt(1, 3000), 5));
     let program = support::program(1);
--- a/crates/engine-model/tests/random_commands.rs
+++ b/crates/engine-model/tests/random_commands.rs
@@ -124,7 +124,7 @@
     }
 
     fn check_memory(&self, seed: u64) {
-        let load = self.bench.engine.load(self.bench.now);
+        let load = self.bench.engine.load_report(self.bench.now);
         assert!(load.resident.0 <= CAPACITY + OVERSHOOT, "seed {seed}: {load:?}");
         assert!(load.pinned <= load.resident, "seed {seed}: {load:?}");
     }
@@ -148,7 +148,7 @@
                 matches!(status, AttemptStatus::Waiting | AttemptStatus::Running { .. });
             assert!(!under_way, "seed {seed}: {id} is {status:?}");
         }
-        assert_eq!(run.bench.engine.load(run.bench.now).pinned, Tokens::ZERO, "seed {seed}");
+        assert_eq!(run.bench.engine.load_report(run.bench.now).pinned, Tokens::ZERO, "seed {seed}");
     }
 }
 
--- a/crates/experiment/src/driver/engines/reports.rs
+++ b/crates/experiment/src/driver/engines/reports.rs
@@ -29,7 +29,7 @@
     pub(in super::super) fn report(&mut self, engine: usize) {
         self.agenda.add(self.now + self.report_interval(), Happening::Report { engine });
         let Some(model) = self.engines[engine].model.as_ref() else { return };
-        let load = model.load(self.now);
+        let load = model.load_report(self.now);
         let report = EngineReport {
             engine: self.engines[engine].id.clone(),
             incarnation: load.incarnation,
--- a/crates/replay/src/world/engine.rs
+++ b/crates/replay/src/world/engine.rs
@@ -204,7 +204,7 @@
     pub(crate) fn load(&mut self, number: u32) -> EngineReport {
         let now = self.now;
         let engine = self.engines.get_mut(&number).expect("an engine of this world");
-        let load = engine.model.as_ref().expect("it is up").load(now);
+        let load = engine.model.as_ref().expect("it is up").load_report(now);
         let report = EngineReport {
             engine: engine_name(number),
             incarnation: load.incarnation,
--- a/crates/standins/src/engine/core.rs
+++ b/crates/standins/src/engine/core.rs
@@ -260,7 +260,7 @@
         match &order.order {
             EngineOrder::LoadModel(name) => {
                 self.loading.observe(name, order.generation)?;
-                if !self.model.load(now).models.contains(name) {
+                if !self.model.load_report(now).models.contains(name) {
                     if fetches {
                         return Ok(self.loading.begin_fetch(name).then(|| name.clone()));
                     }
@@ -289,7 +289,7 @@
 
     /// A guess of when the queue is shorter: a step for each attempt that waits.
     fn retry_after(&self, now: Timestamp) -> Duration {
-        let load = self.model.load(now);
+        let load = self.model.load_report(now);
         Duration::from_micros(load.step_micros).times(u64::from(load.waiting)).max(SHORTEST_RETRY)
     }
 }
--- a/crates/standins/src/engine/service.rs
+++ b/crates/standins/src/engine/service.rs
@@ -140,7 +140,7 @@
     }
 
     fn take_load(&self, core: &Core, now: Timestamp) -> LoadReport {
-        let load = core.model.load(now);
+        let load = core.model.load_report(now);
         let ready = load.models.into_iter();
         let ready = ready.map(|model| ModelStatus { model, state: ModelState::Ready });
         let under_way = core.loading.under_way().cloned();
