--- a/crates/engine-model/src/attempts.rs
+++ b/crates/engine-model/src/attempts.rs
@@ -4,15 +4,15 @@
 
 use dahlia_types::{AttemptId, CallId, ChainId, Duration, ProgramId, Timestamp, Tokens, Usage};
 
-use crate::cache::{Link, NodeId};
+use crate::cache::{ChainLink, NodeId};
 use crate::{AttemptStatus, Priority, Submit, chain_hashes};
 
 /// Order among attempts: urgency, then arrival.
-pub(crate) type Order = (Priority, u64, AttemptId);
+pub(crate) type QueueKey = (Priority, u64, AttemptId);
 
 /// How far the prompt's prefill has come.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct Cursor {
+pub(crate) struct PrefillCursor {
     /// Node of the path that is being computed.
     pub node: usize,
     /// Tokens of that node that are done.
@@ -25,9 +25,9 @@
     /// Waits for a place and holds no memory.
     Waiting,
     /// Its prompt is being computed, then what it generated before a preemption.
-    Prefilling { cursor: Cursor, replayed: u64 },
+    Prefilling { cursor: PrefillCursor, recomputed: u64 },
     /// It generates: `base` tokens were there when the decode clock stood at `joined`.
-    Decoding { joined: u64, base: u64, finish: u64 },
+    Decoding { start_clock: u64, base: u64, finish: u64 },
 }
 
 /// An attempt that has not ended.
@@ -35,7 +35,7 @@
 pub(crate) struct LiveAttempt {
     pub submit: Submit,
     pub sequence: u64,
-    pub links: Vec<Link>,
+    pub links: Vec<ChainLink>,
     pub prompt_tokens: u64,
     /// Tokens generated before the current place in the batch.
     pub generated_before: u64,
@@ -44,7 +44,7 @@
     /// Tokens to prefill as estimated when it began to wait.
     pub estimated_prefill: u64,
     pub path: Vec<NodeId>,
-    pub placed_at: Timestamp,
+    pub admitted_at: Timestamp,
     pub phase: Phase,
 }
 
@@ -52,11 +52,11 @@
     pub(crate) fn new(submit: Submit, sequence: u64) -> Self {
         let hashes = chain_hashes(&submit.tenant, &submit.model, &submit.prompt);
         let lengths = submit.prompt.iter().map(|segment| segment.tokens.0);
-        let links: Vec<Link> = hashes
+        let links: Vec<ChainLink> = hashes
             .into_iter()
             .zip(lengths)
             .filter(|(_, tokens)| *tokens > 0)
-            .map(|(hash, tokens)| Link { hash, tokens })
+            .map(|(hash, tokens)| ChainLink { hash, tokens })
             .collect();
         let prompt_tokens = links.iter().map(|link| link.tokens).sum();
         Self {
@@ -68,7 +68,7 @@
             cached: None,
             estimated_prefill: prompt_tokens,
             path: Vec::new(),
-            placed_at: Timestamp::ZERO,
+            admitted_at: Timestamp::ZERO,
             phase: Phase::Waiting,
         }
     }
@@ -77,7 +77,7 @@
         self.submit.attempt
     }
 
-    pub(crate) fn order(&self) -> Order {
+    pub(crate) fn queue_key(&self) -> QueueKey {
         (self.submit.priority, self.sequence, self.submit.attempt)
     }
 
@@ -89,7 +89,7 @@
     /// Tokens generated when the decode clock stands at `clock`.
     pub(crate) fn generated(&self, clock: u64) -> u64 {
         match self.phase {
-            Phase::Decoding { joined, base, .. } => base + (clock - joined),
+            Phase::Decoding { start_clock, base, .. } => base + (clock - start_clock),
             _ => self.generated_before,
         }
     }
--- a/crates/engine-model/src/batch.rs
+++ b/crates/engine-model/src/batch.rs
@@ -8,16 +8,16 @@
 
 use dahlia_types::AttemptId;
 
-use crate::attempts::Order;
+use crate::attempts::QueueKey;
 
 /// The queues of one engine.
 #[derive(Debug, Default)]
 pub(crate) struct Batch {
-    pub waiting: BTreeSet<Order>,
-    pub prefilling: BTreeSet<Order>,
+    pub waiting: BTreeSet<QueueKey>,
+    pub prefilling: BTreeSet<QueueKey>,
     /// By the value of the decode clock at which they end.
-    finishing: BTreeSet<(u64, Order)>,
-    decoding: BTreeSet<Order>,
+    finishing: BTreeSet<(u64, QueueKey)>,
+    decoding: BTreeSet<QueueKey>,
     /// Decode steps so far.
     pub clock: u64,
     /// Tokens of context that a decode step reads.
@@ -37,15 +37,15 @@
         self.decoding.iter().map(|(_, _, id)| *id)
     }
 
-    pub(crate) fn join_decoding(&mut self, order: Order, finish: u64, context: u64) {
-        self.decoding.insert(order);
-        self.finishing.insert((finish, order));
+    pub(crate) fn add_decoding(&mut self, key: QueueKey, finish: u64, context: u64) {
+        self.decoding.insert(key);
+        self.finishing.insert((finish, key));
         self.context += context;
     }
 
-    pub(crate) fn leave_decoding(&mut self, order: Order, finish: u64, context: u64) {
-        self.decoding.remove(&order);
-        self.finishing.remove(&(finish, order));
+    pub(crate) fn remove_decoding(&mut self, key: QueueKey, finish: u64, context: u64) {
+        self.decoding.remove(&key);
+        self.finishing.remove(&(finish, key));
         self.context -= context;
     }
 
@@ -56,8 +56,8 @@
 
     /// A sequence that has ended by the decode clock.
     pub(crate) fn next_finished(&self) -> Option<AttemptId> {
-        let (finish, order) = self.finishing.first()?;
-        (*finish <= self.clock).then_some(order.2)
+        let (finish, key) = self.finishing.first()?;
+        (*finish <= self.clock).then_some(key.2)
     }
 
     /// The attempt to preempt: least urgent, last arrived (as vLLM's priority scheduling).
@@ -67,7 +67,7 @@
     }
 
     /// The prefilling attempt after `last` in order.
-    pub(crate) fn next_prefilling(&self, last: Option<Order>) -> Option<Order> {
+    pub(crate) fn next_prefilling(&self, last: Option<QueueKey>) -> Option<QueueKey> {
         let start = last.map_or(Bound::Unbounded, Bound::Excluded);
         self.prefilling.range((start, Bound::Unbounded)).next().copied()
     }
--- a/crates/engine-model/src/cache.rs
+++ b/crates/engine-model/src/cache.rs
@@ -4,15 +4,15 @@
 //! caching, SGLang 2024). Memory is charged in blocks; a leaf shrinks from its tail.
 
 mod eviction;
-mod sessions;
+mod programs;
 mod spans;
 
 use std::collections::{BTreeSet, HashMap};
 
 use dahlia_types::{ProgramId, Timestamp, Tokens};
 
-pub(crate) use self::sessions::Sessions;
-pub(crate) use self::spans::Spans;
+pub(crate) use self::programs::CachedPrograms;
+pub(crate) use self::spans::SpanRecorder;
 use crate::{ChainHash, SpanKind};
 
 /// Place of a node in the table.
@@ -20,7 +20,7 @@
 
 /// One link of a prompt: the prefix's hash and the segment's own length.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Link {
+pub(crate) struct ChainLink {
     pub hash: ChainHash,
     pub tokens: u64,
 }
@@ -38,12 +38,12 @@
     resident: u64,
     /// Tokens whose KV is computed; equal to `resident` while nothing pins the node.
     computed: u64,
-    children: u32,
-    pins: u32,
+    child_count: u32,
+    pin_count: u32,
     users: BTreeSet<ProgramId>,
-    held_by: u32,
+    hold_count: u32,
     /// Two programs have used it at some time: it outlives its users as ordinary cache.
-    shared: bool,
+    ever_shared: bool,
     last_use: Timestamp,
     active_since: Timestamp,
     eviction_key: Option<EvictionKey>,
@@ -62,8 +62,8 @@
     free_slots: Vec<NodeId>,
     index: HashMap<ChainHash, NodeId>,
     evictable: BTreeSet<EvictionKey>,
-    pub(crate) sessions: Sessions,
-    pub(crate) spans: Spans,
+    pub(crate) programs: CachedPrograms,
+    pub(crate) spans: SpanRecorder,
 }
 
 impl PrefixCache {
@@ -77,8 +77,8 @@
             free_slots: Vec::new(),
             index: HashMap::new(),
             evictable: BTreeSet::new(),
-            sessions: Sessions::default(),
-            spans: Spans::default(),
+            programs: CachedPrograms::default(),
+            spans: SpanRecorder::default(),
         }
     }
 
@@ -95,7 +95,7 @@
     }
 
     /// Tokens at the start of `path` whose KV is computed.
-    pub(crate) fn computed_prefix(&self, links: &[Link]) -> u64 {
+    pub(crate) fn computed_prefix(&self, links: &[ChainLink]) -> u64 {
         let mut total = 0;
         for link in links {
             let Some(node) = self.find(link.hash) else { break };
@@ -113,11 +113,11 @@
     pub(crate) fn acquire(
         &mut self,
         program: ProgramId,
-        links: &[Link],
+        links: &[ChainLink],
         headroom: u64,
         now: Timestamp,
     ) -> Option<Vec<NodeId>> {
-        if self.missing_memory(links) + headroom > self.available_beside(links) {
+        if self.missing_memory(links) + headroom > self.available_after_pinning(links) {
             return None;
         }
         let mut path = Vec::with_capacity(links.len());
@@ -136,21 +136,21 @@
                     id
                 }
             };
-            self.extend(id);
+            self.allocate(id);
             self.add_user(id, program);
         }
         Some(path)
     }
 
     /// Pins a path once more.
-    pub(crate) fn pin_again(&mut self, path: &[NodeId], now: Timestamp) {
+    pub(crate) fn pin_path(&mut self, path: &[NodeId], now: Timestamp) {
         for id in path {
             self.pin(*id, now);
         }
     }
 
     /// Ends an attempt's use of its path. Nodes that nobody uses any more are freed.
-    pub(crate) fn unpin(&mut self, path: &[NodeId], now: Timestamp) {
+    pub(crate) fn unpin_path(&mut self, path: &[NodeId], now: Timestamp) {
         for id in path.iter().rev() {
             self.unpin_node(*id, now);
         }
@@ -161,15 +161,17 @@
         &mut self,
         program: ProgramId,
         parent: Option<NodeId>,
-        link: Link,
+        link: ChainLink,
         now: Timestamp,
     ) {
-        if self.index.contains_key(&link.hash) || self.footprint(link.tokens) > self.room() {
+        if self.index.contains_key(&link.hash)
+            || self.footprint(link.tokens) > self.available_memory()
+        {
             return;
         }
         let id = self.insert(link, parent, now);
         self.pin(id, now);
-        self.extend(id);
+        self.allocate(id);
         self.add_user(id, program);
         self.set_computed(id, link.tokens);
         self.unpin_node(id, now);
@@ -186,7 +188,7 @@
     }
 
     /// Gives back memory that was taken for tokens which were not generated.
-    pub(crate) fn return_private(&mut self, tokens: u64) {
+    pub(crate) fn refund_private(&mut self, tokens: u64) {
         self.used -= tokens;
         self.pinned -= tokens;
     }
@@ -206,7 +208,7 @@
         let gained = computed.saturating_sub(node.computed);
         node.computed = node.computed.max(computed);
         let users = &self.nodes[id].as_ref().expect("node is live").users;
-        self.sessions.add_tokens(users, gained);
+        self.programs.add_tokens(users, gained);
     }
 
     /// Tokens of the node whose KV is computed.
@@ -215,37 +217,37 @@
     }
 
     /// Frees what only `program` uses. Pinned nodes are freed when their attempts end.
-    pub(crate) fn drop_program(&mut self, program: ProgramId, now: Timestamp) -> u64 {
-        let Some((nodes, held)) = self.sessions.remove(program) else { return 0 };
+    pub(crate) fn free_program(&mut self, program: ProgramId, now: Timestamp) -> u64 {
+        let Some((nodes, held)) = self.programs.remove(program) else { return 0 };
         let before = self.used;
         let mut by_depth: Vec<_> = nodes.iter().map(|id| (self.node(*id).depth, *id)).collect();
         by_depth.sort_unstable();
         for (_, id) in by_depth.into_iter().rev() {
             let node = self.node_mut(id);
             node.users.remove(&program);
-            node.held_by -= u32::from(held);
-            self.settle(id, now);
+            node.hold_count -= u32::from(held);
+            self.remove_or_refile(id, now);
         }
         before - self.used
     }
 
     /// Marks the program's nodes as held or not.
     pub(crate) fn set_held(&mut self, program: ProgramId, held: bool) {
-        let changed = self.sessions.set_held(program, held);
+        let changed = self.programs.set_held(program, held);
         for id in changed {
             let node = self.node_mut(id);
             if held {
-                node.held_by += 1;
+                node.hold_count += 1;
             } else {
-                node.held_by -= 1;
+                node.hold_count -= 1;
             }
-            self.refresh(id);
+            self.update_eviction_key(id);
         }
     }
 
     /// Closes the idle spans of what is still cached, as wasted: the run ends here.
     pub(crate) fn close_spans(&mut self, now: Timestamp) {
-        for node in self.nodes.iter().flatten().filter(|node| node.pins == 0) {
+        for node in self.nodes.iter().flatten().filter(|node| node.pin_count == 0) {
             self.spans.record(node.resident, node.last_use, now, SpanKind::Wasted);
         }
     }
@@ -267,11 +269,11 @@
     }
 
     /// Memory that is free or can be evicted.
-    pub(crate) fn room(&self) -> u64 {
+    pub(crate) fn available_memory(&self) -> u64 {
         self.capacity.saturating_sub(self.pinned)
     }
 
-    fn missing_memory(&self, links: &[Link]) -> u64 {
+    fn missing_memory(&self, links: &[ChainLink]) -> u64 {
         let missing = links.iter().map(|link| {
             let resident = self.find(link.hash).map_or(0, |node| self.footprint(node.resident));
             self.footprint(link.tokens) - resident
@@ -280,14 +282,14 @@
     }
 
     /// Room that is left once the cached part of `links` is pinned.
-    fn available_beside(&self, links: &[Link]) -> u64 {
+    fn available_after_pinning(&self, links: &[ChainLink]) -> u64 {
         let matched = links.iter().map_while(|link| self.find(link.hash));
-        let idle = matched.filter(|node| node.pins == 0);
+        let idle = matched.filter(|node| node.pin_count == 0);
         let reserved: u64 = idle.map(|node| self.footprint(node.resident)).sum();
-        self.room().saturating_sub(reserved)
+        self.available_memory().saturating_sub(reserved)
     }
 
-    fn insert(&mut self, link: Link, parent: Option<NodeId>, now: Timestamp) -> NodeId {
+    fn insert(&mut self, link: ChainLink, parent: Option<NodeId>, now: Timestamp) -> NodeId {
         let depth = parent.map_or(0, |id| self.node(id).depth + 1);
         let node = Node {
             hash: link.hash,
@@ -296,11 +298,11 @@
             tokens: link.tokens,
             resident: 0,
             computed: 0,
-            children: 0,
-            pins: 0,
+            child_count: 0,
+            pin_count: 0,
             users: BTreeSet::new(),
-            held_by: 0,
-            shared: false,
+            hold_count: 0,
+            ever_shared: false,
             last_use: now,
             active_since: now,
             eviction_key: None,
@@ -312,14 +314,14 @@
         self.nodes[id] = Some(node);
         self.index.insert(link.hash, id);
         if let Some(parent) = parent {
-            self.node_mut(parent).children += 1;
-            self.refresh(parent);
+            self.node_mut(parent).child_count += 1;
+            self.update_eviction_key(parent);
         }
         id
     }
 
     /// Gives the node memory for all its tokens. The caller has checked that there is room.
-    fn extend(&mut self, id: NodeId) {
+    fn allocate(&mut self, id: NodeId) {
         let (resident, tokens) = (self.node(id).resident, self.node(id).tokens);
         let grown = self.footprint(tokens) - self.footprint(resident);
         if grown > 0 {
@@ -336,28 +338,28 @@
         if !node.users.insert(program) {
             return;
         }
-        node.shared |= node.users.len() > 1;
-        let held = self.sessions.add_node(program, id, node.computed);
-        node.held_by += u32::from(held);
+        node.ever_shared |= node.users.len() > 1;
+        let held = self.programs.add_node(program, id, node.computed);
+        node.hold_count += u32::from(held);
     }
 
     fn pin(&mut self, id: NodeId, now: Timestamp) {
         let node = self.nodes[id].as_mut().expect("node is live");
-        node.pins += 1;
-        if node.pins > 1 {
+        node.pin_count += 1;
+        if node.pin_count > 1 {
             return;
         }
         self.spans.record(node.resident, node.last_use, now, SpanKind::Reused);
         node.active_since = now;
         let resident = node.resident;
         self.pinned += self.footprint(resident);
-        self.refresh(id);
+        self.update_eviction_key(id);
     }
 
     fn unpin_node(&mut self, id: NodeId, now: Timestamp) {
         let node = self.node_mut(id);
-        node.pins -= 1;
-        if node.pins > 0 {
+        node.pin_count -= 1;
+        if node.pin_count > 0 {
             return;
         }
         let (resident, computed, since) = (node.resident, node.computed, node.active_since);
@@ -366,6 +368,6 @@
         self.pinned -= self.footprint(resident);
         self.used -= self.footprint(resident) - self.footprint(computed);
         self.spans.record(resident, since, now, SpanKind::Active);
-        self.settle(id, now);
+        self.remove_or_refile(id, now);
     }
 }
--- a/crates/engine-model/src/cache/eviction.rs
+++ b/crates/engine-model/src/cache/eviction.rs
@@ -7,14 +7,14 @@
 
 impl PrefixCache {
     /// Removes an idle node that holds nothing or that nobody uses; else files it for eviction.
-    pub(super) fn settle(&mut self, id: NodeId, now: Timestamp) {
+    pub(super) fn remove_or_refile(&mut self, id: NodeId, now: Timestamp) {
         let node = self.node(id);
-        let idle = node.pins == 0 && node.children == 0;
-        let useless = node.resident == 0 || (node.users.is_empty() && !node.shared);
-        if idle && useless {
+        let idle = node.pin_count == 0 && node.child_count == 0;
+        let unneeded = node.resident == 0 || (node.users.is_empty() && !node.ever_shared);
+        if idle && unneeded {
             self.shrink(id, node.resident, now);
         } else {
-            self.refresh(id);
+            self.update_eviction_key(id);
         }
     }
 
@@ -41,14 +41,14 @@
         node.resident = kept;
         node.computed = node.computed.min(kept);
         let users = &self.nodes[id].as_ref().expect("node is live").users;
-        self.sessions.remove_tokens(users, lost);
+        self.programs.remove_tokens(users, lost);
         for program in users {
-            self.sessions.changed(*program, CacheChange::Removed);
+            self.programs.record_change(*program, CacheChange::Removed);
         }
         if kept == 0 {
             self.remove(id, now);
         } else {
-            self.refresh(id);
+            self.update_eviction_key(id);
         }
     }
 
@@ -60,19 +60,19 @@
             self.evictable.remove(&key);
         }
         for program in &node.users {
-            self.sessions.remove_node(*program, id);
+            self.programs.remove_node(*program, id);
         }
         if let Some(parent) = node.parent {
-            self.node_mut(parent).children -= 1;
-            self.settle(parent, now);
+            self.node_mut(parent).child_count -= 1;
+            self.remove_or_refile(parent, now);
         }
     }
 
     /// Files the node under its current eviction key, if it is an idle leaf.
-    pub(super) fn refresh(&mut self, id: NodeId) {
+    pub(super) fn update_eviction_key(&mut self, id: NodeId) {
         let node = self.nodes[id].as_mut().expect("node is live");
-        let leaf = node.pins == 0 && node.children == 0 && node.resident > 0;
-        let key = leaf.then_some((node.held_by > 0, node.last_use, id));
+        let leaf = node.pin_count == 0 && node.child_count == 0 && node.resident > 0;
+        let key = leaf.then_some((node.hold_count > 0, node.last_use, id));
         if key == node.eviction_key {
             return;
         }
--- a/crates/engine-model/src/cache/sessions.rs
+++ b/crates/engine-model/src/cache/programs.rs
@@ -8,7 +8,7 @@
 use crate::{AfterHold, CacheChange};
 
 #[derive(Debug, Default)]
-struct Session {
+struct CachedProgram {
     nodes: BTreeSet<NodeId>,
     tokens: u64,
     held: bool,
@@ -17,27 +17,27 @@
 
 /// The programs with something cached.
 #[derive(Debug, Default)]
-pub(crate) struct Sessions {
-    programs: BTreeMap<ProgramId, Session>,
+pub(crate) struct CachedPrograms {
+    programs: BTreeMap<ProgramId, CachedProgram>,
     holds: BTreeSet<(Timestamp, ProgramId)>,
     changes: BTreeMap<ProgramId, CacheChange>,
 }
 
-impl Sessions {
+impl CachedPrograms {
     /// Tokens cached for `program`.
     pub(crate) fn tokens(&self, program: ProgramId) -> u64 {
-        self.programs.get(&program).map_or(0, |session| session.tokens)
+        self.programs.get(&program).map_or(0, |entry| entry.tokens)
     }
 
     /// Every program with its tokens and the end of its hold.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (ProgramId, u64, Option<Timestamp>)> {
-        self.programs.iter().map(|(program, session)| {
-            (*program, session.tokens, session.hold.map(|(until, _)| until))
-        })
+        self.programs
+            .iter()
+            .map(|(program, entry)| (*program, entry.tokens, entry.hold.map(|(until, _)| until)))
     }
 
     /// Notes a change to be told as a cache event.
-    pub(crate) fn changed(&mut self, program: ProgramId, change: CacheChange) {
+    pub(crate) fn record_change(&mut self, program: ProgramId, change: CacheChange) {
         self.changes.insert(program, change);
     }
 
@@ -54,42 +54,42 @@
         after: AfterHold,
     ) -> bool {
         self.clear_hold(program);
-        let Some(session) = self.programs.get_mut(&program) else { return false };
-        session.hold = Some((until, after));
+        let Some(entry) = self.programs.get_mut(&program) else { return false };
+        entry.hold = Some((until, after));
         self.holds.insert((until, program));
         true
     }
 
     /// Forgets the end of a program's hold.
     pub(crate) fn clear_hold(&mut self, program: ProgramId) {
-        let Some(session) = self.programs.get_mut(&program) else { return };
-        if let Some((until, _)) = session.hold.take() {
+        let Some(entry) = self.programs.get_mut(&program) else { return };
+        if let Some((until, _)) = entry.hold.take() {
             self.holds.remove(&(until, program));
         }
     }
 
     /// When the next hold lapses.
-    pub(crate) fn next_lapse(&self) -> Option<Timestamp> {
+    pub(crate) fn next_hold_end(&self) -> Option<Timestamp> {
         self.holds.first().map(|(until, _)| *until)
     }
 
     /// Takes the next hold that has lapsed by `now`.
-    pub(crate) fn take_lapsed(&mut self, now: Timestamp) -> Option<(ProgramId, AfterHold)> {
+    pub(crate) fn take_lapsed_hold(&mut self, now: Timestamp) -> Option<(ProgramId, AfterHold)> {
         let (until, program) = self.holds.first().copied()?;
         if until > now {
             return None;
         }
         self.holds.pop_first();
-        let hold = self.programs.get_mut(&program).and_then(|session| session.hold.take());
+        let hold = self.programs.get_mut(&program).and_then(|entry| entry.hold.take());
         hold.map(|(_, after)| (program, after))
     }
 
     /// Switches the held mark; gives the nodes whose count changes.
     pub(super) fn set_held(&mut self, program: ProgramId, held: bool) -> Vec<NodeId> {
         match self.programs.get_mut(&program) {
-            Some(session) if session.held != held => {
-                session.held = held;
-                session.nodes.iter().copied().collect()
+            Some(entry) if entry.held != held => {
+                entry.held = held;
+                entry.nodes.iter().copied().collect()
             }
             _ => Vec::new(),
         }
@@ -97,17 +97,17 @@
 
     /// Adds a node to a program; tells whether the program is held.
     pub(super) fn add_node(&mut self, program: ProgramId, node: NodeId, computed: u64) -> bool {
-        let session = self.programs.entry(program).or_default();
-        session.nodes.insert(node);
-        session.tokens += computed;
-        session.held
+        let entry = self.programs.entry(program).or_default();
+        entry.nodes.insert(node);
+        entry.tokens += computed;
+        entry.held
     }
 
     /// Takes a node from a program; a program without nodes is forgotten.
     pub(super) fn remove_node(&mut self, program: ProgramId, node: NodeId) {
-        let Some(session) = self.programs.get_mut(&program) else { return };
-        session.nodes.remove(&node);
-        if session.nodes.is_empty() {
+        let Some(entry) = self.programs.get_mut(&program) else { return };
+        entry.nodes.remove(&node);
+        if entry.nodes.is_empty() {
             self.clear_hold(program);
             self.programs.remove(&program);
         }
@@ -116,23 +116,23 @@
     /// Forgets a program; gives its nodes and whether it was held.
     pub(super) fn remove(&mut self, program: ProgramId) -> Option<(BTreeSet<NodeId>, bool)> {
         self.clear_hold(program);
-        let session = self.programs.remove(&program)?;
+        let entry = self.programs.remove(&program)?;
         self.changes.insert(program, CacheChange::Removed);
-        Some((session.nodes, session.held))
+        Some((entry.nodes, entry.held))
     }
 
     pub(super) fn add_tokens(&mut self, users: &BTreeSet<ProgramId>, tokens: u64) {
         for program in users {
-            if let Some(session) = self.programs.get_mut(program) {
-                session.tokens += tokens;
+            if let Some(entry) = self.programs.get_mut(program) {
+                entry.tokens += tokens;
             }
         }
     }
 
     pub(super) fn remove_tokens(&mut self, users: &BTreeSet<ProgramId>, tokens: u64) {
         for program in users {
-            if let Some(session) = self.programs.get_mut(program) {
-                session.tokens -= tokens;
+            if let Some(entry) = self.programs.get_mut(program) {
+                entry.tokens -= tokens;
             }
         }
     }
--- a/crates/engine-model/src/cache/spans.rs
+++ b/crates/engine-model/src/cache/spans.rs
@@ -6,12 +6,12 @@
 
 /// Spans since they were last taken; nothing is recorded until it is switched on.
 #[derive(Debug, Default)]
-pub(crate) struct Spans {
+pub(crate) struct SpanRecorder {
     recording: bool,
     spans: Vec<CacheSpan>,
 }
 
-impl Spans {
+impl SpanRecorder {
     /// Starts recording.
     pub(crate) fn enable(&mut self) {
         self.recording = true;
--- a/crates/engine-model/src/orders.rs
+++ b/crates/engine-model/src/configuration.rs
@@ -8,7 +8,7 @@
 
 /// What an order is about; each subject has its own fence.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-enum Subject {
+enum OrderSubject {
     Model(ModelId),
     Role,
 }
@@ -24,15 +24,15 @@
 
 /// Models, role and the newest generation seen for each.
 #[derive(Debug)]
-pub(crate) struct Orders {
+pub(crate) struct EngineConfiguration {
     load_time: Duration,
     role: EngineRole,
     loaded: BTreeSet<ModelId>,
     loading: BTreeMap<ModelId, Timestamp>,
-    fences: BTreeMap<Subject, Generation>,
+    fences: BTreeMap<OrderSubject, Generation>,
 }
 
-impl Orders {
+impl EngineConfiguration {
     pub(crate) fn new(load_time: Duration) -> Self {
         Self {
             load_time,
@@ -44,7 +44,7 @@
     }
 
     /// Starts with a model loaded, as an engine that was set up so.
-    pub(crate) fn preload(&mut self, model: ModelId) {
+    pub(crate) fn add_loaded_model(&mut self, model: ModelId) {
         self.loaded.insert(model);
     }
 
@@ -67,24 +67,24 @@
         now: Timestamp,
     ) -> Result<OrderEffect, EngineRefusal> {
         let subject = match &order.kind {
-            OrderKind::Load(model) | OrderKind::Unload(model) => Subject::Model(model.clone()),
-            OrderKind::SetRole(_) => Subject::Role,
+            OrderKind::Load(model) | OrderKind::Unload(model) => OrderSubject::Model(model.clone()),
+            OrderKind::SetRole(_) => OrderSubject::Role,
         };
         let seen = self.fences.get(&subject).copied().unwrap_or_default();
         if order.generation < seen {
             return Err(EngineRefusal::StaleGeneration { generation: order.generation, seen });
         }
         self.fences.insert(subject, order.generation);
-        Ok(self.carry_out(&order.kind, now))
+        Ok(self.execute(&order.kind, now))
     }
 
     /// When the next model is ready.
-    pub(crate) fn next_ready(&self) -> Option<Timestamp> {
+    pub(crate) fn next_load_end(&self) -> Option<Timestamp> {
         self.loading.values().min().copied()
     }
 
     /// Takes a model that is ready by `now`.
-    pub(crate) fn take_ready(&mut self, now: Timestamp) -> Option<(ModelId, Timestamp)> {
+    pub(crate) fn finish_next_load(&mut self, now: Timestamp) -> Option<(ModelId, Timestamp)> {
         let ready = self.loading.iter().find(|(_, at)| **at <= now);
         let (model, at) = ready.map(|(model, at)| (model.clone(), *at))?;
         self.loading.remove(&model);
@@ -92,7 +92,7 @@
         Some((model, at))
     }
 
-    fn carry_out(&mut self, kind: &OrderKind, now: Timestamp) -> OrderEffect {
+    fn execute(&mut self, kind: &OrderKind, now: Timestamp) -> OrderEffect {
         match kind {
             OrderKind::Load(model) => {
                 if !self.loaded.contains(model) {
--- a/crates/engine-model/src/fence.rs
+++ b/crates/engine-model/src/fence.rs
@@ -10,7 +10,7 @@
 struct ProgramFence {
     epoch: Term,
     ended: bool,
-    touched: Timestamp,
+    last_used: Timestamp,
 }
 
 /// The newest epoch seen of each program.
@@ -40,7 +40,7 @@
             return Err(EngineRefusal::StaleEpoch { program, epoch, seen: fence.epoch });
         }
         let ended = known.is_some_and(|fence| fence.ended);
-        self.store(program, ProgramFence { epoch, ended, touched: now });
+        self.store(program, ProgramFence { epoch, ended, last_used: now });
         Ok(())
     }
 
@@ -65,20 +65,20 @@
 
     /// Remembers that the program has ended.
     pub(crate) fn end(&mut self, program: ProgramId, epoch: Term, now: Timestamp) {
-        self.store(program, ProgramFence { epoch, ended: true, touched: now });
+        self.store(program, ProgramFence { epoch, ended: true, last_used: now });
     }
 
     /// Forgets programs that were not heard of for the retention time, except those for which
     /// `in_use` holds.
     pub(crate) fn expire(&mut self, now: Timestamp, in_use: impl Fn(ProgramId) -> bool) {
-        while let Some((touched, program)) = self.by_age.first().copied() {
-            if now.since(touched) <= self.retention {
+        while let Some((last_used, program)) = self.by_age.first().copied() {
+            if now.since(last_used) <= self.retention {
                 return;
             }
             self.by_age.pop_first();
             if in_use(program) {
                 let fence = self.programs[&program];
-                self.programs.insert(program, ProgramFence { touched: now, ..fence });
+                self.programs.insert(program, ProgramFence { last_used: now, ..fence });
                 self.by_age.insert((now, program));
             } else {
                 self.programs.remove(&program);
@@ -88,8 +88,8 @@
 
     fn store(&mut self, program: ProgramId, fence: ProgramFence) {
         if let Some(old) = self.programs.insert(program, fence) {
-            self.by_age.remove(&(old.touched, program));
+            self.by_age.remove(&(old.last_used, program));
         }
-        self.by_age.insert((fence.touched, program));
+        self.by_age.insert((fence.last_used, program));
     }
 }
--- a/crates/engine-model/src/model.rs
+++ b/crates/engine-model/src/model.rs
@@ -11,8 +11,8 @@
 use crate::attempts::Attempts;
 use crate::batch::Batch;
 use crate::cache::PrefixCache;
+use crate::configuration::EngineConfiguration;
 use crate::fence::Fences;
-use crate::orders::Orders;
 use crate::step::Step;
 use crate::transfer::{Direction, TransferLink};
 use crate::{
@@ -34,7 +34,7 @@
     batch: Batch,
     cache: PrefixCache,
     fences: Fences,
-    orders: Orders,
+    configuration: EngineConfiguration,
     link: TransferLink,
     step: Option<Step>,
     events: Vec<EngineEvent>,
@@ -61,7 +61,7 @@
             batch: Batch::default(),
             cache: PrefixCache::new(parameters.kv_capacity, parameters.block_tokens),
             fences: Fences::new(parameters.record_retention),
-            orders: Orders::new(parameters.model_load_time),
+            configuration: EngineConfiguration::new(parameters.model_load_time),
             link: TransferLink::new(&parameters),
             step: None,
             events: Vec::new(),
@@ -76,7 +76,7 @@
 
     /// Starts with `model` loaded, without an order.
     pub fn with_model(mut self, model: ModelId) -> Self {
-        self.orders.preload(model);
+        self.configuration.add_loaded_model(model);
         self
     }
 
@@ -103,9 +103,9 @@
     /// When [`Self::advance`] has something to do; none while the engine is idle.
     pub fn next_wakeup(&self) -> Option<Timestamp> {
         let step = self.step.as_ref().map(Step::ends);
-        let lapse = self.cache.sessions.next_lapse();
+        let lapse = self.cache.programs.next_hold_end();
         let transfer = self.link.next_end();
-        [step, lapse, transfer, self.orders.next_ready()].into_iter().flatten().min()
+        [step, lapse, transfer, self.configuration.next_load_end()].into_iter().flatten().min()
     }
 
     /// Runs the engine up to `now`; gives what happened since the last call, in order.
@@ -119,7 +119,7 @@
         LoadReport {
             incarnation: self.incarnation,
             at: now,
-            role: self.orders.role(),
+            role: self.configuration.role(),
             running: self.batch.running() as u32,
             waiting: self.batch.waiting.len() as u32,
             prefill_backlog: Tokens(self.prefill_backlog),
@@ -128,13 +128,13 @@
             capacity: Tokens(self.cache.capacity()),
             step_micros: self.last_step_micros,
             finished: self.finished,
-            models: self.orders.loaded(),
+            models: self.configuration.loaded(),
         }
     }
 
     /// Everything that is cached for programs at `now`.
     pub fn inventory(&self, now: Timestamp) -> Inventory {
-        let programs = self.cache.sessions.iter().map(|(program, tokens, held_until)| {
+        let programs = self.cache.programs.iter().map(|(program, tokens, held_until)| {
             HeldProgram { program, tokens: Tokens(tokens), held_until }
         });
         Inventory {
@@ -159,53 +159,53 @@
         while let Some(at) = self.next_wakeup().filter(|at| *at <= now) {
             self.process(at);
             self.begin_step(at);
-            self.tell_cache_changes(at);
+            self.emit_cache_events(at);
         }
         self.attempts.expire(now);
         let attempts = &self.attempts;
-        let sessions = &self.cache.sessions;
+        let programs = &self.cache.programs;
         self.fences.expire(now, |program| {
-            sessions.tokens(program) > 0 || !attempts.of_program(program).is_empty()
+            programs.tokens(program) > 0 || !attempts.of_program(program).is_empty()
         });
     }
 
     fn process(&mut self, at: Timestamp) {
-        if let Some((model, ready)) = self.orders.take_ready(at) {
+        if let Some((model, ready)) = self.configuration.finish_next_load(at) {
             self.events.push(EngineEvent::ModelLoaded { model, at: ready });
         }
-        if let Some((program, after)) = self.cache.sessions.take_lapsed(at) {
-            self.lapse(program, after, at);
+        if let Some((program, after)) = self.cache.programs.take_lapsed_hold(at) {
+            self.end_hold(program, after, at);
         }
         if let Some(transfer) = self.link.take_ended(at) {
-            self.end_transfer(transfer, at);
+            self.finish_transfer(transfer, at);
         }
         if self.step.as_ref().is_some_and(|step| step.ends() <= at) {
             self.finish_step(at);
         }
     }
 
-    fn lapse(&mut self, program: dahlia_types::ProgramId, after: AfterHold, at: Timestamp) {
+    fn end_hold(&mut self, program: dahlia_types::ProgramId, after: AfterHold, at: Timestamp) {
         self.cache.set_held(program, false);
         if after == AfterHold::Free {
-            let freed = Tokens(self.cache.drop_program(program, at));
+            let freed = Tokens(self.cache.free_program(program, at));
             self.events.push(EngineEvent::HoldLapsed { program, freed, at });
         }
     }
 
-    fn end_transfer(&mut self, transfer: crate::transfer::Transfer, at: Timestamp) {
+    fn finish_transfer(&mut self, transfer: crate::transfer::Transfer, at: Timestamp) {
         match transfer.direction {
             Direction::Export(path) => {
-                self.cache.unpin(&path, at);
+                self.cache.unpin_path(&path, at);
                 self.events.push(EngineEvent::Exported { image: transfer.image, at });
             }
-            Direction::Import => self.take_in(transfer.image, at),
+            Direction::Import => self.finish_import(transfer.image, at),
         }
     }
 
-    fn tell_cache_changes(&mut self, at: Timestamp) {
-        for (program, change) in self.cache.sessions.take_changes() {
+    fn emit_cache_events(&mut self, at: Timestamp) {
+        for (program, change) in self.cache.programs.take_changes() {
             self.cache_sequence += 1;
-            let resident = Tokens(self.cache.sessions.tokens(program));
+            let resident = Tokens(self.cache.programs.tokens(program));
             let sequence = self.cache_sequence;
             let event = CacheEvent { sequence, program, change, resident, at };
             self.events.push(EngineEvent::Cache(event));
--- a/crates/engine-model/src/model/admission.rs
+++ b/crates/engine-model/src/model/admission.rs
@@ -4,34 +4,34 @@
 
 use super::EngineModel;
 use super::commands::program_of;
-use crate::attempts::{Cursor, LiveAttempt, Order, Phase};
+use crate::attempts::{LiveAttempt, Phase, PrefillCursor, QueueKey};
 use crate::{CacheChange, EngineEvent};
 
 impl EngineModel {
     /// Gives the first waiting attempt a place, if the batch and the memory have one.
-    pub(super) fn admit(&mut self, order: Order, now: Timestamp) -> bool {
+    pub(super) fn admit(&mut self, key: QueueKey, now: Timestamp) -> bool {
         if self.batch.running() >= self.parameters.max_batch as usize {
             return false;
         }
-        let id = order.2;
+        let id = key.2;
         let program = program_of(id);
         let Some(attempt) = self.attempts.get(id) else { return false };
-        let replayed = attempt.generated_before;
+        let recomputed = attempt.generated_before;
         let cached = self.cache.computed_prefix(&attempt.links);
         // What was generated before a preemption, and a step's growth of everyone in the batch.
-        let headroom = replayed + self.batch.running() as u64 + 1;
+        let headroom = recomputed + self.batch.running() as u64 + 1;
         let path = self.cache.acquire(program, &attempt.links, headroom, now);
         let Some(path) = path else { return false };
-        self.cache.grow_private(replayed, now);
+        self.cache.grow_private(recomputed, now);
         // The program is back: its hold has served its purpose and must not free it under use.
-        self.cache.sessions.clear_hold(program);
+        self.cache.programs.clear_hold(program);
         self.cache.set_held(program, false);
-        self.batch.waiting.remove(&order);
-        self.batch.prefilling.insert(order);
+        self.batch.waiting.remove(&key);
+        self.batch.prefilling.insert(key);
         let attempt = self.attempts.get_mut(id).expect("the attempt is live");
         attempt.path = path;
-        attempt.placed_at = now;
-        attempt.phase = Phase::Prefilling { cursor: Cursor::default(), replayed: 0 };
+        attempt.admitted_at = now;
+        attempt.phase = Phase::Prefilling { cursor: PrefillCursor::default(), recomputed: 0 };
         if attempt.cached.is_none() {
             attempt.cached = Some(cached);
             let cached = Tokens(cached);
@@ -41,23 +41,23 @@
     }
 
     /// Takes an attempt's place and memory away; what it computed stays cached.
-    pub(super) fn leave_batch(&mut self, attempt: &LiveAttempt, now: Timestamp) {
-        let order = attempt.order();
+    pub(super) fn remove_from_batch(&mut self, attempt: &LiveAttempt, now: Timestamp) {
+        let key = attempt.queue_key();
         let generated = attempt.generated(self.batch.clock);
         match attempt.phase {
             Phase::Waiting => return,
             Phase::Prefilling { .. } => {
-                self.batch.prefilling.remove(&order);
+                self.batch.prefilling.remove(&key);
                 self.prefill_backlog -= attempt.estimated_prefill;
             }
             Phase::Decoding { finish, .. } => {
                 let context = attempt.prompt_tokens + generated;
-                self.batch.leave_decoding(order, finish, context);
+                self.batch.remove_decoding(key, finish, context);
             }
         }
-        self.cache.shrink_private(generated, attempt.placed_at, now);
-        self.cache.unpin(&attempt.path, now);
-        self.cache.sessions.changed(program_of(attempt.id()), CacheChange::Stored);
+        self.cache.shrink_private(generated, attempt.admitted_at, now);
+        self.cache.unpin_path(&attempt.path, now);
+        self.cache.programs.record_change(program_of(attempt.id()), CacheChange::Stored);
     }
 
     /// Sends the least urgent attempt of the batch back to waiting, if it is not the last one.
@@ -73,14 +73,14 @@
     fn preempt(&mut self, id: AttemptId, now: Timestamp) {
         let clock = self.batch.clock;
         let Some(mut attempt) = self.attempts.take(id) else { return };
-        self.leave_batch(&attempt, now);
+        self.remove_from_batch(&attempt, now);
         attempt.generated_before = attempt.generated(clock);
         attempt.phase = Phase::Waiting;
         attempt.path = Vec::new();
         let cached = self.cache.computed_prefix(&attempt.links);
         attempt.estimated_prefill = attempt.prompt_tokens - cached + attempt.generated_before;
         self.prefill_backlog += attempt.estimated_prefill;
-        self.batch.waiting.insert(attempt.order());
+        self.batch.waiting.insert(attempt.queue_key());
         self.attempts.insert(attempt);
         self.events.push(EngineEvent::Preempted { attempt: id, at: now });
     }
--- a/crates/engine-model/src/model/commands.rs
+++ b/crates/engine-model/src/model/commands.rs
@@ -4,15 +4,15 @@
 
 use super::EngineModel;
 use crate::attempts::{LiveAttempt, Phase};
-use crate::cache::Link;
-use crate::orders::OrderEffect;
+use crate::cache::ChainLink;
+use crate::configuration::OrderEffect;
 use crate::transfer::Direction;
 use crate::{
     AttemptStatus, CacheChange, Cancel, EngineCommand, EngineEvent, EngineOrder, EngineRefusal,
     EngineReply, EngineRole, Export, Hold, Import, KvImage, Release, Segment, Submit, chain_hashes,
 };
 
-type Answer = Result<EngineReply, EngineRefusal>;
+type CommandResult = Result<EngineReply, EngineRefusal>;
 
 impl EngineModel {
     /// Carries out a command at `now`, after everything that happens until then.
@@ -32,11 +32,11 @@
         };
         self.cut_leap_short(now);
         self.begin_step(now);
-        self.tell_cache_changes(now);
+        self.emit_cache_events(now);
         answer.unwrap_or_else(EngineReply::Refused)
     }
 
-    fn submit(&mut self, submit: Submit, now: Timestamp) -> Answer {
+    fn submit(&mut self, submit: Submit, now: Timestamp) -> CommandResult {
         let program = submit.attempt.call.program;
         let known = self.status(submit.attempt);
         if known != AttemptStatus::Unknown {
@@ -44,10 +44,10 @@
         }
         self.check_incarnation(&submit)?;
         self.fences.admit(program, submit.epoch, now)?;
-        if self.orders.role() == EngineRole::Draining {
+        if self.configuration.role() == EngineRole::Draining {
             return Err(EngineRefusal::Draining);
         }
-        if !self.orders.is_loaded(&submit.model) {
+        if !self.configuration.is_loaded(&submit.model) {
             return Err(EngineRefusal::ModelNotLoaded { model: submit.model });
         }
         let waiting = self.batch.waiting.len() as u32;
@@ -60,7 +60,7 @@
         let cached = self.cache.computed_prefix(&attempt.links);
         attempt.estimated_prefill = attempt.prompt_tokens - cached;
         self.prefill_backlog += attempt.estimated_prefill;
-        self.batch.waiting.insert(attempt.order());
+        self.batch.waiting.insert(attempt.queue_key());
         self.attempts.insert(attempt);
         Ok(EngineReply::Accepted)
     }
@@ -90,7 +90,7 @@
         Ok(())
     }
 
-    fn cancel(&mut self, cancel: Cancel, now: Timestamp) -> Answer {
+    fn cancel(&mut self, cancel: Cancel, now: Timestamp) -> CommandResult {
         self.fences.observe(cancel.attempt.call.program, cancel.epoch, now)?;
         let status = self.status(cancel.attempt);
         if cancel.only_waiting && matches!(status, AttemptStatus::Running { .. }) {
@@ -109,7 +109,7 @@
         };
         if !started {
             if let Some(attempt) = self.attempts.end(id, AttemptStatus::NeverStarted, now) {
-                self.leave_waiting(&attempt);
+                self.remove_from_waiting(&attempt);
             }
             return EngineReply::NeverStarted;
         }
@@ -117,28 +117,28 @@
         let usage = self.attempts.get(id).map(|attempt| attempt.usage(clock)).unwrap_or_default();
         if let Some(attempt) = self.attempts.end(id, AttemptStatus::Cut(usage), now) {
             match attempt.phase {
-                Phase::Waiting => self.leave_waiting(&attempt),
-                _ => self.leave_batch(&attempt, now),
+                Phase::Waiting => self.remove_from_waiting(&attempt),
+                _ => self.remove_from_batch(&attempt, now),
             }
         }
         EngineReply::Cut(usage)
     }
 
-    fn leave_waiting(&mut self, attempt: &LiveAttempt) {
-        self.batch.waiting.remove(&attempt.order());
+    fn remove_from_waiting(&mut self, attempt: &LiveAttempt) {
+        self.batch.waiting.remove(&attempt.queue_key());
         self.prefill_backlog -= attempt.estimated_prefill;
     }
 
-    fn hold(&mut self, hold: Hold, now: Timestamp) -> Answer {
+    fn hold(&mut self, hold: Hold, now: Timestamp) -> CommandResult {
         self.fences.observe(hold.program, hold.epoch, now)?;
-        if !self.cache.sessions.set_hold(hold.program, hold.until, hold.after) {
+        if !self.cache.programs.set_hold(hold.program, hold.until, hold.after) {
             return Err(EngineRefusal::NothingCached { program: hold.program });
         }
         self.cache.set_held(hold.program, true);
         Ok(EngineReply::Accepted)
     }
 
-    fn release(&mut self, release: Release, now: Timestamp) -> Answer {
+    fn release(&mut self, release: Release, now: Timestamp) -> CommandResult {
         let program = release.program;
         self.fences.observe(program, release.epoch, now)?;
         if release.closing {
@@ -147,22 +147,22 @@
                 self.cut(id, now);
             }
         }
-        let freed = Tokens(self.cache.drop_program(program, now));
+        let freed = Tokens(self.cache.free_program(program, now));
         Ok(EngineReply::Released { freed })
     }
 
-    fn export(&mut self, export: Export, now: Timestamp) -> Answer {
+    fn export(&mut self, export: Export, now: Timestamp) -> CommandResult {
         let program = export.program;
         self.fences.observe(program, export.epoch, now)?;
         let mut segments = export.segments;
-        let links = links_of(&export.tenant, &export.model, &segments);
+        let links = chain_links(&export.tenant, &export.model, &segments);
         let tokens = self.cache.computed_prefix(&links);
         segments.truncate(whole_segments(&segments, tokens));
         let kept: u64 = segments.iter().map(|segment| segment.tokens.0).sum();
         if kept == 0 {
             return Err(EngineRefusal::NothingCached { program });
         }
-        let whole = links_of(&export.tenant, &export.model, &segments);
+        let whole = chain_links(&export.tenant, &export.model, &segments);
         let path = self.cache.acquire(program, &whole, 0, now);
         let path = path.ok_or(EngineRefusal::NothingCached { program })?;
         let bytes = Bytes(kept * self.parameters.kv_bytes_per_token.0);
@@ -178,9 +178,9 @@
         Ok(EngineReply::Accepted)
     }
 
-    fn import(&mut self, import: Import, now: Timestamp) -> Answer {
+    fn import(&mut self, import: Import, now: Timestamp) -> CommandResult {
         self.fences.admit(import.image.program, import.epoch, now)?;
-        if !self.orders.is_loaded(&import.image.model) {
+        if !self.configuration.is_loaded(&import.image.model) {
             return Err(EngineRefusal::ModelNotLoaded { model: import.image.model });
         }
         self.link.begin(import.image, Direction::Import, now);
@@ -188,9 +188,9 @@
     }
 
     /// Caches an image that has arrived whole; without room, or for an ended program, nothing.
-    pub(super) fn take_in(&mut self, image: KvImage, at: Timestamp) {
+    pub(super) fn finish_import(&mut self, image: KvImage, at: Timestamp) {
         let program = image.program;
-        let links = links_of(&image.tenant, &image.model, &image.segments);
+        let links = chain_links(&image.tenant, &image.model, &image.segments);
         let ended = self.fences.is_ended(program);
         let path = if ended { None } else { self.cache.acquire(program, &links, 0, at) };
         let tokens = path.as_ref().map_or(Tokens::ZERO, |_| image.tokens);
@@ -198,14 +198,14 @@
             for (id, link) in path.iter().zip(&links) {
                 self.cache.set_computed(*id, link.tokens);
             }
-            self.cache.unpin(&path, at);
-            self.cache.sessions.changed(program, CacheChange::Stored);
+            self.cache.unpin_path(&path, at);
+            self.cache.programs.record_change(program, CacheChange::Stored);
         }
         self.events.push(EngineEvent::Imported { program, tokens, at });
     }
 
-    fn order(&mut self, order: &EngineOrder, now: Timestamp) -> Answer {
-        if let OrderEffect::Unloaded(model) = self.orders.apply(order, now)? {
+    fn order(&mut self, order: &EngineOrder, now: Timestamp) -> CommandResult {
+        if let OrderEffect::Unloaded(model) = self.configuration.apply(order, now)? {
             self.evict_waiting(&model, now);
         }
         Ok(EngineReply::Accepted)
@@ -224,18 +224,22 @@
 
     fn cut_leap_short(&mut self, now: Timestamp) {
         if let Some(step) = self.step.as_mut() {
-            let saved = step.cut_short(now);
-            self.cache.return_private(saved);
+            let saved = step.shorten(now);
+            self.cache.refund_private(saved);
         }
     }
 }
 
-fn links_of(tenant: &dahlia_types::TenantId, model: &ModelId, segments: &[Segment]) -> Vec<Link> {
+fn chain_links(
+    tenant: &dahlia_types::TenantId,
+    model: &ModelId,
+    segments: &[Segment],
+) -> Vec<ChainLink> {
     let hashes = chain_hashes(tenant, model, segments);
     let pairs = hashes.into_iter().zip(segments);
     pairs
         .filter(|(_, segment)| segment.tokens.0 > 0)
-        .map(|(hash, segment)| Link { hash, tokens: segment.tokens.0 })
+        .map(|(hash, segment)| ChainLink { hash, tokens: segment.tokens.0 })
         .collect()
 }
 
--- a/crates/engine-model/src/model/stepping.rs
+++ b/crates/engine-model/src/model/stepping.rs
@@ -5,9 +5,9 @@
 
 use super::EngineModel;
 use super::commands::program_of;
-use crate::attempts::{Order, Phase};
-use crate::cache::Link;
-use crate::step::{PrefillPart, Step, step_time};
+use crate::attempts::{Phase, QueueKey};
+use crate::cache::ChainLink;
+use crate::step::{PrefillChunk, Step, step_time};
 use crate::{AttemptStatus, CacheChange, EngineEvent};
 
 impl EngineModel {
@@ -16,7 +16,7 @@
         if self.step.is_some() {
             return;
         }
-        while self.cache.room() < self.batch.running() as u64 {
+        while self.cache.available_memory() < self.batch.running() as u64 {
             if !self.preempt_one(now) {
                 break;
             }
@@ -26,39 +26,39 @@
         if decoding == 0 && prefill.is_empty() {
             return;
         }
-        let count = self.leap(&prefill, decoding);
+        let count = self.choose_step_count(&prefill, decoding);
         let reserved = decoding * count + prefill.len() as u64;
         self.cache.grow_private(reserved, now);
-        let each = self.draw_step_time(&prefill, decoding);
-        self.last_step_micros = each.as_micros();
-        self.step = Some(Step { started: now, each, count, prefill, decoding, reserved });
+        let step_duration = self.draw_step_time(&prefill, decoding);
+        self.last_step_micros = step_duration.as_micros();
+        self.step = Some(Step { started: now, step_duration, count, prefill, decoding, reserved });
     }
 
     /// Takes the results of the step that ends at `now`.
     pub(super) fn finish_step(&mut self, now: Timestamp) {
         let Some(step) = self.step.take() else { return };
-        self.cache.return_private(step.reserved);
+        self.cache.refund_private(step.reserved);
         self.report_progress(step.count, now);
         self.cache.grow_private(self.batch.decoding_count() * step.count, now);
         self.batch.advance(step.count);
         for part in &step.prefill {
-            self.take_prefill(*part, now);
+            self.finish_prefill(*part, now);
         }
         while let Some(id) = self.batch.next_finished() {
             self.finish_attempt(id, now);
         }
     }
 
-    fn leap(&self, prefill: &[PrefillPart], decoding: u64) -> u64 {
+    fn choose_step_count(&self, prefill: &[PrefillChunk], decoding: u64) -> u64 {
         if !prefill.is_empty() || decoding == 0 {
             return 1;
         }
         let to_finish = self.batch.steps_to_next_finish().unwrap_or(1);
-        let memory = self.cache.room() / decoding;
+        let memory = self.cache.available_memory() / decoding;
         to_finish.min(self.parameters.max_leap_steps).min(memory).max(1)
     }
 
-    fn draw_step_time(&mut self, prefill: &[PrefillPart], decoding: u64) -> Duration {
+    fn draw_step_time(&mut self, prefill: &[PrefillChunk], decoding: u64) -> Duration {
         let mean = step_time(&self.parameters, prefill, decoding, self.batch.context);
         let jitter = self.parameters.step_jitter;
         let factor =
@@ -67,7 +67,7 @@
     }
 
     /// Shares the step's prefill among prompts, in order; admits waiting ones on the way.
-    fn plan_prefill(&mut self, now: Timestamp) -> Vec<PrefillPart> {
+    fn plan_prefill(&mut self, now: Timestamp) -> Vec<PrefillChunk> {
         let mut parts = Vec::new();
         let mut budget = self.parameters.prefill_chunk.0;
         let mut last = None;
@@ -75,29 +75,29 @@
         while budget > 0 {
             let running = self.batch.next_prefilling(last);
             let waiting = self.batch.waiting.first().copied().filter(|_| !blocked);
-            let Some(order) = first_of(running, waiting) else { break };
-            if Some(order) == waiting && !self.admit(order, now) {
+            let Some(key) = earliest_key(running, waiting) else { break };
+            if Some(key) == waiting && !self.admit(key, now) {
                 blocked = true;
                 continue;
             }
-            last = Some(order);
-            let part = self.prefill_part(order.2, budget);
+            last = Some(key);
+            let part = self.prefill_chunk_for(key.2, budget);
             budget -= part.tokens;
             parts.push(part);
         }
         parts
     }
 
-    fn prefill_part(&mut self, id: AttemptId, budget: u64) -> PrefillPart {
-        let (context, left) = self.prefill_left(id);
+    fn prefill_chunk_for(&mut self, id: AttemptId, budget: u64) -> PrefillChunk {
+        let (context, left) = self.remaining_prefill(id);
         // A wholly cached prompt still computes its last token, which gives the first new one.
-        PrefillPart { attempt: id, tokens: left.clamp(1, budget), context }
+        PrefillChunk { attempt: id, tokens: left.clamp(1, budget), context }
     }
 
     /// Skips what others have computed meanwhile; gives the tokens behind and before the cursor.
-    fn prefill_left(&mut self, id: AttemptId) -> (u64, u64) {
+    fn remaining_prefill(&mut self, id: AttemptId) -> (u64, u64) {
         let Some(attempt) = self.attempts.get_mut(id) else { return (0, 0) };
-        let Phase::Prefilling { cursor, replayed } = &mut attempt.phase else { return (0, 0) };
+        let Phase::Prefilling { cursor, recomputed } = &mut attempt.phase else { return (0, 0) };
         while cursor.node < attempt.path.len() {
             let computed = self.cache.computed(attempt.path[cursor.node]);
             cursor.offset = cursor.offset.max(computed);
@@ -109,25 +109,25 @@
         }
         let before: u64 = attempt.links[..cursor.node].iter().map(|link| link.tokens).sum();
         let done = before + cursor.offset;
-        let left = attempt.prompt_tokens - done + (attempt.generated_before - *replayed);
-        (done + *replayed, left)
+        let left = attempt.prompt_tokens - done + (attempt.generated_before - *recomputed);
+        (done + *recomputed, left)
     }
 
-    fn take_prefill(&mut self, part: PrefillPart, now: Timestamp) {
+    fn finish_prefill(&mut self, part: PrefillChunk, now: Timestamp) {
         self.advance_cursor(part);
         // An attempt that was cut in the middle of the step is gone.
         let Some(attempt) = self.attempts.get(part.attempt) else { return };
         if !matches!(attempt.phase, Phase::Prefilling { .. }) {
             return;
         }
-        if self.prefill_left(part.attempt).1 == 0 {
+        if self.remaining_prefill(part.attempt).1 == 0 {
             self.start_decoding(part.attempt, now);
         }
     }
 
-    fn advance_cursor(&mut self, part: PrefillPart) {
+    fn advance_cursor(&mut self, part: PrefillChunk) {
         let Some(attempt) = self.attempts.get_mut(part.attempt) else { return };
-        let Phase::Prefilling { cursor, replayed } = &mut attempt.phase else { return };
+        let Phase::Prefilling { cursor, recomputed } = &mut attempt.phase else { return };
         let mut tokens = part.tokens;
         while tokens > 0 && cursor.node < attempt.path.len() {
             let length = attempt.links[cursor.node].tokens;
@@ -140,24 +140,24 @@
                 cursor.offset = 0;
             }
         }
-        *replayed += tokens.min(attempt.generated_before - *replayed);
+        *recomputed += tokens.min(attempt.generated_before - *recomputed);
     }
 
     fn start_decoding(&mut self, id: AttemptId, now: Timestamp) {
-        let joined = self.batch.clock;
+        let start_clock = self.batch.clock;
         let Some(attempt) = self.attempts.get_mut(id) else { return };
         let offset = attempt.generated_before;
         let base = offset + 1;
-        let finish = joined + (attempt.target() - base.min(attempt.target()));
-        let order = attempt.order();
+        let finish = start_clock + (attempt.target() - base.min(attempt.target()));
+        let key = attempt.queue_key();
         let context = attempt.prompt_tokens + base;
-        attempt.phase = Phase::Decoding { joined, base, finish };
+        attempt.phase = Phase::Decoding { start_clock, base, finish };
         self.prefill_backlog -= attempt.estimated_prefill;
-        self.batch.prefilling.remove(&order);
-        self.batch.join_decoding(order, finish, context);
+        self.batch.prefilling.remove(&key);
+        self.batch.add_decoding(key, finish, context);
         self.cache.grow_private(1, now);
-        self.cache.sessions.changed(program_of(id), CacheChange::Stored);
-        self.tell_generated(id, offset, 1, now);
+        self.cache.programs.record_change(program_of(id), CacheChange::Stored);
+        self.emit_generated(id, offset, 1, now);
     }
 
     fn finish_attempt(&mut self, id: AttemptId, now: Timestamp) {
@@ -169,10 +169,10 @@
         let parent = attempt.path.last().copied();
         let link = answer_link(&attempt, usage.generated);
         // The path must stay pinned until the answer hangs on it.
-        self.cache.pin_again(&attempt.path, now);
-        self.leave_batch(&attempt, now);
+        self.cache.pin_path(&attempt.path, now);
+        self.remove_from_batch(&attempt, now);
         self.cache.store_answer(program_of(id), parent, link, now);
-        self.cache.unpin(&attempt.path, now);
+        self.cache.unpin_path(&attempt.path, now);
         self.finished += 1;
         self.events.push(EngineEvent::Finished { attempt: id, usage, at: now });
     }
@@ -185,17 +185,17 @@
         let decoding: Vec<AttemptId> = self.batch.decoding().collect();
         for id in decoding {
             let offset = self.attempts.get(id).map_or(0, |attempt| attempt.generated(clock));
-            self.tell_generated(id, offset, steps, now);
+            self.emit_generated(id, offset, steps, now);
         }
     }
 
-    fn tell_generated(&mut self, attempt: AttemptId, offset: u64, count: u64, at: Timestamp) {
+    fn emit_generated(&mut self, attempt: AttemptId, offset: u64, count: u64, at: Timestamp) {
         let (offset, count) = (Tokens(offset), Tokens(count));
         self.events.push(EngineEvent::Generated { attempt, offset, count, at });
     }
 }
 
-fn first_of(one: Option<Order>, other: Option<Order>) -> Option<Order> {
+fn earliest_key(one: Option<QueueKey>, other: Option<QueueKey>) -> Option<QueueKey> {
     match (one, other) {
         (Some(one), Some(other)) => Some(one.min(other)),
         (one, other) => one.or(other),
@@ -203,11 +203,11 @@
 }
 
 /// The cache link of a finished answer, as the next prompt will name it.
-fn answer_link(attempt: &crate::attempts::LiveAttempt, generated: Tokens) -> Link {
+fn answer_link(attempt: &crate::attempts::LiveAttempt, generated: Tokens) -> ChainLink {
     let submit = &attempt.submit;
     let answer = crate::Segment { hash: submit.answer_hash, tokens: generated };
     let prompt = crate::chain_hashes(&submit.tenant, &submit.model, &submit.prompt);
     let root = crate::ChainHash::root(&submit.tenant, &submit.model);
     let chain = prompt.last().copied().unwrap_or(root);
-    Link { hash: chain.extend(answer), tokens: generated.0 }
+    ChainLink { hash: chain.extend(answer), tokens: generated.0 }
 }
--- a/crates/engine-model/src/step.rs
+++ b/crates/engine-model/src/step.rs
@@ -6,7 +6,7 @@
 
 /// A part of a prompt that is computed in a step.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct PrefillPart {
+pub(crate) struct PrefillChunk {
     pub attempt: AttemptId,
     /// Tokens computed.
     pub tokens: u64,
@@ -19,10 +19,10 @@
 pub(crate) struct Step {
     pub started: Timestamp,
     /// Duration of each step.
-    pub each: Duration,
+    pub step_duration: Duration,
     /// How many equal steps are taken.
     pub count: u64,
-    pub prefill: Vec<PrefillPart>,
+    pub prefill: Vec<PrefillChunk>,
     /// Sequences that decode.
     pub decoding: u64,
     /// Memory taken in advance for the tokens that these steps generate.
@@ -31,13 +31,13 @@
 
 impl Step {
     pub(crate) fn ends(&self) -> Timestamp {
-        self.started + self.each.times(self.count)
+        self.started + self.step_duration.times(self.count)
     }
 
     /// Cuts the leap short after the step that is under way at `now`; gives the memory saved.
-    pub(crate) fn cut_short(&mut self, now: Timestamp) -> u64 {
+    pub(crate) fn shorten(&mut self, now: Timestamp) -> u64 {
         let passed = now.since(self.started).as_micros();
-        let needed = passed.div_ceil(self.each.as_micros()).max(1);
+        let needed = passed.div_ceil(self.step_duration.as_micros()).max(1);
         let saved = self.count.saturating_sub(needed);
         self.count -= saved;
         let memory = saved * self.decoding;
@@ -49,7 +49,7 @@
 /// Time of one step (base + prefill + attention of the prefill + decode + KV read).
 pub(crate) fn step_time(
     parameters: &EngineParameters,
-    prefill: &[PrefillPart],
+    prefill: &[PrefillChunk],
     decoding: u64,
     context: u64,
 ) -> f64 {
