--- a/crates/engine-model/tests/random_commands.rs
+++ b/crates/engine-model/tests/random_commands.rs
@@ -12,103 +12,104 @@
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng;
-use support::{Bench, attempt, model, program, segment, submit, tenant};
+use support::{Harness, attempt_id, model_id, program_id, segment, submit_command, tenant_id};
 
-const SEEDS: u64 = 40;
-const STEPS: usize = 400;
-const PROGRAMS: u64 = 8;
-const CAPACITY: u64 = 16_384;
+const SEED_COUNT: u64 = 40;
+const STEPS_PER_SEED: usize = 400;
+const PROGRAM_COUNT: u64 = 8;
+const CAPACITY_TOKENS: u64 = 16_384;
 /// Memory that one step may take beyond the capacity; see the cache's `grow_private`.
-const OVERSHOOT: u64 = 64;
+const OVERSHOOT_TOKENS: u64 = 64;
 
-struct Run {
-    bench: Bench,
+struct RandomRun {
+    harness: Harness,
     random: ChaCha8Rng,
     calls: u32,
     accepted: BTreeSet<AttemptId>,
     ended: BTreeSet<AttemptId>,
 }
 
-impl Run {
+impl RandomRun {
     fn new(seed: u64) -> Self {
-        let bench = Bench::with(|parameters| {
-            parameters.kv_capacity = Tokens(CAPACITY);
+        let harness = Harness::with_parameters(|parameters| {
+            parameters.kv_capacity = Tokens(CAPACITY_TOKENS);
             parameters.max_batch = 6;
             parameters.max_leap_steps = 1 + seed % 3 * 20;
         });
         let random = ChaCha8Rng::seed_from_u64(seed);
-        Self { bench, random, calls: 0, accepted: BTreeSet::new(), ended: BTreeSet::new() }
+        Self { harness, random, calls: 0, accepted: BTreeSet::new(), ended: BTreeSet::new() }
     }
 
     fn draw_submit(&mut self) -> Submit {
         self.calls += 1;
-        let number = self.random.random_range(0..PROGRAMS);
+        let number = self.random.random_range(0..PROGRAM_COUNT);
         let length = self.random.random_range(1..4);
         // Few distinct hashes, so that prefixes are shared in many ways.
         let prompt = (0..length)
             .map(|_| segment(self.random.random_range(0..3), 100 * self.random.random_range(1..12)))
             .collect();
         let generate = self.random.random_range(1..300);
-        let mut drawn = submit(number, self.calls, prompt, generate);
+        let mut drawn = submit_command(number, self.calls, prompt, generate);
         drawn.priority.0 = self.random.random_range(0..4);
         drawn
     }
 
     fn step(&mut self) {
-        let number = self.random.random_range(0..PROGRAMS);
+        let number = self.random.random_range(0..PROGRAM_COUNT);
         match self.random.random_range(0..10) {
             0..=4 => {
                 let drawn = self.draw_submit();
                 let id = drawn.attempt;
-                if self.bench.submit(drawn) == EngineReply::Accepted {
+                if self.harness.submit(drawn) == EngineReply::Accepted {
                     self.accepted.insert(id);
                 }
             }
             5 => self.cancel(number),
             6 => self.hold(number),
             7 => {
-                let release = Release { program: program(number), epoch: Term(1), closing: false };
-                self.bench.handle(EngineCommand::Release(release));
+                let release =
+                    Release { program: program_id(number), epoch: Term(1), closing: false };
+                self.harness.handle(EngineCommand::Release(release));
             }
             8 => self.export(number),
             _ => {
                 let pass = Duration::from_millis(self.random.random_range(0..4000));
-                let events = self.bench.until(self.bench.now + pass);
-                self.take(events);
+                let events = self.harness.run_until(self.harness.now + pass);
+                self.handle_events(events);
             }
         }
     }
 
     fn cancel(&mut self, number: u64) {
         let call = self.random.random_range(1..self.calls + 2);
-        let id = attempt(number, call);
+        let id = attempt_id(number, call);
         let cancel = Cancel { attempt: id, epoch: Term(1), only_waiting: false };
-        let reply = self.bench.handle(EngineCommand::Cancel(cancel));
+        let reply = self.harness.handle(EngineCommand::Cancel(cancel));
         if matches!(reply, EngineReply::Cut(_) | EngineReply::NeverStarted) {
             self.ended.insert(id);
         }
     }
 
     fn hold(&mut self, number: u64) {
-        let until = self.bench.now + Duration::from_millis(self.random.random_range(0..8000));
+        let until = self.harness.now + Duration::from_millis(self.random.random_range(0..8000));
         let after = if self.random.random() { AfterHold::Free } else { AfterHold::Cache };
-        let hold = Hold { program: program(number), epoch: Term(1), until, after };
-        self.bench.handle(EngineCommand::Hold(hold));
+        let hold = Hold { program: program_id(number), epoch: Term(1), until, after };
+        self.harness.handle(EngineCommand::Hold(hold));
     }
 
     fn export(&mut self, number: u64) {
         let segments = vec![segment(0, 100 * self.random.random_range(1..12))];
         let export = Export {
-            program: program(number),
+            program: program_id(number),
             epoch: Term(1),
-            tenant: tenant("tenant"),
-            model: model(),
+            tenant: tenant_id("tenant"),
+            model: model_id(),
             segments,
         };
-        self.bench.handle(EngineCommand::Export(export));
+        self.harness.handle(EngineCommand::Export(export));
     }
 
-    fn take(&mut self, events: Vec<EngineEvent>) {
+    fn handle_events(&mut self, events: Vec<EngineEvent>) {
         for event in events {
             match event {
                 EngineEvent::Finished { attempt, .. } => {
@@ -116,7 +117,7 @@
                 }
                 EngineEvent::Exported { image, .. } => {
                     let import = Import { epoch: Term(1), image };
-                    self.bench.handle(EngineCommand::Import(import));
+                    self.harness.handle(EngineCommand::Import(import));
                 }
                 _ => {}
             }
@@ -124,47 +125,51 @@
     }
 
     fn check_memory(&self, seed: u64) {
-        let load = self.bench.engine.load_report(self.bench.now);
-        assert!(load.resident.0 <= CAPACITY + OVERSHOOT, "seed {seed}: {load:?}");
+        let load = self.harness.engine.load_report(self.harness.now);
+        assert!(load.resident.0 <= CAPACITY_TOKENS + OVERSHOOT_TOKENS, "seed {seed}: {load:?}");
         assert!(load.pinned <= load.resident, "seed {seed}: {load:?}");
     }
 }
 
 #[test]
 fn every_accepted_attempt_ends_once_and_memory_is_bounded() {
-    for seed in 0..SEEDS {
-        let mut run = Run::new(seed);
-        for _ in 0..STEPS {
+    for seed in 0..SEED_COUNT {
+        let mut run = RandomRun::new(seed);
+        for _ in 0..STEPS_PER_SEED {
             run.step();
             run.check_memory(seed);
         }
-        let events = run.bench.run();
-        run.take(events);
+        let events = run.harness.run_until_idle();
+        run.handle_events(events);
         let open: Vec<_> = run.accepted.difference(&run.ended).collect();
         assert!(open.is_empty(), "seed {seed}: {open:?} did not end");
         for id in &run.accepted {
-            let status = run.bench.engine.status(*id);
+            let status = run.harness.engine.status(*id);
             let under_way =
                 matches!(status, AttemptStatus::Waiting | AttemptStatus::Running { .. });
             assert!(!under_way, "seed {seed}: {id} is {status:?}");
         }
-        assert_eq!(run.bench.engine.load_report(run.bench.now).pinned, Tokens::ZERO, "seed {seed}");
+        assert_eq!(
+            run.harness.engine.load_report(run.harness.now).pinned,
+            Tokens::ZERO,
+            "seed {seed}"
+        );
     }
 }
 
 #[test]
 fn nothing_is_listed_for_programs_that_were_released_as_ended() {
-    for seed in 0..SEEDS {
-        let mut run = Run::new(seed);
-        for _ in 0..STEPS {
+    for seed in 0..SEED_COUNT {
+        let mut run = RandomRun::new(seed);
+        for _ in 0..STEPS_PER_SEED {
             run.step();
         }
-        for number in 0..PROGRAMS {
-            let release = Release { program: program(number), epoch: Term(1), closing: true };
-            run.bench.handle(EngineCommand::Release(release));
+        for number in 0..PROGRAM_COUNT {
+            let release = Release { program: program_id(number), epoch: Term(1), closing: true };
+            run.harness.handle(EngineCommand::Release(release));
         }
-        run.bench.run();
-        let inventory = run.bench.engine.inventory(run.bench.now);
+        run.harness.run_until_idle();
+        let inventory = run.harness.engine.inventory(run.harness.now);
         assert!(inventory.programs.is_empty(), "seed {seed}: {inventory:?}");
     }
 }
--- a/crates/engine-model/tests/support/mod.rs
+++ b/crates/engine-model/tests/support/mod.rs
@@ -12,22 +12,22 @@
 };
 
 /// An engine and the time.
-pub struct Bench {
+pub struct Harness {
     pub engine: EngineModel,
     pub now: Timestamp,
 }
 
-impl Bench {
+impl Harness {
     pub fn new() -> Self {
-        Self::with(|_| {})
+        Self::with_parameters(|_| {})
     }
 
-    pub fn with(change: impl FnOnce(&mut EngineParameters)) -> Self {
+    pub fn with_parameters(change: impl FnOnce(&mut EngineParameters)) -> Self {
         let mut parameters = EngineParameters::default();
         change(&mut parameters);
         parameters.check().expect("the parameters are in range");
         let id = EngineId::new("engine");
-        let engine = EngineModel::new(id, Incarnation(1), parameters, 1).with_model(model());
+        let engine = EngineModel::new(id, Incarnation(1), parameters, 1).with_model(model_id());
         Self { engine, now: Timestamp::ZERO }
     }
 
@@ -40,13 +40,13 @@
     }
 
     /// Runs to a moment.
-    pub fn until(&mut self, at: Timestamp) -> Vec<EngineEvent> {
+    pub fn run_until(&mut self, at: Timestamp) -> Vec<EngineEvent> {
         self.now = at;
         self.engine.advance(at)
     }
 
     /// Runs until nothing is left to do.
-    pub fn run(&mut self) -> Vec<EngineEvent> {
+    pub fn run_until_idle(&mut self) -> Vec<EngineEvent> {
         let mut events = self.engine.advance(self.now);
         while let Some(at) = self.engine.next_wakeup() {
             self.now = self.now.max(at);
@@ -56,27 +56,27 @@
     }
 
     /// Tokens held for a program.
-    pub fn held(&self, number: u64) -> u64 {
+    pub fn cached_tokens(&self, number: u64) -> u64 {
         let inventory = self.engine.inventory(self.now);
-        let found = inventory.programs.iter().find(|held| held.program == program(number));
+        let found = inventory.programs.iter().find(|held| held.program == program_id(number));
         found.map_or(0, |held| held.tokens.0)
     }
 }
 
-pub fn model() -> ModelId {
+pub fn model_id() -> ModelId {
     ModelId::new("model")
 }
 
-pub fn tenant(name: &str) -> TenantId {
+pub fn tenant_id(name: &str) -> TenantId {
     TenantId::new(name)
 }
 
-pub fn program(number: u64) -> ProgramId {
+pub fn program_id(number: u64) -> ProgramId {
     ProgramId { group: GroupId(0), number }
 }
 
-pub fn attempt(number: u64, call: u32) -> AttemptId {
-    let call = CallId { program: program(number), chain: ChainId(0), number: call };
+pub fn attempt_id(number: u64, call: u32) -> AttemptId {
+    let call = CallId { program: program_id(number), chain: ChainId(0), number: call };
     AttemptId { call, attempt: 1 }
 }
 
@@ -84,7 +84,7 @@
     Segment { hash, tokens: Tokens(tokens) }
 }
 
-pub fn prompt(hash: u64, tokens: u64) -> Vec<Segment> {
+pub fn one_segment_prompt(hash: u64, tokens: u64) -> Vec<Segment> {
     vec![segment(hash, tokens)]
 }
 
@@ -92,13 +92,13 @@
     1_000_000 + number * 1000 + u64::from(call)
 }
 
-pub fn submit(number: u64, call: u32, prompt: Vec<Segment>, generate: u64) -> Submit {
+pub fn submit_command(number: u64, call: u32, prompt: Vec<Segment>, generate: u64) -> Submit {
     Submit {
-        attempt: attempt(number, call),
+        attempt: attempt_id(number, call),
         epoch: Term(1),
         incarnation: None,
-        tenant: tenant("tenant"),
-        model: model(),
+        tenant: tenant_id("tenant"),
+        model: model_id(),
         prompt,
         prompt_bound: Tokens(u64::MAX),
         generate: Tokens(generate),
@@ -108,7 +108,7 @@
 }
 
 /// The usage with which an attempt ended.
-pub fn finished(events: &[EngineEvent], id: AttemptId) -> Usage {
+pub fn finished_usage(events: &[EngineEvent], id: AttemptId) -> Usage {
     let found = events.iter().find_map(|event| match event {
         EngineEvent::Finished { attempt, usage, .. } if *attempt == id => Some(*usage),
         _ => None,
