--- a/crates/engine-model/src/batch.rs
+++ b/crates/engine-model/src/batch.rs
@@ -1,7 +1,7 @@
-//! Who waits, who is in the batch, and in which order.
+//! The waiting queue and the running batch, both ordered by urgency and arrival.
 //!
-//! Sequences that decode all advance by one token a step, so one decode clock stands for all of
-//! them: a step costs time logarithmic in the batch and not linear.
+//! All decoding sequences advance by one token a step, so they share one decode clock. A step
+//! therefore takes time logarithmic in the batch size instead of linear.
 
 use std::collections::BTreeSet;
 use std::ops::Bound;
@@ -10,15 +10,15 @@
 
 use crate::attempts::QueueKey;
 
-/// The queues of one engine.
+/// The waiting, prefilling and decoding attempts of one engine.
 #[derive(Debug, Default)]
 pub(crate) struct Batch {
     pub waiting: BTreeSet<QueueKey>,
     pub prefilling: BTreeSet<QueueKey>,
-    /// By the value of the decode clock at which they end.
+    /// Decoding attempts, ordered by the value of the decode clock at which they end.
     finishing: BTreeSet<(u64, QueueKey)>,
     decoding: BTreeSet<QueueKey>,
-    /// Decode steps so far.
+    /// The decode clock: decode steps taken so far.
     pub clock: u64,
     /// Tokens of context that a decode step reads.
     pub context: u64,
@@ -49,30 +49,31 @@
         self.context -= context;
     }
 
-    /// Steps until the next sequence ends.
+    /// Returns the number of steps until the next sequence ends.
     pub(crate) fn steps_to_next_finish(&self) -> Option<u64> {
         self.finishing.first().map(|(finish, _)| finish - self.clock)
     }
 
-    /// A sequence that has ended by the decode clock.
+    /// Returns a sequence whose last token is generated, if there is one.
     pub(crate) fn next_finished(&self) -> Option<AttemptId> {
         let (finish, key) = self.finishing.first()?;
         (*finish <= self.clock).then_some(key.2)
     }
 
-    /// The attempt to preempt: least urgent, last arrived (as vLLM's priority scheduling).
+    /// Returns the attempt to preempt: the least urgent one, and of these the last to arrive (as
+    /// in vLLM's priority scheduling).
     pub(crate) fn least_urgent(&self) -> Option<AttemptId> {
         let last = self.decoding.last().max(self.prefilling.last());
         last.map(|(_, _, id)| *id)
     }
 
-    /// The prefilling attempt after `last` in order.
+    /// Returns the prefilling attempt that follows `last` in queue order.
     pub(crate) fn next_prefilling(&self, last: Option<QueueKey>) -> Option<QueueKey> {
         let start = last.map_or(Bound::Unbounded, Bound::Excluded);
         self.prefilling.range((start, Bound::Unbounded)).next().copied()
     }
 
-    /// Advances all decoding sequences.
+    /// Advances all decoding sequences by `steps` tokens.
     pub(crate) fn advance(&mut self, steps: u64) {
         self.clock += steps;
         self.context += self.decoding_count() * steps;
--- a/crates/engine-model/src/cache.rs
+++ b/crates/engine-model/src/cache.rs
@@ -1,7 +1,7 @@
 //! The prefix cache: a tree of segments in limited memory, evicted leaf by leaf.
 //!
-//! Each node is one segment behind its parent's prefix, found by its [`ChainHash`] (radix-tree
-//! caching, SGLang 2024). Memory is charged in blocks; a leaf shrinks from its tail.
+//! Each node is one segment that follows its parent's prefix, and is found by its [`ChainHash`]
+//! (radix-tree caching, SGLang 2024). Memory is allocated in blocks; a leaf shrinks from its tail.
 
 mod eviction;
 mod programs;
@@ -15,17 +15,17 @@
 pub(crate) use self::spans::SpanRecorder;
 use crate::{ChainHash, SpanKind};
 
-/// Place of a node in the table.
+/// Index of a node in the cache's table.
 pub(crate) type NodeId = usize;
 
-/// One link of a prompt: the prefix's hash and the segment's own length.
+/// One segment of a prompt: the hash of the prefix that it ends, and its own length.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ChainLink {
     pub hash: ChainHash,
     pub tokens: u64,
 }
 
-/// Order of eviction: what is not held first, then least recently used.
+/// Order of eviction: nodes that are not held come first, then the least recently used.
 type EvictionKey = (bool, Timestamp, NodeId);
 
 #[derive(Debug)]
@@ -34,7 +34,7 @@
     parent: Option<NodeId>,
     depth: usize,
     tokens: u64,
-    /// Tokens that have memory.
+    /// Tokens that have memory allocated.
     resident: u64,
     /// Tokens whose KV is computed; equal to `resident` while nothing pins the node.
     computed: u64,
@@ -42,21 +42,21 @@
     pin_count: u32,
     users: BTreeSet<ProgramId>,
     hold_count: u32,
-    /// Two programs have used it at some time: it outlives its users as ordinary cache.
+    /// Whether two programs have used it at the same time. If so, it stays cached without users.
     ever_shared: bool,
     last_use: Timestamp,
     active_since: Timestamp,
     eviction_key: Option<EvictionKey>,
 }
 
-/// The tree, its memory, and which programs use what.
+/// The tree of cached nodes, its memory, and the programs that use each node.
 #[derive(Debug)]
 pub(crate) struct PrefixCache {
     block: u64,
     capacity: u64,
-    /// Memory in use, cached and private.
+    /// Memory in use, both cached and private to attempts, in tokens.
     used: u64,
-    /// Memory that running attempts use.
+    /// Memory that running attempts and transfers use, in tokens.
     pinned: u64,
     nodes: Vec<Option<Node>>,
     free_slots: Vec<NodeId>,
@@ -94,7 +94,7 @@
         self.pinned
     }
 
-    /// Tokens at the start of `path` whose KV is computed.
+    /// Returns the tokens at the start of `links` whose KV is computed.
     pub(crate) fn computed_prefix(&self, links: &[ChainLink]) -> u64 {
         let mut total = 0;
         for link in links {
@@ -107,9 +107,9 @@
         total
     }
 
-    /// Pins the prompt's nodes for an attempt and gives memory to the missing ones.
-    /// None when running attempts leave less than is missing and `headroom` together; nothing
-    /// has changed then.
+    /// Pins the prompt's nodes for an attempt and allocates memory for the missing ones.
+    /// Returns `None`, and changes nothing, if the memory not pinned is less than the missing
+    /// memory and `headroom` together.
     pub(crate) fn acquire(
         &mut self,
         program: ProgramId,
@@ -130,7 +130,8 @@
             let id = match path.get(depth) {
                 Some(id) => *id,
                 None => {
-                    let id = self.insert(*link, depth.checked_sub(1).map(|up| path[up]), now);
+                    let id =
+                        self.insert(*link, depth.checked_sub(1).map(|parent| path[parent]), now);
                     self.pin(id, now);
                     path.push(id);
                     id
@@ -142,21 +143,21 @@
         Some(path)
     }
 
-    /// Pins a path once more.
+    /// Pins all nodes of a path that already exists.
     pub(crate) fn pin_path(&mut self, path: &[NodeId], now: Timestamp) {
         for id in path {
             self.pin(*id, now);
         }
     }
 
-    /// Ends an attempt's use of its path. Nodes that nobody uses any more are freed.
+    /// Unpins all nodes of a path. Nodes without users are freed.
     pub(crate) fn unpin_path(&mut self, path: &[NodeId], now: Timestamp) {
         for id in path.iter().rev() {
             self.unpin_node(*id, now);
         }
     }
 
-    /// Keeps a finished answer as a node behind `parent`, when memory allows.
+    /// Caches a finished answer as a child of `parent`, if there is enough memory.
     pub(crate) fn store_answer(
         &mut self,
         program: ProgramId,
@@ -165,7 +166,7 @@
         now: Timestamp,
     ) {
         if self.index.contains_key(&link.hash)
-            || self.footprint(link.tokens) > self.available_memory()
+            || self.block_memory(link.tokens) > self.available_memory()
         {
             return;
         }
@@ -177,31 +178,31 @@
         self.unpin_node(id, now);
     }
 
-    /// Takes memory for `tokens` generated ones, evicting what is idle.
+    /// Allocates memory for generated tokens and evicts idle nodes if necessary.
     ///
-    /// It may pass the capacity by the few tokens of one step: the last attempt in the batch is
-    /// never preempted, since it could not be served better later.
+    /// It may exceed the capacity by the few tokens of one step: the last attempt in the batch is
+    /// never preempted, because it could not be served better later.
     pub(crate) fn grow_private(&mut self, tokens: u64, now: Timestamp) {
         self.make_room(tokens, now);
         self.used += tokens;
         self.pinned += tokens;
     }
 
-    /// Gives back memory that was taken for tokens which were not generated.
+    /// Frees memory that was reserved for tokens which were not generated.
     pub(crate) fn refund_private(&mut self, tokens: u64) {
         self.used -= tokens;
         self.pinned -= tokens;
     }
 
-    /// Gives back memory of generated tokens that were held since `since`.
+    /// Frees the memory of tokens generated since `since`.
     pub(crate) fn shrink_private(&mut self, tokens: u64, since: Timestamp, now: Timestamp) {
         self.used -= tokens;
         self.pinned -= tokens;
-        // The memory grew evenly from nothing.
+        // The memory grew evenly from zero, so on average half of it was in use.
         self.spans.record(tokens / 2, since, now, SpanKind::Active);
     }
 
-    /// Notes that the node's first `tokens` are computed.
+    /// Marks the node's first `tokens` as computed.
     pub(crate) fn set_computed(&mut self, id: NodeId, tokens: u64) {
         let node = self.node_mut(id);
         let computed = tokens.min(node.resident);
@@ -211,12 +212,13 @@
         self.programs.add_tokens(users, gained);
     }
 
-    /// Tokens of the node whose KV is computed.
+    /// Returns the tokens of the node whose KV is computed.
     pub(crate) fn computed(&self, id: NodeId) -> u64 {
         self.node(id).computed
     }
 
-    /// Frees what only `program` uses. Pinned nodes are freed when their attempts end.
+    /// Frees the nodes that only `program` uses. Pinned nodes are freed when their attempts end.
+    /// Returns the memory freed, in tokens.
     pub(crate) fn free_program(&mut self, program: ProgramId, now: Timestamp) -> u64 {
         let Some((nodes, held)) = self.programs.remove(program) else { return 0 };
         let before = self.used;
@@ -226,12 +228,12 @@
             let node = self.node_mut(id);
             node.users.remove(&program);
             node.hold_count -= u32::from(held);
-            self.remove_or_refile(id, now);
+            self.remove_or_update(id, now);
         }
         before - self.used
     }
 
-    /// Marks the program's nodes as held or not.
+    /// Marks the program's nodes as held or not held.
     pub(crate) fn set_held(&mut self, program: ProgramId, held: bool) {
         let changed = self.programs.set_held(program, held);
         for id in changed {
@@ -245,7 +247,7 @@
         }
     }
 
-    /// Closes the idle spans of what is still cached, as wasted: the run ends here.
+    /// Records the idle spans of nodes that are still cached as wasted, because the run ends here.
     pub(crate) fn close_spans(&mut self, now: Timestamp) {
         for node in self.nodes.iter().flatten().filter(|node| node.pin_count == 0) {
             self.spans.record(node.resident, node.last_use, now, SpanKind::Wasted);
@@ -264,28 +266,28 @@
         self.nodes[id].as_mut().expect("node is live")
     }
 
-    fn footprint(&self, tokens: u64) -> u64 {
+    fn block_memory(&self, tokens: u64) -> u64 {
         tokens.div_ceil(self.block) * self.block
     }
 
-    /// Memory that is free or can be evicted.
+    /// Returns the memory, in tokens, that is free or can be evicted.
     pub(crate) fn available_memory(&self) -> u64 {
         self.capacity.saturating_sub(self.pinned)
     }
 
     fn missing_memory(&self, links: &[ChainLink]) -> u64 {
         let missing = links.iter().map(|link| {
-            let resident = self.find(link.hash).map_or(0, |node| self.footprint(node.resident));
-            self.footprint(link.tokens) - resident
+            let resident = self.find(link.hash).map_or(0, |node| self.block_memory(node.resident));
+            self.block_memory(link.tokens) - resident
         });
         missing.sum()
     }
 
-    /// Room that is left once the cached part of `links` is pinned.
+    /// Returns the memory that remains available once the cached part of `links` is pinned.
     fn available_after_pinning(&self, links: &[ChainLink]) -> u64 {
         let matched = links.iter().map_while(|link| self.find(link.hash));
         let idle = matched.filter(|node| node.pin_count == 0);
-        let reserved: u64 = idle.map(|node| self.footprint(node.resident)).sum();
+        let reserved: u64 = idle.map(|node| self.block_memory(node.resident)).sum();
         self.available_memory().saturating_sub(reserved)
     }
 
@@ -320,10 +322,10 @@
         id
     }
 
-    /// Gives the node memory for all its tokens. The caller has checked that there is room.
+    /// Allocates memory for all tokens of the node. The caller has checked that there is enough.
     fn allocate(&mut self, id: NodeId) {
         let (resident, tokens) = (self.node(id).resident, self.node(id).tokens);
-        let grown = self.footprint(tokens) - self.footprint(resident);
+        let grown = self.block_memory(tokens) - self.block_memory(resident);
         if grown > 0 {
             let now = self.node(id).active_since;
             self.make_room(grown, now);
@@ -352,7 +354,7 @@
         self.spans.record(node.resident, node.last_use, now, SpanKind::Reused);
         node.active_since = now;
         let resident = node.resident;
-        self.pinned += self.footprint(resident);
+        self.pinned += self.block_memory(resident);
         self.update_eviction_key(id);
     }
 
@@ -365,9 +367,9 @@
         let (resident, computed, since) = (node.resident, node.computed, node.active_since);
         node.last_use = now;
         node.resident = computed;
-        self.pinned -= self.footprint(resident);
-        self.used -= self.footprint(resident) - self.footprint(computed);
+        self.pinned -= self.block_memory(resident);
+        self.used -= self.block_memory(resident) - self.block_memory(computed);
         self.spans.record(resident, since, now, SpanKind::Active);
-        self.remove_or_refile(id, now);
+        self.remove_or_update(id, now);
     }
 }
--- a/crates/engine-model/src/cache/eviction.rs
+++ b/crates/engine-model/src/cache/eviction.rs
@@ -1,4 +1,4 @@
-//! Giving memory back: idle leaves shrink and go, least valuable first.
+//! Eviction: idle leaves shrink and are then removed, in the order of their eviction keys.
 
 use dahlia_types::Timestamp;
 
@@ -6,8 +6,8 @@
 use crate::{CacheChange, SpanKind};
 
 impl PrefixCache {
-    /// Removes an idle node that holds nothing or that nobody uses; else files it for eviction.
-    pub(super) fn remove_or_refile(&mut self, id: NodeId, now: Timestamp) {
+    /// Removes an idle node that has no memory or no users. Otherwise updates its eviction key.
+    pub(super) fn remove_or_update(&mut self, id: NodeId, now: Timestamp) {
         let node = self.node(id);
         let idle = node.pin_count == 0 && node.child_count == 0;
         let unneeded = node.resident == 0 || (node.users.is_empty() && !node.ever_shared);
@@ -29,12 +29,12 @@
         }
     }
 
-    /// Frees at least `amount` tokens from the tail of an idle leaf, or all it has.
+    /// Frees at least `amount` tokens from the tail of an idle leaf, or all of its tokens.
     fn shrink(&mut self, id: NodeId, amount: u64, now: Timestamp) {
         let node = self.node(id);
         let (resident, last_use) = (node.resident, node.last_use);
         let kept = resident.saturating_sub(amount) / self.block * self.block;
-        self.used -= self.footprint(resident) - kept;
+        self.used -= self.block_memory(resident) - kept;
         self.spans.record(resident - kept, last_use, now, SpanKind::Wasted);
         let node = self.node_mut(id);
         let lost = node.computed.saturating_sub(kept);
@@ -64,11 +64,11 @@
         }
         if let Some(parent) = node.parent {
             self.node_mut(parent).child_count -= 1;
-            self.remove_or_refile(parent, now);
+            self.remove_or_update(parent, now);
         }
     }
 
-    /// Files the node under its current eviction key, if it is an idle leaf.
+    /// Updates the node's eviction key. Only idle leaves have one.
     pub(super) fn update_eviction_key(&mut self, id: NodeId) {
         let node = self.nodes[id].as_mut().expect("node is live");
         let leaf = node.pin_count == 0 && node.child_count == 0 && node.resident > 0;
--- a/crates/engine-model/src/cache/programs.rs
+++ b/crates/engine-model/src/cache/programs.rs
@@ -1,4 +1,4 @@
-//! Which programs use which nodes, and the holds on them.
+//! The nodes that each program uses, and the holds on them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,7 +15,7 @@
     hold: Option<(Timestamp, AfterHold)>,
 }
 
-/// The programs with something cached.
+/// All programs that have something cached.
 #[derive(Debug, Default)]
 pub(crate) struct CachedPrograms {
     programs: BTreeMap<ProgramId, CachedProgram>,
@@ -24,29 +24,29 @@
 }
 
 impl CachedPrograms {
-    /// Tokens cached for `program`.
+    /// Returns the tokens cached for `program`.
     pub(crate) fn tokens(&self, program: ProgramId) -> u64 {
         self.programs.get(&program).map_or(0, |entry| entry.tokens)
     }
 
-    /// Every program with its tokens and the end of its hold.
+    /// Iterates over all programs with their tokens and the end of their hold.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (ProgramId, u64, Option<Timestamp>)> {
         self.programs
             .iter()
             .map(|(program, entry)| (*program, entry.tokens, entry.hold.map(|(until, _)| until)))
     }
 
-    /// Notes a change to be told as a cache event.
+    /// Records a change, to be reported as a cache event.
     pub(crate) fn record_change(&mut self, program: ProgramId, change: CacheChange) {
         self.changes.insert(program, change);
     }
 
-    /// Takes the changes since the last time.
+    /// Takes the changes since the last call.
     pub(crate) fn take_changes(&mut self) -> BTreeMap<ProgramId, CacheChange> {
         std::mem::take(&mut self.changes)
     }
 
-    /// Sets the end of a program's hold. False when nothing is cached for it.
+    /// Sets the end of a program's hold. Returns false if nothing is cached for it.
     pub(crate) fn set_hold(
         &mut self,
         program: ProgramId,
@@ -60,7 +60,7 @@
         true
     }
 
-    /// Forgets the end of a program's hold.
+    /// Clears the end of a program's hold.
     pub(crate) fn clear_hold(&mut self, program: ProgramId) {
         let Some(entry) = self.programs.get_mut(&program) else { return };
         if let Some((until, _)) = entry.hold.take() {
@@ -68,12 +68,12 @@
         }
     }
 
-    /// When the next hold lapses.
+    /// Returns when the next hold lapses.
     pub(crate) fn next_hold_end(&self) -> Option<Timestamp> {
         self.holds.first().map(|(until, _)| *until)
     }
 
-    /// Takes the next hold that has lapsed by `now`.
+    /// Removes and returns the next hold that has lapsed by `now`.
     pub(crate) fn take_lapsed_hold(&mut self, now: Timestamp) -> Option<(ProgramId, AfterHold)> {
         let (until, program) = self.holds.first().copied()?;
         if until > now {
@@ -84,7 +84,7 @@
         hold.map(|(_, after)| (program, after))
     }
 
-    /// Switches the held mark; gives the nodes whose count changes.
+    /// Marks a program as held or not held. Returns the nodes whose hold count changes.
     pub(super) fn set_held(&mut self, program: ProgramId, held: bool) -> Vec<NodeId> {
         match self.programs.get_mut(&program) {
             Some(entry) if entry.held != held => {
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Adds a node to a program; tells whether the program is held.
+    /// Adds a node to a program. Returns whether the program is held.
     pub(super) fn add_node(&mut self, program: ProgramId, node: NodeId, computed: u64) -> bool {
         let entry = self.programs.entry(program).or_default();
         entry.nodes.insert(node);
@@ -103,7 +103,7 @@
         entry.held
     }
 
-    /// Takes a node from a program; a program without nodes is forgotten.
+    /// Removes a node from a program. A program without nodes is removed.
     pub(super) fn remove_node(&mut self, program: ProgramId, node: NodeId) {
         let Some(entry) = self.programs.get_mut(&program) else { return };
         entry.nodes.remove(&node);
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Forgets a program; gives its nodes and whether it was held.
+    /// Removes a program. Returns its nodes and whether it was held.
     pub(super) fn remove(&mut self, program: ProgramId) -> Option<(BTreeSet<NodeId>, bool)> {
         self.clear_hold(program);
         let entry = self.programs.remove(&program)?;
--- a/crates/engine-model/src/cache/spans.rs
+++ b/crates/engine-model/src/cache/spans.rs
@@ -1,10 +1,10 @@
-//! Records of held cache over time, for the measure of wasted cache.
+//! Recording of how cached KV was used over time, to measure wasted cache.
 
 use dahlia_types::{Timestamp, Tokens};
 
 use crate::{CacheSpan, SpanKind};
 
-/// Spans since they were last taken; nothing is recorded until it is switched on.
+/// Spans recorded since they were last taken. Recording is off until it is enabled.
 #[derive(Debug, Default)]
 pub(crate) struct SpanRecorder {
     recording: bool,
@@ -17,14 +17,14 @@
         self.recording = true;
     }
 
-    /// Notes that `tokens` were held from `from` to `to`.
+    /// Records that `tokens` were in memory from `from` to `to`.
     pub(crate) fn record(&mut self, tokens: u64, from: Timestamp, to: Timestamp, kind: SpanKind) {
         if self.recording && tokens > 0 && to > from {
             self.spans.push(CacheSpan { tokens: Tokens(tokens), from, to, kind });
         }
     }
 
-    /// Takes what was recorded.
+    /// Takes the recorded spans.
     pub(crate) fn take(&mut self) -> Vec<CacheSpan> {
         std::mem::take(&mut self.spans)
     }
--- a/crates/engine-model/src/command.rs
+++ b/crates/engine-model/src/command.rs
@@ -1,4 +1,4 @@
-//! What a driver may ask of the engine, and what it answers at once.
+//! Commands to the engine, its immediate replies and its refusals.
 
 use dahlia_types::{
     AttemptId, Generation, Incarnation, ModelId, ProgramId, TenantId, Term, Timestamp, Tokens,
@@ -12,40 +12,41 @@
 /// Asks the engine to run an attempt.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Submit {
-    /// The attempt. A known one is joined, not run again.
+    /// The attempt. If the engine knows it already, it is not run again.
     pub attempt: AttemptId,
-    /// The owner's epoch; an older one than was seen for the program is refused.
+    /// The owner's epoch. It is refused if a newer one was seen for the program.
     pub epoch: Term,
-    /// The engine's life that is meant; none accepts any.
+    /// The incarnation of the engine that is meant; `None` accepts any.
     pub incarnation: Option<Incarnation>,
-    /// Whose program it is; salts the prefix cache.
+    /// The tenant that owns the program; salts the prefix cache.
     pub tenant: TenantId,
     /// Model, adapter and version.
     pub model: ModelId,
     /// The prompt.
     pub prompt: Vec<Segment>,
-    /// Upper bound that the owner reserved for the prompt; a longer prompt is refused unrun.
+    /// Upper bound that the owner reserved for the prompt; a longer prompt is refused.
     pub prompt_bound: Tokens,
     /// Tokens that the model will generate, decided by the driver; at least one is generated.
     pub generate: Tokens,
-    /// Hash of the answer's segment, under which the next prompt names it.
+    /// Hash of the answer's segment. The next prompt refers to the answer by it.
     pub answer_hash: u64,
-    /// Urgency.
+    /// Urgency at this engine.
     pub priority: Priority,
 }
 
-/// Ends an attempt. One that was never seen or only waits is fenced and never starts.
+/// Ends an attempt. An attempt that is unknown or still waiting is fenced and never starts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Cancel {
     /// The attempt.
     pub attempt: AttemptId,
     /// The owner's epoch.
     pub epoch: Term,
-    /// Leave it alone if it has started: a recall of work that another engine can do as well.
+    /// Ends the attempt only if it has not started. Used to recall work that another engine can
+    /// do as well.
     pub only_waiting: bool,
 }
 
-/// Raises a program's epoch: effects with an older one are refused from now on.
+/// Raises a program's epoch. Commands with an older epoch are refused from now on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fence {
     /// The program.
@@ -54,7 +55,7 @@
     pub epoch: Term,
 }
 
-/// What becomes of a held program's cache when the hold lapses.
+/// What happens to a program's cache when its hold lapses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AfterHold {
     /// It is freed at once, unless another program uses it.
@@ -63,9 +64,9 @@
     Cache,
 }
 
-/// Holds a program's cache: it is evicted only after everything that is not held.
+/// Holds a program's cache, so that it is evicted only after everything that is not held.
 ///
-/// The engine enforces the end, so that memory is freed even if every daemon is cut off.
+/// The engine itself ends the hold, so that memory is freed even if every daemon is cut off.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hold {
     /// The program.
@@ -74,18 +75,18 @@
     pub epoch: Term,
     /// When the hold lapses.
     pub until: Timestamp,
-    /// What then happens.
+    /// What happens to the cache then.
     pub after: AfterHold,
 }
 
-/// Frees what the engine holds for a program and for no other.
+/// Frees the cache that the engine keeps for this program only.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Release {
     /// The program.
     pub program: ProgramId,
     /// The owner's epoch.
     pub epoch: Term,
-    /// The program has ended: its attempts are cut and later ones refused.
+    /// Whether the program has ended. If so, its attempts are cut and later ones refused.
     pub closing: bool,
 }
 
@@ -96,11 +97,11 @@
     pub program: ProgramId,
     /// The owner's epoch.
     pub epoch: Term,
-    /// Whose program it is.
+    /// The tenant that owns the program.
     pub tenant: TenantId,
     /// The model that computed it.
     pub model: ModelId,
-    /// The prefix wanted.
+    /// The prefix to export.
     pub segments: Vec<Segment>,
 }
 
@@ -109,42 +110,43 @@
 pub struct Import {
     /// The owner's epoch.
     pub epoch: Term,
-    /// What to take in.
+    /// The image to import.
     pub image: KvImage,
 }
 
-/// What an engine does with new work.
+/// Whether an engine accepts new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub enum EngineRole {
-    /// Takes new attempts.
+    /// Accepts new attempts.
     #[default]
     Serving,
-    /// Finishes what it has and refuses new attempts.
+    /// Finishes its current attempts and refuses new ones.
     Draining,
 }
 
 /// What an order changes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OrderKind {
-    /// Load a model, adapter and version whose weights have arrived.
+    /// Loads a model, adapter and version whose weights have arrived.
     Load(ModelId),
-    /// Unload it: its waiting attempts end unrun, running ones finish, its cache ages out.
+    /// Unloads it. Waiting attempts end without having run, running ones finish, and the cache is
+    /// evicted as it ages.
     Unload(ModelId),
-    /// Change the role.
+    /// Changes the role.
     SetRole(EngineRole),
 }
 
 /// An order of the operators' configuration, fenced by its generation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineOrder {
-    /// The generation that the order follows. An older one than was seen for the same subject
-    /// (the model, or the role) is refused.
+    /// The configuration generation that the order comes from. It is refused if a newer one was
+    /// seen for the same subject (the model, or the role).
     pub generation: Generation,
-    /// What to do.
+    /// The change to make.
     pub kind: OrderKind,
 }
 
-/// Any command.
+/// A command to the engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[allow(missing_docs)]
 pub enum EngineCommand {
@@ -161,20 +163,20 @@
 /// The immediate answer to a command.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EngineReply {
-    /// Done, or begun; its end comes as an event.
+    /// The command is done, or has begun and an event will report its end.
     Accepted,
-    /// The attempt is known already; this is where it stands.
+    /// The attempt is known already and has this status.
     Known(AttemptStatus),
     /// The attempt did not start and never will.
     NeverStarted,
-    /// The attempt was cut after it had used this.
+    /// The attempt was cut while running; this is its usage.
     Cut(Usage),
-    /// Nothing is held for the program any more; this much was freed just now.
+    /// The engine holds nothing for the program any more.
     Released {
         /// Tokens of KV that became free.
         freed: Tokens,
     },
-    /// Nothing changed.
+    /// The command was refused and changed nothing.
     Refused(EngineRefusal),
 }
 
@@ -191,12 +193,12 @@
         /// The newest epoch seen.
         seen: Term,
     },
-    /// The command was meant for another life of the engine.
+    /// The command was meant for another incarnation of the engine.
     #[snafu(display("this is life {actual} of the engine, not {expected}"))]
     OtherIncarnation {
-        /// The life that was meant.
+        /// The incarnation that was meant.
         expected: Incarnation,
-        /// This life.
+        /// The current incarnation.
         actual: Incarnation,
     },
     /// The program was released as ended.
@@ -214,18 +216,19 @@
     /// The prompt is longer than the reservation or than the memory allows.
     #[snafu(display("the prompt has {tokens} and at most {limit} are allowed"))]
     PromptTooLong {
-        /// Length of the prompt with what is to be generated.
+        /// Length of the prompt. When the memory is the limit, it includes the tokens to generate
+        /// and the rounding to blocks.
         tokens: Tokens,
-        /// The limit it exceeds.
+        /// The limit that it exceeds.
         limit: Tokens,
     },
-    /// Too many attempts wait.
+    /// Too many attempts are waiting.
     #[snafu(display("{waiting} attempts wait and no more are taken"))]
     Overloaded {
-        /// Attempts waiting.
+        /// Number of waiting attempts.
         waiting: u32,
     },
-    /// The engine takes no new work.
+    /// The engine accepts no new work.
     #[snafu(display("the engine is draining"))]
     Draining,
     /// A newer order for the same subject was seen.
--- a/crates/engine-model/src/configuration.rs
+++ b/crates/engine-model/src/configuration.rs
@@ -1,4 +1,4 @@
-//! Loaded models and the role, changed by fenced orders.
+//! Loaded models and the role of the engine, changed by orders that generations fence.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,23 +6,23 @@
 
 use crate::{EngineOrder, EngineRefusal, EngineRole, OrderKind};
 
-/// What an order is about; each subject has its own fence.
+/// The subject of an order. Each subject has its own fence.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 enum OrderSubject {
     Model(ModelId),
     Role,
 }
 
-/// What follows from an accepted order.
+/// What the engine must do after an accepted order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum OrderEffect {
-    /// Nothing beyond the state kept here.
+    /// Nothing further.
     None,
-    /// The model's waiting attempts have to go.
+    /// The model was unloaded, so its waiting attempts must be evicted.
     Unloaded(ModelId),
 }
 
-/// Models, role and the newest generation seen for each.
+/// Loaded models, role, and the newest generation seen for each subject.
 #[derive(Debug)]
 pub(crate) struct EngineConfiguration {
     load_time: Duration,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Starts with a model loaded, as an engine that was set up so.
+    /// Marks a model as loaded without an order, for an engine that starts with it.
     pub(crate) fn add_loaded_model(&mut self, model: ModelId) {
         self.loaded.insert(model);
     }
@@ -60,7 +60,8 @@
         self.loaded.iter().cloned().collect()
     }
 
-    /// Carries an order out, or refuses it by its generation. Repeating one changes nothing.
+    /// Executes an order, or refuses it if its generation is stale. Repeating an order changes
+    /// nothing.
     pub(crate) fn apply(
         &mut self,
         order: &EngineOrder,
@@ -78,12 +79,12 @@
         Ok(self.execute(&order.kind, now))
     }
 
-    /// When the next model is ready.
+    /// Returns when the next model finishes loading.
     pub(crate) fn next_load_end(&self) -> Option<Timestamp> {
         self.loading.values().min().copied()
     }
 
-    /// Takes a model that is ready by `now`.
+    /// Marks a model whose loading ends by `now` as loaded. Returns it and when it was ready.
     pub(crate) fn finish_next_load(&mut self, now: Timestamp) -> Option<(ModelId, Timestamp)> {
         let ready = self.loading.iter().find(|(_, at)| **at <= now);
         let (model, at) = ready.map(|(model, at)| (model.clone(), *at))?;
--- a/crates/engine-model/src/event.rs
+++ b/crates/engine-model/src/event.rs
@@ -1,27 +1,27 @@
-//! What the engine tells: progress of attempts, cache events, reports and inventories.
+//! Output of the engine: progress of attempts, cache events, load reports and inventories.
 
 use dahlia_types::{AttemptId, Incarnation, ModelId, ProgramId, Timestamp, Tokens, Usage};
 use serde::{Deserialize, Serialize};
 
 use crate::{EngineRole, KvImage};
 
-/// Where an attempt stands.
+/// The status of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AttemptStatus {
     /// The engine has no record of it.
     Unknown,
-    /// Waits for a place in the batch.
+    /// It waits for a place in the batch.
     Waiting,
-    /// Runs; this many tokens are generated.
+    /// It is running.
     Running {
         /// Tokens generated so far.
         generated: Tokens,
     },
-    /// Ran to its end.
+    /// It ran to its end.
     Finished(Usage),
-    /// Was cut while running.
+    /// It was cut while running.
     Cut(Usage),
-    /// Did not start and never will.
+    /// It did not start and never will.
     NeverStarted,
 }
 
@@ -34,17 +34,17 @@
         attempt: AttemptId,
         /// Tokens of its prompt found in the prefix cache.
         cached: Tokens,
-        /// When.
+        /// When it happened.
         at: Timestamp,
     },
-    /// Tokens were generated. Sent for first tokens always, for later ones when
+    /// Tokens were generated. Always sent for first tokens, and for later ones when
     /// [`crate::EngineParameters::report_progress`] is set.
     Generated {
         /// The attempt.
         attempt: AttemptId,
-        /// Tokens generated before these.
+        /// Number of tokens generated before these.
         offset: Tokens,
-        /// How many.
+        /// Number of tokens generated.
         count: Tokens,
         /// When the last of them was ready.
         at: Timestamp,
@@ -55,46 +55,47 @@
         attempt: AttemptId,
         /// Tokens used.
         usage: Usage,
-        /// When.
+        /// When it happened.
         at: Timestamp,
     },
-    /// Memory ran short: the attempt went back to waiting and keeps what it generated.
+    /// Memory ran short. The attempt went back to waiting and keeps the tokens it generated.
     Preempted {
         /// The attempt.
         attempt: AttemptId,
-        /// When.
+        /// When it happened.
         at: Timestamp,
     },
-    /// An attempt that waited will not start here (its model was unloaded).
+    /// A waiting attempt will not start here, because its model was unloaded.
     Evicted {
         /// The attempt.
         attempt: AttemptId,
-        /// When.
+        /// When it happened.
         at: Timestamp,
     },
-    /// The cache changed. The driver may delay or drop these; the sequence shows gaps.
+    /// The cache changed. The driver may delay or drop these events; gaps in the sequence numbers
+    /// show it.
     Cache(CacheEvent),
     /// An export is complete.
     Exported {
-        /// What was exported.
+        /// The exported image.
         image: KvImage,
-        /// When.
+        /// When it happened.
         at: Timestamp,
     },
     /// An import is complete.
     Imported {
         /// The program it was for.
         program: ProgramId,
-        /// Tokens that are now cached.
+        /// Tokens that the import cached; zero when there was no room or the program has ended.
         tokens: Tokens,
-        /// When.
+        /// When it happened.
         at: Timestamp,
     },
     /// A model became ready.
     ModelLoaded {
         /// The model.
         model: ModelId,
-        /// When.
+        /// When it happened.
         at: Timestamp,
     },
     /// A hold lapsed and its cache was freed.
@@ -103,7 +104,7 @@
         program: ProgramId,
         /// Tokens freed.
         freed: Tokens,
-        /// When.
+        /// When it happened.
         at: Timestamp,
     },
 }
@@ -111,15 +112,16 @@
 /// A change of what is cached for a program.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Counts up by one for each event of this engine's life; a gap shows a loss.
+    /// Counts up by one for each event of this incarnation; a gap shows a loss.
     pub sequence: u64,
     /// The program whose cache changed.
     pub program: ProgramId,
     /// What changed.
     pub change: CacheChange,
-    /// Tokens now cached for the program. Absolute, so that the next event mends a lost one.
+    /// Tokens now cached for the program. The value is absolute, so that the next event makes up
+    /// for a lost one.
     pub resident: Tokens,
-    /// When.
+    /// When it happened.
     pub at: Timestamp,
 }
 
@@ -135,76 +137,76 @@
 /// The load of an engine at a moment.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// The engine's life.
+    /// The engine's incarnation.
     pub incarnation: Incarnation,
-    /// When it was taken.
+    /// When the report was made.
     pub at: Timestamp,
-    /// Whether it takes new work.
+    /// Whether the engine accepts new work.
     pub role: EngineRole,
     /// Attempts in the batch.
     pub running: u32,
-    /// Attempts waiting for a place.
+    /// Attempts waiting for a place in the batch.
     pub waiting: u32,
-    /// Tokens still to be prefilled, of waiting and running attempts.
+    /// Tokens of waiting and running attempts that are still to be prefilled.
     pub prefill_backlog: Tokens,
-    /// KV in use, cached or by running attempts.
+    /// KV in use, either cached or by running attempts.
     pub resident: Tokens,
-    /// The part of it that is pinned by running attempts.
+    /// The part of `resident` that is pinned by running attempts.
     pub pinned: Tokens,
-    /// KV in all.
+    /// Capacity of the KV cache.
     pub capacity: Tokens,
     /// Duration of the last step, in microseconds; zero before the first.
     pub step_micros: u64,
-    /// Attempts finished in this life.
+    /// Attempts finished in this incarnation.
     pub finished: u64,
     /// Models that are loaded.
     pub models: Vec<ModelId>,
 }
 
-/// What a program occupies.
+/// The cache that a program occupies.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeldProgram {
     /// The program.
     pub program: ProgramId,
-    /// Tokens of KV that are cached for it, shared ones included.
+    /// Tokens of KV that are cached for the program, shared ones included.
     pub tokens: Tokens,
-    /// When a hold of it lapses, if there is one.
+    /// When the program's hold lapses, if it has one.
     pub held_until: Option<Timestamp>,
 }
 
-/// Every program for which the engine holds anything.
+/// Every program for which the engine has something cached.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Inventory {
-    /// The engine's life.
+    /// The engine's incarnation.
     pub incarnation: Incarnation,
-    /// When it was taken.
+    /// When the inventory was made.
     pub at: Timestamp,
-    /// Sequence number of the last cache event it includes.
+    /// Sequence number of the last cache event that the inventory includes.
     pub sequence: u64,
     /// The programs.
     pub programs: Vec<HeldProgram>,
 }
 
-/// What a span of held cache was good for.
+/// How cached KV was used over a span of time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum SpanKind {
     /// A running attempt used it.
     Active,
-    /// It lay idle and was used again afterwards.
+    /// It was idle and was used again afterwards.
     Reused,
-    /// It lay idle until it was evicted or freed.
+    /// It was idle until it was evicted or freed.
     Wasted,
 }
 
-/// KV that was held over a length of time, for the measure of wasted cache.
+/// KV that stayed in memory over a span of time; the basis for measuring wasted cache.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CacheSpan {
-    /// Tokens held.
+    /// Tokens in memory.
     pub tokens: Tokens,
-    /// Since when.
+    /// Start of the span.
     pub from: Timestamp,
-    /// Until when.
+    /// End of the span.
     pub to: Timestamp,
-    /// What it was good for.
+    /// How the KV was used.
     pub kind: SpanKind,
 }
--- a/crates/engine-model/src/fence.rs
+++ b/crates/engine-model/src/fence.rs
@@ -1,4 +1,4 @@
-//! Epochs of programs: effects of an earlier owner, or for an ended program, are refused.
+//! Epochs of programs. Commands of an earlier owner, or for an ended program, are refused.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,7 +13,7 @@
     last_used: Timestamp,
 }
 
-/// The newest epoch seen of each program.
+/// The newest epoch seen for each program.
 #[derive(Debug)]
 pub(crate) struct Fences {
     retention: Duration,
@@ -26,7 +26,7 @@
         Self { retention, programs: BTreeMap::new(), by_age: BTreeSet::new() }
     }
 
-    /// Takes note of an owner's epoch; refuses an older one.
+    /// Records an owner's epoch, or refuses it if a newer one was seen.
     pub(crate) fn observe(
         &mut self,
         program: ProgramId,
@@ -44,7 +44,7 @@
         Ok(())
     }
 
-    /// As [`Self::observe`], for new work: an ended program gets none.
+    /// Like [`Self::observe`], but also refuses new work for an ended program.
     pub(crate) fn admit(
         &mut self,
         program: ProgramId,
@@ -58,18 +58,18 @@
         Ok(())
     }
 
-    /// Whether the program has ended here.
+    /// Returns whether the program has ended on this engine.
     pub(crate) fn is_ended(&self, program: ProgramId) -> bool {
         self.programs.get(&program).is_some_and(|fence| fence.ended)
     }
 
-    /// Remembers that the program has ended.
-    pub(crate) fn end(&mut self, program: ProgramId, epoch: Term, now: Timestamp) {
+    /// Marks the program as ended.
+    pub(crate) fn mark_ended(&mut self, program: ProgramId, epoch: Term, now: Timestamp) {
         self.store(program, ProgramFence { epoch, ended: true, last_used: now });
     }
 
-    /// Forgets programs that were not heard of for the retention time, except those for which
-    /// `in_use` holds.
+    /// Removes programs without commands for the retention time, except those for which `in_use`
+    /// returns true.
     pub(crate) fn expire(&mut self, now: Timestamp, in_use: impl Fn(ProgramId) -> bool) {
         while let Some((last_used, program)) = self.by_age.first().copied() {
             if now.since(last_used) <= self.retention {
--- a/crates/engine-model/src/lib.rs
+++ b/crates/engine-model/src/lib.rs
@@ -1,7 +1,7 @@
-//! A model of one engine that batches continuously and caches prefixes in limited memory.
+//! A model of one inference engine with continuous batching and a prefix cache of limited size.
 //!
-//! The model does no I/O and reads no clock: a driver passes commands and moments in and takes
-//! events out. A stand-in process drives it by the wall clock, experiments by virtual time.
+//! The model does no I/O and reads no clock: a driver passes in commands and timestamps and takes
+//! out events. A stand-in process drives it by the wall clock, experiments by virtual time.
 //!
 //! Prompts are lists of [`Segment`]s (a hash and a number of tokens), so neither text nor the
 //! tokens of a long history are stored.
--- a/crates/engine-model/src/model.rs
+++ b/crates/engine-model/src/model.rs
@@ -1,4 +1,4 @@
-//! The engine: commands in, events out.
+//! The engine model: takes commands and produces events.
 
 mod admission;
 mod commands;
@@ -20,10 +20,10 @@
     Inventory, LoadReport,
 };
 
-/// One life of one engine.
+/// One incarnation of one engine.
 ///
 /// The driver calls [`Self::handle`] for each command and [`Self::advance`] when
-/// [`Self::next_wakeup`] has come; moments may not go backwards.
+/// [`Self::next_wakeup`] has come. Timestamps must not go backwards.
 #[derive(Debug)]
 pub struct EngineModel {
     id: EngineId,
@@ -35,7 +35,7 @@
     cache: PrefixCache,
     fences: Fences,
     configuration: EngineConfiguration,
-    link: TransferLink,
+    transfers: TransferLink,
     step: Option<Step>,
     events: Vec<EngineEvent>,
     next_sequence: u64,
@@ -46,7 +46,7 @@
 }
 
 impl EngineModel {
-    /// An empty engine. `seed` drives the jitter of its steps.
+    /// Creates an empty engine. `seed` determines the jitter of its steps.
     pub fn new(
         id: EngineId,
         incarnation: Incarnation,
@@ -62,7 +62,7 @@
             cache: PrefixCache::new(parameters.kv_capacity, parameters.block_tokens),
             fences: Fences::new(parameters.record_retention),
             configuration: EngineConfiguration::new(parameters.model_load_time),
-            link: TransferLink::new(&parameters),
+            transfers: TransferLink::new(&parameters),
             step: None,
             events: Vec::new(),
             next_sequence: 0,
@@ -74,47 +74,47 @@
         }
     }
 
-    /// Starts with `model` loaded, without an order.
+    /// Starts the engine with `model` loaded, without an order.
     pub fn with_model(mut self, model: ModelId) -> Self {
         self.configuration.add_loaded_model(model);
         self
     }
 
-    /// Records [`CacheSpan`]s from now on.
+    /// Starts to record [`CacheSpan`]s.
     pub fn record_spans(&mut self) {
         self.cache.spans.enable();
     }
 
-    /// The engine's name.
+    /// Returns the engine's identifier.
     pub fn id(&self) -> &EngineId {
         &self.id
     }
 
-    /// The engine's life.
+    /// Returns the engine's incarnation.
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// Where an attempt stands; the answer to a stream that is resumed by offset.
+    /// Returns the status of an attempt. A stream that is resumed by offset needs it.
     pub fn status(&self, attempt: AttemptId) -> AttemptStatus {
         self.attempts.status(attempt, self.batch.clock)
     }
 
-    /// When [`Self::advance`] has something to do; none while the engine is idle.
+    /// Returns when [`Self::advance`] next has something to do; `None` while the engine is idle.
     pub fn next_wakeup(&self) -> Option<Timestamp> {
         let step = self.step.as_ref().map(Step::ends);
-        let lapse = self.cache.programs.next_hold_end();
-        let transfer = self.link.next_end();
-        [step, lapse, transfer, self.configuration.next_load_end()].into_iter().flatten().min()
+        let hold = self.cache.programs.next_hold_end();
+        let transfer = self.transfers.next_end();
+        [step, hold, transfer, self.configuration.next_load_end()].into_iter().flatten().min()
     }
 
-    /// Runs the engine up to `now`; gives what happened since the last call, in order.
+    /// Runs the engine up to `now`. Returns the events since the last call, in order.
     pub fn advance(&mut self, now: Timestamp) -> Vec<EngineEvent> {
         self.run_until(now);
         std::mem::take(&mut self.events)
     }
 
-    /// The load at `now`. Call [`Self::advance`] first.
+    /// Returns the load at `now`. Call [`Self::advance`] first.
     pub fn load_report(&self, now: Timestamp) -> LoadReport {
         LoadReport {
             incarnation: self.incarnation,
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Everything that is cached for programs at `now`.
+    /// Returns everything that is cached for programs at `now`.
     pub fn inventory(&self, now: Timestamp) -> Inventory {
         let programs = self.cache.programs.iter().map(|(program, tokens, held_until)| {
             HeldProgram { program, tokens: Tokens(tokens), held_until }
@@ -145,12 +145,12 @@
         }
     }
 
-    /// Takes the spans of held cache that have ended; see [`Self::record_spans`].
+    /// Takes the spans that have ended; see [`Self::record_spans`].
     pub fn take_spans(&mut self) -> Vec<CacheSpan> {
         self.cache.spans.take()
     }
 
-    /// Ends the spans that are still open, at the end of a run.
+    /// Ends the spans that are still open. Call it at the end of a run.
     pub fn close_spans(&mut self, now: Timestamp) {
         self.cache.close_spans(now);
     }
@@ -176,7 +176,7 @@
         if let Some((program, after)) = self.cache.programs.take_lapsed_hold(at) {
             self.end_hold(program, after, at);
         }
-        if let Some(transfer) = self.link.take_ended(at) {
+        if let Some(transfer) = self.transfers.take_ended(at) {
             self.finish_transfer(transfer, at);
         }
         if self.step.as_ref().is_some_and(|step| step.ends() <= at) {
--- a/crates/engine-model/src/model/admission.rs
+++ b/crates/engine-model/src/model/admission.rs
@@ -1,4 +1,4 @@
-//! Places in the batch: who gets one, and who loses it.
+//! Admission of attempts to the batch, and their removal and preemption.
 
 use dahlia_types::{AttemptId, Timestamp, Tokens};
 
@@ -8,7 +8,7 @@
 use crate::{CacheChange, EngineEvent};
 
 impl EngineModel {
-    /// Gives the first waiting attempt a place, if the batch and the memory have one.
+    /// Admits a waiting attempt to the batch. Returns false if the batch or the memory is full.
     pub(super) fn admit(&mut self, key: QueueKey, now: Timestamp) -> bool {
         if self.batch.running() >= self.parameters.max_batch as usize {
             return false;
@@ -18,12 +18,13 @@
         let Some(attempt) = self.attempts.get(id) else { return false };
         let recomputed = attempt.generated_before;
         let cached = self.cache.computed_prefix(&attempt.links);
-        // What was generated before a preemption, and a step's growth of everyone in the batch.
+        // Memory for the tokens generated before a preemption, and for one more token of this
+        // attempt and of each one in the batch.
         let headroom = recomputed + self.batch.running() as u64 + 1;
         let path = self.cache.acquire(program, &attempt.links, headroom, now);
         let Some(path) = path else { return false };
         self.cache.grow_private(recomputed, now);
-        // The program is back: its hold has served its purpose and must not free it under use.
+        // The program is active again. Its hold is no longer needed and must not free cache in use.
         self.cache.programs.clear_hold(program);
         self.cache.set_held(program, false);
         self.batch.waiting.remove(&key);
@@ -40,7 +41,8 @@
         true
     }
 
-    /// Takes an attempt's place and memory away; what it computed stays cached.
+    /// Removes an attempt from the batch and frees its memory. The prompt that it computed stays
+    /// cached.
     pub(super) fn remove_from_batch(&mut self, attempt: &LiveAttempt, now: Timestamp) {
         let key = attempt.queue_key();
         let generated = attempt.generated(self.batch.clock);
@@ -60,7 +62,8 @@
         self.cache.programs.record_change(program_of(attempt.id()), CacheChange::Stored);
     }
 
-    /// Sends the least urgent attempt of the batch back to waiting, if it is not the last one.
+    /// Moves the least urgent attempt of the batch back to waiting, unless it is the only one.
+    /// Returns whether it did.
     pub(super) fn preempt_one(&mut self, now: Timestamp) -> bool {
         if self.batch.running() <= 1 {
             return false;
--- a/crates/engine-model/src/model/commands.rs
+++ b/crates/engine-model/src/model/commands.rs
@@ -1,4 +1,4 @@
-//! How each command is carried out.
+//! Execution of commands.
 
 use dahlia_types::{AttemptId, Bytes, ModelId, ProgramId, Timestamp, Tokens};
 
@@ -15,7 +15,7 @@
 type CommandResult = Result<EngineReply, EngineRefusal>;
 
 impl EngineModel {
-    /// Carries out a command at `now`, after everything that happens until then.
+    /// Executes a command at `now`, after running the engine up to `now`.
     pub fn handle(&mut self, command: EngineCommand, now: Timestamp) -> EngineReply {
         self.run_until(now);
         let answer = match command {
@@ -28,7 +28,7 @@
             EngineCommand::Release(release) => self.release(release, now),
             EngineCommand::Export(export) => self.export(export, now),
             EngineCommand::Import(import) => self.import(import, now),
-            EngineCommand::Order(order) => self.order(&order, now),
+            EngineCommand::Order(order) => self.apply_order(&order, now),
         };
         self.cut_leap_short(now);
         self.begin_step(now);
@@ -80,12 +80,12 @@
         if prompt > bound.0 {
             return Err(EngineRefusal::PromptTooLong { tokens: Tokens(prompt), limit: bound });
         }
-        // Each segment rounds up to whole blocks; one step reserves a token ahead.
+        // Each segment is rounded up to whole blocks, and a step reserves one token ahead.
         let slack = (attempt.links.len() as u64 + 2) * self.parameters.block_tokens.0;
-        let whole = prompt + attempt.target() + slack;
+        let needed = prompt + attempt.target_tokens() + slack;
         let limit = Tokens(self.cache.capacity());
-        if whole > limit.0 {
-            return Err(EngineRefusal::PromptTooLong { tokens: Tokens(whole), limit });
+        if needed > limit.0 {
+            return Err(EngineRefusal::PromptTooLong { tokens: Tokens(needed), limit });
         }
         Ok(())
     }
@@ -99,7 +99,7 @@
         Ok(self.cut(cancel.attempt, now))
     }
 
-    /// Ends an attempt; one that has not started leaves a record, so that it never starts.
+    /// Ends an attempt. If it has not started, a record is kept so that it never starts.
     pub(super) fn cut(&mut self, id: AttemptId, now: Timestamp) -> EngineReply {
         let started = match self.status(id) {
             AttemptStatus::Running { .. } => true,
@@ -142,7 +142,7 @@
         let program = release.program;
         self.fences.observe(program, release.epoch, now)?;
         if release.closing {
-            self.fences.end(program, release.epoch, now);
+            self.fences.mark_ended(program, release.epoch, now);
             for id in self.attempts.of_program(program) {
                 self.cut(id, now);
             }
@@ -157,13 +157,13 @@
         let mut segments = export.segments;
         let links = chain_links(&export.tenant, &export.model, &segments);
         let tokens = self.cache.computed_prefix(&links);
-        segments.truncate(whole_segments(&segments, tokens));
+        segments.truncate(count_whole_segments(&segments, tokens));
         let kept: u64 = segments.iter().map(|segment| segment.tokens.0).sum();
         if kept == 0 {
             return Err(EngineRefusal::NothingCached { program });
         }
-        let whole = chain_links(&export.tenant, &export.model, &segments);
-        let path = self.cache.acquire(program, &whole, 0, now);
+        let kept_links = chain_links(&export.tenant, &export.model, &segments);
+        let path = self.cache.acquire(program, &kept_links, 0, now);
         let path = path.ok_or(EngineRefusal::NothingCached { program })?;
         let bytes = Bytes(kept * self.parameters.kv_bytes_per_token.0);
         let image = KvImage {
@@ -174,7 +174,7 @@
             tokens: Tokens(kept),
             bytes,
         };
-        self.link.begin(image, Direction::Export(path), now);
+        self.transfers.begin(image, Direction::Export(path), now);
         Ok(EngineReply::Accepted)
     }
 
@@ -183,11 +183,12 @@
         if !self.configuration.is_loaded(&import.image.model) {
             return Err(EngineRefusal::ModelNotLoaded { model: import.image.model });
         }
-        self.link.begin(import.image, Direction::Import, now);
+        self.transfers.begin(import.image, Direction::Import, now);
         Ok(EngineReply::Accepted)
     }
 
-    /// Caches an image that has arrived whole; without room, or for an ended program, nothing.
+    /// Caches an image that has arrived in full. Caches nothing if there is no room or the program
+    /// has ended.
     pub(super) fn finish_import(&mut self, image: KvImage, at: Timestamp) {
         let program = image.program;
         let links = chain_links(&image.tenant, &image.model, &image.segments);
@@ -204,7 +205,7 @@
         self.events.push(EngineEvent::Imported { program, tokens, at });
     }
 
-    fn order(&mut self, order: &EngineOrder, now: Timestamp) -> CommandResult {
+    fn apply_order(&mut self, order: &EngineOrder, now: Timestamp) -> CommandResult {
         if let OrderEffect::Unloaded(model) = self.configuration.apply(order, now)? {
             self.evict_waiting(&model, now);
         }
@@ -243,8 +244,8 @@
         .collect()
 }
 
-/// How many of `segments` lie wholly inside the first `tokens`.
-fn whole_segments(segments: &[Segment], tokens: u64) -> usize {
+/// Returns how many of `segments` lie entirely inside the first `tokens`.
+fn count_whole_segments(segments: &[Segment], tokens: u64) -> usize {
     let ends = segments.iter().scan(0, |end, segment| {
         *end += segment.tokens.0;
         Some(*end)
@@ -252,7 +253,7 @@
     ends.take_while(|end| *end <= tokens).count()
 }
 
-/// Names the program of an attempt.
+/// Returns the program of an attempt.
 pub(super) fn program_of(id: AttemptId) -> ProgramId {
     id.call.program
 }
--- a/crates/engine-model/src/model/stepping.rs
+++ b/crates/engine-model/src/model/stepping.rs
@@ -1,4 +1,4 @@
-//! Planning a step and taking its results.
+//! Planning of a step and processing of its results.
 
 use dahlia_types::{AttemptId, Duration, Timestamp, Tokens};
 use rand::Rng;
@@ -7,11 +7,11 @@
 use super::commands::program_of;
 use crate::attempts::{Phase, QueueKey};
 use crate::cache::ChainLink;
-use crate::step::{PrefillChunk, Step, step_time};
+use crate::step::{PrefillChunk, Step, step_micros};
 use crate::{AttemptStatus, CacheChange, EngineEvent};
 
 impl EngineModel {
-    /// Plans the next step when none is under way and there is work.
+    /// Begins the next step if none is in progress and there is work.
     pub(super) fn begin_step(&mut self, now: Timestamp) {
         if self.step.is_some() {
             return;
@@ -34,15 +34,15 @@
         self.step = Some(Step { started: now, step_duration, count, prefill, decoding, reserved });
     }
 
-    /// Takes the results of the step that ends at `now`.
+    /// Processes the results of the step that ends at `now`.
     pub(super) fn finish_step(&mut self, now: Timestamp) {
         let Some(step) = self.step.take() else { return };
         self.cache.refund_private(step.reserved);
         self.report_progress(step.count, now);
         self.cache.grow_private(self.batch.decoding_count() * step.count, now);
         self.batch.advance(step.count);
-        for part in &step.prefill {
-            self.finish_prefill(*part, now);
+        for chunk in &step.prefill {
+            self.finish_prefill(*chunk, now);
         }
         while let Some(id) = self.batch.next_finished() {
             self.finish_attempt(id, now);
@@ -59,16 +59,17 @@
     }
 
     fn draw_step_time(&mut self, prefill: &[PrefillChunk], decoding: u64) -> Duration {
-        let mean = step_time(&self.parameters, prefill, decoding, self.batch.context);
+        let mean = step_micros(&self.parameters, prefill, decoding, self.batch.context);
         let jitter = self.parameters.step_jitter;
         let factor =
             if jitter > 0.0 { self.random.random_range(1.0 - jitter..1.0 + jitter) } else { 1.0 };
         Duration::from_micros(((mean * factor) as u64).max(1))
     }
 
-    /// Shares the step's prefill among prompts, in order; admits waiting ones on the way.
+    /// Distributes the step's prefill budget over prompts in queue order, and admits waiting
+    /// attempts along the way.
     fn plan_prefill(&mut self, now: Timestamp) -> Vec<PrefillChunk> {
-        let mut parts = Vec::new();
+        let mut chunks = Vec::new();
         let mut budget = self.parameters.prefill_chunk.0;
         let mut last = None;
         let mut blocked = false;
@@ -81,20 +82,21 @@
                 continue;
             }
             last = Some(key);
-            let part = self.prefill_chunk_for(key.2, budget);
-            budget -= part.tokens;
-            parts.push(part);
+            let chunk = self.prefill_chunk_for(key.2, budget);
+            budget -= chunk.tokens;
+            chunks.push(chunk);
         }
-        parts
+        chunks
     }
 
     fn prefill_chunk_for(&mut self, id: AttemptId, budget: u64) -> PrefillChunk {
         let (context, left) = self.remaining_prefill(id);
-        // A wholly cached prompt still computes its last token, which gives the first new one.
+        // Even a fully cached prompt computes its last token, to generate the first new one.
         PrefillChunk { attempt: id, tokens: left.clamp(1, budget), context }
     }
 
-    /// Skips what others have computed meanwhile; gives the tokens behind and before the cursor.
+    /// Moves the cursor past what other attempts have computed meanwhile. Returns the tokens that
+    /// are done and those that remain.
     fn remaining_prefill(&mut self, id: AttemptId) -> (u64, u64) {
         let Some(attempt) = self.attempts.get_mut(id) else { return (0, 0) };
         let Phase::Prefilling { cursor, recomputed } = &mut attempt.phase else { return (0, 0) };
@@ -113,22 +115,22 @@
         (done + *recomputed, left)
     }
 
-    fn finish_prefill(&mut self, part: PrefillChunk, now: Timestamp) {
-        self.advance_cursor(part);
-        // An attempt that was cut in the middle of the step is gone.
-        let Some(attempt) = self.attempts.get(part.attempt) else { return };
+    fn finish_prefill(&mut self, chunk: PrefillChunk, now: Timestamp) {
+        self.advance_cursor(chunk);
+        // An attempt that was cut during the step has no record here any more.
+        let Some(attempt) = self.attempts.get(chunk.attempt) else { return };
         if !matches!(attempt.phase, Phase::Prefilling { .. }) {
             return;
         }
-        if self.remaining_prefill(part.attempt).1 == 0 {
-            self.start_decoding(part.attempt, now);
+        if self.remaining_prefill(chunk.attempt).1 == 0 {
+            self.start_decoding(chunk.attempt, now);
         }
     }
 
-    fn advance_cursor(&mut self, part: PrefillChunk) {
-        let Some(attempt) = self.attempts.get_mut(part.attempt) else { return };
+    fn advance_cursor(&mut self, chunk: PrefillChunk) {
+        let Some(attempt) = self.attempts.get_mut(chunk.attempt) else { return };
         let Phase::Prefilling { cursor, recomputed } = &mut attempt.phase else { return };
-        let mut tokens = part.tokens;
+        let mut tokens = chunk.tokens;
         while tokens > 0 && cursor.node < attempt.path.len() {
             let length = attempt.links[cursor.node].tokens;
             let taken = tokens.min(length - cursor.offset);
@@ -148,7 +150,7 @@
         let Some(attempt) = self.attempts.get_mut(id) else { return };
         let offset = attempt.generated_before;
         let base = offset + 1;
-        let finish = start_clock + (attempt.target() - base.min(attempt.target()));
+        let finish = start_clock + (attempt.target_tokens() - base.min(attempt.target_tokens()));
         let key = attempt.queue_key();
         let context = attempt.prompt_tokens + base;
         attempt.phase = Phase::Decoding { start_clock, base, finish };
@@ -168,7 +170,7 @@
         };
         let parent = attempt.path.last().copied();
         let link = answer_link(&attempt, usage.generated);
-        // The path must stay pinned until the answer hangs on it.
+        // The path must stay pinned until the answer's node is attached to it.
         self.cache.pin_path(&attempt.path, now);
         self.remove_from_batch(&attempt, now);
         self.cache.store_answer(program_of(id), parent, link, now);
@@ -202,7 +204,7 @@
     }
 }
 
-/// The cache link of a finished answer, as the next prompt will name it.
+/// Returns the chain link of a finished answer, as the next prompt will refer to it.
 fn answer_link(attempt: &crate::attempts::LiveAttempt, generated: Tokens) -> ChainLink {
     let submit = &attempt.submit;
     let answer = crate::Segment { hash: submit.answer_hash, tokens: generated };
--- a/crates/engine-model/src/parameters.rs
+++ b/crates/engine-model/src/parameters.rs
@@ -1,4 +1,4 @@
-//! What an engine can do: speeds and sizes.
+//! Parameters of an engine: speeds and sizes.
 
 use dahlia_types::{Bytes, Duration, InvalidSetting, Tokens, check_range};
 use serde::{Deserialize, Serialize};
@@ -16,15 +16,15 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct EngineParameters {
-    /// KV cache, in tokens.
+    /// Capacity of the KV cache, in tokens.
     pub kv_capacity: Tokens,
     /// Allocation unit of the KV cache, in tokens.
     pub block_tokens: Tokens,
-    /// Most attempts in the batch at once.
+    /// Maximum number of attempts in the batch.
     pub max_batch: u32,
-    /// Most attempts waiting; more are refused as overloaded.
+    /// Maximum number of waiting attempts; further ones are refused as overloaded.
     pub max_waiting: u32,
-    /// Most tokens prefilled in one step (chunked prefill, Sarathi-Serve 2024).
+    /// Maximum number of tokens prefilled in one step (chunked prefill, Sarathi-Serve 2024).
     pub prefill_chunk: Tokens,
     /// Fixed time of a step, in microseconds.
     pub step_base_micros: f64,
@@ -32,11 +32,11 @@
     pub prefill_token_micros: f64,
     /// Extra time for each token prefilled and each token of context before it, in nanoseconds.
     pub attention_nanos: f64,
-    /// Time for each sequence that decodes, in microseconds.
+    /// Time for each decoding sequence, in microseconds.
     pub decode_sequence_micros: f64,
     /// Time for each token of KV read in a decode step, in nanoseconds.
     pub kv_read_nanos: f64,
-    /// Relative spread of a step's time, 0 to 0.5; drawn evenly.
+    /// Relative spread of a step's time, 0 to 0.5; drawn from a uniform distribution.
     pub step_jitter: f64,
     /// Size of one token's KV.
     pub kv_bytes_per_token: Bytes,
@@ -44,11 +44,13 @@
     pub transfer_bytes_per_second: f64,
     /// Fixed time of a transfer.
     pub transfer_setup: Duration,
-    /// Time to load a model once its weights are there.
+    /// Time to load a model once its weights have arrived.
     pub model_load_time: Duration,
-    /// Decode steps that may be taken as one while nothing else changes. 1 gives each its event.
+    /// Maximum number of decode steps taken as one while nothing else changes. With 1, each step
+    /// has its own event.
     pub max_leap_steps: u64,
-    /// Whether each step reports the tokens it generated; else only first tokens and ends are.
+    /// Whether each step reports the tokens it generated. Otherwise only first tokens and ends are
+    /// reported.
     pub report_progress: bool,
     /// How long records of ended attempts and tombstones are kept.
     pub record_retention: Duration,
@@ -80,7 +82,7 @@
 }
 
 impl EngineParameters {
-    /// Checks every field's range.
+    /// Checks the ranges of the fields.
     ///
     /// # Errors
     /// [`InvalidSetting`] naming the first field out of range.
--- a/crates/engine-model/src/prompt.rs
+++ b/crates/engine-model/src/prompt.rs
@@ -1,4 +1,4 @@
-//! Prompts as segments, and the hashes under which their prefixes are cached.
+//! Prompts as lists of segments, and the hashes under which their prefixes are cached.
 
 use dahlia_types::{Bytes, ModelId, ProgramId, TenantId, Tokens};
 use serde::{Deserialize, Serialize};
@@ -21,21 +21,21 @@
 pub struct ChainHash(pub u64);
 
 impl ChainHash {
-    /// The chain's start for a tenant's prompts to a model.
+    /// Returns the start of the chain for a tenant's prompts to a model.
     pub fn root(tenant: &TenantId, model: &ModelId) -> Self {
         let salted = hash_bytes(FNV_OFFSET, tenant.as_str().as_bytes());
         let separated = hash_bytes(salted, &[0]);
         Self(hash_bytes(separated, model.as_str().as_bytes()))
     }
 
-    /// The chain one segment further.
+    /// Returns the hash of this prefix with one more segment.
     pub fn extend(self, segment: Segment) -> Self {
         let with_content = hash_bytes(self.0, &segment.hash.to_le_bytes());
         Self(hash_bytes(with_content, &segment.tokens.0.to_le_bytes()))
     }
 }
 
-/// The hashes of every prefix of `segments`, shortest first.
+/// Returns the hash of every prefix of `segments`, shortest first.
 pub fn chain_hashes(tenant: &TenantId, model: &ModelId, segments: &[Segment]) -> Vec<ChainHash> {
     let root = ChainHash::root(tenant, model);
     let extended = segments.iter().scan(root, |chain, segment| {
@@ -52,16 +52,16 @@
 #[serde(transparent)]
 pub struct Priority(pub u64);
 
-/// An exported piece of KV cache, named by what it holds. The driver keeps the bytes.
+/// Description of an exported part of the KV cache. The driver keeps the bytes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KvImage {
     /// The program it was exported for.
     pub program: ProgramId,
-    /// The tenant whose salt its hashes carry.
+    /// The tenant that salts its hashes.
     pub tenant: TenantId,
     /// The model that computed it.
     pub model: ModelId,
-    /// The prefix that it holds.
+    /// The exported prefix.
     pub segments: Vec<Segment>,
     /// Length of the prefix.
     pub tokens: Tokens,
@@ -69,7 +69,8 @@
     pub bytes: Bytes,
 }
 
-/// FNV-1a, 64 bits (draft-eastlake-fnv): stable over platforms and builds.
+/// Offset basis of 64-bit FNV-1a (draft-eastlake-fnv), a hash that is stable across platforms and
+/// builds.
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
 
--- a/crates/engine-model/src/step.rs
+++ b/crates/engine-model/src/step.rs
@@ -1,10 +1,10 @@
-//! One step of the engine, or several equal decode steps taken as one.
+//! A step of the engine, or a leap: several equal decode steps taken as one.
 
 use dahlia_types::{AttemptId, Duration, Timestamp};
 
 use crate::EngineParameters;
 
-/// A part of a prompt that is computed in a step.
+/// The part of a prompt that is computed in one step.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct PrefillChunk {
     pub attempt: AttemptId,
@@ -14,18 +14,18 @@
     pub context: u64,
 }
 
-/// Steps under way.
+/// The steps in progress.
 #[derive(Debug)]
 pub(crate) struct Step {
     pub started: Timestamp,
-    /// Duration of each step.
+    /// Duration of a single step.
     pub step_duration: Duration,
-    /// How many equal steps are taken.
+    /// Number of equal steps taken as one.
     pub count: u64,
     pub prefill: Vec<PrefillChunk>,
-    /// Sequences that decode.
+    /// Number of decoding sequences.
     pub decoding: u64,
-    /// Memory taken in advance for the tokens that these steps generate.
+    /// Memory reserved for the tokens that these steps generate, in tokens.
     pub reserved: u64,
 }
 
@@ -34,7 +34,8 @@
         self.started + self.step_duration.times(self.count)
     }
 
-    /// Cuts the leap short after the step that is under way at `now`; gives the memory saved.
+    /// Ends the leap after the step that is in progress at `now`. Returns the memory, in tokens,
+    /// that is no longer reserved.
     pub(crate) fn shorten(&mut self, now: Timestamp) -> u64 {
         let passed = now.since(self.started).as_micros();
         let needed = passed.div_ceil(self.step_duration.as_micros()).max(1);
@@ -46,8 +47,9 @@
     }
 }
 
-/// Time of one step (base + prefill + attention of the prefill + decode + KV read).
-pub(crate) fn step_time(
+/// Returns the duration of one step in microseconds (base + prefill + attention of the prefill +
+/// decode + KV read).
+pub(crate) fn step_micros(
     parameters: &EngineParameters,
     prefill: &[PrefillChunk],
     decoding: u64,
@@ -55,9 +57,9 @@
 ) -> f64 {
     let prefill_micros: f64 = prefill
         .iter()
-        .map(|part| {
-            let tokens = part.tokens as f64;
-            let attention = tokens * (part.context as f64 + tokens / 2.0);
+        .map(|chunk| {
+            let tokens = chunk.tokens as f64;
+            let attention = tokens * (chunk.context as f64 + tokens / 2.0);
             tokens * parameters.prefill_token_micros
                 + attention * parameters.attention_nanos / 1000.0
         })
--- a/crates/engine-model/src/transfer.rs
+++ b/crates/engine-model/src/transfer.rs
@@ -1,4 +1,4 @@
-//! Export and import of KV: transfers share one link and run one after another.
+//! Export and import of KV. Transfers share one link and run one after another.
 
 use std::collections::VecDeque;
 
@@ -7,16 +7,16 @@
 use crate::cache::NodeId;
 use crate::{EngineParameters, KvImage};
 
-/// Which way a transfer goes.
+/// The direction of a transfer.
 #[derive(Debug)]
 pub(crate) enum Direction {
-    /// Out; the nodes are pinned until it ends.
+    /// Out of the engine. The nodes are pinned until the transfer ends.
     Export(Vec<NodeId>),
-    /// In.
+    /// Into the engine.
     Import,
 }
 
-/// A transfer under way.
+/// A transfer that is queued or in progress.
 #[derive(Debug)]
 pub(crate) struct Transfer {
     pub image: KvImage,
@@ -24,7 +24,7 @@
     pub ends: Timestamp,
 }
 
-/// The engine's link for KV.
+/// The link over which the engine transfers KV.
 #[derive(Debug)]
 pub(crate) struct TransferLink {
     bytes_per_second: f64,
@@ -41,19 +41,19 @@
         }
     }
 
-    /// Adds a transfer behind the ones under way.
+    /// Queues a transfer behind the earlier ones.
     pub(crate) fn begin(&mut self, image: KvImage, direction: Direction, now: Timestamp) {
         let free = self.queue.back().map_or(now, |last| last.ends.max(now));
-        let ends = free + self.setup + self.time_for(image.bytes);
+        let ends = free + self.setup + self.transfer_time(image.bytes);
         self.queue.push_back(Transfer { image, direction, ends });
     }
 
-    /// When the next transfer ends.
+    /// Returns when the next transfer ends.
     pub(crate) fn next_end(&self) -> Option<Timestamp> {
         self.queue.front().map(|transfer| transfer.ends)
     }
 
-    /// Takes the next transfer that has ended by `now`.
+    /// Removes and returns the next transfer that has ended by `now`.
     pub(crate) fn take_ended(&mut self, now: Timestamp) -> Option<Transfer> {
         if self.next_end()? > now {
             return None;
@@ -61,7 +61,7 @@
         self.queue.pop_front()
     }
 
-    fn time_for(&self, bytes: Bytes) -> Duration {
+    fn transfer_time(&self, bytes: Bytes) -> Duration {
         Duration::from_secs_f64(bytes.0 as f64 / self.bytes_per_second)
     }
 }
