--- a/crates/engine-model/tests/engine.rs
+++ b/crates/engine-model/tests/engine.rs
@@ -23,7 +23,7 @@
     let mut next = 0;
     for event in &events {
         if let EngineEvent::Generated { offset, count, .. } = event {
-            assert_eq!(offset.0, next, "tokens come without gap or repetition");
+            assert_eq!(offset.0, next, "tokens must have no gap or repetition");
             next += count.0;
         }
     }
@@ -34,10 +34,10 @@
 }
 
 #[test]
-fn leaps_over_decode_steps_end_at_the_same_moment_as_single_steps() {
-    let end = |leap| {
+fn leaps_over_decode_steps_end_within_one_percent_of_single_steps() {
+    let end_of_run = |max_leap_steps| {
         let mut harness = Harness::with_parameters(|parameters| {
-            parameters.max_leap_steps = leap;
+            parameters.max_leap_steps = max_leap_steps;
             parameters.report_progress = false;
         });
         harness.submit(submit_command(1, 1, one_segment_prompt(1, 3000), 200));
@@ -46,9 +46,10 @@
         harness.run_until_idle();
         harness.now
     };
-    // A leap prices all its steps at the context of the first, so it is slightly early.
-    let (single, leaps) = (end(1).0 as f64, end(256).0 as f64);
-    assert!((single - leaps).abs() / single < 0.01, "{single} against {leaps}");
+    // A leap computes the duration of all its steps from the context of the first, so it ends
+    // slightly early.
+    let (single, leaps) = (end_of_run(1).0 as f64, end_of_run(256).0 as f64);
+    assert!((single - leaps).abs() / single < 0.01, "single steps: {single}, leaps: {leaps}");
 }
 
 #[test]
@@ -88,7 +89,7 @@
 }
 
 #[test]
-fn urgent_attempts_go_first() {
+fn urgent_attempts_start_first() {
     let mut harness = Harness::with_parameters(|parameters| parameters.max_batch = 1);
     harness.submit(submit_command(1, 1, one_segment_prompt(1, 1000), 50));
     for (program, priority) in [(2, 9), (3, 5), (4, 1)] {
@@ -108,12 +109,12 @@
 }
 
 #[test]
-fn short_memory_preempts_the_least_urgent_and_all_end_whole() {
+fn memory_shortage_preempts_the_least_urgent_and_all_attempts_finish() {
     let mut harness = Harness::with_parameters(|parameters| parameters.kv_capacity = Tokens(4096));
     for program in 1..=3 {
-        let mut one = submit_command(program, 1, one_segment_prompt(program, 1000), 900);
-        one.priority = Priority(program);
-        harness.submit(one);
+        let mut submit = submit_command(program, 1, one_segment_prompt(program, 1000), 900);
+        submit.priority = Priority(program);
+        harness.submit(submit);
     }
     let events = harness.run_until_idle();
     let preempted: Vec<u64> = events
@@ -123,8 +124,8 @@
             _ => None,
         })
         .collect();
-    assert!(preempted.contains(&3), "the least urgent is preempted: {preempted:?}");
-    assert!(!preempted.contains(&1), "the most urgent is not: {preempted:?}");
+    assert!(preempted.contains(&3), "the least urgent must be preempted: {preempted:?}");
+    assert!(!preempted.contains(&1), "the most urgent must not be preempted: {preempted:?}");
     for program in 1..=3 {
         assert_eq!(finished_usage(&events, attempt_id(program, 1)).generated, Tokens(900));
     }
@@ -132,13 +133,13 @@
 }
 
 #[test]
-fn what_is_not_held_is_evicted_before_what_is() {
+fn cache_without_a_hold_is_evicted_before_held_cache() {
     let mut harness = Harness::with_parameters(|parameters| parameters.kv_capacity = Tokens(8192));
     harness.submit(submit_command(1, 1, one_segment_prompt(1, 3000), 10));
     harness.run_until_idle();
     harness.submit(submit_command(2, 1, one_segment_prompt(2, 3000), 10));
     harness.run_until_idle();
-    // Program 1 was used longest ago, but is held.
+    // Program 1 is the least recently used, but it is held.
     let until = harness.now + Duration::from_secs(600);
     let hold =
         Hold { program: support::program_id(1), epoch: Term(1), until, after: AfterHold::Free };
@@ -150,7 +151,7 @@
 }
 
 #[test]
-fn a_hold_frees_by_itself_when_it_lapses() {
+fn a_lapsed_hold_frees_the_cache() {
     let mut harness = Harness::new();
     harness.submit(submit_command(1, 1, one_segment_prompt(1, 3000), 10));
     harness.run_until_idle();
@@ -166,7 +167,7 @@
 }
 
 #[test]
-fn a_program_that_is_back_does_not_lose_its_cache_to_an_old_hold() {
+fn an_old_hold_does_not_free_the_cache_of_a_returning_program() {
     let mut harness = Harness::new();
     harness.submit(submit_command(1, 1, one_segment_prompt(1, 3000), 10));
     harness.run_until_idle();
@@ -180,7 +181,7 @@
 }
 
 #[test]
-fn a_closing_release_cuts_attempts_frees_all_and_refuses_later_ones() {
+fn a_closing_release_cuts_attempts_frees_the_cache_and_refuses_later_attempts() {
     let mut harness = Harness::new();
     harness.submit(submit_command(1, 1, one_segment_prompt(1, 3000), 500));
     harness.run_until(Timestamp(400_000));
@@ -197,7 +198,7 @@
 }
 
 #[test]
-fn a_cancelled_attempt_that_was_never_seen_never_starts() {
+fn an_unknown_attempt_that_is_cancelled_never_starts() {
     let mut harness = Harness::new();
     let cancel = Cancel { attempt: attempt_id(1, 1), epoch: Term(1), only_waiting: false };
     assert_eq!(harness.handle(EngineCommand::Cancel(cancel)), EngineReply::NeverStarted);
@@ -220,7 +221,7 @@
 }
 
 #[test]
-fn a_second_submission_joins_the_first() {
+fn a_second_submission_does_not_run_the_attempt_again() {
     let mut harness = Harness::new();
     harness.submit(submit_command(1, 1, one_segment_prompt(1, 100), 5));
     let again = harness.submit(submit_command(1, 1, one_segment_prompt(1, 100), 5));
@@ -244,7 +245,7 @@
 }
 
 #[test]
-fn another_incarnation_is_refused() {
+fn a_submission_for_another_incarnation_is_refused() {
     let mut harness = Harness::new();
     let mut wrong = submit_command(1, 1, one_segment_prompt(1, 100), 5);
     wrong.incarnation = Some(Incarnation(99));
@@ -256,7 +257,7 @@
 }
 
 #[test]
-fn orders_are_fenced_by_generation_and_a_draining_engine_takes_nothing_new() {
+fn orders_are_fenced_by_generation_and_a_draining_engine_refuses_attempts() {
     let mut harness = Harness::new();
     let order = |generation, role| {
         let kind = OrderKind::SetRole(role);
@@ -271,7 +272,7 @@
 }
 
 #[test]
-fn an_unloaded_model_ends_what_waits_unrun() {
+fn unloading_a_model_evicts_its_waiting_attempts() {
     let mut harness = Harness::with_parameters(|parameters| parameters.max_batch = 1);
     harness.submit(submit_command(1, 1, one_segment_prompt(1, 100), 50));
     harness.submit(submit_command(2, 1, one_segment_prompt(2, 100), 50));
@@ -284,7 +285,7 @@
 }
 
 #[test]
-fn an_exported_prefix_is_warm_where_it_is_imported() {
+fn an_imported_prefix_is_cached() {
     let mut source = Harness::new();
     source.submit(submit_command(1, 1, one_segment_prompt(1, 3000), 10));
     source.run_until_idle();
@@ -301,7 +302,7 @@
         EngineEvent::Exported { image, .. } => Some(image),
         _ => None,
     });
-    let image = image.expect("the export ends");
+    let image = image.expect("the export must end");
     let mut target = Harness::new();
     target.handle(EngineCommand::Import(Import { epoch: Term(1), image }));
     target.run_until_idle();
@@ -310,7 +311,7 @@
 }
 
 #[test]
-fn cache_events_count_up_and_agree_with_the_inventory() {
+fn cache_event_sequences_have_no_gaps_and_match_the_inventory() {
     let mut harness = Harness::with_parameters(|parameters| parameters.kv_capacity = Tokens(8192));
     let mut reported = std::collections::BTreeMap::new();
     let mut last = 0;
--- a/crates/engine-model/tests/random_commands.rs
+++ b/crates/engine-model/tests/random_commands.rs
@@ -1,4 +1,4 @@
-//! Random commands with fixed seeds: the books of memory and attempts stay right.
+//! Runs random commands with fixed seeds and checks the accounting of memory and attempts.
 
 mod support;
 
@@ -18,7 +18,7 @@
 const STEPS_PER_SEED: usize = 400;
 const PROGRAM_COUNT: u64 = 8;
 const CAPACITY_TOKENS: u64 = 16_384;
-/// Memory that one step may take beyond the capacity; see the cache's `grow_private`.
+/// Memory that one step may use in excess of the capacity; see the cache's `grow_private`.
 const OVERSHOOT_TOKENS: u64 = 64;
 
 struct RandomRun {
@@ -44,7 +44,7 @@
         self.calls += 1;
         let number = self.random.random_range(0..PROGRAM_COUNT);
         let length = self.random.random_range(1..4);
-        // Few distinct hashes, so that prefixes are shared in many ways.
+        // There are few distinct hashes, so that programs share prefixes in many ways.
         let prompt = (0..length)
             .map(|_| segment(self.random.random_range(0..3), 100 * self.random.random_range(1..12)))
             .collect();
@@ -54,7 +54,7 @@
         drawn
     }
 
-    fn step(&mut self) {
+    fn run_random_command(&mut self) {
         let number = self.random.random_range(0..PROGRAM_COUNT);
         match self.random.random_range(0..10) {
             0..=4 => {
@@ -73,8 +73,8 @@
             }
             8 => self.export(number),
             _ => {
-                let pass = Duration::from_millis(self.random.random_range(0..4000));
-                let events = self.harness.run_until(self.harness.now + pass);
+                let elapsed = Duration::from_millis(self.random.random_range(0..4000));
+                let events = self.harness.run_until(self.harness.now + elapsed);
                 self.handle_events(events);
             }
         }
@@ -136,7 +136,7 @@
     for seed in 0..SEED_COUNT {
         let mut run = RandomRun::new(seed);
         for _ in 0..STEPS_PER_SEED {
-            run.step();
+            run.run_random_command();
             run.check_memory(seed);
         }
         let events = run.harness.run_until_idle();
@@ -145,9 +145,8 @@
         assert!(open.is_empty(), "seed {seed}: {open:?} did not end");
         for id in &run.accepted {
             let status = run.harness.engine.status(*id);
-            let under_way =
-                matches!(status, AttemptStatus::Waiting | AttemptStatus::Running { .. });
-            assert!(!under_way, "seed {seed}: {id} is {status:?}");
+            let is_live = matches!(status, AttemptStatus::Waiting | AttemptStatus::Running { .. });
+            assert!(!is_live, "seed {seed}: {id} is {status:?}");
         }
         assert_eq!(
             run.harness.engine.load_report(run.harness.now).pinned,
@@ -158,11 +157,11 @@
 }
 
 #[test]
-fn nothing_is_listed_for_programs_that_were_released_as_ended() {
+fn the_inventory_is_empty_once_all_programs_are_released_as_ended() {
     for seed in 0..SEED_COUNT {
         let mut run = RandomRun::new(seed);
         for _ in 0..STEPS_PER_SEED {
-            run.step();
+            run.run_random_command();
         }
         for number in 0..PROGRAM_COUNT {
             let release = Release { program: program_id(number), epoch: Term(1), closing: true };
--- a/crates/engine-model/tests/support/mod.rs
+++ b/crates/engine-model/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! A bench with one engine.
+//! A test harness with one engine, and builders of identifiers and commands.
 
-#![allow(dead_code, reason = "each test file uses a part of it")]
+#![allow(dead_code, reason = "each test file uses only some of the helpers")]
 
 use dahlia_engine_model::{
     EngineCommand, EngineEvent, EngineModel, EngineParameters, EngineReply, Priority, Segment,
@@ -11,7 +11,7 @@
     Timestamp, Tokens, Usage,
 };
 
-/// An engine and the time.
+/// An engine model and the virtual time that drives it.
 pub struct Harness {
     pub engine: EngineModel,
     pub now: Timestamp,
@@ -39,13 +39,13 @@
         self.handle(EngineCommand::Submit(submit))
     }
 
-    /// Runs to a moment.
+    /// Runs the engine until `at`.
     pub fn run_until(&mut self, at: Timestamp) -> Vec<EngineEvent> {
         self.now = at;
         self.engine.advance(at)
     }
 
-    /// Runs until nothing is left to do.
+    /// Runs the engine until it has nothing left to do.
     pub fn run_until_idle(&mut self) -> Vec<EngineEvent> {
         let mut events = self.engine.advance(self.now);
         while let Some(at) = self.engine.next_wakeup() {
@@ -55,7 +55,7 @@
         events
     }
 
-    /// Tokens held for a program.
+    /// Returns the tokens cached for a program.
     pub fn cached_tokens(&self, number: u64) -> u64 {
         let inventory = self.engine.inventory(self.now);
         let found = inventory.programs.iter().find(|held| held.program == program_id(number));
@@ -107,11 +107,11 @@
     }
 }
 
-/// The usage with which an attempt ended.
+/// Returns the usage with which an attempt finished.
 pub fn finished_usage(events: &[EngineEvent], id: AttemptId) -> Usage {
     let found = events.iter().find_map(|event| match event {
         EngineEvent::Finished { attempt, usage, .. } if *attempt == id => Some(*usage),
         _ => None,
     });
-    found.expect("the attempt finished")
+    found.expect("the attempt must have finished")
 }
--- a/tools/codegen/src/main.rs
+++ b/tools/codegen/src/main.rs
@@ -1,7 +1,7 @@
-//! Generates the Rust code of the operators' schema. Run by hand; its output is committed.
+//! Generates the Rust code of the operators' schema. It is run by hand and its output is committed.
 //!
 //! `cargo run -p dahlia-codegen` writes the generated file; with `--check` it writes nothing and
-//! exits 1 when the committed file differs from what would be generated.
+//! exits with 1 if the committed file differs from the generated one.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -9,23 +9,23 @@
 
 use snafu::{ResultExt, Snafu};
 
-const SCHEMA: &str = "operators.proto";
-const GENERATED: &str = "dahlialadder.operators.v1.rs";
+const SCHEMA_FILE: &str = "operators.proto";
+const GENERATED_FILE: &str = "dahlialadder.operators.v1.rs";
 
 #[derive(Debug, Snafu)]
 enum CodegenError {
-    #[snafu(display("compiling {SCHEMA}: {source}"))]
+    #[snafu(display("compiling {SCHEMA_FILE}: {source}"))]
     Schema { source: Box<dyn std::error::Error + Send + Sync> },
-    #[snafu(display("{step} {}: {source}", path.display()))]
-    File { step: &'static str, path: PathBuf, source: io::Error },
+    #[snafu(display("{operation} {}: {source}", path.display()))]
+    File { operation: &'static str, path: PathBuf, source: io::Error },
 }
 
 fn main() -> ExitCode {
     let check = env::args().any(|argument| argument == "--check");
-    match run(check) {
+    match check_or_update(check) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => {
-            eprintln!("codegen: {GENERATED} is stale; run cargo run -p dahlia-codegen");
+            eprintln!("codegen: {GENERATED_FILE} is stale; run cargo run -p dahlia-codegen");
             ExitCode::FAILURE
         }
         Err(error) => {
@@ -35,35 +35,39 @@
     }
 }
 
-/// Generates into a scratch folder, then compares or replaces. Returns whether the tree is fresh.
-fn run(check: bool) -> Result<bool, CodegenError> {
-    let api = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../crates/api");
-    let scratch = env::temp_dir().join(format!("dahlia-codegen-{}", std::process::id()));
-    fs::create_dir_all(&scratch).context(FileSnafu { step: "creating", path: &scratch })?;
-    let text = generate(&api.join("proto"), &scratch);
-    fs::remove_dir_all(&scratch).context(FileSnafu { step: "removing", path: &scratch })?;
+/// Generates the code into a temporary folder, then compares the committed file with it or replaces
+/// it. Returns whether the committed file is up to date.
+fn check_or_update(check: bool) -> Result<bool, CodegenError> {
+    let api_crate = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../crates/api");
+    let temporary = env::temp_dir().join(format!("dahlia-codegen-{}", std::process::id()));
+    fs::create_dir_all(&temporary)
+        .context(FileSnafu { operation: "creating", path: &temporary })?;
+    let text = generate(&api_crate.join("proto"), &temporary);
+    fs::remove_dir_all(&temporary)
+        .context(FileSnafu { operation: "removing", path: &temporary })?;
     let text = text?;
-    let committed = api.join("src/generated").join(GENERATED);
+    let committed = api_crate.join("src/generated").join(GENERATED_FILE);
     if check {
-        let present = fs::read_to_string(&committed)
-            .context(FileSnafu { step: "reading", path: &committed })?;
-        return Ok(present == text);
+        let current = fs::read_to_string(&committed)
+            .context(FileSnafu { operation: "reading", path: &committed })?;
+        return Ok(current == text);
     }
-    fs::write(&committed, text).context(FileSnafu { step: "writing", path: &committed })?;
+    fs::write(&committed, text).context(FileSnafu { operation: "writing", path: &committed })?;
     Ok(true)
 }
 
-fn generate(schemas: &Path, scratch: &Path) -> Result<String, CodegenError> {
-    let descriptors = protox::compile([schemas.join(SCHEMA)], [schemas])
+/// Compiles the schema in `schemas` and returns the generated code.
+fn generate(schemas: &Path, temporary: &Path) -> Result<String, CodegenError> {
+    let descriptors = protox::compile([schemas.join(SCHEMA_FILE)], [schemas])
         .map_err(Into::into)
         .context(SchemaSnafu)?;
     tonic_prost_build::configure()
-        .out_dir(scratch)
-        // The command line prints answers as JSON.
+        .out_dir(temporary)
+        // The command line prints answers as JSON, so every type must be serializable.
         .type_attribute(".", "#[derive(serde::Serialize)]")
         .compile_fds(descriptors)
         .map_err(Into::into)
         .context(SchemaSnafu)?;
-    let path = scratch.join(GENERATED);
-    fs::read_to_string(&path).context(FileSnafu { step: "reading", path: &path })
+    let path = temporary.join(GENERATED_FILE);
+    fs::read_to_string(&path).context(FileSnafu { operation: "reading", path: &path })
 }
