--- a/crates/engine-model/src/orders.rs
+++ b/crates/engine-model/src/configuration.rs
@@ -1,4 +1,4 @@
-//! Loaded models and the role, changed by fenced orders.
+//! Loaded models and the role of the engine, changed by orders that generations fence.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,33 +6,33 @@
 
 use crate::{EngineOrder, EngineRefusal, EngineRole, OrderKind};
 
-/// What an order is about; each subject has its own fence.
+/// The subject of an order. Each subject has its own fence.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-enum Subject {
+enum OrderSubject {
     Model(ModelId),
     Role,
 }
 
-/// What follows from an accepted order.
+/// What the engine must do after an accepted order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum OrderEffect {
-    /// Nothing beyond the state kept here.
+    /// Nothing further.
     None,
-    /// The model's waiting attempts have to go.
+    /// The model was unloaded, so its waiting attempts must be evicted.
     Unloaded(ModelId),
 }
 
-/// Models, role and the newest generation seen for each.
+/// Loaded models, role, and the newest generation seen for each subject.
 #[derive(Debug)]
-pub(crate) struct Orders {
+pub(crate) struct EngineConfiguration {
     load_time: Duration,
     role: EngineRole,
     loaded: BTreeSet<ModelId>,
     loading: BTreeMap<ModelId, Timestamp>,
-    fences: BTreeMap<Subject, Generation>,
+    fences: BTreeMap<OrderSubject, Generation>,
 }
 
-impl Orders {
+impl EngineConfiguration {
     pub(crate) fn new(load_time: Duration) -> Self {
         Self {
             load_time,
@@ -43,8 +43,8 @@
         }
     }
 
-    /// Starts with a model loaded, as an engine that was set up so.
-    pub(crate) fn preload(&mut self, model: ModelId) {
+    /// Marks a model as loaded without an order, for an engine that starts with it.
+    pub(crate) fn add_loaded_model(&mut self, model: ModelId) {
         self.loaded.insert(model);
     }
 
@@ -60,31 +60,32 @@
         self.loaded.iter().cloned().collect()
     }
 
-    /// Carries an order out, or refuses it by its generation. Repeating one changes nothing.
+    /// Executes an order, or refuses it if its generation is stale. Repeating an order changes
+    /// nothing.
     pub(crate) fn apply(
         &mut self,
         order: &EngineOrder,
         now: Timestamp,
     ) -> Result<OrderEffect, EngineRefusal> {
         let subject = match &order.kind {
-            OrderKind::Load(model) | OrderKind::Unload(model) => Subject::Model(model.clone()),
-            OrderKind::SetRole(_) => Subject::Role,
+            OrderKind::Load(model) | OrderKind::Unload(model) => OrderSubject::Model(model.clone()),
+            OrderKind::SetRole(_) => OrderSubject::Role,
         };
         let seen = self.fences.get(&subject).copied().unwrap_or_default();
         if order.generation < seen {
             return Err(EngineRefusal::StaleGeneration { generation: order.generation, seen });
         }
         self.fences.insert(subject, order.generation);
-        Ok(self.carry_out(&order.kind, now))
+        Ok(self.execute(&order.kind, now))
     }
 
-    /// When the next model is ready.
-    pub(crate) fn next_ready(&self) -> Option<Timestamp> {
+    /// Returns when the next model finishes loading.
+    pub(crate) fn next_load_end(&self) -> Option<Timestamp> {
         self.loading.values().min().copied()
     }
 
-    /// Takes a model that is ready by `now`.
-    pub(crate) fn take_ready(&mut self, now: Timestamp) -> Option<(ModelId, Timestamp)> {
+    /// Marks a model whose loading ends by `now` as loaded. Returns it and when it was ready.
+    pub(crate) fn finish_next_load(&mut self, now: Timestamp) -> Option<(ModelId, Timestamp)> {
         let ready = self.loading.iter().find(|(_, at)| **at <= now);
         let (model, at) = ready.map(|(model, at)| (model.clone(), *at))?;
         self.loading.remove(&model);
@@ -92,7 +93,7 @@
         Some((model, at))
     }
 
-    fn carry_out(&mut self, kind: &OrderKind, now: Timestamp) -> OrderEffect {
+    fn execute(&mut self, kind: &OrderKind, now: Timestamp) -> OrderEffect {
         match kind {
             OrderKind::Load(model) => {
                 if !self.loaded.contains(model) {
--- a/crates/engine-model/src/fence.rs
+++ b/crates/engine-model/src/fence.rs
@@ -1,4 +1,4 @@
-//! Epochs of programs: effects of an earlier owner, or for an ended program, are refused.
+//! Epochs of programs. Commands of an earlier owner, or for an ended program, are refused.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,10 +10,10 @@
 struct ProgramFence {
     epoch: Term,
     ended: bool,
-    touched: Timestamp,
+    last_used: Timestamp,
 }
 
-/// The newest epoch seen of each program.
+/// The newest epoch seen for each program.
 #[derive(Debug)]
 pub(crate) struct Fences {
     retention: Duration,
@@ -26,7 +26,7 @@
         Self { retention, programs: BTreeMap::new(), by_age: BTreeSet::new() }
     }
 
-    /// Takes note of an owner's epoch; refuses an older one.
+    /// Records an owner's epoch, or refuses it if a newer one was seen.
     pub(crate) fn observe(
         &mut self,
         program: ProgramId,
@@ -40,11 +40,11 @@
             return Err(EngineRefusal::StaleEpoch { program, epoch, seen: fence.epoch });
         }
         let ended = known.is_some_and(|fence| fence.ended);
-        self.store(program, ProgramFence { epoch, ended, touched: now });
+        self.store(program, ProgramFence { epoch, ended, last_used: now });
         Ok(())
     }
 
-    /// As [`Self::observe`], for new work: an ended program gets none.
+    /// Like [`Self::observe`], but also refuses new work for an ended program.
     pub(crate) fn admit(
         &mut self,
         program: ProgramId,
@@ -58,27 +58,27 @@
         Ok(())
     }
 
-    /// Whether the program has ended here.
+    /// Returns whether the program has ended on this engine.
     pub(crate) fn is_ended(&self, program: ProgramId) -> bool {
         self.programs.get(&program).is_some_and(|fence| fence.ended)
     }
 
-    /// Remembers that the program has ended.
-    pub(crate) fn end(&mut self, program: ProgramId, epoch: Term, now: Timestamp) {
-        self.store(program, ProgramFence { epoch, ended: true, touched: now });
+    /// Marks the program as ended.
+    pub(crate) fn mark_ended(&mut self, program: ProgramId, epoch: Term, now: Timestamp) {
+        self.store(program, ProgramFence { epoch, ended: true, last_used: now });
     }
 
-    /// Forgets programs that were not heard of for the retention time, except those for which
-    /// `in_use` holds.
+    /// Removes programs without commands for the retention time, except those for which `in_use`
+    /// returns true.
     pub(crate) fn expire(&mut self, now: Timestamp, in_use: impl Fn(ProgramId) -> bool) {
-        while let Some((touched, program)) = self.by_age.first().copied() {
-            if now.since(touched) <= self.retention {
+        while let Some((last_used, program)) = self.by_age.first().copied() {
+            if now.since(last_used) <= self.retention {
                 return;
             }
             self.by_age.pop_first();
             if in_use(program) {
                 let fence = self.programs[&program];
-                self.programs.insert(program, ProgramFence { touched: now, ..fence });
+                self.programs.insert(program, ProgramFence { last_used: now, ..fence });
                 self.by_age.insert((now, program));
             } else {
                 self.programs.remove(&program);
@@ -88,8 +88,8 @@
 
     fn store(&mut self, program: ProgramId, fence: ProgramFence) {
         if let Some(old) = self.programs.insert(program, fence) {
-            self.by_age.remove(&(old.touched, program));
+            self.by_age.remove(&(old.last_used, program));
         }
-        self.by_age.insert((fence.touched, program));
+        self.by_age.insert((fence.last_used, program));
     }
 }
--- a/crates/engine-model/src/model.rs
+++ b/crates/engine-model/src/model.rs
@@ -1,4 +1,4 @@
-//! The engine: commands in, events out.
+//! The engine model: takes commands and produces events.
 
 mod admission;
 mod commands;
@@ -11,8 +11,8 @@
 use crate::attempts::Attempts;
 use crate::batch::Batch;
 use crate::cache::PrefixCache;
+use crate::configuration::EngineConfiguration;
 use crate::fence::Fences;
-use crate::orders::Orders;
 use crate::step::Step;
 use crate::transfer::{Direction, TransferLink};
 use crate::{
@@ -20,10 +20,10 @@
     Inventory, LoadReport,
 };
 
-/// One life of one engine.
+/// One incarnation of one engine.
 ///
 /// The driver calls [`Self::handle`] for each command and [`Self::advance`] when
-/// [`Self::next_wakeup`] has come; moments may not go backwards.
+/// [`Self::next_wakeup`] has come. Timestamps must not go backwards.
 #[derive(Debug)]
 pub struct EngineModel {
     id: EngineId,
@@ -34,8 +34,8 @@
     batch: Batch,
     cache: PrefixCache,
     fences: Fences,
-    orders: Orders,
-    link: TransferLink,
+    configuration: EngineConfiguration,
+    transfers: TransferLink,
     step: Option<Step>,
     events: Vec<EngineEvent>,
     next_sequence: u64,
@@ -46,7 +46,7 @@
 }
 
 impl EngineModel {
-    /// An empty engine. `seed` drives the jitter of its steps.
+    /// Creates an empty engine. `seed` determines the jitter of its steps.
     pub fn new(
         id: EngineId,
         incarnation: Incarnation,
@@ -61,8 +61,8 @@
             batch: Batch::default(),
             cache: PrefixCache::new(parameters.kv_capacity, parameters.block_tokens),
             fences: Fences::new(parameters.record_retention),
-            orders: Orders::new(parameters.model_load_time),
-            link: TransferLink::new(&parameters),
+            configuration: EngineConfiguration::new(parameters.model_load_time),
+            transfers: TransferLink::new(&parameters),
             step: None,
             events: Vec::new(),
             next_sequence: 0,
@@ -74,52 +74,52 @@
         }
     }
 
-    /// Starts with `model` loaded, without an order.
+    /// Starts the engine with `model` loaded, without an order.
     pub fn with_model(mut self, model: ModelId) -> Self {
-        self.orders.preload(model);
+        self.configuration.add_loaded_model(model);
         self
     }
 
-    /// Records [`CacheSpan`]s from now on.
+    /// Starts to record [`CacheSpan`]s.
     pub fn record_spans(&mut self) {
         self.cache.spans.enable();
     }
 
-    /// The engine's name.
+    /// Returns the engine's identifier.
     pub fn id(&self) -> &EngineId {
         &self.id
     }
 
-    /// The engine's life.
+    /// Returns the engine's incarnation.
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// Where an attempt stands; the answer to a stream that is resumed by offset.
+    /// Returns the status of an attempt. A stream that is resumed by offset needs it.
     pub fn status(&self, attempt: AttemptId) -> AttemptStatus {
         self.attempts.status(attempt, self.batch.clock)
     }
 
-    /// When [`Self::advance`] has something to do; none while the engine is idle.
+    /// Returns when [`Self::advance`] next has something to do; `None` while the engine is idle.
     pub fn next_wakeup(&self) -> Option<Timestamp> {
         let step = self.step.as_ref().map(Step::ends);
-        let lapse = self.cache.sessions.next_lapse();
-        let transfer = self.link.next_end();
-        [step, lapse, transfer, self.orders.next_ready()].into_iter().flatten().min()
+        let hold = self.cache.programs.next_hold_end();
+        let transfer = self.transfers.next_end();
+        [step, hold, transfer, self.configuration.next_load_end()].into_iter().flatten().min()
     }
 
-    /// Runs the engine up to `now`; gives what happened since the last call, in order.
+    /// Runs the engine up to `now`. Returns the events since the last call, in order.
     pub fn advance(&mut self, now: Timestamp) -> Vec<EngineEvent> {
         self.run_until(now);
         std::mem::take(&mut self.events)
     }
 
-    /// The load at `now`. Call [`Self::advance`] first.
-    pub fn load(&self, now: Timestamp) -> LoadReport {
+    /// Returns the load at `now`. Call [`Self::advance`] first.
+    pub fn load_report(&self, now: Timestamp) -> LoadReport {
         LoadReport {
             incarnation: self.incarnation,
             at: now,
-            role: self.orders.role(),
+            role: self.configuration.role(),
             running: self.batch.running() as u32,
             waiting: self.batch.waiting.len() as u32,
             prefill_backlog: Tokens(self.prefill_backlog),
@@ -128,13 +128,13 @@
             capacity: Tokens(self.cache.capacity()),
             step_micros: self.last_step_micros,
             finished: self.finished,
-            models: self.orders.loaded(),
+            models: self.configuration.loaded(),
         }
     }
 
-    /// Everything that is cached for programs at `now`.
+    /// Returns everything that is cached for programs at `now`.
     pub fn inventory(&self, now: Timestamp) -> Inventory {
-        let programs = self.cache.sessions.iter().map(|(program, tokens, held_until)| {
+        let programs = self.cache.programs.iter().map(|(program, tokens, held_until)| {
             HeldProgram { program, tokens: Tokens(tokens), held_until }
         });
         Inventory {
@@ -145,12 +145,12 @@
         }
     }
 
-    /// Takes the spans of held cache that have ended; see [`Self::record_spans`].
+    /// Takes the spans that have ended; see [`Self::record_spans`].
     pub fn take_spans(&mut self) -> Vec<CacheSpan> {
         self.cache.spans.take()
     }
 
-    /// Ends the spans that are still open, at the end of a run.
+    /// Ends the spans that are still open. Call it at the end of a run.
     pub fn close_spans(&mut self, now: Timestamp) {
         self.cache.close_spans(now);
     }
@@ -159,53 +159,53 @@
         while let Some(at) = self.next_wakeup().filter(|at| *at <= now) {
             self.process(at);
             self.begin_step(at);
-            self.tell_cache_changes(at);
+            self.emit_cache_events(at);
         }
         self.attempts.expire(now);
         let attempts = &self.attempts;
-        let sessions = &self.cache.sessions;
+        let programs = &self.cache.programs;
         self.fences.expire(now, |program| {
-            sessions.tokens(program) > 0 || !attempts.of_program(program).is_empty()
+            programs.tokens(program) > 0 || !attempts.of_program(program).is_empty()
         });
     }
 
     fn process(&mut self, at: Timestamp) {
-        if let Some((model, ready)) = self.orders.take_ready(at) {
+        if let Some((model, ready)) = self.configuration.finish_next_load(at) {
             self.events.push(EngineEvent::ModelLoaded { model, at: ready });
         }
-        if let Some((program, after)) = self.cache.sessions.take_lapsed(at) {
-            self.lapse(program, after, at);
+        if let Some((program, after)) = self.cache.programs.take_lapsed_hold(at) {
+            self.end_hold(program, after, at);
         }
-        if let Some(transfer) = self.link.take_ended(at) {
-            self.end_transfer(transfer, at);
+        if let Some(transfer) = self.transfers.take_ended(at) {
+            self.finish_transfer(transfer, at);
         }
         if self.step.as_ref().is_some_and(|step| step.ends() <= at) {
             self.finish_step(at);
         }
     }
 
-    fn lapse(&mut self, program: dahlia_types::ProgramId, after: AfterHold, at: Timestamp) {
+    fn end_hold(&mut self, program: dahlia_types::ProgramId, after: AfterHold, at: Timestamp) {
         self.cache.set_held(program, false);
         if after == AfterHold::Free {
-            let freed = Tokens(self.cache.drop_program(program, at));
+            let freed = Tokens(self.cache.free_program(program, at));
             self.events.push(EngineEvent::HoldLapsed { program, freed, at });
         }
     }
 
-    fn end_transfer(&mut self, transfer: crate::transfer::Transfer, at: Timestamp) {
+    fn finish_transfer(&mut self, transfer: crate::transfer::Transfer, at: Timestamp) {
         match transfer.direction {
             Direction::Export(path) => {
-                self.cache.unpin(&path, at);
+                self.cache.unpin_path(&path, at);
                 self.events.push(EngineEvent::Exported { image: transfer.image, at });
             }
-            Direction::Import => self.take_in(transfer.image, at),
+            Direction::Import => self.finish_import(transfer.image, at),
         }
     }
 
-    fn tell_cache_changes(&mut self, at: Timestamp) {
-        for (program, change) in self.cache.sessions.take_changes() {
+    fn emit_cache_events(&mut self, at: Timestamp) {
+        for (program, change) in self.cache.programs.take_changes() {
             self.cache_sequence += 1;
-            let resident = Tokens(self.cache.sessions.tokens(program));
+            let resident = Tokens(self.cache.programs.tokens(program));
             let sequence = self.cache_sequence;
             let event = CacheEvent { sequence, program, change, resident, at };
             self.events.push(EngineEvent::Cache(event));
--- a/crates/engine-model/src/model/commands.rs
+++ b/crates/engine-model/src/model/commands.rs
@@ -1,21 +1,21 @@
-//! How each command is carried out.
+//! Execution of commands.
 
 use dahlia_types::{AttemptId, Bytes, ModelId, ProgramId, Timestamp, Tokens};
 
 use super::EngineModel;
 use crate::attempts::{LiveAttempt, Phase};
-use crate::cache::Link;
-use crate::orders::OrderEffect;
+use crate::cache::ChainLink;
+use crate::configuration::OrderEffect;
 use crate::transfer::Direction;
 use crate::{
     AttemptStatus, CacheChange, Cancel, EngineCommand, EngineEvent, EngineOrder, EngineRefusal,
     EngineReply, EngineRole, Export, Hold, Import, KvImage, Release, Segment, Submit, chain_hashes,
 };
 
-type Answer = Result<EngineReply, EngineRefusal>;
+type CommandResult = Result<EngineReply, EngineRefusal>;
 
 impl EngineModel {
-    /// Carries out a command at `now`, after everything that happens until then.
+    /// Executes a command at `now`, after running the engine up to `now`.
     pub fn handle(&mut self, command: EngineCommand, now: Timestamp) -> EngineReply {
         self.run_until(now);
         let answer = match command {
@@ -28,15 +28,15 @@
             EngineCommand::Release(release) => self.release(release, now),
             EngineCommand::Export(export) => self.export(export, now),
             EngineCommand::Import(import) => self.import(import, now),
-            EngineCommand::Order(order) => self.order(&order, now),
+            EngineCommand::Order(order) => self.apply_order(&order, now),
         };
         self.cut_leap_short(now);
         self.begin_step(now);
-        self.tell_cache_changes(now);
+        self.emit_cache_events(now);
         answer.unwrap_or_else(EngineReply::Refused)
     }
 
-    fn submit(&mut self, submit: Submit, now: Timestamp) -> Answer {
+    fn submit(&mut self, submit: Submit, now: Timestamp) -> CommandResult {
         let program = submit.attempt.call.program;
         let known = self.status(submit.attempt);
         if known != AttemptStatus::Unknown {
@@ -44,10 +44,10 @@
         }
         self.check_incarnation(&submit)?;
         self.fences.admit(program, submit.epoch, now)?;
-        if self.orders.role() == EngineRole::Draining {
+        if self.configuration.role() == EngineRole::Draining {
             return Err(EngineRefusal::Draining);
         }
-        if !self.orders.is_loaded(&submit.model) {
+        if !self.configuration.is_loaded(&submit.model) {
             return Err(EngineRefusal::ModelNotLoaded { model: submit.model });
         }
         let waiting = self.batch.waiting.len() as u32;
@@ -60,7 +60,7 @@
         let cached = self.cache.computed_prefix(&attempt.links);
         attempt.estimated_prefill = attempt.prompt_tokens - cached;
         self.prefill_backlog += attempt.estimated_prefill;
-        self.batch.waiting.insert(attempt.order());
+        self.batch.waiting.insert(attempt.queue_key());
         self.attempts.insert(attempt);
         Ok(EngineReply::Accepted)
     }
@@ -80,17 +80,17 @@
         if prompt > bound.0 {
             return Err(EngineRefusal::PromptTooLong { tokens: Tokens(prompt), limit: bound });
         }
-        // Each segment rounds up to whole blocks; one step reserves a token ahead.
+        // Each segment is rounded up to whole blocks, and a step reserves one token ahead.
         let slack = (attempt.links.len() as u64 + 2) * self.parameters.block_tokens.0;
-        let whole = prompt + attempt.target() + slack;
+        let needed = prompt + attempt.target_tokens() + slack;
         let limit = Tokens(self.cache.capacity());
-        if whole > limit.0 {
-            return Err(EngineRefusal::PromptTooLong { tokens: Tokens(whole), limit });
+        if needed > limit.0 {
+            return Err(EngineRefusal::PromptTooLong { tokens: Tokens(needed), limit });
         }
         Ok(())
     }
 
-    fn cancel(&mut self, cancel: Cancel, now: Timestamp) -> Answer {
+    fn cancel(&mut self, cancel: Cancel, now: Timestamp) -> CommandResult {
         self.fences.observe(cancel.attempt.call.program, cancel.epoch, now)?;
         let status = self.status(cancel.attempt);
         if cancel.only_waiting && matches!(status, AttemptStatus::Running { .. }) {
@@ -99,7 +99,7 @@
         Ok(self.cut(cancel.attempt, now))
     }
 
-    /// Ends an attempt; one that has not started leaves a record, so that it never starts.
+    /// Ends an attempt. If it has not started, a record is kept so that it never starts.
     pub(super) fn cut(&mut self, id: AttemptId, now: Timestamp) -> EngineReply {
         let started = match self.status(id) {
             AttemptStatus::Running { .. } => true,
@@ -109,7 +109,7 @@
         };
         if !started {
             if let Some(attempt) = self.attempts.end(id, AttemptStatus::NeverStarted, now) {
-                self.leave_waiting(&attempt);
+                self.remove_from_waiting(&attempt);
             }
             return EngineReply::NeverStarted;
         }
@@ -117,53 +117,53 @@
         let usage = self.attempts.get(id).map(|attempt| attempt.usage(clock)).unwrap_or_default();
         if let Some(attempt) = self.attempts.end(id, AttemptStatus::Cut(usage), now) {
             match attempt.phase {
-                Phase::Waiting => self.leave_waiting(&attempt),
-                _ => self.leave_batch(&attempt, now),
+                Phase::Waiting => self.remove_from_waiting(&attempt),
+                _ => self.remove_from_batch(&attempt, now),
             }
         }
         EngineReply::Cut(usage)
     }
 
-    fn leave_waiting(&mut self, attempt: &LiveAttempt) {
-        self.batch.waiting.remove(&attempt.order());
+    fn remove_from_waiting(&mut self, attempt: &LiveAttempt) {
+        self.batch.waiting.remove(&attempt.queue_key());
         self.prefill_backlog -= attempt.estimated_prefill;
     }
 
-    fn hold(&mut self, hold: Hold, now: Timestamp) -> Answer {
+    fn hold(&mut self, hold: Hold, now: Timestamp) -> CommandResult {
         self.fences.observe(hold.program, hold.epoch, now)?;
-        if !self.cache.sessions.set_hold(hold.program, hold.until, hold.after) {
+        if !self.cache.programs.set_hold(hold.program, hold.until, hold.after) {
             return Err(EngineRefusal::NothingCached { program: hold.program });
         }
         self.cache.set_held(hold.program, true);
         Ok(EngineReply::Accepted)
     }
 
-    fn release(&mut self, release: Release, now: Timestamp) -> Answer {
+    fn release(&mut self, release: Release, now: Timestamp) -> CommandResult {
         let program = release.program;
         self.fences.observe(program, release.epoch, now)?;
         if release.closing {
-            self.fences.end(program, release.epoch, now);
+            self.fences.mark_ended(program, release.epoch, now);
             for id in self.attempts.of_program(program) {
                 self.cut(id, now);
             }
         }
-        let freed = Tokens(self.cache.drop_program(program, now));
+        let freed = Tokens(self.cache.free_program(program, now));
         Ok(EngineReply::Released { freed })
     }
 
-    fn export(&mut self, export: Export, now: Timestamp) -> Answer {
+    fn export(&mut self, export: Export, now: Timestamp) -> CommandResult {
         let program = export.program;
         self.fences.observe(program, export.epoch, now)?;
         let mut segments = export.segments;
-        let links = links_of(&export.tenant, &export.model, &segments);
+        let links = chain_links(&export.tenant, &export.model, &segments);
         let tokens = self.cache.computed_prefix(&links);
-        segments.truncate(whole_segments(&segments, tokens));
+        segments.truncate(count_whole_segments(&segments, tokens));
         let kept: u64 = segments.iter().map(|segment| segment.tokens.0).sum();
         if kept == 0 {
             return Err(EngineRefusal::NothingCached { program });
         }
-        let whole = links_of(&export.tenant, &export.model, &segments);
-        let path = self.cache.acquire(program, &whole, 0, now);
+        let kept_links = chain_links(&export.tenant, &export.model, &segments);
+        let path = self.cache.acquire(program, &kept_links, 0, now);
         let path = path.ok_or(EngineRefusal::NothingCached { program })?;
         let bytes = Bytes(kept * self.parameters.kv_bytes_per_token.0);
         let image = KvImage {
@@ -174,23 +174,24 @@
             tokens: Tokens(kept),
             bytes,
         };
-        self.link.begin(image, Direction::Export(path), now);
+        self.transfers.begin(image, Direction::Export(path), now);
         Ok(EngineReply::Accepted)
     }
 
-    fn import(&mut self, import: Import, now: Timestamp) -> Answer {
+    fn import(&mut self, import: Import, now: Timestamp) -> CommandResult {
         self.fences.admit(import.image.program, import.epoch, now)?;
-        if !self.orders.is_loaded(&import.image.model) {
+        if !self.configuration.is_loaded(&import.image.model) {
             return Err(EngineRefusal::ModelNotLoaded { model: import.image.model });
         }
-        self.link.begin(import.image, Direction::Import, now);
+        self.transfers.begin(import.image, Direction::Import, now);
         Ok(EngineReply::Accepted)
     }
 
-    /// Caches an image that has arrived whole; without room, or for an ended program, nothing.
-    pub(super) fn take_in(&mut self, image: KvImage, at: Timestamp) {
+    /// Caches an image that has arrived in full. Caches nothing if there is no room or the program
+    /// has ended.
+    pub(super) fn finish_import(&mut self, image: KvImage, at: Timestamp) {
         let program = image.program;
-        let links = links_of(&image.tenant, &image.model, &image.segments);
+        let links = chain_links(&image.tenant, &image.model, &image.segments);
         let ended = self.fences.is_ended(program);
         let path = if ended { None } else { self.cache.acquire(program, &links, 0, at) };
         let tokens = path.as_ref().map_or(Tokens::ZERO, |_| image.tokens);
@@ -198,14 +199,14 @@
             for (id, link) in path.iter().zip(&links) {
                 self.cache.set_computed(*id, link.tokens);
             }
-            self.cache.unpin(&path, at);
-            self.cache.sessions.changed(program, CacheChange::Stored);
+            self.cache.unpin_path(&path, at);
+            self.cache.programs.record_change(program, CacheChange::Stored);
         }
         self.events.push(EngineEvent::Imported { program, tokens, at });
     }
 
-    fn order(&mut self, order: &EngineOrder, now: Timestamp) -> Answer {
-        if let OrderEffect::Unloaded(model) = self.orders.apply(order, now)? {
+    fn apply_order(&mut self, order: &EngineOrder, now: Timestamp) -> CommandResult {
+        if let OrderEffect::Unloaded(model) = self.configuration.apply(order, now)? {
             self.evict_waiting(&model, now);
         }
         Ok(EngineReply::Accepted)
@@ -224,23 +225,27 @@
 
     fn cut_leap_short(&mut self, now: Timestamp) {
         if let Some(step) = self.step.as_mut() {
-            let saved = step.cut_short(now);
-            self.cache.return_private(saved);
+            let saved = step.shorten(now);
+            self.cache.refund_private(saved);
         }
     }
 }
 
-fn links_of(tenant: &dahlia_types::TenantId, model: &ModelId, segments: &[Segment]) -> Vec<Link> {
+fn chain_links(
+    tenant: &dahlia_types::TenantId,
+    model: &ModelId,
+    segments: &[Segment],
+) -> Vec<ChainLink> {
     let hashes = chain_hashes(tenant, model, segments);
     let pairs = hashes.into_iter().zip(segments);
     pairs
         .filter(|(_, segment)| segment.tokens.0 > 0)
-        .map(|(hash, segment)| Link { hash, tokens: segment.tokens.0 })
+        .map(|(hash, segment)| ChainLink { hash, tokens: segment.tokens.0 })
         .collect()
 }
 
-/// How many of `segments` lie wholly inside the first `tokens`.
-fn whole_segments(segments: &[Segment], tokens: u64) -> usize {
+/// Returns how many of `segments` lie entirely inside the first `tokens`.
+fn count_whole_segments(segments: &[Segment], tokens: u64) -> usize {
     let ends = segments.iter().scan(0, |end, segment| {
         *end += segment.tokens.0;
         Some(*end)
@@ -248,7 +253,7 @@
     ends.take_while(|end| *end <= tokens).count()
 }
 
-/// Names the program of an attempt.
+/// Returns the program of an attempt.
 pub(super) fn program_of(id: AttemptId) -> ProgramId {
     id.call.program
 }
