--- a/crates/engine-model/src/event.rs
+++ b/crates/engine-model/src/event.rs
@@ -86,7 +86,7 @@
     Imported {
         /// The program it was for.
         program: ProgramId,
-        /// Tokens that the import cached; zero when there was no room or the program has ended.
+        /// Tokens that the import cached; zero if memory was short or the program had ended.
         tokens: Tokens,
         /// When it happened.
         at: Timestamp,
@@ -134,7 +134,7 @@
     Removed,
 }
 
-/// The load of an engine at a moment.
+/// The load of an engine at one point in time.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
     /// The engine's incarnation.
--- a/crates/engine-model/src/model/commands.rs
+++ b/crates/engine-model/src/model/commands.rs
@@ -80,7 +80,7 @@
         if prompt > bound.0 {
             return Err(EngineRefusal::PromptTooLong { tokens: Tokens(prompt), limit: bound });
         }
-        // Each segment is rounded up to whole blocks, and a step reserves one token ahead.
+        // Each segment is rounded up to whole blocks, and a step reserves one token in advance.
         let slack = (attempt.links.len() as u64 + 2) * self.parameters.block_tokens.0;
         let needed = prompt + attempt.target_tokens() + slack;
         let limit = Tokens(self.cache.capacity());
@@ -187,7 +187,7 @@
         Ok(EngineReply::Accepted)
     }
 
-    /// Caches an image that has arrived in full. Caches nothing if there is no room or the program
+    /// Caches an image that has arrived in full. Caches nothing if memory is short or the program
     /// has ended.
     pub(super) fn finish_import(&mut self, image: KvImage, at: Timestamp) {
         let program = image.program;
--- a/crates/engine-model/src/model/stepping.rs
+++ b/crates/engine-model/src/model/stepping.rs
@@ -197,10 +197,10 @@
     }
 }
 
-fn earliest_key(one: Option<QueueKey>, other: Option<QueueKey>) -> Option<QueueKey> {
-    match (one, other) {
-        (Some(one), Some(other)) => Some(one.min(other)),
-        (one, other) => one.or(other),
+fn earliest_key(first: Option<QueueKey>, second: Option<QueueKey>) -> Option<QueueKey> {
+    match (first, second) {
+        (Some(first), Some(second)) => Some(first.min(second)),
+        (first, second) => first.or(second),
     }
 }
 
--- a/crates/engine-model/src/prompt.rs
+++ b/crates/engine-model/src/prompt.rs
@@ -12,7 +12,7 @@
     pub tokens: Tokens,
 }
 
-/// Hash of a whole prefix: tenant, model and every segment up to a point.
+/// Hash of a prefix: the tenant, the model and all segments of the prefix.
 ///
 /// Published caches chain block hashes the same way (vLLM, "Automatic Prefix Caching"). The
 /// tenant salts the chain, so that no block is ever shared between two tenants.
