--- a/crates/experiment/src/driver/callers.rs
+++ b/crates/experiment/src/driver/callers.rs
@@ -104,7 +104,7 @@
             return;
         }
         run.ended = true;
-        self.result.cut_short += run.calls_under_way();
+        self.result.interrupted += run.calls_under_way();
         self.live -= 1;
         self.untold += 1;
         let record = ProgramRecord {
--- a/crates/experiment/src/metrics.rs
+++ b/crates/experiment/src/metrics.rs
@@ -68,7 +68,7 @@
     /// Calls finally given up by their callers after refusals, over the whole run.
     pub given_up: u64,
     /// Calls that their program's end left without an answer, over the whole run.
-    pub cut_short: u64,
+    pub interrupted: u64,
     /// Answers "refused" sent, over the whole run.
     pub refusals: u64,
     /// The longest a caller waited for such an answer.
@@ -107,7 +107,7 @@
             issued: 0,
             answered: 0,
             given_up: 0,
-            cut_short: 0,
+            interrupted: 0,
             refusals: 0,
             longest_refusal: Duration::ZERO,
             longest_wait: Duration::ZERO,
@@ -123,7 +123,7 @@
     }
 
     /// Programs of an outcome, among those measured.
-    pub fn count(&self, outcome: Outcome) -> u64 {
+    pub fn count_programs(&self, outcome: Outcome) -> u64 {
         self.programs.iter().filter(|program| program.outcome == outcome).count() as u64
     }
 
@@ -169,7 +169,7 @@
     }
 
     /// Share of prompt tokens that were found in a cache.
-    pub fn hit_fraction(&self) -> f64 {
+    pub fn prefix_hit_fraction(&self) -> f64 {
         let prompt: u64 = self.calls.iter().map(|call| call.prompt).sum();
         let cached: u64 = self.calls.iter().map(|call| call.cached).sum();
         if prompt == 0 { 0.0 } else { cached as f64 / prompt as f64 }
@@ -181,13 +181,13 @@
     }
 
     /// Latencies of completed programs in milliseconds, without tool pauses.
-    pub fn service_ms(&self) -> Vec<f64> {
+    pub fn latencies_without_pauses_ms(&self) -> Vec<f64> {
         let completed = self.completed();
         completed.map(|program| millis(program.latency) - millis(program.paused)).collect()
     }
 
     /// Times to the first token, in milliseconds.
-    pub fn first_tokens_ms(&self) -> Vec<f64> {
+    pub fn times_to_first_token_ms(&self) -> Vec<f64> {
         self.calls.iter().map(|call| millis(call.first_token)).collect()
     }
 
--- a/crates/experiment/src/report.rs
+++ b/crates/experiment/src/report.rs
@@ -151,17 +151,19 @@
         let wasted: f64 = runs.iter().map(|run| run.cache.wasted).sum();
         let prompt = runs.iter().flat_map(|run| &run.calls).map(|call| call.prompt).sum();
         let cached = runs.iter().flat_map(|run| &run.calls).map(|call| call.cached).sum();
-        let unfinished = total(|run| run.count(Outcome::Unfinished));
+        let unfinished = total(|run| run.count_programs(Outcome::Unfinished));
         Self {
             program_latency_ms: Quantiles::of(pooled(RunResult::latencies_ms)),
-            program_latency_without_pauses_ms: Quantiles::of(pooled(RunResult::service_ms)),
+            program_latency_without_pauses_ms: Quantiles::of(pooled(
+                RunResult::latencies_without_pauses_ms,
+            )),
             wasted_cache_fraction: ratio(wasted, held),
             prefix_hit_fraction: fraction(cached, prompt),
-            time_to_first_token_ms: Quantiles::of(pooled(RunResult::first_tokens_ms)),
-            completed: total(|run| run.count(Outcome::Completed)),
-            refused: total(|run| run.count(Outcome::Refused)),
-            failed: total(|run| run.count(Outcome::Failed)) + unfinished,
-            abandoned: total(|run| run.count(Outcome::Abandoned)),
+            time_to_first_token_ms: Quantiles::of(pooled(RunResult::times_to_first_token_ms)),
+            completed: total(|run| run.count_programs(Outcome::Completed)),
+            refused: total(|run| run.count_programs(Outcome::Refused)),
+            failed: total(|run| run.count_programs(Outcome::Failed)) + unfinished,
+            abandoned: total(|run| run.count_programs(Outcome::Abandoned)),
             unfinished,
             longest_wait_ms: longest(|run| run.longest_wait.as_micros()),
             refusals: total(|run| run.refusals),
@@ -278,9 +280,9 @@
     Spreads {
         program_latency_p95_ms: spread(|run| Quantiles::of(run.latencies_ms()).p95),
         program_latency_mean_ms: spread(|run| Quantiles::of(run.latencies_ms()).mean),
-        without_pauses_p95_ms: spread(|run| Quantiles::of(run.service_ms()).p95),
+        without_pauses_p95_ms: spread(|run| Quantiles::of(run.latencies_without_pauses_ms()).p95),
         wasted_cache_fraction: spread(RunResult::wasted_fraction),
-        prefix_hit_fraction: spread(RunResult::hit_fraction),
+        prefix_hit_fraction: spread(RunResult::prefix_hit_fraction),
         goodput_per_second: spread(RunResult::goodput),
     }
 }
--- a/crates/experiment/src/workload/distribution.rs
+++ b/crates/experiment/src/workload/distribution.rs
@@ -44,7 +44,7 @@
 
 impl Distribution {
     /// Draws a value. Parameters that the library refuses give the smallest value.
-    pub fn draw(&self, random: &mut impl Rng) -> f64 {
+    pub fn sample(&self, random: &mut impl Rng) -> f64 {
         match *self {
             Self::Constant { value } => value,
             Self::Exponential { mean, max } => {
@@ -63,7 +63,7 @@
     }
 
     /// Draws a whole number of at least `least`.
-    pub fn draw_whole(&self, least: u64, random: &mut impl Rng) -> u64 {
-        (self.draw(random).round() as u64).max(least)
+    pub fn sample_integer(&self, least: u64, random: &mut impl Rng) -> u64 {
+        (self.sample(random).round() as u64).max(least)
     }
 }
--- a/crates/experiment/src/workload/script.rs
+++ b/crates/experiment/src/workload/script.rs
@@ -102,7 +102,7 @@
         let mut random = ChaCha8Rng::seed_from_u64(seed ^ 0x7e4a_1175);
         let instructions = (0..shape.tenants).map(|_| Segment {
             hash: random.random(),
-            tokens: Tokens(shape.system_tokens.draw_whole(1, &mut random)),
+            tokens: Tokens(shape.system_tokens.sample_integer(1, &mut random)),
         });
         let instructions = instructions.collect();
         let shares = Zipf::new(shape.tenants as f64, 1.0).expect("there is a tenant");
@@ -120,14 +120,14 @@
         let shape = &self.workload.program;
         let rank: f64 = self.random.sample(tenants.shares);
         let tenant = (rank as usize - 1).min(shape.tenants - 1);
-        let document = shape.document_tokens.draw_whole(1, self.random);
+        let document = shape.document_tokens.sample_integer(1, self.random);
         let document = self.segment(document);
         let prefix = vec![tenants.instructions[tenant], document];
         let loops = self.random.random_bool(shape.loop_share);
         let turns = if loops {
             u64::from(shape.turn_limit)
         } else {
-            shape.turns.draw_whole(1, self.random).min(u64::from(shape.turn_limit))
+            shape.turns.sample_integer(1, self.random).min(u64::from(shape.turn_limit))
         };
         let abandoned = self.random.random_bool(shape.abandon_share);
         let abandoned_at = abandoned.then(|| self.random.random_range(0..turns));
@@ -173,8 +173,8 @@
 
     fn turn(&mut self) -> Turn {
         let shape = &self.workload.program;
-        let message = shape.message_tokens.draw_whole(1, self.random);
-        let generated = shape.generated_tokens.draw_whole(1, self.random);
+        let message = shape.message_tokens.sample_integer(1, self.random);
+        let generated = shape.generated_tokens.sample_integer(1, self.random);
         Turn {
             message: self.segment(message),
             generated: Tokens(generated.min(shape.max_generated)),
@@ -186,7 +186,7 @@
     fn after(&mut self, may_branch: bool, instructions: Segment) -> After {
         let shape = &self.workload.program;
         if may_branch && self.random.random_bool(shape.branch_probability) {
-            let count = shape.sub_agents.draw_whole(0, self.random);
+            let count = shape.sub_agents.sample_integer(0, self.random);
             if count > 0 {
                 let children = (0..count).map(|_| self.sub_agent(instructions)).collect();
                 return After::SubAgents(children);
@@ -197,13 +197,13 @@
         if self.random.random_bool(drawn.hang_probability) {
             return After::Hang { tool };
         }
-        let seconds = drawn.pause_seconds.draw(self.random);
+        let seconds = drawn.pause_seconds.sample(self.random);
         After::Pause { tool, length: Duration::from_secs_f64(seconds) }
     }
 
     fn sub_agent(&mut self, instructions: Segment) -> ChainScript {
         let shape = &self.workload.program;
-        let turns = shape.sub_agent_turns.draw_whole(1, self.random);
+        let turns = shape.sub_agent_turns.sample_integer(1, self.random);
         let inherits = self.random.random_bool(shape.inherit_probability);
         self.chain(vec![instructions], inherits, turns, None, false)
     }
--- a/crates/experiment/tests/runs.rs
+++ b/crates/experiment/tests/runs.rs
@@ -58,10 +58,10 @@
             for seed in SEEDS {
                 let result = run(&workload, policy, 2.0, seed);
                 let case = format!("{name}, {policy:?}, seed {seed}");
-                assert_eq!(result.count(Outcome::Unfinished), 0, "{case}");
-                assert!(result.count(Outcome::Completed) > 10, "{case}");
+                assert_eq!(result.count_programs(Outcome::Unfinished), 0, "{case}");
+                assert!(result.count_programs(Outcome::Completed) > 10, "{case}");
                 let ended = result.answered + result.given_up;
-                assert_eq!(ended + result.cut_short, result.issued, "{case}");
+                assert_eq!(ended + result.interrupted, result.issued, "{case}");
             }
         }
     }
@@ -114,7 +114,8 @@
     let workload = small("bayou-roof");
     let mean = |policy| {
         let runs = SEEDS.map(|seed| run(&workload, policy, 4.0, seed));
-        let values: Vec<f64> = runs.flat_map(|result| result.service_ms()).collect();
+        let values: Vec<f64> =
+            runs.flat_map(|result| result.latencies_without_pauses_ms()).collect();
         values.iter().sum::<f64>() / values.len() as f64
     };
     let own = mean(PolicyKind::ProgramAware);
