--- a/crates/experiment/examples/compare.rs
+++ b/crates/experiment/examples/compare.rs
@@ -17,8 +17,8 @@
 
 fn run() -> Result<(), ExperimentError> {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
-    let argument = |place: usize, default: &str| {
-        arguments.get(place).cloned().unwrap_or_else(|| default.to_owned())
+    let argument = |index: usize, default: &str| {
+        arguments.get(index).cloned().unwrap_or_else(|| default.to_owned())
     };
     let path = argument(0, "traces/workloads/bayou-roof.toml");
     let mut options = CompareOptions::new(PathBuf::from(path));
--- a/crates/experiment/examples/shared_limits.rs
+++ b/crates/experiment/examples/shared_limits.rs
@@ -2,44 +2,44 @@
 //!
 //! `cargo run --release -p dahlia-experiment --example shared_limits`
 //!
-//! One tenant may have `LIMIT` calls a second. Its calls reach `DAEMONS` daemons in unequal shares.
+//! One tenant may have `LIMIT_PER_SECOND` calls a second. Its calls reach `DAEMON_COUNT` daemons in unequal shares.
 //! Four ways: a fixed share for each daemon; shares recomputed every second from reported demand;
 //! escrow (O'Neil 1986), where a daemon asks the tenant's home daemon for a batch of permits; and
 //! bounded ignorance (Krishnakumar and Bernstein 1994), where each daemon admits by the total it
-//! knows and may keep `BATCH` admissions to itself before it has to tell.
+//! knows and may keep `BATCH_PERMITS` admissions to itself before it has to tell.
 
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng;
 
-const DAEMONS: usize = 37;
-const LIMIT: f64 = 50.0;
-const SECONDS: usize = 600;
+const DAEMON_COUNT: usize = 37;
+const LIMIT_PER_SECOND: f64 = 50.0;
+const RUN_SECONDS: usize = 600;
 const SLOTS_PER_SECOND: usize = 100;
 /// One way between daemons, in slots of 10 ms.
 const DELAY_SLOTS: usize = 1;
-const BATCH: f64 = 5.0;
+const BATCH_PERMITS: f64 = 5.0;
 /// A second counts as violated above this factor of the limit.
-const TOLERANCE: f64 = 1.05;
+const TOLERANCE_FACTOR: f64 = 1.05;
 
 /// Counts of one run.
 #[derive(Debug, Default)]
 struct Counts {
-    wanted: f64,
+    requested: f64,
     admitted: f64,
     messages: f64,
     violated_seconds: usize,
-    worst: f64,
-    /// Refused in seconds in which less than the limit was wanted.
-    needless: f64,
+    max_load: f64,
+    /// Refused in seconds in which less than the limit was requested.
+    needless_refusals: f64,
 }
 
 /// A way to share the limit. `admit` decides a call; `slot` and `second` pass time.
-trait Way {
+trait Strategy {
     fn name(&self) -> &'static str;
     fn admit(&mut self, daemon: usize, slot: usize) -> bool;
-    fn slot(&mut self, slot: usize) -> f64;
-    fn second(&mut self, wanted: &[f64]) -> f64;
+    fn advance_slot(&mut self, slot: usize) -> f64;
+    fn end_second(&mut self, requested: &[f64]) -> f64;
 }
 
 /// Permits per daemon that are filled by shares of the limit, with one second's burst.
@@ -51,21 +51,21 @@
 
 impl Shares {
     fn new(recompute: bool) -> Self {
-        let equal = LIMIT / DAEMONS as f64;
-        Self { recompute, share: vec![equal; DAEMONS], permits: vec![0.0; DAEMONS] }
+        let equal = LIMIT_PER_SECOND / DAEMON_COUNT as f64;
+        Self { recompute, share: vec![equal; DAEMON_COUNT], permits: vec![0.0; DAEMON_COUNT] }
     }
 }
 
-impl Way for Shares {
+impl Strategy for Shares {
     fn name(&self) -> &'static str {
         if self.recompute { "shares by demand" } else { "fixed shares" }
     }
 
     fn admit(&mut self, daemon: usize, _slot: usize) -> bool {
-        take(&mut self.permits[daemon])
+        take_permit(&mut self.permits[daemon])
     }
 
-    fn slot(&mut self, _slot: usize) -> f64 {
+    fn advance_slot(&mut self, _slot: usize) -> f64 {
         for (permits, share) in self.permits.iter_mut().zip(&self.share) {
             let filled = *permits + share / SLOTS_PER_SECOND as f64;
             *permits = filled.min(share.max(1.0));
@@ -73,46 +73,47 @@
         0.0
     }
 
-    fn second(&mut self, wanted: &[f64]) -> f64 {
+    fn end_second(&mut self, requested: &[f64]) -> f64 {
         if !self.recompute {
             return 0.0;
         }
-        let total: f64 = wanted.iter().map(|own| own + 0.2).sum();
-        for (share, own) in self.share.iter_mut().zip(wanted) {
-            *share = LIMIT * (own + 0.2) / total;
+        let total: f64 = requested.iter().map(|demand| demand + 0.2).sum();
+        for (share, demand) in self.share.iter_mut().zip(requested) {
+            *share = LIMIT_PER_SECOND * (demand + 0.2) / total;
         }
         // Only daemons with demand report and are answered.
-        2.0 * wanted.iter().filter(|own| **own > 0.0).count() as f64
+        2.0 * requested.iter().filter(|demand| **demand > 0.0).count() as f64
     }
 }
 
 /// Permits in batches from the tenant's home daemon.
 struct Escrow {
-    home: f64,
+    home_permits: f64,
     permits: Vec<f64>,
     /// When an answer arrives, and what it brings.
-    coming: Vec<Option<(usize, f64)>>,
+    pending: Vec<Option<(usize, f64)>>,
 }
 
-impl Way for Escrow {
+impl Strategy for Escrow {
     fn name(&self) -> &'static str {
         "escrow"
     }
 
     fn admit(&mut self, daemon: usize, slot: usize) -> bool {
-        if self.permits[daemon] <= 1.0 && self.coming[daemon].is_none() {
-            let batch = BATCH.min(self.home.floor());
-            self.home -= batch;
-            self.coming[daemon] = Some((slot + 2 * DELAY_SLOTS, batch));
+        if self.permits[daemon] <= 1.0 && self.pending[daemon].is_none() {
+            let batch = BATCH_PERMITS.min(self.home_permits.floor());
+            self.home_permits -= batch;
+            self.pending[daemon] = Some((slot + 2 * DELAY_SLOTS, batch));
         }
-        take(&mut self.permits[daemon])
+        take_permit(&mut self.permits[daemon])
     }
 
-    fn slot(&mut self, slot: usize) -> f64 {
-        self.home = (self.home + LIMIT / SLOTS_PER_SECOND as f64).min(LIMIT);
+    fn advance_slot(&mut self, slot: usize) -> f64 {
+        self.home_permits =
+            (self.home_permits + LIMIT_PER_SECOND / SLOTS_PER_SECOND as f64).min(LIMIT_PER_SECOND);
         let mut messages = 0.0;
-        for (permits, coming) in self.permits.iter_mut().zip(&mut self.coming) {
-            if let Some((_, batch)) = coming.take_if(|(at, _)| *at <= slot) {
+        for (permits, pending) in self.permits.iter_mut().zip(&mut self.pending) {
+            if let Some((_, batch)) = pending.take_if(|(at, _)| *at <= slot) {
                 *permits += batch;
                 messages += 2.0;
             }
@@ -120,48 +121,48 @@
         messages
     }
 
-    fn second(&mut self, _wanted: &[f64]) -> f64 {
+    fn end_second(&mut self, _wanted: &[f64]) -> f64 {
         0.0
     }
 }
 
 /// Admission by the known total of the second, with a bounded number of untold admissions.
-struct Ignorance {
+struct BoundedIgnorance {
     known: f64,
-    untold: Vec<f64>,
-    told: f64,
+    unreported: Vec<f64>,
+    messages: f64,
 }
 
-impl Way for Ignorance {
+impl Strategy for BoundedIgnorance {
     fn name(&self) -> &'static str {
         "bounded ignorance"
     }
 
     fn admit(&mut self, daemon: usize, _slot: usize) -> bool {
-        if self.known + self.untold[daemon] + 1.0 > LIMIT {
+        if self.known + self.unreported[daemon] + 1.0 > LIMIT_PER_SECOND {
             return false;
         }
-        self.untold[daemon] += 1.0;
-        if self.untold[daemon] >= BATCH {
-            self.known += std::mem::take(&mut self.untold[daemon]);
+        self.unreported[daemon] += 1.0;
+        if self.unreported[daemon] >= BATCH_PERMITS {
+            self.known += std::mem::take(&mut self.unreported[daemon]);
             // To the others that have calls of the tenant; told to all at once here.
-            self.told += DAEMONS as f64 - 1.0;
+            self.messages += DAEMON_COUNT as f64 - 1.0;
         }
         true
     }
 
-    fn slot(&mut self, _slot: usize) -> f64 {
-        std::mem::take(&mut self.told)
+    fn advance_slot(&mut self, _slot: usize) -> f64 {
+        std::mem::take(&mut self.messages)
     }
 
-    fn second(&mut self, _wanted: &[f64]) -> f64 {
+    fn end_second(&mut self, _wanted: &[f64]) -> f64 {
         self.known = 0.0;
-        self.untold.fill(0.0);
+        self.unreported.fill(0.0);
         0.0
     }
 }
 
-fn take(permits: &mut f64) -> bool {
+fn take_permit(permits: &mut f64) -> bool {
     if *permits < 1.0 {
         return false;
     }
@@ -170,33 +171,39 @@
 }
 
 fn main() {
-    println!("limit {LIMIT}/s, {DAEMONS} daemons, {SECONDS} s, batch {BATCH}");
+    println!(
+        "limit {LIMIT_PER_SECOND}/s, {DAEMON_COUNT} daemons, {RUN_SECONDS} s, batch {BATCH_PERMITS}"
+    );
     println!(
         "{:<18} {:>7} {:>10} {:>10} {:>12} {:>10} {:>10}",
         "way", "demand", "admitted", "msgs/call", "violated s", "worst", "needless"
     );
     for demand in [0.7, 0.95, 1.5, 4.0] {
-        let mut ways: Vec<Box<dyn Way>> = vec![
+        let mut strategies: Vec<Box<dyn Strategy>> = vec![
             Box::new(Shares::new(false)),
             Box::new(Shares::new(true)),
             Box::new(Escrow {
-                home: LIMIT,
-                permits: vec![0.0; DAEMONS],
-                coming: vec![None; DAEMONS],
+                home_permits: LIMIT_PER_SECOND,
+                permits: vec![0.0; DAEMON_COUNT],
+                pending: vec![None; DAEMON_COUNT],
+            }),
+            Box::new(BoundedIgnorance {
+                known: 0.0,
+                unreported: vec![0.0; DAEMON_COUNT],
+                messages: 0.0,
             }),
-            Box::new(Ignorance { known: 0.0, untold: vec![0.0; DAEMONS], told: 0.0 }),
         ];
-        for way in &mut ways {
-            let counts = run(way.as_mut(), demand);
+        for strategy in &mut strategies {
+            let counts = run(strategy.as_mut(), demand);
             println!(
                 "{:<18} {:>7.2} {:>10.3} {:>10.2} {:>12} {:>10.2} {:>10.3}",
-                way.name(),
+                strategy.name(),
                 demand,
-                counts.admitted / counts.wanted,
+                counts.admitted / counts.requested,
                 counts.messages / counts.admitted,
                 counts.violated_seconds,
-                counts.worst,
-                counts.needless / counts.wanted,
+                counts.max_load,
+                counts.needless_refusals / counts.requested,
             );
         }
     }
@@ -204,33 +211,34 @@
     println!("needless: share of calls refused in seconds that wanted less than the limit");
 }
 
-fn run(way: &mut dyn Way, demand: f64) -> Counts {
+fn run(strategy: &mut dyn Strategy, demand: f64) -> Counts {
     let mut random = ChaCha8Rng::seed_from_u64(1);
     let mut counts = Counts::default();
     // A tenant's programs are few beside the daemons: shares by Zipf's law.
-    let weights: Vec<f64> = (1..=DAEMONS).map(|rank| 1.0 / rank as f64).collect();
-    let whole: f64 = weights.iter().sum();
-    for second in 0..SECONDS {
-        let mut wanted = vec![0.0; DAEMONS];
+    let weights: Vec<f64> = (1..=DAEMON_COUNT).map(|rank| 1.0 / rank as f64).collect();
+    let total_weight: f64 = weights.iter().sum();
+    for second in 0..RUN_SECONDS {
+        let mut requested = vec![0.0; DAEMON_COUNT];
         let (mut admitted, mut refused) = (0.0, 0.0);
         for slot in second * SLOTS_PER_SECOND..(second + 1) * SLOTS_PER_SECOND {
-            counts.messages += way.slot(slot);
+            counts.messages += strategy.advance_slot(slot);
             for (daemon, weight) in weights.iter().enumerate() {
-                let rate = LIMIT * demand * weight / whole / SLOTS_PER_SECOND as f64;
+                let rate =
+                    LIMIT_PER_SECOND * demand * weight / total_weight / SLOTS_PER_SECOND as f64;
                 if !random.random_bool(rate.min(1.0)) {
                     continue;
                 }
-                wanted[daemon] += 1.0;
-                if way.admit(daemon, slot) { admitted += 1.0 } else { refused += 1.0 }
+                requested[daemon] += 1.0;
+                if strategy.admit(daemon, slot) { admitted += 1.0 } else { refused += 1.0 }
             }
         }
-        counts.messages += way.second(&wanted);
-        let all: f64 = wanted.iter().sum();
-        counts.wanted += all;
+        counts.messages += strategy.end_second(&requested);
+        let total: f64 = requested.iter().sum();
+        counts.requested += total;
         counts.admitted += admitted;
-        counts.worst = counts.worst.max(admitted / LIMIT);
-        counts.violated_seconds += usize::from(admitted > LIMIT * TOLERANCE);
-        counts.needless += if all <= LIMIT { refused } else { 0.0 };
+        counts.max_load = counts.max_load.max(admitted / LIMIT_PER_SECOND);
+        counts.violated_seconds += usize::from(admitted > LIMIT_PER_SECOND * TOLERANCE_FACTOR);
+        counts.needless_refusals += if total <= LIMIT_PER_SECOND { refused } else { 0.0 };
     }
     counts
 }
--- a/crates/experiment/src/compare.rs
+++ b/crates/experiment/src/compare.rs
@@ -14,7 +14,7 @@
 use crate::{ExperimentError, oracle, plots};
 
 /// Most runs at once.
-const MOST_THREADS: usize = 4;
+const MAX_THREADS: usize = 4;
 
 /// A policy of an experiment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -96,7 +96,7 @@
             sweep: Vec::new(),
             sweep_seeds: 3,
             without_host_memory: false,
-            threads: MOST_THREADS,
+            threads: MAX_THREADS,
             report: None,
             plots: None,
         }
@@ -180,7 +180,7 @@
         }
     };
     std::thread::scope(|scope| {
-        for _ in 0..threads.clamp(1, MOST_THREADS) {
+        for _ in 0..threads.clamp(1, MAX_THREADS) {
             scope.spawn(work);
         }
     });
--- a/crates/experiment/src/driver.rs
+++ b/crates/experiment/src/driver.rs
@@ -1,9 +1,9 @@
 //! The virtual-time driver: programs, schedulers, engines and links between them.
 
-mod agenda;
 mod callers;
 mod copies;
 mod engines;
+mod event_queue;
 mod network;
 mod programs;
 mod schedulers;
@@ -15,16 +15,16 @@
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng;
 
-use self::agenda::{Agenda, Happening};
 use self::copies::PendingCopy;
 use self::engines::EngineHost;
+use self::event_queue::{EventQueue, SimulationEvent};
 use self::network::Network;
 use self::programs::ProgramRun;
 use crate::metrics::{Outcome, RunResult};
 use crate::workload::{Workload, generate};
 
 /// Time between two ticks of a scheduler.
-const TICK: Duration = Duration::from_millis(250);
+const TICK_INTERVAL: Duration = Duration::from_millis(250);
 /// The model that all engines serve.
 const MODEL: &str = "agent-70b/base@1";
 
@@ -43,18 +43,18 @@
 struct Driver<'a> {
     workload: &'a Workload,
     now: Timestamp,
-    agenda: Agenda,
+    queue: EventQueue,
     network: Network,
     random: ChaCha8Rng,
     schedulers: Vec<Scheduler>,
     engines: Vec<EngineHost>,
     programs: Vec<ProgramRun>,
     /// Programs that have not ended.
-    live: usize,
+    running_programs: usize,
     /// Programs that have ended and whose schedulers do not know it yet.
-    untold: usize,
+    unreported_ends: usize,
     /// Where each attempt was sent.
-    sent: BTreeMap<AttemptId, usize>,
+    engine_by_attempt: BTreeMap<AttemptId, usize>,
     copies: BTreeMap<AttemptId, PendingCopy>,
     result: RunResult,
 }
@@ -85,15 +85,15 @@
         Self {
             workload,
             now: Timestamp::ZERO,
-            agenda: Agenda::default(),
+            queue: EventQueue::default(),
             network: Network::new(&workload.deployment),
             random: ChaCha8Rng::seed_from_u64(options.seed ^ 0x5eed),
             schedulers: schedulers.collect(),
             engines: engines.collect(),
-            live: programs.len(),
-            untold: 0,
+            running_programs: programs.len(),
+            unreported_ends: 0,
             programs,
-            sent: BTreeMap::new(),
+            engine_by_attempt: BTreeMap::new(),
             copies: BTreeMap::new(),
             result: RunResult::new(workload),
         }
@@ -102,71 +102,77 @@
     fn start(&mut self) {
         for program in 0..self.programs.len() {
             let at = self.programs[program].script.arrives;
-            self.agenda.add(at, Happening::Arrive { program });
+            self.queue.add(at, SimulationEvent::Arrive { program });
         }
         for index in 0..self.workload.faults.len() {
             let at = Duration::from_secs_f64(self.workload.faults[index].at_seconds);
-            self.agenda.add(Timestamp::ZERO + at, Happening::Fault { index });
+            self.queue.add(Timestamp::ZERO + at, SimulationEvent::Fault { index });
         }
         for engine in 0..self.engines.len() {
             self.announce(engine, Duration::ZERO);
             // Reports are staggered, as those of independent machines are.
             let interval = self.report_interval().as_micros();
             let offset = interval * engine as u64 / self.engines.len() as u64;
-            self.agenda.add(Timestamp(offset), Happening::Report { engine });
+            self.queue.add(Timestamp(offset), SimulationEvent::Report { engine });
         }
-        self.agenda.add(Timestamp::ZERO + TICK, Happening::Tick);
+        self.queue.add(Timestamp::ZERO + TICK_INTERVAL, SimulationEvent::Tick);
     }
 
     fn run(&mut self) {
         let run = &self.workload.run;
         let end = Timestamp::ZERO + Duration::from_secs_f64(run.seconds + run.drain_seconds);
-        while let Some((at, happening)) = self.agenda.next() {
+        while let Some((at, event)) = self.queue.next() {
             if at > end || self.is_over() {
                 return;
             }
             self.now = at;
-            self.happen(happening);
+            self.handle_event(event);
         }
     }
 
     fn is_over(&self) -> bool {
         let released = |scheduler: &Scheduler| scheduler.stats().releases_unconfirmed == 0;
-        self.live == 0 && self.untold == 0 && self.schedulers.iter().all(released)
+        self.running_programs == 0
+            && self.unreported_ends == 0
+            && self.schedulers.iter().all(released)
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Arrive { program } => self.arrive(program),
-            Happening::Issue { program, chain } => self.issue(program, chain),
-            Happening::Ready { program, chain } => self.ready(program, chain),
-            Happening::Command { engine, incarnation, command, from, purpose } => {
-                self.command(engine, incarnation, *command, from, purpose);
+    fn handle_event(&mut self, event: SimulationEvent) {
+        match event {
+            SimulationEvent::Arrive { program } => self.start_program(program),
+            SimulationEvent::Issue { program, chain } => self.send_call(program, chain),
+            SimulationEvent::Ready { program, chain } => self.handle_ready_call(program, chain),
+            SimulationEvent::Command { engine, incarnation, command, from, purpose } => {
+                self.handle_command(engine, incarnation, *command, from, purpose);
             }
-            Happening::Wake { engine } => self.wake(engine),
-            Happening::Report { engine } => self.report(engine),
-            Happening::Inventory { engine, scheduler } => self.inventory(engine, scheduler),
-            Happening::Tell { scheduler, event } => {
-                self.untold -= usize::from(matches!(*event, Event::ProgramClosed(_)));
-                self.tell(scheduler, *event);
+            SimulationEvent::Wake { engine } => self.wake_engine(engine),
+            SimulationEvent::Report { engine } => self.send_report(engine),
+            SimulationEvent::Inventory { engine, scheduler } => {
+                self.send_inventory(engine, scheduler)
             }
-            Happening::FirstToken { attempt } => self.first_token(attempt),
-            Happening::Answer { attempt, usage } => self.answer(attempt, usage),
-            Happening::Refused { program, chain, retry_after } => {
-                self.refused(program, chain, retry_after);
+            SimulationEvent::Notify { scheduler, event } => {
+                self.unreported_ends -= usize::from(matches!(*event, Event::ProgramClosed(_)));
+                self.notify(scheduler, *event);
             }
-            Happening::Expire { program } => self.end_program(program, Outcome::Abandoned),
-            Happening::Fault { index } => self.fault(index),
-            Happening::SwitchOff { engine, incarnation } => self.switch_off(engine, incarnation),
-            Happening::Tick => self.tick(),
+            SimulationEvent::FirstToken { attempt } => self.record_first_token(attempt),
+            SimulationEvent::Answer { attempt, usage } => self.handle_answer(attempt, usage),
+            SimulationEvent::Refused { program, chain, retry_after } => {
+                self.handle_refusal(program, chain, retry_after);
+            }
+            SimulationEvent::Expire { program } => self.end_program(program, Outcome::Abandoned),
+            SimulationEvent::Fault { index } => self.inject_fault(index),
+            SimulationEvent::StopDrainedEngine { engine, incarnation } => {
+                self.stop_drained_engine(engine, incarnation)
+            }
+            SimulationEvent::Tick => self.tick(),
         }
     }
 
     fn tick(&mut self) {
         for scheduler in 0..self.schedulers.len() {
-            self.tell(scheduler, Event::Tick);
+            self.notify(scheduler, Event::Tick);
         }
-        self.agenda.add(self.now + TICK, Happening::Tick);
+        self.queue.add(self.now + TICK_INTERVAL, SimulationEvent::Tick);
     }
 
     fn finish(mut self) -> RunResult {
@@ -175,7 +181,7 @@
         }
         let ended_before = self.now;
         for host in &mut self.engines {
-            let still_held = host.close(ended_before);
+            let still_held = host.finish(ended_before);
             self.result.still_held += still_held;
         }
         for engine in 0..self.engines.len() {
--- a/crates/experiment/src/driver/callers.rs
+++ b/crates/experiment/src/driver/callers.rs
@@ -5,37 +5,37 @@
 use dahlia_types::{AttemptId, ChainId, Duration, Tokens, Usage};
 
 use super::Driver;
-use super::agenda::Happening;
+use super::event_queue::SimulationEvent;
 use crate::metrics::{CallRecord, Outcome, ProgramRecord};
-use crate::workload::{After, ChainScript};
+use crate::workload::{ChainScript, NextStep};
 
 /// The tool name of a wait for sub-agents.
-const SUB_AGENT: &str = "sub-agent";
+const SUB_AGENT_TOOL: &str = "sub-agent";
 /// The tool name of a wait for the person.
-const PERSON: &str = "person";
+const PERSON_TOOL: &str = "person";
 
 impl Driver<'_> {
-    pub(super) fn arrive(&mut self, program: usize) {
-        let chain = self.programs[program].begin();
-        self.next_call(program, chain);
+    pub(super) fn start_program(&mut self, program: usize) {
+        let chain = self.programs[program].add_main_chain();
+        self.issue_next_call(program, chain);
     }
 
     /// Issues the chain's next call.
-    fn next_call(&mut self, program: usize, chain: usize) {
+    fn issue_next_call(&mut self, program: usize, chain: usize) {
         self.prepare_call(program, chain, Duration::ZERO);
-        self.issue(program, chain);
+        self.send_call(program, chain);
     }
 
-    pub(super) fn issue(&mut self, program: usize, chain: usize) {
+    pub(super) fn send_call(&mut self, program: usize, chain: usize) {
         if self.programs[program].ended {
             return;
         }
-        let at = self.now + self.client_link(program);
-        self.agenda.add(at, Happening::Ready { program, chain });
+        let at = self.now + self.client_delay(program);
+        self.queue.add(at, SimulationEvent::Ready { program, chain });
     }
 
-    pub(super) fn first_token(&mut self, attempt: AttemptId) {
-        let Some((program, chain)) = self.current(attempt) else { return };
+    pub(super) fn record_first_token(&mut self, attempt: AttemptId) {
+        let Some((program, chain)) = self.find_current_call(attempt) else { return };
         let run = &mut self.programs[program].chains[chain];
         if run.first_token.is_some() {
             return;
@@ -45,27 +45,27 @@
         self.result.longest_wait = self.result.longest_wait.max(wait);
     }
 
-    pub(super) fn answer(&mut self, attempt: AttemptId, usage: Usage) {
-        let Some((program, chain)) = self.current(attempt) else { return };
+    pub(super) fn handle_answer(&mut self, attempt: AttemptId, usage: Usage) {
+        let Some((program, chain)) = self.find_current_call(attempt) else { return };
         self.record_call(program, chain, usage);
         self.programs[program].last_answer = self.now;
         let run = &mut self.programs[program].chains[chain];
         run.under_way = false;
         let Some(turn) = run.turns.pop_front() else { return };
         run.history.push(Segment { hash: turn.answer_hash, tokens: turn.generated });
-        match turn.after {
-            After::End => self.end_chain(program, chain),
-            After::Pause { tool, length } => self.pause(program, chain, tool, length),
-            After::Hang { tool } => {
+        match turn.next_step {
+            NextStep::End => self.end_chain(program, chain),
+            NextStep::Pause { tool, length } => self.start_tool_pause(program, chain, tool, length),
+            NextStep::Hang { tool } => {
                 let name = self.workload.tools[tool].name.clone();
-                self.begin_pause(program, chain, &name);
-                self.expire_later(program);
+                self.report_pause(program, chain, &name);
+                self.schedule_expiry(program);
             }
-            After::Abandon => {
-                self.begin_pause(program, chain, PERSON);
-                self.expire_later(program);
+            NextStep::Abandon => {
+                self.report_pause(program, chain, PERSON_TOOL);
+                self.schedule_expiry(program);
             }
-            After::SubAgents(children) => self.branch(program, chain, children),
+            NextStep::SubAgents(children) => self.start_sub_agents(program, chain, children),
         }
     }
 
@@ -79,15 +79,15 @@
         }
     }
 
-    pub(super) fn refused(&mut self, program: usize, chain: usize, retry_after: Duration) {
+    pub(super) fn handle_refusal(&mut self, program: usize, chain: usize, retry_after: Duration) {
         if self.programs[program].ended {
             return;
         }
-        let most = self.workload.program.caller_retries;
+        let max_retries = self.workload.program.caller_retries;
         let run = &mut self.programs[program].chains[chain];
-        if run.caller_retries < most {
+        if run.caller_retries < max_retries {
             run.caller_retries += 1;
-            self.agenda.add(self.now + retry_after, Happening::Issue { program, chain });
+            self.queue.add(self.now + retry_after, SimulationEvent::Issue { program, chain });
             return;
         }
         let first = chain == 0 && run.number == 1;
@@ -98,15 +98,15 @@
 
     /// Ends a program: its scheduler is told and its measures are taken.
     pub(super) fn end_program(&mut self, program: usize, outcome: Outcome) {
-        let link = self.client_link(program);
+        let delay = self.client_delay(program);
         let run = &mut self.programs[program];
         if run.ended {
             return;
         }
         run.ended = true;
         self.result.interrupted += run.calls_under_way();
-        self.live -= 1;
-        self.untold += 1;
+        self.running_programs -= 1;
+        self.unreported_ends += 1;
         let record = ProgramRecord {
             arrives: run.script.arrives,
             latency: run.last_answer.since(run.script.arrives),
@@ -121,11 +121,11 @@
         }
         let event = Box::new(Event::ProgramClosed(id));
         let scheduler = self.programs[program].owner;
-        self.agenda.add(self.now + link, Happening::Tell { scheduler, event });
+        self.queue.add(self.now + delay, SimulationEvent::Notify { scheduler, event });
     }
 
     /// The program and chain of an attempt, if the attempt is of the chain's current call.
-    pub(super) fn current(&self, attempt: AttemptId) -> Option<(usize, usize)> {
+    pub(super) fn find_current_call(&self, attempt: AttemptId) -> Option<(usize, usize)> {
         let program = attempt.call.program.number as usize;
         let chain = attempt.call.chain.0 as usize;
         let run = self.programs.get(program).filter(|run| !run.ended)?;
@@ -133,18 +133,18 @@
         (number == attempt.call.number).then_some((program, chain))
     }
 
-    pub(super) fn client_link(&self, program: usize) -> Duration {
+    pub(super) fn client_delay(&self, program: usize) -> Duration {
         let run = &self.programs[program];
-        self.network.client_to_owner(run.script.entry, run.owner)
+        self.network.client_to_owner_delay(run.script.entry, run.owner)
     }
 
-    fn pause(&mut self, program: usize, chain: usize, tool: usize, length: Duration) {
+    fn start_tool_pause(&mut self, program: usize, chain: usize, tool: usize, length: Duration) {
         let name = self.workload.tools[tool].name.clone();
-        self.begin_pause(program, chain, &name);
+        self.report_pause(program, chain, &name);
         let run = &mut self.programs[program].chains[chain];
-        run.paused = super::network::add(run.paused, length);
+        run.paused = super::network::sum(run.paused, length);
         self.prepare_call(program, chain, length);
-        self.agenda.add(self.now + length, Happening::Issue { program, chain });
+        self.queue.add(self.now + length, SimulationEvent::Issue { program, chain });
     }
 
     /// Makes the next turn the current call, to be issued after `length`.
@@ -161,11 +161,11 @@
         self.result.issued += 1;
     }
 
-    fn branch(&mut self, program: usize, chain: usize, children: Vec<ChainScript>) {
-        self.begin_pause(program, chain, SUB_AGENT);
+    fn start_sub_agents(&mut self, program: usize, chain: usize, children: Vec<ChainScript>) {
+        self.report_pause(program, chain, SUB_AGENT_TOOL);
         for script in children {
-            let child = self.programs[program].branch(chain, script);
-            self.next_call(program, child);
+            let child = self.programs[program].add_sub_agent(chain, script);
+            self.issue_next_call(program, child);
         }
     }
 
@@ -180,13 +180,13 @@
         run.chains[parent].paused = run.chains[chain].paused;
         run.chains[parent].children -= 1;
         let all_ended = run.chains[parent].children == 0;
-        self.tell_owner(program, event);
+        self.notify_owner(program, event);
         if all_ended {
-            self.next_call(program, parent);
+            self.issue_next_call(program, parent);
         }
     }
 
-    fn begin_pause(&mut self, program: usize, chain: usize, tool: &str) {
+    fn report_pause(&mut self, program: usize, chain: usize, tool: &str) {
         let run = &self.programs[program];
         let context = run.chains[chain].history.iter().map(|segment| segment.tokens.0).sum();
         let pause = ChainPause {
@@ -195,17 +195,17 @@
             tool: Some(tool.to_owned()),
             context: Tokens(context),
         };
-        self.tell_owner(program, Event::PauseBegan(pause));
+        self.notify_owner(program, Event::PauseBegan(pause));
     }
 
     /// The owner sees an answer, and what it asks for, before the caller does.
-    fn tell_owner(&mut self, program: usize, event: Event) {
+    fn notify_owner(&mut self, program: usize, event: Event) {
         let scheduler = self.programs[program].owner;
-        self.tell(scheduler, event);
+        self.notify(scheduler, event);
     }
 
-    fn expire_later(&mut self, program: usize) {
+    fn schedule_expiry(&mut self, program: usize) {
         let idle = Duration::from_secs_f64(self.workload.program.idle_expiry_seconds);
-        self.agenda.add(self.now + idle, Happening::Expire { program });
+        self.queue.add(self.now + idle, SimulationEvent::Expire { program });
     }
 }
--- a/crates/experiment/src/driver/copies.rs
+++ b/crates/experiment/src/driver/copies.rs
@@ -6,13 +6,13 @@
 use dahlia_placement::{CacheTier, CopySource, Event};
 use dahlia_types::{AttemptId, ChainId, ModelId, ProgramId, Timestamp, Tokens};
 
-use super::agenda::Happening;
+use super::event_queue::SimulationEvent;
 use super::schedulers::EPOCH;
 use super::{Driver, MODEL};
 
 /// What a transfer is for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Purpose {
+pub(super) enum TransferPurpose {
     /// The command is no transfer.
     None,
     /// An attempt waits for it.
@@ -36,12 +36,12 @@
     capacity: u64,
     used: u64,
     images: BTreeMap<(ProgramId, ChainId), KvImage>,
-    by_age: VecDeque<(ProgramId, ChainId)>,
+    insertion_order: VecDeque<(ProgramId, ChainId)>,
 }
 
 impl HostMemory {
     pub(super) fn new(capacity: u64) -> Self {
-        Self { capacity, used: 0, images: BTreeMap::new(), by_age: VecDeque::new() }
+        Self { capacity, used: 0, images: BTreeMap::new(), insertion_order: VecDeque::new() }
     }
 
     pub(super) fn used(&self) -> u64 {
@@ -55,19 +55,19 @@
             return false;
         }
         while self.used + image.tokens.0 > self.capacity {
-            let Some(oldest) = self.by_age.front().copied() else { break };
+            let Some(oldest) = self.insertion_order.front().copied() else { break };
             self.take(oldest);
         }
         self.used += image.tokens.0;
         self.images.insert(key, image);
-        self.by_age.push_back(key);
+        self.insertion_order.push_back(key);
         true
     }
 
     pub(super) fn take(&mut self, key: (ProgramId, ChainId)) -> Option<KvImage> {
         let image = self.images.remove(&key)?;
         self.used -= image.tokens.0;
-        self.by_age.retain(|other| *other != key);
+        self.insertion_order.retain(|other| *other != key);
         Some(image)
     }
 
@@ -96,17 +96,17 @@
         let segments = submit.prompt.clone();
         let tenant = submit.tenant.clone();
         self.copies.insert(attempt, PendingCopy { source, target, scheduler, submit });
-        let purpose = Purpose::Attempt(attempt);
+        let purpose = TransferPurpose::Attempt(attempt);
         match from.tier {
             CacheTier::Engine => {
                 let (program, model) = (attempt.call.program, ModelId::new(MODEL));
                 let export = Export { program, epoch: EPOCH, tenant, model, segments };
-                let at = committed + self.network.between(scheduler, source);
+                let at = committed + self.network.one_way_delay(scheduler, source);
                 self.send_transfer(source, EngineCommand::Export(export), scheduler, purpose, at);
             }
             CacheTier::Host => match self.engines[source].host_memory.take(key) {
                 Some(image) => self.send_image(source, target, image, scheduler, purpose),
-                None => self.end_copy(attempt),
+                None => self.submit_after_copy(attempt),
             },
         }
     }
@@ -130,48 +130,54 @@
             model: ModelId::new(MODEL),
             segments: paused.history.clone(),
         };
-        let at = self.now + self.network.between(scheduler, engine);
-        let purpose = Purpose::Offload(program, chain);
+        let at = self.now + self.network.one_way_delay(scheduler, engine);
+        let purpose = TransferPurpose::Offload(program, chain);
         self.send_transfer(engine, EngineCommand::Export(export), scheduler, purpose, at);
     }
 
     /// An export is complete.
-    pub(super) fn exported(&mut self, engine: usize, image: KvImage) {
+    pub(super) fn finish_export(&mut self, engine: usize, image: KvImage) {
         match self.engines[engine].exports.pop_front() {
-            Some(Purpose::Attempt(attempt)) => {
+            Some(TransferPurpose::Attempt(attempt)) => {
                 let Some(copy) = self.copies.get(&attempt) else { return };
                 let (target, scheduler) = (copy.target, copy.scheduler);
-                self.send_image(engine, target, image, scheduler, Purpose::Attempt(attempt));
+                self.send_image(
+                    engine,
+                    target,
+                    image,
+                    scheduler,
+                    TransferPurpose::Attempt(attempt),
+                );
             }
-            Some(Purpose::Offload(program, chain)) => {
+            Some(TransferPurpose::Offload(program, chain)) => {
                 let tokens = image.tokens;
                 self.store_image(engine, program, chain, image);
-                self.tell_offloaded(engine, program, chain, tokens);
+                self.notify_offloaded(engine, program, chain, tokens);
             }
             _ => {}
         }
     }
 
     /// An import is complete.
-    pub(super) fn imported(&mut self, engine: usize) {
-        if let Some(Purpose::Attempt(attempt)) = self.engines[engine].imports.pop_front() {
-            self.end_copy(attempt);
+    pub(super) fn finish_import(&mut self, engine: usize) {
+        if let Some(TransferPurpose::Attempt(attempt)) = self.engines[engine].imports.pop_front() {
+            self.submit_after_copy(attempt);
         }
     }
 
     /// A transfer was refused or its engine is gone.
-    pub(super) fn transfer_failed(&mut self, engine: usize, purpose: Purpose) {
+    pub(super) fn handle_failed_transfer(&mut self, engine: usize, purpose: TransferPurpose) {
         match purpose {
-            Purpose::Attempt(attempt) => self.end_copy(attempt),
-            Purpose::Offload(program, chain) => {
-                self.tell_offloaded(engine, program, chain, Tokens::ZERO);
+            TransferPurpose::Attempt(attempt) => self.submit_after_copy(attempt),
+            TransferPurpose::Offload(program, chain) => {
+                self.notify_offloaded(engine, program, chain, Tokens::ZERO);
             }
-            Purpose::None => {}
+            TransferPurpose::None => {}
         }
     }
 
     /// Submits the attempt that waited for a copy, whatever came of it.
-    pub(super) fn end_copy(&mut self, attempt: AttemptId) {
+    pub(super) fn submit_after_copy(&mut self, attempt: AttemptId) {
         if let Some(copy) = self.copies.remove(&attempt) {
             self.send_submit(copy.scheduler, copy.target, copy.submit, self.now);
         }
@@ -186,7 +192,7 @@
         self.result.host_peak_tokens = self.result.host_peak_tokens.max(used);
     }
 
-    fn tell_offloaded(
+    fn notify_offloaded(
         &mut self,
         engine: usize,
         program: ProgramId,
@@ -194,9 +200,9 @@
         tokens: Tokens,
     ) {
         let owner = self.programs[program.number as usize].owner;
-        let link = self.network.between(engine, owner);
+        let delay = self.network.one_way_delay(engine, owner);
         let engine = self.engines[engine].id.clone();
-        self.tell_later(owner, Event::Offloaded { program, chain, engine, tokens }, link);
+        self.notify_after(owner, Event::Offloaded { program, chain, engine, tokens }, delay);
     }
 
     fn send_image(
@@ -205,10 +211,10 @@
         target: usize,
         image: KvImage,
         scheduler: usize,
-        purpose: Purpose,
+        purpose: TransferPurpose,
     ) {
         let command = EngineCommand::Import(Import { epoch: EPOCH, image });
-        let at = self.now + self.network.between(source, target);
+        let at = self.now + self.network.one_way_delay(source, target);
         self.send_transfer(target, command, scheduler, purpose, at);
     }
 
@@ -217,12 +223,12 @@
         engine: usize,
         command: EngineCommand,
         from: usize,
-        purpose: Purpose,
+        purpose: TransferPurpose,
         at: Timestamp,
     ) {
         let incarnation = self.engines[engine].incarnation;
         let command = Box::new(command);
-        let happening = Happening::Command { engine, incarnation, command, from, purpose };
-        self.agenda.add(at, happening);
+        let event = SimulationEvent::Command { engine, incarnation, command, from, purpose };
+        self.queue.add(at, event);
     }
 }
--- a/crates/experiment/src/driver/engines.rs
+++ b/crates/experiment/src/driver/engines.rs
@@ -13,14 +13,14 @@
     AttemptId, Duration, EngineId, Incarnation, ModelId, ProgramId, Timestamp, Usage,
 };
 
-use super::agenda::Happening;
-use super::copies::{HostMemory, Purpose};
-use super::network::add;
+use super::copies::{HostMemory, TransferPurpose};
+use super::event_queue::SimulationEvent;
+use super::network::sum;
 use super::{Driver, MODEL};
 use crate::workload::Workload;
 
 /// Decode steps that the model may take as one; callers see first tokens and ends only.
-const LEAP: u64 = 256;
+const MAX_LEAP_STEPS: u64 = 256;
 
 /// An engine and its lives.
 pub(super) struct EngineHost {
@@ -30,11 +30,11 @@
     pub model: Option<EngineModel>,
     pub spans: Vec<CacheSpan>,
     /// What the exports and imports under way are for, in their order.
-    pub exports: VecDeque<Purpose>,
-    pub imports: VecDeque<Purpose>,
+    pub exports: VecDeque<TransferPurpose>,
+    pub imports: VecDeque<TransferPurpose>,
     pub host_memory: HostMemory,
     /// Cache events sent to each scheduler in this life.
-    pub sequences: Vec<u64>,
+    pub cache_sequences: Vec<u64>,
     seed: u64,
     wake_at: Option<Timestamp>,
 }
@@ -48,21 +48,21 @@
             spans: Vec::new(),
             exports: VecDeque::new(),
             imports: VecDeque::new(),
-            sequences: Vec::new(),
+            cache_sequences: Vec::new(),
             host_memory: HostMemory::new(workload.deployment.host_tokens),
             seed: seed.wrapping_mul(7919) + number as u64,
             wake_at: None,
         };
-        host.switch_on(workload);
+        host.start(workload);
         host
     }
 
     /// Starts a new, empty life.
-    fn switch_on(&mut self, workload: &Workload) {
+    fn start(&mut self, workload: &Workload) {
         self.incarnation = self.incarnation.next();
         let mut parameters = workload.engine.clone();
         parameters.report_progress = false;
-        parameters.max_leap_steps = LEAP;
+        parameters.max_leap_steps = MAX_LEAP_STEPS;
         let model = EngineModel::new(self.id.clone(), self.incarnation, parameters, self.seed);
         let mut model = model.with_model(ModelId::new(MODEL));
         model.record_spans();
@@ -70,12 +70,12 @@
         self.wake_at = None;
         self.exports.clear();
         self.imports.clear();
-        self.sequences = vec![0; workload.deployment.schedulers];
+        self.cache_sequences = vec![0; workload.deployment.schedulers];
         self.host_memory = HostMemory::new(workload.deployment.host_tokens);
     }
 
     /// Ends the books; gives how many programs still have something here.
-    pub(super) fn close(&mut self, now: Timestamp) -> u64 {
+    pub(super) fn finish(&mut self, now: Timestamp) -> u64 {
         let Some(model) = self.model.as_mut() else { return 0 };
         let held = model.inventory(now).programs.len() as u64;
         model.close_spans(now);
@@ -85,35 +85,35 @@
 }
 
 impl Driver<'_> {
-    pub(super) fn command(
+    pub(super) fn handle_command(
         &mut self,
         engine: usize,
         incarnation: Incarnation,
         command: EngineCommand,
         from: usize,
-        purpose: Purpose,
+        purpose: TransferPurpose,
     ) {
-        let subject = Subject::of(&command, purpose);
+        let context = CommandContext::new(&command, purpose);
         let host = &mut self.engines[engine];
         let alive = host.model.as_mut().filter(|_| host.incarnation == incarnation);
         let Some(model) = alive else {
-            self.command_lost(engine, subject, from);
+            self.handle_lost_command(engine, context, from);
             return;
         };
         let reply = model.handle(command, self.now);
-        self.replied(engine, subject, reply, from);
-        self.collect(engine);
+        self.handle_reply(engine, context, reply, from);
+        self.collect_events(engine);
     }
 
-    pub(super) fn wake(&mut self, engine: usize) {
+    pub(super) fn wake_engine(&mut self, engine: usize) {
         if self.engines[engine].wake_at == Some(self.now) {
             self.engines[engine].wake_at = None;
-            self.collect(engine);
+            self.collect_events(engine);
         }
     }
 
     /// Takes the engine's events and files its next wake-up.
-    fn collect(&mut self, engine: usize) {
+    fn collect_events(&mut self, engine: usize) {
         let now = self.now;
         let Some(model) = self.engines[engine].model.as_mut() else { return };
         let events = model.advance(now);
@@ -121,9 +121,9 @@
         let spans = model.take_spans();
         let host = &mut self.engines[engine];
         host.spans.extend(spans);
-        if let Some(at) = wakeup.filter(|at| host.wake_at.is_none_or(|filed| *at < filed)) {
+        if let Some(at) = wakeup.filter(|at| host.wake_at.is_none_or(|scheduled| *at < scheduled)) {
             host.wake_at = Some(at);
-            self.agenda.add(at, Happening::Wake { engine });
+            self.queue.add(at, SimulationEvent::Wake { engine });
         }
         for event in events {
             self.engine_event(engine, event);
@@ -140,37 +140,43 @@
             }
             EngineEvent::Preempted { .. } => self.result.preemptions += 1,
             EngineEvent::Cache(event) => self.forward_cache_event(engine, event),
-            EngineEvent::Exported { image, .. } => self.exported(engine, image),
-            EngineEvent::Imported { .. } => self.imported(engine),
+            EngineEvent::Exported { image, .. } => self.finish_export(engine, image),
+            EngineEvent::Imported { .. } => self.finish_import(engine),
             _ => {}
         }
     }
 
     fn forward_first_token(&mut self, engine: usize, attempt: AttemptId) {
-        let Some((program, _)) = self.current(attempt) else { return };
+        let Some((program, _)) = self.find_current_call(attempt) else { return };
         let owner = self.programs[program].owner;
-        let link = self.network.between(engine, owner);
-        self.tell_later(owner, Event::FirstToken(attempt), link);
-        let at = self.now + add(link, self.client_link(program));
-        self.agenda.add(at, Happening::FirstToken { attempt });
+        let delay = self.network.one_way_delay(engine, owner);
+        self.notify_after(owner, Event::FirstToken(attempt), delay);
+        let at = self.now + sum(delay, self.client_delay(program));
+        self.queue.add(at, SimulationEvent::FirstToken { attempt });
     }
 
     fn forward_answer(&mut self, engine: usize, attempt: AttemptId, usage: Usage) {
-        self.sent.remove(&attempt);
+        self.engine_by_attempt.remove(&attempt);
         let Some(program) = self.programs.get(attempt.call.program.number as usize) else { return };
         let owner = program.owner;
-        let link = self.network.between(engine, owner);
-        self.tell_later(owner, Event::Finished { attempt, usage }, link);
-        let Some((program, _)) = self.current(attempt) else { return };
+        let delay = self.network.one_way_delay(engine, owner);
+        self.notify_after(owner, Event::Finished { attempt, usage }, delay);
+        let Some((program, _)) = self.find_current_call(attempt) else { return };
         // The turn is durable before the caller sees its end.
-        let durable = add(link, self.network.commit());
-        let at = self.now + add(durable, self.client_link(program));
-        self.agenda.add(at, Happening::Answer { attempt, usage });
+        let durable = sum(delay, self.network.commit_delay());
+        let at = self.now + sum(durable, self.client_delay(program));
+        self.queue.add(at, SimulationEvent::Answer { attempt, usage });
     }
 
-    fn replied(&mut self, engine: usize, subject: Subject, reply: EngineReply, from: usize) {
-        match (subject, reply) {
-            (Subject::Submit(attempt), EngineReply::Refused(refusal)) => {
+    fn handle_reply(
+        &mut self,
+        engine: usize,
+        context: CommandContext,
+        reply: EngineReply,
+        from: usize,
+    ) {
+        match (context, reply) {
+            (CommandContext::Submit(attempt), EngineReply::Refused(refusal)) => {
                 let failure = match refusal {
                     EngineRefusal::Overloaded { .. } => AttemptFailure::Overloaded,
                     _ => AttemptFailure::Refused,
@@ -181,31 +187,34 @@
                 );
                 self.fail_attempt(engine, attempt, failure, !lasting, Duration::ZERO);
             }
-            (Subject::Cancel(attempt), EngineReply::NeverStarted) => {
+            (CommandContext::Cancel(attempt), EngineReply::NeverStarted) => {
                 self.fail_attempt(engine, attempt, AttemptFailure::Recalled, true, Duration::ZERO);
             }
-            (Subject::Release(program, true), EngineReply::Released { .. }) => {
+            (CommandContext::Release(program, true), EngineReply::Released { .. }) => {
                 self.confirm_release(engine, program, from);
             }
-            (Subject::Export(purpose) | Subject::Import(purpose), EngineReply::Refused(_)) => {
-                self.transfer_failed(engine, purpose);
+            (
+                CommandContext::Export(purpose) | CommandContext::Import(purpose),
+                EngineReply::Refused(_),
+            ) => {
+                self.handle_failed_transfer(engine, purpose);
             }
-            (Subject::Export(purpose), _) => self.engines[engine].exports.push_back(purpose),
-            (Subject::Import(purpose), _) => self.engines[engine].imports.push_back(purpose),
+            (CommandContext::Export(purpose), _) => self.engines[engine].exports.push_back(purpose),
+            (CommandContext::Import(purpose), _) => self.engines[engine].imports.push_back(purpose),
             _ => {}
         }
     }
 
     /// A command came to an engine that is off or in another life.
-    fn command_lost(&mut self, engine: usize, subject: Subject, from: usize) {
-        match subject {
-            Subject::Submit(attempt) => {
+    fn handle_lost_command(&mut self, engine: usize, context: CommandContext, from: usize) {
+        match context {
+            CommandContext::Submit(attempt) => {
                 let failure = AttemptFailure::EngineLost;
                 self.fail_attempt(engine, attempt, failure, true, Duration::ZERO);
             }
-            Subject::Release(program, true) => self.confirm_release(engine, program, from),
-            Subject::Export(purpose) | Subject::Import(purpose) => {
-                self.transfer_failed(engine, purpose);
+            CommandContext::Release(program, true) => self.confirm_release(engine, program, from),
+            CommandContext::Export(purpose) | CommandContext::Import(purpose) => {
+                self.handle_failed_transfer(engine, purpose);
             }
             _ => {}
         }
@@ -220,34 +229,34 @@
         retryable: bool,
         detection: Duration,
     ) {
-        self.sent.remove(&attempt);
+        self.engine_by_attempt.remove(&attempt);
         let Some(program) = self.programs.get(attempt.call.program.number as usize) else { return };
         let owner = program.owner;
-        let after = add(detection, self.network.between(engine, owner));
+        let after = sum(detection, self.network.one_way_delay(engine, owner));
         let failed = FailedAttempt { attempt, failure, retryable };
-        self.tell_later(owner, Event::Failed(failed), after);
+        self.notify_after(owner, Event::Failed(failed), after);
     }
 
     fn confirm_release(&mut self, engine: usize, program: ProgramId, scheduler: usize) {
         let event = Event::Released { program, engine: self.engines[engine].id.clone() };
-        let link = self.network.between(engine, scheduler);
-        self.tell_later(scheduler, event, link);
+        let delay = self.network.one_way_delay(engine, scheduler);
+        self.notify_after(scheduler, event, delay);
     }
 }
 
 /// What a command is about, to understand its reply.
 #[derive(Debug, Clone, Copy)]
-enum Subject {
+enum CommandContext {
     Submit(AttemptId),
     Cancel(AttemptId),
     Release(ProgramId, bool),
-    Export(Purpose),
-    Import(Purpose),
+    Export(TransferPurpose),
+    Import(TransferPurpose),
     Other,
 }
 
-impl Subject {
-    fn of(command: &EngineCommand, purpose: Purpose) -> Self {
+impl CommandContext {
+    fn new(command: &EngineCommand, purpose: TransferPurpose) -> Self {
         match command {
             EngineCommand::Submit(submit) => Self::Submit(submit.attempt),
             EngineCommand::Cancel(cancel) => Self::Cancel(cancel.attempt),
--- a/crates/experiment/src/driver/engines/faults.rs
+++ b/crates/experiment/src/driver/engines/faults.rs
@@ -5,79 +5,87 @@
 use dahlia_types::{AttemptId, Duration, Generation, Incarnation};
 
 use super::super::Driver;
-use super::super::agenda::Happening;
-use super::super::copies::Purpose;
+use super::super::copies::TransferPurpose;
+use super::super::event_queue::SimulationEvent;
 use crate::workload::FaultKind;
 
 /// How long an engine that leaves may take to finish what it has.
-const LEAVING_TIME: Duration = Duration::from_secs(60);
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(60);
 /// Time until broken connections of a dead engine are noticed.
-const DEATH_DETECTION: Duration = Duration::from_secs(1);
+const FAILURE_DETECTION_DELAY: Duration = Duration::from_secs(1);
 
 impl Driver<'_> {
-    pub(in super::super) fn fault(&mut self, index: usize) {
+    pub(in super::super) fn inject_fault(&mut self, index: usize) {
         let fault = self.workload.faults[index];
         match fault.kind {
-            FaultKind::Leave => self.leave(fault.engine),
-            FaultKind::Die => self.die(fault.engine),
-            FaultKind::Return => self.come_back(fault.engine),
+            FaultKind::Leave => self.drain_engine(fault.engine),
+            FaultKind::Die => self.stop_engine(fault.engine),
+            FaultKind::Return => self.restart_engine(fault.engine),
         }
     }
 
-    fn leave(&mut self, engine: usize) {
+    fn drain_engine(&mut self, engine: usize) {
         let incarnation = self.engines[engine].incarnation;
         let kind = OrderKind::SetRole(EngineRole::Draining);
         let order = EngineCommand::Order(EngineOrder { generation: Generation(1), kind });
-        self.command(engine, incarnation, order, 0, Purpose::None);
-        self.tell_list(Event::EngineLeaving(self.engines[engine].id.clone()));
-        let at = self.now + LEAVING_TIME;
-        self.agenda.add(at, Happening::SwitchOff { engine, incarnation });
+        self.handle_command(engine, incarnation, order, 0, TransferPurpose::None);
+        self.notify_all_schedulers(Event::EngineLeaving(self.engines[engine].id.clone()));
+        let at = self.now + DRAIN_TIMEOUT;
+        self.queue.add(at, SimulationEvent::StopDrainedEngine { engine, incarnation });
     }
 
-    pub(in super::super) fn switch_off(&mut self, engine: usize, incarnation: Incarnation) {
+    pub(in super::super) fn stop_drained_engine(
+        &mut self,
+        engine: usize,
+        incarnation: Incarnation,
+    ) {
         if self.engines[engine].incarnation == incarnation {
-            self.die(engine);
+            self.stop_engine(engine);
         }
     }
 
-    fn die(&mut self, engine: usize) {
+    fn stop_engine(&mut self, engine: usize) {
         let host = &mut self.engines[engine];
-        host.close(self.now);
+        host.finish(self.now);
         if host.model.take().is_none() {
             return;
         }
-        let open: Vec<AttemptId> =
-            self.sent.iter().filter(|(_, at)| **at == engine).map(|(id, _)| *id).collect();
+        let open: Vec<AttemptId> = self
+            .engine_by_attempt
+            .iter()
+            .filter(|(_, at)| **at == engine)
+            .map(|(id, _)| *id)
+            .collect();
         let waiting_for_copies = self.attempts_waiting_for(engine);
         for attempt in open.into_iter().filter(|id| !waiting_for_copies.contains(id)) {
             let failure = AttemptFailure::EngineLost;
-            self.fail_attempt(engine, attempt, failure, true, DEATH_DETECTION);
+            self.fail_attempt(engine, attempt, failure, true, FAILURE_DETECTION_DELAY);
         }
         for attempt in waiting_for_copies {
-            self.end_copy(attempt);
+            self.submit_after_copy(attempt);
         }
-        self.tell_list(Event::EngineGone(self.engines[engine].id.clone()));
+        self.notify_all_schedulers(Event::EngineGone(self.engines[engine].id.clone()));
     }
 
-    fn come_back(&mut self, engine: usize) {
+    fn restart_engine(&mut self, engine: usize) {
         if self.engines[engine].model.is_some() {
             return;
         }
-        self.engines[engine].switch_on(self.workload);
-        self.announce(engine, self.network.list_lag);
+        self.engines[engine].start(self.workload);
+        self.announce(engine, self.network.list_delay);
     }
 
     /// Attempts that wait for copies from or to the engine.
     fn attempts_waiting_for(&self, engine: usize) -> Vec<AttemptId> {
-        let concerned =
+        let affected =
             self.copies.iter().filter(|(_, copy)| copy.source == engine || copy.target == engine);
-        concerned.map(|(attempt, _)| *attempt).collect()
+        affected.map(|(attempt, _)| *attempt).collect()
     }
 
-    fn tell_list(&mut self, event: Event) {
+    fn notify_all_schedulers(&mut self, event: Event) {
         for scheduler in 0..self.schedulers.len() {
-            let lag = self.network.list_lag;
-            self.tell_later(scheduler, event.clone(), lag);
+            let delay = self.network.list_delay;
+            self.notify_after(scheduler, event.clone(), delay);
         }
     }
 }
--- a/crates/experiment/src/driver/engines/reports.rs
+++ b/crates/experiment/src/driver/engines/reports.rs
@@ -7,27 +7,27 @@
 use dahlia_types::{Duration, ModelId, Tokens};
 use rand::Rng;
 
-use super::super::agenda::Happening;
+use super::super::event_queue::SimulationEvent;
 use super::super::{Driver, MODEL};
 
 impl Driver<'_> {
     /// Makes the engine known to every scheduler.
-    pub(in super::super) fn announce(&mut self, engine: usize, lag: Duration) {
+    pub(in super::super) fn announce(&mut self, engine: usize, delay: Duration) {
         for scheduler in 0..self.schedulers.len() {
             let joined = EngineDescription {
                 engine: self.engines[engine].id.clone(),
                 incarnation: self.engines[engine].incarnation,
                 zone: self.network.zone(engine),
-                one_way_delay: self.network.between(scheduler, engine),
+                one_way_delay: self.network.one_way_delay(scheduler, engine),
                 models: vec![ModelId::new(MODEL)],
                 capacity: self.capacity(),
             };
-            self.tell_later(scheduler, Event::EngineJoined(joined), lag);
+            self.notify_after(scheduler, Event::EngineJoined(joined), delay);
         }
     }
 
-    pub(in super::super) fn report(&mut self, engine: usize) {
-        self.agenda.add(self.now + self.report_interval(), Happening::Report { engine });
+    pub(in super::super) fn send_report(&mut self, engine: usize) {
+        self.queue.add(self.now + self.report_interval(), SimulationEvent::Report { engine });
         let Some(model) = self.engines[engine].model.as_ref() else { return };
         let load = model.load(self.now);
         let report = EngineReport {
@@ -49,31 +49,31 @@
     pub(super) fn forward_cache_event(&mut self, engine: usize, event: CacheEvent) {
         let scheduler = event.program.group.0 as usize;
         let host = &mut self.engines[engine];
-        host.sequences[scheduler] += 1;
+        host.cache_sequences[scheduler] += 1;
         let notice = CacheNotice {
             engine: host.id.clone(),
             incarnation: host.incarnation,
-            sequence: host.sequences[scheduler],
+            sequence: host.cache_sequences[scheduler],
             program: event.program,
             resident: event.resident,
         };
         if !self.random.random_bool(self.workload.deployment.report_loss) {
-            self.tell_later(scheduler, Event::Cache(notice), self.network.report_lag);
+            self.notify_after(scheduler, Event::Cache(notice), self.network.report_delay);
         }
     }
 
-    pub(in super::super) fn inventory(&mut self, engine: usize, scheduler: usize) {
+    pub(in super::super) fn send_inventory(&mut self, engine: usize, scheduler: usize) {
         let Some(model) = self.engines[engine].model.as_ref() else { return };
         let inventory = model.inventory(self.now);
         let programs = inventory.programs.iter().map(|held| (held.program, held.tokens));
         let answer = EngineInventory {
             engine: self.engines[engine].id.clone(),
             incarnation: inventory.incarnation,
-            sequence: self.engines[engine].sequences[scheduler],
+            sequence: self.engines[engine].cache_sequences[scheduler],
             programs: programs.collect(),
         };
-        let link = self.network.between(engine, scheduler);
-        self.tell_later(scheduler, Event::Inventory(answer), link);
+        let delay = self.network.one_way_delay(engine, scheduler);
+        self.notify_after(scheduler, Event::Inventory(answer), delay);
     }
 
     /// Sends to every scheduler, late; each copy may be lost on its own.
@@ -81,8 +81,8 @@
         let loss = self.workload.deployment.report_loss;
         for scheduler in 0..self.schedulers.len() {
             if !self.random.random_bool(loss) {
-                let lag = self.network.report_lag;
-                self.tell_later(scheduler, event.clone(), lag);
+                let delay = self.network.report_delay;
+                self.notify_after(scheduler, event.clone(), delay);
             }
         }
     }
--- a/crates/experiment/src/driver/agenda.rs
+++ b/crates/experiment/src/driver/event_queue.rs
@@ -7,11 +7,11 @@
 use dahlia_placement::Event;
 use dahlia_types::{AttemptId, Duration, Incarnation, Timestamp, Usage};
 
-use super::copies::Purpose;
+use super::copies::TransferPurpose;
 
 /// Something that will happen.
 #[derive(Debug, Clone)]
-pub(super) enum Happening {
+pub(super) enum SimulationEvent {
     /// A program begins.
     Arrive { program: usize },
     /// A caller issues the chain's next call, or the same again after a refusal.
@@ -24,7 +24,7 @@
         incarnation: Incarnation,
         command: Box<EngineCommand>,
         from: usize,
-        purpose: Purpose,
+        purpose: TransferPurpose,
     },
     /// An engine has something to do.
     Wake { engine: usize },
@@ -33,7 +33,7 @@
     /// An engine's inventory was asked for.
     Inventory { engine: usize, scheduler: usize },
     /// An event reaches a scheduler.
-    Tell { scheduler: usize, event: Box<Event> },
+    Notify { scheduler: usize, event: Box<Event> },
     /// The first token reaches the caller.
     FirstToken { attempt: AttemptId },
     /// The whole answer reaches the caller.
@@ -45,7 +45,7 @@
     /// A fault of the workload.
     Fault { index: usize },
     /// An engine that left is switched off.
-    SwitchOff { engine: usize, incarnation: Incarnation },
+    StopDrainedEngine { engine: usize, incarnation: Incarnation },
     /// Time passes for the schedulers.
     Tick,
 }
@@ -55,7 +55,7 @@
     at: Timestamp,
     /// Ties go by order of insertion, so that a run repeats exactly.
     number: u64,
-    happening: Happening,
+    event: SimulationEvent,
 }
 
 impl PartialEq for Entry {
@@ -81,18 +81,18 @@
 
 /// The queue of happenings.
 #[derive(Debug, Default)]
-pub(super) struct Agenda {
+pub(super) struct EventQueue {
     heap: BinaryHeap<Entry>,
     inserted: u64,
 }
 
-impl Agenda {
-    pub(super) fn add(&mut self, at: Timestamp, happening: Happening) {
+impl EventQueue {
+    pub(super) fn add(&mut self, at: Timestamp, event: SimulationEvent) {
         self.inserted += 1;
-        self.heap.push(Entry { at, number: self.inserted, happening });
+        self.heap.push(Entry { at, number: self.inserted, event });
     }
 
-    pub(super) fn next(&mut self) -> Option<(Timestamp, Happening)> {
-        self.heap.pop().map(|entry| (entry.at, entry.happening))
+    pub(super) fn next(&mut self) -> Option<(Timestamp, SimulationEvent)> {
+        self.heap.pop().map(|entry| (entry.at, entry.event))
     }
 }
--- a/crates/experiment/src/driver/network.rs
+++ b/crates/experiment/src/driver/network.rs
@@ -5,16 +5,16 @@
 use crate::workload::Deployment;
 
 /// Latency inside a zone.
-const SAME_ZONE: Duration = Duration::from_micros(100);
+const SAME_ZONE_DELAY: Duration = Duration::from_micros(100);
 
 /// Where everything stands and how long a message takes.
 #[derive(Debug)]
 pub(super) struct Network {
     zones: Vec<Zone>,
-    between_zones: Duration,
-    to_client: Duration,
-    pub report_lag: Duration,
-    pub list_lag: Duration,
+    cross_zone_delay: Duration,
+    client_delay: Duration,
+    pub report_delay: Duration,
+    pub list_delay: Duration,
 }
 
 impl Network {
@@ -22,10 +22,10 @@
         let millis = |value: f64| Duration::from_secs_f64(value / 1000.0);
         Self {
             zones: deployment.zones.iter().map(Zone::new).collect(),
-            between_zones: millis(deployment.zone_latency_ms),
-            to_client: millis(deployment.client_latency_ms),
-            report_lag: millis(deployment.report_lag_ms),
-            list_lag: millis(deployment.list_lag_ms),
+            cross_zone_delay: millis(deployment.zone_latency_ms),
+            client_delay: millis(deployment.client_latency_ms),
+            report_delay: millis(deployment.report_lag_ms),
+            list_delay: millis(deployment.list_lag_ms),
         }
     }
 
@@ -34,22 +34,26 @@
     }
 
     /// One way between the machines of these numbers, each spread over the zones in turn.
-    pub(super) fn between(&self, one: usize, other: usize) -> Duration {
+    pub(super) fn one_way_delay(&self, one: usize, other: usize) -> Duration {
         let zones = self.zones.len();
-        if one % zones == other % zones { SAME_ZONE } else { self.between_zones }
+        if one % zones == other % zones { SAME_ZONE_DELAY } else { self.cross_zone_delay }
     }
 
     /// One way between a caller and the owner of its program, through the gateway of `entry`.
-    pub(super) fn client_to_owner(&self, entry: usize, owner: usize) -> Duration {
-        add(self.to_client, self.between(entry, owner))
+    pub(super) fn client_to_owner_delay(&self, entry: usize, owner: usize) -> Duration {
+        sum(self.client_delay, self.one_way_delay(entry, owner))
     }
 
     /// Time until an intent or a turn is durable: a majority over the zones has answered.
-    pub(super) fn commit(&self) -> Duration {
-        if self.zones.len() == 1 { SAME_ZONE.times(2) } else { self.between_zones.times(2) }
+    pub(super) fn commit_delay(&self) -> Duration {
+        if self.zones.len() == 1 {
+            SAME_ZONE_DELAY.times(2)
+        } else {
+            self.cross_zone_delay.times(2)
+        }
     }
 }
 
-pub(super) fn add(one: Duration, other: Duration) -> Duration {
-    Duration::from_micros(one.as_micros() + other.as_micros())
+pub(super) fn sum(left: Duration, right: Duration) -> Duration {
+    Duration::from_micros(left.as_micros() + right.as_micros())
 }
--- a/crates/experiment/src/driver/programs.rs
+++ b/crates/experiment/src/driver/programs.rs
@@ -77,14 +77,14 @@
     }
 
     /// Opens the main chain.
-    pub(super) fn begin(&mut self) -> usize {
+    pub(super) fn add_main_chain(&mut self) -> usize {
         let main = self.script.main.clone();
         self.chains.push(ChainRun::new(main, None, &[], 0));
         0
     }
 
     /// Opens a sub-agent's chain.
-    pub(super) fn branch(&mut self, parent: usize, script: ChainScript) -> usize {
+    pub(super) fn add_sub_agent(&mut self, parent: usize, script: ChainScript) -> usize {
         let from = &self.chains[parent];
         let depth = from.depth + 1;
         let mut child = ChainRun::new(script, Some(parent), &from.history, depth);
--- a/crates/experiment/src/driver/schedulers.rs
+++ b/crates/experiment/src/driver/schedulers.rs
@@ -8,17 +8,17 @@
     AttemptId, CallId, Duration, EngineId, Incarnation, ModelId, Term, Timestamp, Tokens,
 };
 
-use super::agenda::Happening;
-use super::copies::Purpose;
+use super::copies::TransferPurpose;
+use super::event_queue::SimulationEvent;
 use super::{Driver, MODEL};
 
 /// Weight of every program.
-const WEIGHT: u32 = 100;
+const PROGRAM_WEIGHT: u32 = 100;
 /// The owners' epoch; owners do not change in these runs.
 pub(super) const EPOCH: Term = Term(1);
 
 impl Driver<'_> {
-    pub(super) fn ready(&mut self, program: usize, chain: usize) {
+    pub(super) fn handle_ready_call(&mut self, program: usize, chain: usize) {
         let run = &mut self.programs[program];
         if run.ended {
             return;
@@ -35,26 +35,26 @@
             max_generated: Tokens(self.workload.program.max_generated),
             attained_service: Duration::ZERO,
             depth: current.depth,
-            weight: WEIGHT,
+            weight: PROGRAM_WEIGHT,
         };
         let owner = run.owner;
-        self.tell(owner, Event::CallReady(ready));
+        self.notify(owner, Event::CallReady(ready));
     }
 
     /// Gives an event to a scheduler now and carries out what it decides.
-    pub(super) fn tell(&mut self, scheduler: usize, event: Event) {
+    pub(super) fn notify(&mut self, scheduler: usize, event: Event) {
         let actions = self.schedulers[scheduler].handle(event, self.now);
         for action in actions {
-            self.carry_out(scheduler, action);
+            self.execute(scheduler, action);
         }
     }
 
-    fn carry_out(&mut self, scheduler: usize, action: Action) {
+    fn execute(&mut self, scheduler: usize, action: Action) {
         match action {
             Action::Dispatch { attempt, engine, incarnation, priority, copy_from } => {
                 self.dispatch(scheduler, attempt, &engine, incarnation, priority, copy_from);
             }
-            Action::Refuse { call, retry_after, .. } => self.refuse(call, retry_after),
+            Action::Refuse { call, retry_after, .. } => self.send_refusal(call, retry_after),
             Action::Recall { attempt, engine } => {
                 let cancel = Cancel { attempt, epoch: EPOCH, only_waiting: true };
                 self.send(scheduler, &engine, EngineCommand::Cancel(cancel));
@@ -75,20 +75,20 @@
             }
             Action::FetchInventory(engine) => {
                 let engine = self.engine_number(&engine);
-                let at = self.now + self.network.between(scheduler, engine);
-                self.agenda.add(at, Happening::Inventory { engine, scheduler });
+                let at = self.now + self.network.one_way_delay(scheduler, engine);
+                self.queue.add(at, SimulationEvent::Inventory { engine, scheduler });
             }
         }
     }
 
-    fn refuse(&mut self, call: CallId, retry_after: Duration) {
+    fn send_refusal(&mut self, call: CallId, retry_after: Duration) {
         let attempt = AttemptId { call, attempt: 0 };
-        let Some((program, chain)) = self.current(attempt) else { return };
+        let Some((program, chain)) = self.find_current_call(attempt) else { return };
         let waited = self.now.since(self.programs[program].chains[chain].ready);
         self.result.refusals += 1;
         self.result.longest_refusal = self.result.longest_refusal.max(waited);
-        let at = self.now + self.client_link(program);
-        self.agenda.add(at, Happening::Refused { program, chain, retry_after });
+        let at = self.now + self.client_delay(program);
+        self.queue.add(at, SimulationEvent::Refused { program, chain, retry_after });
     }
 
     fn dispatch(
@@ -100,7 +100,7 @@
         priority: u64,
         copy_from: Option<CopySource>,
     ) {
-        let Some((program, chain)) = self.current(attempt) else { return };
+        let Some((program, chain)) = self.find_current_call(attempt) else { return };
         let run = &mut self.programs[program];
         let current = &mut run.chains[chain];
         current.attempt = attempt.attempt + 1;
@@ -118,9 +118,9 @@
             priority: Priority(priority),
         };
         let target = self.engine_number(engine);
-        self.sent.insert(attempt, target);
+        self.engine_by_attempt.insert(attempt, target);
         // The intent reaches a quorum before the bytes leave, as in the daemon.
-        let committed = self.now + self.network.commit();
+        let committed = self.now + self.network.commit_delay();
         match copy_from {
             Some(source) => self.begin_copy(scheduler, &source, target, submit, committed),
             None => self.send_submit(scheduler, target, submit, committed),
@@ -136,15 +136,15 @@
     ) {
         let incarnation = submit.incarnation.unwrap_or_default();
         let command = Box::new(EngineCommand::Submit(submit));
-        let at = from + self.network.between(scheduler, engine);
-        self.agenda.add(
+        let at = from + self.network.one_way_delay(scheduler, engine);
+        self.queue.add(
             at,
-            Happening::Command {
+            SimulationEvent::Command {
                 engine,
                 incarnation,
                 command,
                 from: scheduler,
-                purpose: Purpose::None,
+                purpose: TransferPurpose::None,
             },
         );
     }
@@ -152,16 +152,16 @@
     fn send(&mut self, scheduler: usize, engine: &EngineId, command: EngineCommand) {
         let engine = self.engine_number(engine);
         let incarnation = self.engines[engine].incarnation;
-        let at = self.now + self.network.between(scheduler, engine);
+        let at = self.now + self.network.one_way_delay(scheduler, engine);
         let command = Box::new(command);
-        self.agenda.add(
+        self.queue.add(
             at,
-            Happening::Command {
+            SimulationEvent::Command {
                 engine,
                 incarnation,
                 command,
                 from: scheduler,
-                purpose: Purpose::None,
+                purpose: TransferPurpose::None,
             },
         );
     }
@@ -172,9 +172,9 @@
     }
 
     /// Sends an event to a scheduler after a link's latency.
-    pub(super) fn tell_later(&mut self, scheduler: usize, event: Event, after: Duration) {
+    pub(super) fn notify_after(&mut self, scheduler: usize, event: Event, after: Duration) {
         let event = Box::new(event);
-        self.agenda.add(self.now + after, Happening::Tell { scheduler, event });
+        self.queue.add(self.now + after, SimulationEvent::Notify { scheduler, event });
     }
 }
 
--- a/crates/experiment/src/metrics.rs
+++ b/crates/experiment/src/metrics.rs
@@ -6,7 +6,7 @@
 use crate::workload::Workload;
 
 /// Bins of the course of wasted cache over time.
-pub(crate) const TIME_BINS: usize = 60;
+pub(crate) const TIME_BIN_COUNT: usize = 60;
 
 /// How a program ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -46,7 +46,7 @@
 
 /// Token-seconds of held cache.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub(crate) struct HeldCache {
+pub(crate) struct CacheUsage {
     pub held: f64,
     pub wasted: f64,
 }
@@ -59,8 +59,8 @@
     completed_in_time: u64,
     pub(crate) programs: Vec<ProgramRecord>,
     pub(crate) calls: Vec<CallRecord>,
-    pub(crate) cache: HeldCache,
-    pub(crate) cache_course: Vec<HeldCache>,
+    pub(crate) cache: CacheUsage,
+    pub(crate) cache_over_time: Vec<CacheUsage>,
     /// Calls issued by callers, over the whole run.
     pub issued: u64,
     /// Calls answered, over the whole run.
@@ -95,15 +95,15 @@
 
 impl RunResult {
     pub(crate) fn new(workload: &Workload) -> Self {
-        let moment = |seconds| Timestamp::ZERO + Duration::from_secs_f64(seconds);
+        let timestamp = |seconds| Timestamp::ZERO + Duration::from_secs_f64(seconds);
         Self {
-            warm_up: moment(workload.run.warm_up_seconds),
-            arrivals_end: moment(workload.run.seconds),
+            warm_up: timestamp(workload.run.warm_up_seconds),
+            arrivals_end: timestamp(workload.run.seconds),
             completed_in_time: 0,
             programs: Vec::new(),
             calls: Vec::new(),
-            cache: HeldCache::default(),
-            cache_course: vec![HeldCache::default(); TIME_BINS],
+            cache: CacheUsage::default(),
+            cache_over_time: vec![CacheUsage::default(); TIME_BIN_COUNT],
             issued: 0,
             answered: 0,
             given_up: 0,
@@ -153,12 +153,12 @@
         let to = span.to.0.clamp(first, last);
         let wasted = span.kind == SpanKind::Wasted;
         self.cache.add(span.tokens.0, to - from, wasted);
-        let bin_length = (last - first).div_ceil(TIME_BINS as u64).max(1);
+        let bin_length = (last - first).div_ceil(TIME_BIN_COUNT as u64).max(1);
         let mut start = from;
         while start < to {
-            let bin = ((start - first) / bin_length).min(TIME_BINS as u64 - 1);
+            let bin = ((start - first) / bin_length).min(TIME_BIN_COUNT as u64 - 1);
             let end = to.min(first + (bin + 1) * bin_length);
-            self.cache_course[bin as usize].add(span.tokens.0, end - start, wasted);
+            self.cache_over_time[bin as usize].add(span.tokens.0, end - start, wasted);
             start = end;
         }
     }
@@ -177,18 +177,18 @@
 
     /// Latencies of completed programs in milliseconds, tool pauses included.
     pub fn latencies_ms(&self) -> Vec<f64> {
-        self.completed().map(|program| millis(program.latency)).collect()
+        self.completed().map(|program| to_millis(program.latency)).collect()
     }
 
     /// Latencies of completed programs in milliseconds, without tool pauses.
     pub fn latencies_without_pauses_ms(&self) -> Vec<f64> {
         let completed = self.completed();
-        completed.map(|program| millis(program.latency) - millis(program.paused)).collect()
+        completed.map(|program| to_millis(program.latency) - to_millis(program.paused)).collect()
     }
 
     /// Times to the first token, in milliseconds.
     pub fn times_to_first_token_ms(&self) -> Vec<f64> {
-        self.calls.iter().map(|call| millis(call.first_token)).collect()
+        self.calls.iter().map(|call| to_millis(call.first_token)).collect()
     }
 
     fn completed(&self) -> impl Iterator<Item = &ProgramRecord> {
@@ -196,7 +196,7 @@
     }
 }
 
-impl HeldCache {
+impl CacheUsage {
     fn add(&mut self, tokens: u64, micros: u64, wasted: bool) {
         let token_seconds = tokens as f64 * micros as f64 / 1e6;
         self.held += token_seconds;
@@ -210,6 +210,6 @@
     }
 }
 
-fn millis(length: Duration) -> f64 {
+fn to_millis(length: Duration) -> f64 {
     length.as_micros() as f64 / 1000.0
 }
--- a/crates/experiment/src/oracle.rs
+++ b/crates/experiment/src/oracle.rs
@@ -3,10 +3,10 @@
 use dahlia_types::Duration;
 
 use crate::metrics::{CallRecord, Outcome, ProgramRecord, RunResult};
-use crate::workload::{After, ChainScript, ProgramScript, Workload};
+use crate::workload::{ChainScript, NextStep, ProgramScript, Workload};
 
 /// How a chain ends and how long it takes without any contention.
-struct ChainTime {
+struct ChainEstimate {
     total: Duration,
     paused: Duration,
     outcome: Outcome,
@@ -17,30 +17,34 @@
     let mut result = RunResult::new(workload);
     for program in programs {
         let mut calls = Vec::new();
-        let time = chain_time(workload, &program.main, &mut calls);
+        let estimate = estimate_chain(workload, &program.main, &mut calls);
         let measured = result.is_measured(program.arrives);
         if measured {
             result.calls.extend(calls);
         }
-        let ended = program.arrives + time.total;
+        let ended = program.arrives + estimate.total;
         let record = ProgramRecord {
             arrives: program.arrives,
-            latency: time.total,
-            paused: time.paused,
+            latency: estimate.total,
+            paused: estimate.paused,
             ended,
-            outcome: time.outcome,
+            outcome: estimate.outcome,
         };
         result.add_program(record);
     }
     result
 }
 
-fn chain_time(workload: &Workload, chain: &ChainScript, calls: &mut Vec<CallRecord>) -> ChainTime {
+fn estimate_chain(
+    workload: &Workload,
+    chain: &ChainScript,
+    calls: &mut Vec<CallRecord>,
+) -> ChainEstimate {
     let mut total = Duration::ZERO;
     let mut paused = Duration::ZERO;
     let mut cached: u64 = chain.prefix.iter().map(|segment| segment.tokens.0).sum();
     for turn in &chain.turns {
-        let first = first_token_time(workload, turn.message.tokens.0, cached);
+        let first = time_to_first_token(workload, turn.message.tokens.0, cached);
         let decode = decode_time(workload, turn.generated.0);
         calls.push(CallRecord {
             first_token: first,
@@ -48,33 +52,35 @@
             cached,
         });
         cached += turn.message.tokens.0 + turn.generated.0;
-        total = plus(total, plus(first, decode));
-        match &turn.after {
-            After::End => break,
-            After::Pause { length, .. } => {
-                total = plus(total, *length);
-                paused = plus(paused, *length);
+        total = sum(total, sum(first, decode));
+        match &turn.next_step {
+            NextStep::End => break,
+            NextStep::Pause { length, .. } => {
+                total = sum(total, *length);
+                paused = sum(paused, *length);
             }
-            After::Hang { .. } | After::Abandon => {
-                return ChainTime { total, paused, outcome: Outcome::Abandoned };
+            NextStep::Hang { .. } | NextStep::Abandon => {
+                return ChainEstimate { total, paused, outcome: Outcome::Abandoned };
             }
-            After::SubAgents(children) => {
-                let times: Vec<ChainTime> =
-                    children.iter().map(|child| chain_time(workload, child, calls)).collect();
-                let Some(longest) = times.iter().max_by_key(|time| time.total) else { continue };
-                total = plus(total, longest.total);
-                paused = plus(paused, longest.paused);
-                if times.iter().any(|time| time.outcome != Outcome::Completed) {
-                    return ChainTime { total, paused, outcome: Outcome::Abandoned };
+            NextStep::SubAgents(children) => {
+                let estimates: Vec<ChainEstimate> =
+                    children.iter().map(|child| estimate_chain(workload, child, calls)).collect();
+                let Some(longest) = estimates.iter().max_by_key(|estimate| estimate.total) else {
+                    continue;
+                };
+                total = sum(total, longest.total);
+                paused = sum(paused, longest.paused);
+                if estimates.iter().any(|estimate| estimate.outcome != Outcome::Completed) {
+                    return ChainEstimate { total, paused, outcome: Outcome::Abandoned };
                 }
             }
         }
     }
-    ChainTime { total, paused, outcome: Outcome::Completed }
+    ChainEstimate { total, paused, outcome: Outcome::Completed }
 }
 
 /// Time to the first token: links there and back, and the prefill of what is new.
-fn first_token_time(workload: &Workload, new_tokens: u64, context: u64) -> Duration {
+fn time_to_first_token(workload: &Workload, new_tokens: u64, context: u64) -> Duration {
     let links = 2.0 * workload.deployment.client_latency_ms * 1000.0;
     let engine = &workload.engine;
     let steps = new_tokens.div_ceil(engine.prefill_chunk.0).max(1) as f64;
@@ -89,6 +95,6 @@
     Duration::from_micros((generated.saturating_sub(1) as f64 * step) as u64)
 }
 
-fn plus(one: Duration, other: Duration) -> Duration {
-    Duration::from_micros(one.as_micros() + other.as_micros())
+fn sum(left: Duration, right: Duration) -> Duration {
+    Duration::from_micros(left.as_micros() + right.as_micros())
 }
--- a/crates/experiment/src/report.rs
+++ b/crates/experiment/src/report.rs
@@ -11,10 +11,10 @@
 use crate::ExperimentError;
 use crate::compare::CompareOptions;
 use crate::error::{EncodeReportSnafu, WriteFileSnafu};
-use crate::metrics::{Outcome, RunResult, TIME_BINS};
+use crate::metrics::{Outcome, RunResult, TIME_BIN_COUNT};
 
 /// Points of a distribution curve.
-const CURVE_POINTS: usize = 200;
+const CURVE_POINT_COUNT: usize = 200;
 
 /// Quantiles and mean of a quantity, in its unit.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize)]
@@ -34,7 +34,8 @@
         }
         values.sort_by(f64::total_cmp);
         let mean = values.iter().sum::<f64>() / values.len() as f64;
-        let (p50, p95, p99) = (rank(&values, 0.5), rank(&values, 0.95), rank(&values, 0.99));
+        let (p50, p95, p99) =
+            (nearest_rank(&values, 0.5), nearest_rank(&values, 0.95), nearest_rank(&values, 0.99));
         Self { p50, p95, p99, mean }
     }
 }
@@ -60,7 +61,7 @@
         let variance = values.iter().map(|value| (value - mean).powi(2)).sum::<f64>() / count;
         Self {
             min: values[0],
-            median: rank(&values, 0.5),
+            median: nearest_rank(&values, 0.5),
             max: values[values.len() - 1],
             standard_deviation: variance.sqrt(),
         }
@@ -180,8 +181,8 @@
                 total(|run| run.decisions),
             ),
             spread: spreads(runs),
-            latency_curve: curve(pooled(RunResult::latencies_ms)),
-            wasted_course: wasted_course(runs),
+            latency_curve: quantile_curve(pooled(RunResult::latencies_ms)),
+            wasted_course: wasted_fraction_over_time(runs),
         }
     }
 }
@@ -287,28 +288,29 @@
     }
 }
 
-fn curve(mut values: Vec<f64>) -> Vec<f64> {
+fn quantile_curve(mut values: Vec<f64>) -> Vec<f64> {
     values.sort_by(f64::total_cmp);
     if values.is_empty() {
         return values;
     }
-    let points = (0..=CURVE_POINTS).map(|point| rank(&values, point as f64 / CURVE_POINTS as f64));
+    let points = (0..=CURVE_POINT_COUNT)
+        .map(|point| nearest_rank(&values, point as f64 / CURVE_POINT_COUNT as f64));
     points.collect()
 }
 
-fn wasted_course(runs: &[RunResult]) -> Vec<f64> {
-    let bins = (0..TIME_BINS).map(|bin| {
-        let held: f64 = runs.iter().map(|run| run.cache_course[bin].held).sum();
-        let wasted: f64 = runs.iter().map(|run| run.cache_course[bin].wasted).sum();
+fn wasted_fraction_over_time(runs: &[RunResult]) -> Vec<f64> {
+    let bins = (0..TIME_BIN_COUNT).map(|bin| {
+        let held: f64 = runs.iter().map(|run| run.cache_over_time[bin].held).sum();
+        let wasted: f64 = runs.iter().map(|run| run.cache_over_time[bin].wasted).sum();
         ratio(wasted, held)
     });
     bins.collect()
 }
 
 /// The value at a quantile of sorted values, by nearest rank.
-fn rank(sorted: &[f64], quantile: f64) -> f64 {
-    let place = (quantile * sorted.len() as f64).ceil() as usize;
-    sorted[place.clamp(1, sorted.len()) - 1]
+fn nearest_rank(sorted: &[f64], quantile: f64) -> f64 {
+    let rank = (quantile * sorted.len() as f64).ceil() as usize;
+    sorted[rank.clamp(1, sorted.len()) - 1]
 }
 
 fn ratio(part: f64, whole: f64) -> f64 {
--- a/crates/experiment/src/report/table.rs
+++ b/crates/experiment/src/report/table.rs
@@ -37,7 +37,7 @@
         "host",
     );
     for (name, policy) in &report.policies {
-        row(&mut text, name, policy);
+        write_row(&mut text, name, policy);
     }
     if !report.sweep.is_empty() {
         let _ = writeln!(
@@ -57,7 +57,7 @@
         );
     }
     for point in &report.sweep {
-        sweep_row(&mut text, point);
+        write_sweep_row(&mut text, point);
     }
     text.push_str(
         "\np50 to mean: program latency with tool pauses; np: without; ttft95 and longest: wait \
@@ -68,22 +68,22 @@
     text
 }
 
-fn row(text: &mut String, name: &str, policy: &PolicyReport) {
+fn write_row(text: &mut String, name: &str, policy: &PolicyReport) {
     let latency = policy.program_latency_ms;
-    let service = policy.program_latency_without_pauses_ms;
+    let without_pauses = policy.program_latency_without_pauses_ms;
     let _ = writeln!(
         text,
         "{name:<14} {:>8.1} {:>8.1} {:>8.1} {:>8.1} | {:>8.2} {:>8.2} {:>8.2} | {:>7.2} {:>7.1} \
          {:>6.3} {:>6.3} | {:>6} {:>5} {:>5} {:>5} | {:>8.3} {:>7.3} | {:>7} {:>7} {:>6.1}",
-        seconds(latency.p50),
-        seconds(latency.p95),
-        seconds(latency.p99),
-        seconds(latency.mean),
-        seconds(service.p50),
-        seconds(service.p95),
-        seconds(service.mean),
-        seconds(policy.time_to_first_token_ms.p95),
-        seconds(policy.longest_wait_ms),
+        to_seconds(latency.p50),
+        to_seconds(latency.p95),
+        to_seconds(latency.p99),
+        to_seconds(latency.mean),
+        to_seconds(without_pauses.p50),
+        to_seconds(without_pauses.p95),
+        to_seconds(without_pauses.mean),
+        to_seconds(policy.time_to_first_token_ms.p95),
+        to_seconds(policy.longest_wait_ms),
         policy.wasted_cache_fraction,
         policy.prefix_hit_fraction,
         policy.completed,
@@ -91,23 +91,23 @@
         policy.failed,
         policy.abandoned,
         policy.goodput_per_second,
-        seconds(policy.longest_refusal_ms),
+        to_seconds(policy.longest_refusal_ms),
         policy.fetches,
         policy.offloads,
         policy.host_peak_tokens as f64 / 1e6,
     );
 }
 
-fn sweep_row(text: &mut String, point: &LoadPoint) {
+fn write_sweep_row(text: &mut String, point: &LoadPoint) {
     let _ = writeln!(
         text,
         "{:<14} {:>5.2} {:>8.1} {:>8.1} {:>8.2} {:>8.2} {:>8.3} {:>6.3} {:>6.3} {:>6} {:>6}",
         point.policy,
         point.load,
-        seconds(point.program_latency_p95_ms),
-        seconds(point.program_latency_mean_ms),
-        seconds(point.without_pauses_p95_ms),
-        seconds(point.without_pauses_mean_ms),
+        to_seconds(point.program_latency_p95_ms),
+        to_seconds(point.program_latency_mean_ms),
+        to_seconds(point.without_pauses_p95_ms),
+        to_seconds(point.without_pauses_mean_ms),
         point.goodput_per_second,
         point.wasted_cache_fraction,
         point.prefix_hit_fraction,
@@ -116,6 +116,6 @@
     );
 }
 
-fn seconds(millis: f64) -> f64 {
+fn to_seconds(millis: f64) -> f64 {
     millis / 1000.0
 }
--- a/crates/experiment/src/workload.rs
+++ b/crates/experiment/src/workload.rs
@@ -12,7 +12,7 @@
 use snafu::ResultExt;
 
 pub use self::distribution::Distribution;
-pub(crate) use self::script::{After, ChainScript, ProgramScript, Turn, generate};
+pub(crate) use self::script::{ChainScript, NextStep, ProgramScript, Turn, generate};
 use crate::ExperimentError;
 use crate::error::{CheckWorkloadSnafu, ParseWorkloadSnafu, ReadWorkloadSnafu};
 
--- a/crates/experiment/src/workload/distribution.rs
+++ b/crates/experiment/src/workload/distribution.rs
@@ -62,8 +62,8 @@
         }
     }
 
-    /// Draws a whole number of at least `least`.
-    pub fn sample_integer(&self, least: u64, random: &mut impl Rng) -> u64 {
-        (self.sample(random).round() as u64).max(least)
+    /// Draws a whole number that is at least `min`.
+    pub fn sample_integer(&self, min: u64, random: &mut impl Rng) -> u64 {
+        (self.sample(random).round() as u64).max(min)
     }
 }
--- a/crates/experiment/src/workload/script.rs
+++ b/crates/experiment/src/workload/script.rs
@@ -11,7 +11,7 @@
 
 /// What follows an answer.
 #[derive(Debug, Clone, PartialEq)]
-pub(crate) enum After {
+pub(crate) enum NextStep {
     /// The chain ends.
     End,
     /// A tool or a person answers after a while.
@@ -33,7 +33,7 @@
     pub generated: Tokens,
     /// Hash of the answer.
     pub answer_hash: u64,
-    pub after: After,
+    pub next_step: NextStep,
 }
 
 /// A chain of calls.
@@ -59,46 +59,47 @@
 /// Draws the programs of a run. The same seed gives the same programs for every policy.
 pub(crate) fn generate(workload: &Workload, load: f64, seed: u64) -> Vec<ProgramScript> {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
-    let arrivals = arrivals(workload, load, &mut random);
-    let tenants = Tenants::draw(&workload.program, seed);
+    let arrivals = generate_arrivals(workload, load, &mut random);
+    let tenants = TenantDistribution::generate(&workload.program, seed);
     let programs = arrivals.into_iter().map(|arrives| {
         // Each program has its own stream, so that one's shape does not move the next one's.
-        let mut own = ChaCha8Rng::seed_from_u64(random.random());
-        Writer { workload, random: &mut own }.program(arrives, &tenants)
+        let mut program_random = ChaCha8Rng::seed_from_u64(random.random());
+        ScriptGenerator { workload, random: &mut program_random }
+            .generate_program(arrives, &tenants)
     });
     programs.collect()
 }
 
 /// A Poisson process with the rate of the phase.
-fn arrivals(workload: &Workload, load: f64, random: &mut ChaCha8Rng) -> Vec<Timestamp> {
+fn generate_arrivals(workload: &Workload, load: f64, random: &mut ChaCha8Rng) -> Vec<Timestamp> {
     let run = &workload.run;
-    let highest = run.phases.iter().map(|phase| phase.factor).fold(1.0, f64::max);
-    let peak = run.programs_per_second * load * highest;
-    let mut found = Vec::new();
+    let max_factor = run.phases.iter().map(|phase| phase.factor).fold(1.0, f64::max);
+    let peak_rate = run.programs_per_second * load * max_factor;
+    let mut arrivals = Vec::new();
     let mut now = 0.0;
     loop {
         let uniform: f64 = random.random_range(f64::EPSILON..1.0);
-        now -= uniform.ln() / peak;
+        now -= uniform.ln() / peak_rate;
         if now >= run.seconds {
-            return found;
+            return arrivals;
         }
         // Thinning: candidates at the peak rate are kept in proportion (Lewis and Shedler 1979).
         let phase = run.phases.iter().find(|phase| now < phase.until_seconds);
         let factor = phase.map_or(1.0, |phase| phase.factor);
-        if random.random_range(0.0..highest) < factor {
-            found.push(Timestamp::ZERO + Duration::from_secs_f64(now));
+        if random.random_range(0.0..max_factor) < factor {
+            arrivals.push(Timestamp::ZERO + Duration::from_secs_f64(now));
         }
     }
 }
 
 /// The tenants' instructions and their shares of the programs.
-struct Tenants {
+struct TenantDistribution {
     instructions: Vec<Segment>,
     shares: Zipf<f64>,
 }
 
-impl Tenants {
-    fn draw(shape: &ProgramShape, seed: u64) -> Self {
+impl TenantDistribution {
+    fn generate(shape: &ProgramShape, seed: u64) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed ^ 0x7e4a_1175);
         let instructions = (0..shape.tenants).map(|_| Segment {
             hash: random.random(),
@@ -110,18 +111,22 @@
     }
 }
 
-struct Writer<'a> {
+struct ScriptGenerator<'a> {
     workload: &'a Workload,
     random: &'a mut ChaCha8Rng,
 }
 
-impl Writer<'_> {
-    fn program(&mut self, arrives: Timestamp, tenants: &Tenants) -> ProgramScript {
+impl ScriptGenerator<'_> {
+    fn generate_program(
+        &mut self,
+        arrives: Timestamp,
+        tenants: &TenantDistribution,
+    ) -> ProgramScript {
         let shape = &self.workload.program;
         let rank: f64 = self.random.sample(tenants.shares);
         let tenant = (rank as usize - 1).min(shape.tenants - 1);
         let document = shape.document_tokens.sample_integer(1, self.random);
-        let document = self.segment(document);
+        let document = self.generate_segment(document);
         let prefix = vec![tenants.instructions[tenant], document];
         let loops = self.random.random_bool(shape.loop_share);
         let turns = if loops {
@@ -131,7 +136,7 @@
         };
         let abandoned = self.random.random_bool(shape.abandon_share);
         let abandoned_at = abandoned.then(|| self.random.random_range(0..turns));
-        let main = self.chain(prefix, false, turns, abandoned_at, true);
+        let main = self.generate_chain(prefix, false, turns, abandoned_at, true);
         ProgramScript {
             arrives,
             tenant: TenantId::new(format!("tenant-{tenant}")),
@@ -140,7 +145,7 @@
         }
     }
 
-    fn chain(
+    fn generate_chain(
         &mut self,
         prefix: Vec<Segment>,
         inherits: bool,
@@ -152,17 +157,18 @@
         let mut length: u64 = prefix.iter().map(|segment| segment.tokens.0).sum();
         let mut turns = Vec::new();
         for number in 0..count {
-            let mut turn = self.turn();
+            let mut turn = self.generate_turn();
             length += turn.message.tokens.0 + turn.generated.0;
             let last = number + 1 == count || length >= self.workload.program.history_limit;
-            turn.after = if abandoned_at == Some(number) {
-                After::Abandon
+            turn.next_step = if abandoned_at == Some(number) {
+                NextStep::Abandon
             } else if last {
-                After::End
+                NextStep::End
             } else {
-                self.after(may_branch, instructions)
+                self.choose_next_step(may_branch, instructions)
             };
-            let ends = matches!(turn.after, After::End | After::Abandon | After::Hang { .. });
+            let ends =
+                matches!(turn.next_step, NextStep::End | NextStep::Abandon | NextStep::Hang { .. });
             turns.push(turn);
             if ends {
                 break;
@@ -171,57 +177,57 @@
         ChainScript { prefix, inherits, turns }
     }
 
-    fn turn(&mut self) -> Turn {
+    fn generate_turn(&mut self) -> Turn {
         let shape = &self.workload.program;
         let message = shape.message_tokens.sample_integer(1, self.random);
         let generated = shape.generated_tokens.sample_integer(1, self.random);
         Turn {
-            message: self.segment(message),
+            message: self.generate_segment(message),
             generated: Tokens(generated.min(shape.max_generated)),
             answer_hash: self.random.random(),
-            after: After::End,
+            next_step: NextStep::End,
         }
     }
 
-    fn after(&mut self, may_branch: bool, instructions: Segment) -> After {
+    fn choose_next_step(&mut self, may_branch: bool, instructions: Segment) -> NextStep {
         let shape = &self.workload.program;
         if may_branch && self.random.random_bool(shape.branch_probability) {
             let count = shape.sub_agents.sample_integer(0, self.random);
             if count > 0 {
-                let children = (0..count).map(|_| self.sub_agent(instructions)).collect();
-                return After::SubAgents(children);
+                let children = (0..count).map(|_| self.generate_sub_agent(instructions)).collect();
+                return NextStep::SubAgents(children);
             }
         }
-        let tool = self.tool();
-        let drawn = &self.workload.tools[tool];
-        if self.random.random_bool(drawn.hang_probability) {
-            return After::Hang { tool };
+        let tool = self.choose_tool();
+        let chosen_tool = &self.workload.tools[tool];
+        if self.random.random_bool(chosen_tool.hang_probability) {
+            return NextStep::Hang { tool };
         }
-        let seconds = drawn.pause_seconds.sample(self.random);
-        After::Pause { tool, length: Duration::from_secs_f64(seconds) }
+        let seconds = chosen_tool.pause_seconds.sample(self.random);
+        NextStep::Pause { tool, length: Duration::from_secs_f64(seconds) }
     }
 
-    fn sub_agent(&mut self, instructions: Segment) -> ChainScript {
+    fn generate_sub_agent(&mut self, instructions: Segment) -> ChainScript {
         let shape = &self.workload.program;
         let turns = shape.sub_agent_turns.sample_integer(1, self.random);
         let inherits = self.random.random_bool(shape.inherit_probability);
-        self.chain(vec![instructions], inherits, turns, None, false)
+        self.generate_chain(vec![instructions], inherits, turns, None, false)
     }
 
-    fn tool(&mut self) -> usize {
+    fn choose_tool(&mut self) -> usize {
         let tools = &self.workload.tools;
         let total: f64 = tools.iter().map(|tool| tool.weight).sum();
-        let mut left = self.random.random_range(0.0..total);
+        let mut remaining_weight = self.random.random_range(0.0..total);
         for (index, tool) in tools.iter().enumerate() {
-            left -= tool.weight;
-            if left < 0.0 {
+            remaining_weight -= tool.weight;
+            if remaining_weight < 0.0 {
                 return index;
             }
         }
         tools.len() - 1
     }
 
-    fn segment(&mut self, tokens: u64) -> Segment {
+    fn generate_segment(&mut self, tokens: u64) -> Segment {
         Segment { hash: self.random.random(), tokens: Tokens(tokens) }
     }
 }
--- a/crates/experiment/tests/runs.rs
+++ b/crates/experiment/tests/runs.rs
@@ -9,14 +9,14 @@
 
 const SEEDS: std::ops::Range<u64> = 1..4;
 
-fn path(name: &str) -> std::path::PathBuf {
+fn workload_path(name: &str) -> std::path::PathBuf {
     let root = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../../traces/workloads");
     root.join(format!("{name}.toml"))
 }
 
 /// A workload that is cut down to a few seconds of work.
-fn small(name: &str) -> Workload {
-    let mut workload = Workload::load(&path(name)).expect("the workload is valid");
+fn short_workload(name: &str) -> Workload {
+    let mut workload = Workload::load(&workload_path(name)).expect("the workload is valid");
     workload.run.seconds = 60.0;
     workload.run.warm_up_seconds = 0.0;
     workload.run.drain_seconds = 4000.0;
@@ -29,9 +29,9 @@
     for tool in &mut workload.tools {
         tool.pause_seconds = Distribution::Exponential { mean: 4.0, max: 60.0 };
     }
-    for (place, fault) in workload.faults.iter_mut().enumerate() {
-        fault.at_seconds = 20.0 + 15.0 * place as f64;
-        fault.engine = place % 2;
+    for (index, fault) in workload.faults.iter_mut().enumerate() {
+        fault.at_seconds = 20.0 + 15.0 * index as f64;
+        fault.engine = index % 2;
     }
     workload
 }
@@ -41,8 +41,8 @@
 }
 
 #[test]
-fn the_same_seed_gives_the_same_run() {
-    let workload = small("mixed-loop");
+fn runs_with_equal_seeds_are_equal() {
+    let workload = short_workload("mixed-loop");
     for policy in PolicyKind::ALL {
         let one = run(&workload, policy, 1.5, 5);
         assert_eq!(one, run(&workload, policy, 1.5, 5), "{policy:?}");
@@ -53,7 +53,7 @@
 #[test]
 fn every_program_ends_and_every_call_ends_once() {
     for name in ["bayou-roof", "solano-deadline", "mixed-loop"] {
-        let workload = small(name);
+        let workload = short_workload(name);
         for policy in PolicyKind::ALL {
             for seed in SEEDS {
                 let result = run(&workload, policy, 2.0, seed);
@@ -68,9 +68,9 @@
 }
 
 #[test]
-fn nothing_stays_held_for_programs_that_ended() {
+fn engines_release_all_ended_programs() {
     for name in ["bayou-roof", "solano-deadline", "mixed-loop"] {
-        let workload = small(name);
+        let workload = short_workload(name);
         for policy in PolicyKind::ALL {
             for seed in SEEDS {
                 let result = run(&workload, policy, 1.0, seed);
@@ -81,8 +81,8 @@
 }
 
 #[test]
-fn past_saturation_refusals_come_at_once_and_waits_are_bounded() {
-    let workload = small("bayou-roof");
+fn overload_refuses_immediately_and_bounds_waits() {
+    let workload = short_workload("bayou-roof");
     for seed in SEEDS {
         let result = run(&workload, PolicyKind::ProgramAware, 12.0, seed);
         assert!(result.refusals > 0, "seed {seed}: the load is past saturation");
@@ -93,9 +93,9 @@
 }
 
 #[test]
-fn the_oracle_is_below_every_policy() {
-    let workload = small("bayou-roof");
-    let mut options = CompareOptions::new(path("bayou-roof"));
+fn oracle_latency_is_below_every_policy() {
+    let workload = short_workload("bayou-roof");
+    let mut options = CompareOptions::new(workload_path("bayou-roof"));
     options.policies = ExperimentPolicy::all();
     options.seeds = SEEDS.collect();
     options.sweep = vec![0.5];
@@ -103,31 +103,31 @@
     let report = compare::compare(&workload, &options);
     let oracle = report.policies["oracle"].program_latency_without_pauses_ms;
     for (name, policy) in &report.policies {
-        let own = policy.program_latency_without_pauses_ms;
-        assert!(own.mean >= oracle.mean, "{name}: {} below {}", own.mean, oracle.mean);
+        let latency = policy.program_latency_without_pauses_ms;
+        assert!(latency.mean >= oracle.mean, "{name}: {} below {}", latency.mean, oracle.mean);
     }
     assert_eq!(report.sweep.len(), report.policies.len());
 }
 
 #[test]
-fn program_aware_is_ahead_of_the_baselines_past_their_saturation() {
-    let workload = small("bayou-roof");
+fn program_aware_beats_baselines_under_overload() {
+    let workload = short_workload("bayou-roof");
     let mean = |policy| {
         let runs = SEEDS.map(|seed| run(&workload, policy, 4.0, seed));
         let values: Vec<f64> =
             runs.flat_map(|result| result.latencies_without_pauses_ms()).collect();
         values.iter().sum::<f64>() / values.len() as f64
     };
-    let own = mean(PolicyKind::ProgramAware);
+    let program_aware = mean(PolicyKind::ProgramAware);
     for policy in [PolicyKind::RoundRobin, PolicyKind::LeastLoaded, PolicyKind::StickyFcfs] {
-        assert!(own < mean(policy), "{policy:?}");
+        assert!(program_aware < mean(policy), "{policy:?}");
     }
 }
 
 #[test]
-fn the_json_has_the_stated_fields() {
-    let workload = small("bayou-roof");
-    let mut options = CompareOptions::new(path("bayou-roof"));
+fn json_report_has_documented_fields() {
+    let workload = short_workload("bayou-roof");
+    let mut options = CompareOptions::new(workload_path("bayou-roof"));
     options.policies = ExperimentPolicy::parse_list("sticky-fcfs").expect("the name is known");
     options.seeds = vec![1];
     let json = compare::compare(&workload, &options).json().expect("figures are finite");
@@ -152,7 +152,7 @@
     let directory = std::env::temp_dir().join(format!("dahlia-plots-{}", std::process::id()));
     std::fs::create_dir_all(&directory).expect("a temporary directory");
     let workload_path = directory.join("small.toml");
-    let text = toml::to_string(&small("bayou-roof")).expect("a workload is TOML");
+    let text = toml::to_string(&short_workload("bayou-roof")).expect("a workload is TOML");
     std::fs::write(&workload_path, text).expect("it is written");
     let mut options = CompareOptions::new(workload_path);
     options.policies = ExperimentPolicy::parse_list("sticky-fcfs,oracle").expect("known names");
@@ -172,10 +172,10 @@
 }
 
 #[test]
-fn a_wrong_workload_names_the_field() {
-    let text = std::fs::read_to_string(path("bayou-roof")).expect("the file is there");
-    let wrong = text.replace("report_loss = 0.02", "report_loss = 2.0");
-    let workload: Workload = toml::from_str(&wrong).expect("it still parses");
+fn invalid_workload_names_the_field() {
+    let text = std::fs::read_to_string(workload_path("bayou-roof")).expect("the file is there");
+    let invalid = text.replace("report_loss = 0.02", "report_loss = 2.0");
+    let workload: Workload = toml::from_str(&invalid).expect("it still parses");
     let error = workload.check().expect_err("the loss is out of range");
     assert_eq!(error.field, "deployment.report_loss");
     let unknown = text.replace("report_loss", "report_losses");
