--- a/crates/experiment/examples/compare.rs
+++ b/crates/experiment/examples/compare.rs
@@ -2,7 +2,8 @@
 //!
 //! `compare WORKLOAD POLICIES FIRST_SEED COUNT LOAD LOADS [DIRECTORY] [no-host]`
 //!
-//! `LOADS` is a list for the sweep or `-`; report and plots go to `DIRECTORY`, if there is one.
+//! `LOADS` is a comma-separated list for the sweep or `-`. The report and plots are written to
+//! `DIRECTORY` if it is given.
 
 use std::path::PathBuf;
 
--- a/crates/experiment/examples/shared_limits.rs
+++ b/crates/experiment/examples/shared_limits.rs
@@ -1,12 +1,14 @@
-//! Compares ways to keep a tenant's rate limit over many daemons: messages against violations.
+//! Compares strategies that enforce a tenant's rate limit over many daemons, by their messages and
+//! violations.
 //!
 //! `cargo run --release -p dahlia-experiment --example shared_limits`
 //!
-//! One tenant may have `LIMIT_PER_SECOND` calls a second. Its calls reach `DAEMON_COUNT` daemons in unequal shares.
-//! Four ways: a fixed share for each daemon; shares recomputed every second from reported demand;
+//! One tenant may have `LIMIT_PER_SECOND` calls a second. Its calls reach `DAEMON_COUNT` daemons in
+//! unequal shares. The four strategies are: a fixed share for each daemon; shares recomputed every
+//! second from reported demand;
 //! escrow (O'Neil 1986), where a daemon asks the tenant's home daemon for a batch of permits; and
 //! bounded ignorance (Krishnakumar and Bernstein 1994), where each daemon admits by the total it
-//! knows and may keep `BATCH_PERMITS` admissions to itself before it has to tell.
+//! knows and may make `BATCH_PERMITS` admissions before it has to report them.
 
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
@@ -16,13 +18,13 @@
 const LIMIT_PER_SECOND: f64 = 50.0;
 const RUN_SECONDS: usize = 600;
 const SLOTS_PER_SECOND: usize = 100;
-/// One way between daemons, in slots of 10 ms.
+/// The one-way delay between daemons, in slots of 10 ms.
 const DELAY_SLOTS: usize = 1;
 const BATCH_PERMITS: f64 = 5.0;
-/// A second counts as violated above this factor of the limit.
+/// The factor of the limit above which a second counts as violated.
 const TOLERANCE_FACTOR: f64 = 1.05;
 
-/// Counts of one run.
+/// The measurements of one run.
 #[derive(Debug, Default)]
 struct Counts {
     requested: f64,
@@ -30,11 +32,12 @@
     messages: f64,
     violated_seconds: usize,
     max_load: f64,
-    /// Refused in seconds in which less than the limit was requested.
+    /// Calls refused in seconds in which at most the limit was requested.
     needless_refusals: f64,
 }
 
-/// A way to share the limit. `admit` decides a call; `slot` and `second` pass time.
+/// A strategy for sharing the limit. `admit` decides a call. `advance_slot` and `end_second` advance
+/// time and return the number of messages sent.
 trait Strategy {
     fn name(&self) -> &'static str;
     fn admit(&mut self, daemon: usize, slot: usize) -> bool;
@@ -42,7 +45,7 @@
     fn end_second(&mut self, requested: &[f64]) -> f64;
 }
 
-/// Permits per daemon that are filled by shares of the limit, with one second's burst.
+/// Token buckets that refill by each daemon's share of the limit, with a burst of one second.
 struct Shares {
     recompute: bool,
     share: Vec<f64>,
@@ -81,16 +84,16 @@
         for (share, demand) in self.share.iter_mut().zip(requested) {
             *share = LIMIT_PER_SECOND * (demand + 0.2) / total;
         }
-        // Only daemons with demand report and are answered.
+        // Only daemons with demand send a report and receive a response.
         2.0 * requested.iter().filter(|demand| **demand > 0.0).count() as f64
     }
 }
 
-/// Permits in batches from the tenant's home daemon.
+/// Permits that the tenant's home daemon grants in batches.
 struct Escrow {
     home_permits: f64,
     permits: Vec<f64>,
-    /// When an answer arrives, and what it brings.
+    /// The arrival slot and permit count of each pending grant.
     pending: Vec<Option<(usize, f64)>>,
 }
 
@@ -126,7 +129,7 @@
     }
 }
 
-/// Admission by the known total of the second, with a bounded number of untold admissions.
+/// Admission by the known total of the second, with a bounded number of unreported admissions.
 struct BoundedIgnorance {
     known: f64,
     unreported: Vec<f64>,
@@ -145,7 +148,8 @@
         self.unreported[daemon] += 1.0;
         if self.unreported[daemon] >= BATCH_PERMITS {
             self.known += std::mem::take(&mut self.unreported[daemon]);
-            // To the others that have calls of the tenant; told to all at once here.
+            // Reports go to the other daemons that have calls of the tenant. Here all receive them at
+            // once.
             self.messages += DAEMON_COUNT as f64 - 1.0;
         }
         true
@@ -214,7 +218,7 @@
 fn run(strategy: &mut dyn Strategy, demand: f64) -> Counts {
     let mut random = ChaCha8Rng::seed_from_u64(1);
     let mut counts = Counts::default();
-    // A tenant's programs are few beside the daemons: shares by Zipf's law.
+    // A tenant has few programs compared with the number of daemons, so shares follow Zipf's law.
     let weights: Vec<f64> = (1..=DAEMON_COUNT).map(|rank| 1.0 / rank as f64).collect();
     let total_weight: f64 = weights.iter().sum();
     for second in 0..RUN_SECONDS {
--- a/crates/experiment/src/compare.rs
+++ b/crates/experiment/src/compare.rs
@@ -13,26 +13,27 @@
 use crate::workload::{Workload, generate};
 use crate::{ExperimentError, oracle, plots};
 
-/// Most runs at once.
+/// The maximum number of concurrent runs.
 const MAX_THREADS: usize = 4;
 
-/// A policy of an experiment.
+/// A policy that an experiment runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ExperimentPolicy {
-    /// One that the scheduler has.
+    /// A policy that the scheduler implements.
     Scheduled(PolicyKind),
-    /// The lower bound: no queue, every prefix warm. Exists in experiments only.
+    /// The lower bound, without queueing and with every prefix cached. It exists in experiments
+    /// only.
     Oracle,
 }
 
 impl ExperimentPolicy {
-    /// Every policy: baselines, ours, the bound.
+    /// Returns every scheduler policy, followed by the lower bound.
     pub fn all() -> Vec<Self> {
         let scheduled = PolicyKind::ALL.into_iter().map(Self::Scheduled);
         scheduled.chain([Self::Oracle]).collect()
     }
 
-    /// Its name on the command line and in reports.
+    /// Returns the name used on the command line and in reports.
     pub const fn name(self) -> &'static str {
         match self {
             Self::Scheduled(kind) => kind.name(),
@@ -60,7 +61,7 @@
     }
 }
 
-/// What to compare.
+/// The options of a comparison.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CompareOptions {
     /// The workload file.
@@ -71,13 +72,13 @@
     pub seeds: Vec<u64>,
     /// Factor on the workload's arrival rate.
     pub load: f64,
-    /// Further loads, for the course of latency and goodput; may be empty.
+    /// Further loads at which latency and goodput are plotted; may be empty.
     pub sweep: Vec<f64>,
-    /// How many of the seeds each point of the sweep is run with.
+    /// The number of seeds that each point of the sweep runs with.
     pub sweep_seeds: usize,
-    /// Take the hosts' memory for offloaded KV away, to see what it is worth.
+    /// Disables host memory for offloaded KV, to measure its benefit.
     pub without_host_memory: bool,
-    /// Runs at once, at most four.
+    /// The number of concurrent runs, at most four.
     pub threads: usize,
     /// Where to write the JSON report.
     pub report: Option<PathBuf>,
@@ -86,7 +87,7 @@
 }
 
 impl CompareOptions {
-    /// All policies, seeds 101 to 120, load 1, without sweep or files.
+    /// Selects all policies, seeds 101 to 120 and load 1, without a sweep or output files.
     pub fn new(workload: PathBuf) -> Self {
         Self {
             workload,
@@ -103,7 +104,7 @@
     }
 }
 
-/// One run to do.
+/// One run of the comparison.
 #[derive(Debug, Clone, Copy)]
 struct Job {
     policy: ExperimentPolicy,
@@ -111,7 +112,7 @@
     seed: u64,
 }
 
-/// Runs the comparison; writes report and plots where the options say so.
+/// Runs the comparison and writes the report and plots that the options request.
 ///
 /// # Errors
 /// [`ExperimentError`] when the workload cannot be read or a file cannot be written.
@@ -130,7 +131,7 @@
     Ok(report)
 }
 
-/// Runs the comparison on a workload that is already read; writes nothing.
+/// Runs the comparison on a loaded workload and writes no files.
 pub fn compare(workload: &Workload, options: &CompareOptions) -> CompareReport {
     let jobs = main_jobs(options);
     let results = run_jobs(workload, &jobs, options.threads);
@@ -167,7 +168,7 @@
     jobs
 }
 
-/// Does the jobs on a few threads; results come in the order of the jobs.
+/// Runs the jobs on several threads and returns their results in the order of the jobs.
 fn run_jobs(workload: &Workload, jobs: &[Job], threads: usize) -> Vec<RunResult> {
     let next = AtomicUsize::new(0);
     let results = Mutex::new(vec![None; jobs.len()]);
--- a/crates/experiment/src/driver.rs
+++ b/crates/experiment/src/driver.rs
@@ -23,23 +23,23 @@
 use crate::metrics::{Outcome, RunResult};
 use crate::workload::{Workload, generate};
 
-/// Time between two ticks of a scheduler.
+/// The interval between two ticks of a scheduler.
 const TICK_INTERVAL: Duration = Duration::from_millis(250);
 /// The model that all engines serve.
 const MODEL: &str = "agent-70b/base@1";
 
-/// What distinguishes one run of a workload.
+/// The options of one run of a workload.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RunOptions {
     /// The policy.
     pub policy: PolicyKind,
     /// Factor on the arrival rate.
     pub load: f64,
-    /// Seed of programs, losses and schedulers.
+    /// The seed for programs, report losses and schedulers.
     pub seed: u64,
 }
 
-/// One run.
+/// The state of one run.
 struct Driver<'a> {
     workload: &'a Workload,
     now: Timestamp,
@@ -49,11 +49,11 @@
     schedulers: Vec<Scheduler>,
     engines: Vec<EngineHost>,
     programs: Vec<ProgramRun>,
-    /// Programs that have not ended.
+    /// The number of programs that have not ended.
     running_programs: usize,
-    /// Programs that have ended and whose schedulers do not know it yet.
+    /// The number of ended programs whose schedulers have not been notified yet.
     unreported_ends: usize,
-    /// Where each attempt was sent.
+    /// The engine to which each attempt was sent.
     engine_by_attempt: BTreeMap<AttemptId, usize>,
     copies: BTreeMap<AttemptId, PendingCopy>,
     result: RunResult,
@@ -110,7 +110,7 @@
         }
         for engine in 0..self.engines.len() {
             self.announce(engine, Duration::ZERO);
-            // Reports are staggered, as those of independent machines are.
+            // Report times are staggered, as they are on independent machines.
             let interval = self.report_interval().as_micros();
             let offset = interval * engine as u64 / self.engines.len() as u64;
             self.queue.add(Timestamp(offset), SimulationEvent::Report { engine });
--- a/crates/experiment/src/driver/callers.rs
+++ b/crates/experiment/src/driver/callers.rs
@@ -1,4 +1,4 @@
-//! The callers' side: issuing calls, taking answers, coming back after refusals.
+//! Simulates callers, which issue calls, receive answers and retry after refusals.
 
 use dahlia_engine_model::Segment;
 use dahlia_placement::{ChainPause, Event};
@@ -9,9 +9,9 @@
 use crate::metrics::{CallRecord, Outcome, ProgramRecord};
 use crate::workload::{ChainScript, NextStep};
 
-/// The tool name of a wait for sub-agents.
+/// The tool name that is reported while a chain waits for sub-agents.
 const SUB_AGENT_TOOL: &str = "sub-agent";
-/// The tool name of a wait for the person.
+/// The tool name that is reported while a chain waits for a person.
 const PERSON_TOOL: &str = "person";
 
 impl Driver<'_> {
@@ -96,7 +96,7 @@
         self.end_program(program, if first { Outcome::Refused } else { Outcome::Failed });
     }
 
-    /// Ends a program: its scheduler is told and its measures are taken.
+    /// Ends a program, records its measurements and notifies its scheduler.
     pub(super) fn end_program(&mut self, program: usize, outcome: Outcome) {
         let delay = self.client_delay(program);
         let run = &mut self.programs[program];
@@ -124,7 +124,7 @@
         self.queue.add(self.now + delay, SimulationEvent::Notify { scheduler, event });
     }
 
-    /// The program and chain of an attempt, if the attempt is of the chain's current call.
+    /// Finds the program and chain of an attempt if it belongs to the chain's current call.
     pub(super) fn find_current_call(&self, attempt: AttemptId) -> Option<(usize, usize)> {
         let program = attempt.call.program.number as usize;
         let chain = attempt.call.chain.0 as usize;
@@ -176,7 +176,7 @@
         };
         let run = &mut self.programs[program];
         let event = Event::ChainEnded { program: run.id, chain: ChainId(chain as u32) };
-        // The sub-agent that ends last determined the parent's wait.
+        // The sub-agent that ends last determines how long the parent waits.
         run.chains[parent].paused = run.chains[chain].paused;
         run.chains[parent].children -= 1;
         let all_ended = run.chains[parent].children == 0;
@@ -198,7 +198,8 @@
         self.notify_owner(program, Event::PauseBegan(pause));
     }
 
-    /// The owner sees an answer, and what it asks for, before the caller does.
+    /// Notifies the owner without delay, because it sees an answer and the tool calls in it before
+    /// the caller does.
     fn notify_owner(&mut self, program: usize, event: Event) {
         let scheduler = self.programs[program].owner;
         self.notify(scheduler, event);
--- a/crates/experiment/src/driver/copies.rs
+++ b/crates/experiment/src/driver/copies.rs
@@ -1,4 +1,4 @@
-//! Copies of KV: from engine to engine, and out to a host's memory and back.
+//! KV copies between engines, and between an engine and its host's memory.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -10,14 +10,14 @@
 use super::schedulers::EPOCH;
 use super::{Driver, MODEL};
 
-/// What a transfer is for.
+/// The purpose of a KV transfer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum TransferPurpose {
-    /// The command is no transfer.
+    /// The command is not a transfer.
     None,
-    /// An attempt waits for it.
+    /// An attempt waits for the transfer.
     Attempt(AttemptId),
-    /// A paused chain's cache goes to the host's memory.
+    /// A paused chain's cache is offloaded to the host's memory.
     Offload(ProgramId, ChainId),
 }
 
@@ -30,7 +30,7 @@
     pub submit: Submit,
 }
 
-/// Images in the memory of an engine's host; the oldest go first.
+/// KV images in the memory of an engine's host. The oldest are evicted first.
 #[derive(Debug)]
 pub(super) struct HostMemory {
     capacity: u64,
@@ -48,7 +48,7 @@
         self.used
     }
 
-    /// Keeps an image; false when it is larger than the whole memory.
+    /// Stores an image. Returns false if it is larger than the whole memory.
     pub(super) fn store(&mut self, key: (ProgramId, ChainId), image: KvImage) -> bool {
         self.take(key);
         if image.tokens.0 > self.capacity {
@@ -81,7 +81,7 @@
 }
 
 impl Driver<'_> {
-    /// Begins the copy that an attempt waits for.
+    /// Starts the copy that an attempt waits for.
     pub(super) fn begin_copy(
         &mut self,
         scheduler: usize,
@@ -135,7 +135,7 @@
         self.send_transfer(engine, EngineCommand::Export(export), scheduler, purpose, at);
     }
 
-    /// An export is complete.
+    /// Handles the completion of an export.
     pub(super) fn finish_export(&mut self, engine: usize, image: KvImage) {
         match self.engines[engine].exports.pop_front() {
             Some(TransferPurpose::Attempt(attempt)) => {
@@ -158,14 +158,14 @@
         }
     }
 
-    /// An import is complete.
+    /// Handles the completion of an import.
     pub(super) fn finish_import(&mut self, engine: usize) {
         if let Some(TransferPurpose::Attempt(attempt)) = self.engines[engine].imports.pop_front() {
             self.submit_after_copy(attempt);
         }
     }
 
-    /// A transfer was refused or its engine is gone.
+    /// Handles a transfer that was refused or whose engine is gone.
     pub(super) fn handle_failed_transfer(&mut self, engine: usize, purpose: TransferPurpose) {
         match purpose {
             TransferPurpose::Attempt(attempt) => self.submit_after_copy(attempt),
@@ -176,7 +176,7 @@
         }
     }
 
-    /// Submits the attempt that waited for a copy, whatever came of it.
+    /// Submits the attempt that waited for a copy, whether the copy succeeded or failed.
     pub(super) fn submit_after_copy(&mut self, attempt: AttemptId) {
         if let Some(copy) = self.copies.remove(&attempt) {
             self.send_submit(copy.scheduler, copy.target, copy.submit, self.now);
--- a/crates/experiment/src/driver/engines.rs
+++ b/crates/experiment/src/driver/engines.rs
@@ -1,4 +1,4 @@
-//! The engines' side: commands, progress, reports and faults.
+//! Simulates engines: commands, progress, reports and faults.
 
 mod faults;
 mod reports;
@@ -19,21 +19,22 @@
 use super::{Driver, MODEL};
 use crate::workload::Workload;
 
-/// Decode steps that the model may take as one; callers see first tokens and ends only.
+/// The maximum number of decode steps that the model takes at once. Callers see only first tokens
+/// and completed answers.
 const MAX_LEAP_STEPS: u64 = 256;
 
-/// An engine and its lives.
+/// An engine across its restarts.
 pub(super) struct EngineHost {
     pub id: EngineId,
     pub incarnation: Incarnation,
-    /// None while it is off.
+    /// None while the engine is stopped.
     pub model: Option<EngineModel>,
     pub spans: Vec<CacheSpan>,
-    /// What the exports and imports under way are for, in their order.
+    /// The purposes of exports and imports in progress, in submission order.
     pub exports: VecDeque<TransferPurpose>,
     pub imports: VecDeque<TransferPurpose>,
     pub host_memory: HostMemory,
-    /// Cache events sent to each scheduler in this life.
+    /// The number of cache events sent to each scheduler in this incarnation.
     pub cache_sequences: Vec<u64>,
     seed: u64,
     wake_at: Option<Timestamp>,
@@ -57,7 +58,7 @@
         host
     }
 
-    /// Starts a new, empty life.
+    /// Starts a new incarnation with an empty cache.
     fn start(&mut self, workload: &Workload) {
         self.incarnation = self.incarnation.next();
         let mut parameters = workload.engine.clone();
@@ -74,7 +75,7 @@
         self.host_memory = HostMemory::new(workload.deployment.host_tokens);
     }
 
-    /// Ends the books; gives how many programs still have something here.
+    /// Closes the cache spans and returns the number of programs that still hold cache here.
     pub(super) fn finish(&mut self, now: Timestamp) -> u64 {
         let Some(model) = self.model.as_mut() else { return 0 };
         let held = model.inventory(now).programs.len() as u64;
@@ -112,7 +113,7 @@
         }
     }
 
-    /// Takes the engine's events and files its next wake-up.
+    /// Collects the engine's events and schedules its next wake-up.
     fn collect_events(&mut self, engine: usize) {
         let now = self.now;
         let Some(model) = self.engines[engine].model.as_mut() else { return };
@@ -205,7 +206,7 @@
         }
     }
 
-    /// A command came to an engine that is off or in another life.
+    /// Handles a command to an engine that is stopped or has another incarnation.
     fn handle_lost_command(&mut self, engine: usize, context: CommandContext, from: usize) {
         match context {
             CommandContext::Submit(attempt) => {
@@ -220,7 +221,7 @@
         }
     }
 
-    /// Tells the owner that an attempt gave no answer.
+    /// Notifies the owner that an attempt failed.
     fn fail_attempt(
         &mut self,
         engine: usize,
@@ -244,7 +245,7 @@
     }
 }
 
-/// What a command is about, to understand its reply.
+/// The part of a command that is needed to handle its reply.
 #[derive(Debug, Clone, Copy)]
 enum CommandContext {
     Submit(AttemptId),
--- a/crates/experiment/src/driver/engines/faults.rs
+++ b/crates/experiment/src/driver/engines/faults.rs
@@ -1,4 +1,4 @@
-//! Engines that leave, die and come back.
+//! Engine faults: drains, crashes and restarts.
 
 use dahlia_engine_model::{EngineCommand, EngineOrder, EngineRole, OrderKind};
 use dahlia_placement::{AttemptFailure, Event};
@@ -9,9 +9,9 @@
 use super::super::event_queue::SimulationEvent;
 use crate::workload::FaultKind;
 
-/// How long an engine that leaves may take to finish what it has.
+/// How long a draining engine may take to finish its work.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(60);
-/// Time until broken connections of a dead engine are noticed.
+/// The delay until broken connections of a stopped engine are detected.
 const FAILURE_DETECTION_DELAY: Duration = Duration::from_secs(1);
 
 impl Driver<'_> {
@@ -75,7 +75,7 @@
         self.announce(engine, self.network.list_delay);
     }
 
-    /// Attempts that wait for copies from or to the engine.
+    /// Returns the attempts that wait for copies from or to the engine.
     fn attempts_waiting_for(&self, engine: usize) -> Vec<AttemptId> {
         let affected =
             self.copies.iter().filter(|(_, copy)| copy.source == engine || copy.target == engine);
--- a/crates/experiment/src/driver/engines/reports.rs
+++ b/crates/experiment/src/driver/engines/reports.rs
@@ -1,4 +1,5 @@
-//! Load reports, cache events and inventories: late, and some of them lost.
+//! Load reports, cache events and inventories. All are delayed; load reports and cache events may
+//! also be lost.
 
 use dahlia_engine_model::{CacheEvent, EngineRole};
 use dahlia_placement::{
@@ -11,7 +12,7 @@
 use super::super::{Driver, MODEL};
 
 impl Driver<'_> {
-    /// Makes the engine known to every scheduler.
+    /// Announces the engine to every scheduler.
     pub(in super::super) fn announce(&mut self, engine: usize, delay: Duration) {
         for scheduler in 0..self.schedulers.len() {
             let joined = EngineDescription {
@@ -45,7 +46,8 @@
         self.publish(&Event::EngineReport(report));
     }
 
-    /// Tells the scheduler that owns the program, under the sequence of its own subscription.
+    /// Forwards a cache event to the scheduler that owns the program. Each scheduler's subscription
+    /// has its own sequence numbers.
     pub(super) fn forward_cache_event(&mut self, engine: usize, event: CacheEvent) {
         let scheduler = event.program.group.0 as usize;
         let host = &mut self.engines[engine];
@@ -76,7 +78,8 @@
         self.notify_after(scheduler, Event::Inventory(answer), delay);
     }
 
-    /// Sends to every scheduler, late; each copy may be lost on its own.
+    /// Sends an event to every scheduler after the report delay. Each copy may be lost
+    /// independently.
     fn publish(&mut self, event: &Event) {
         let loss = self.workload.deployment.report_loss;
         for scheduler in 0..self.schedulers.len() {
--- a/crates/experiment/src/driver/event_queue.rs
+++ b/crates/experiment/src/driver/event_queue.rs
@@ -1,4 +1,4 @@
-//! What will happen, in order of time.
+//! The queue of simulation events, in order of virtual time.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
@@ -9,12 +9,12 @@
 
 use super::copies::TransferPurpose;
 
-/// Something that will happen.
+/// An event that the driver handles at a point in virtual time.
 #[derive(Debug, Clone)]
 pub(super) enum SimulationEvent {
     /// A program begins.
     Arrive { program: usize },
-    /// A caller issues the chain's next call, or the same again after a refusal.
+    /// A caller issues the chain's next call or retries a refused call.
     Issue { program: usize, chain: usize },
     /// The call reaches the scheduler that owns the program.
     Ready { program: usize, chain: usize },
@@ -26,11 +26,11 @@
         from: usize,
         purpose: TransferPurpose,
     },
-    /// An engine has something to do.
+    /// An engine reaches the wake-up time that it requested.
     Wake { engine: usize },
     /// An engine reports its load.
     Report { engine: usize },
-    /// An engine's inventory was asked for.
+    /// A scheduler's request for the inventory reaches an engine.
     Inventory { engine: usize, scheduler: usize },
     /// An event reaches a scheduler.
     Notify { scheduler: usize, event: Box<Event> },
@@ -40,20 +40,20 @@
     Answer { attempt: AttemptId, usage: Usage },
     /// A refusal reaches the caller.
     Refused { program: usize, chain: usize, retry_after: Duration },
-    /// A program has been idle for too long.
+    /// A program reaches its idle timeout.
     Expire { program: usize },
-    /// A fault of the workload.
+    /// A fault of the workload takes effect.
     Fault { index: usize },
-    /// An engine that left is switched off.
+    /// An engine that was drained is stopped.
     StopDrainedEngine { engine: usize, incarnation: Incarnation },
-    /// Time passes for the schedulers.
+    /// All schedulers receive a tick.
     Tick,
 }
 
 #[derive(Debug)]
 struct Entry {
     at: Timestamp,
-    /// Ties go by order of insertion, so that a run repeats exactly.
+    /// Events at the same time are handled in insertion order, so that runs are deterministic.
     number: u64,
     event: SimulationEvent,
 }
@@ -73,13 +73,14 @@
 }
 
 impl Ord for Entry {
-    /// Reversed: the heap gives its greatest entry first, and the earliest is wanted.
+    /// Reverses the order, because the heap returns its greatest entry first and the queue must
+    /// return the earliest.
     fn cmp(&self, other: &Self) -> Ordering {
         (other.at, other.number).cmp(&(self.at, self.number))
     }
 }
 
-/// The queue of happenings.
+/// A priority queue of simulation events.
 #[derive(Debug, Default)]
 pub(super) struct EventQueue {
     heap: BinaryHeap<Entry>,
--- a/crates/experiment/src/driver/network.rs
+++ b/crates/experiment/src/driver/network.rs
@@ -1,13 +1,13 @@
-//! Zones and latencies.
+//! Zones and network delays.
 
 use dahlia_types::{Duration, Zone};
 
 use crate::workload::Deployment;
 
-/// Latency inside a zone.
+/// The one-way delay inside a zone.
 const SAME_ZONE_DELAY: Duration = Duration::from_micros(100);
 
-/// Where everything stands and how long a message takes.
+/// The zones of machines and the delays of messages.
 #[derive(Debug)]
 pub(super) struct Network {
     zones: Vec<Zone>,
@@ -33,18 +33,21 @@
         self.zones[machine % self.zones.len()].clone()
     }
 
-    /// One way between the machines of these numbers, each spread over the zones in turn.
+    /// Returns the one-way delay between two machines, which are spread over the zones in turn by
+    /// number.
     pub(super) fn one_way_delay(&self, one: usize, other: usize) -> Duration {
         let zones = self.zones.len();
         if one % zones == other % zones { SAME_ZONE_DELAY } else { self.cross_zone_delay }
     }
 
-    /// One way between a caller and the owner of its program, through the gateway of `entry`.
+    /// Returns the one-way delay between a caller and the owner of its program, through the gateway
+    /// in zone `entry`.
     pub(super) fn client_to_owner_delay(&self, entry: usize, owner: usize) -> Duration {
         sum(self.client_delay, self.one_way_delay(entry, owner))
     }
 
-    /// Time until an intent or a turn is durable: a majority over the zones has answered.
+    /// Returns the time until an intent or a turn is durable, which takes acknowledgements from a
+    /// majority over the zones.
     pub(super) fn commit_delay(&self) -> Duration {
         if self.zones.len() == 1 {
             SAME_ZONE_DELAY.times(2)
--- a/crates/experiment/src/driver/programs.rs
+++ b/crates/experiment/src/driver/programs.rs
@@ -1,4 +1,4 @@
-//! Programs as they run.
+//! The state of running programs.
 
 use std::collections::VecDeque;
 
@@ -11,24 +11,24 @@
 #[derive(Debug)]
 pub(super) struct ChainRun {
     pub parent: Option<usize>,
-    /// Turns to come; the first one is the current call.
+    /// The remaining turns. The first one is the current call.
     pub turns: VecDeque<Turn>,
     pub history: Vec<Segment>,
-    /// Number of the current call, from 1.
+    /// The number of the current call, starting at 1.
     pub number: u32,
-    /// Number of the current call's next attempt.
+    /// The number of the current call's next attempt.
     pub attempt: u32,
-    /// When the current call was issued first, and when it reached its owner last.
+    /// When the current call was first issued, and when it last reached its owner.
     pub issued: Timestamp,
     pub ready: Timestamp,
     pub caller_retries: u32,
-    /// How long the current call waited for its first token; none before it came.
+    /// The current call's time to its first token, or none before that token arrives.
     pub first_token: Option<Duration>,
-    /// The current call has not been answered.
+    /// Whether the current call is still unanswered.
     pub under_way: bool,
-    /// Sub-agents that have not ended.
+    /// The number of sub-agents that have not ended.
     pub children: usize,
-    /// Tool pauses along the chains that this one waited for, its own included.
+    /// The total tool pauses of this chain and of the chains that it waited for.
     pub paused: Duration,
     pub depth: u32,
 }
@@ -57,7 +57,7 @@
     }
 }
 
-/// A program that runs.
+/// The state of a running program.
 #[derive(Debug)]
 pub(super) struct ProgramRun {
     pub id: ProgramId,
@@ -94,7 +94,7 @@
         self.chains.len() - 1
     }
 
-    /// Calls issued, or prepared for the end of a pause, that have not been answered.
+    /// Counts unanswered calls that are issued or will be issued after a pause.
     pub(super) fn calls_under_way(&self) -> u64 {
         self.chains.iter().filter(|chain| chain.under_way).count() as u64
     }
--- a/crates/experiment/src/driver/schedulers.rs
+++ b/crates/experiment/src/driver/schedulers.rs
@@ -1,4 +1,4 @@
-//! The schedulers' side: events in, decisions carried out over the links.
+//! Passes events to the schedulers and executes their decisions over the network.
 
 use dahlia_engine_model::{
     AfterHold, Cancel, EngineCommand, Hold, Priority, Release, Segment, Submit,
@@ -12,9 +12,9 @@
 use super::event_queue::SimulationEvent;
 use super::{Driver, MODEL};
 
-/// Weight of every program.
+/// The scheduling weight of every program.
 const PROGRAM_WEIGHT: u32 = 100;
-/// The owners' epoch; owners do not change in these runs.
+/// The epoch of the owners, which do not change in these runs.
 pub(super) const EPOCH: Term = Term(1);
 
 impl Driver<'_> {
@@ -41,7 +41,7 @@
         self.notify(owner, Event::CallReady(ready));
     }
 
-    /// Gives an event to a scheduler now and carries out what it decides.
+    /// Passes an event to a scheduler immediately and executes its decisions.
     pub(super) fn notify(&mut self, scheduler: usize, event: Event) {
         let actions = self.schedulers[scheduler].handle(event, self.now);
         for action in actions {
@@ -171,7 +171,7 @@
         found.expect("schedulers know only engines that were announced")
     }
 
-    /// Sends an event to a scheduler after a link's latency.
+    /// Sends an event to a scheduler that receives it after the given delay.
     pub(super) fn notify_after(&mut self, scheduler: usize, event: Event, after: Duration) {
         let event = Box::new(event);
         self.queue.add(self.now + after, SimulationEvent::Notify { scheduler, event });
--- a/crates/experiment/src/error.rs
+++ b/crates/experiment/src/error.rs
@@ -5,7 +5,7 @@
 use dahlia_types::InvalidSetting;
 use snafu::Snafu;
 
-/// Why an experiment did not run or was not written.
+/// An error that prevents running an experiment or writing its results.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum ExperimentError {
@@ -31,12 +31,12 @@
         /// The field, the value and what is allowed.
         source: InvalidSetting,
     },
-    /// A policy's name is not known.
+    /// A policy's name is unknown.
     #[snafu(display("policy {name:?} is not known; allowed: {allowed}"))]
     UnknownPolicy {
         /// The name.
         name: String,
-        /// The names that are.
+        /// The allowed names.
         allowed: String,
     },
     /// A report or plot cannot be written.
@@ -58,7 +58,7 @@
     DrawPlot {
         /// The file.
         path: PathBuf,
-        /// What the library says.
+        /// The error message of the plotting library.
         cause: String,
     },
 }
--- a/crates/experiment/src/lib.rs
+++ b/crates/experiment/src/lib.rs
@@ -1,7 +1,7 @@
-//! Experiments in virtual time: the real scheduler against modelled engines.
+//! Runs experiments in virtual time with the real scheduler and modelled engines.
 //!
-//! A workload file describes deployment, programs and faults. The driver runs it once per policy
-//! and seed; the comparison puts the results side by side.
+//! A workload file describes the deployment, programs and faults. The driver runs it once per
+//! policy and seed, and the comparison reports the results side by side.
 
 pub mod compare;
 mod driver;
--- a/crates/experiment/src/metrics.rs
+++ b/crates/experiment/src/metrics.rs
@@ -1,19 +1,19 @@
-//! What is measured in a run.
+//! Measurements of a run.
 
 use dahlia_engine_model::{CacheSpan, SpanKind};
 use dahlia_types::{Duration, Timestamp};
 
 use crate::workload::Workload;
 
-/// Bins of the course of wasted cache over time.
+/// The number of time bins for wasted cache.
 pub(crate) const TIME_BIN_COUNT: usize = 60;
 
 /// How a program ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Outcome {
-    /// Every call answered.
+    /// Every call was answered.
     Completed,
-    /// The caller or a tool never came back; the program expired.
+    /// The caller or a tool never returned and the program expired.
     Abandoned,
     /// Its first call was refused and the caller gave up.
     Refused,
@@ -27,9 +27,9 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct ProgramRecord {
     pub arrives: Timestamp,
-    /// First call issued to last answer received.
+    /// The time from the first call's issue to the last answer.
     pub latency: Duration,
-    /// The part of it in tool pauses, along the chains that determined it.
+    /// The part of the latency spent in tool pauses, along the chains that determined it.
     pub paused: Duration,
     pub ended: Timestamp,
     pub outcome: Outcome,
@@ -38,7 +38,7 @@
 /// A call that was answered.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct CallRecord {
-    /// Call issued to first token received.
+    /// The time from the call's issue to its first token.
     pub first_token: Duration,
     pub prompt: u64,
     pub cached: u64,
@@ -65,13 +65,13 @@
     pub issued: u64,
     /// Calls answered, over the whole run.
     pub answered: u64,
-    /// Calls finally given up by their callers after refusals, over the whole run.
+    /// Calls that callers gave up after refusals, over the whole run.
     pub given_up: u64,
-    /// Calls that their program's end left without an answer, over the whole run.
+    /// Calls that were unanswered when their program ended, over the whole run.
     pub interrupted: u64,
-    /// Answers "refused" sent, over the whole run.
+    /// Refusals sent, over the whole run.
     pub refusals: u64,
-    /// The longest a caller waited for such an answer.
+    /// The longest time from a call's arrival at its scheduler to its refusal.
     pub longest_refusal: Duration,
     /// The longest a call waited for its first token.
     pub longest_wait: Duration,
@@ -81,15 +81,15 @@
     pub fetches: u64,
     /// Pauses during which KV went to a host's memory.
     pub offloads: u64,
-    /// Most tokens in one host's memory at once.
+    /// The maximum number of tokens in one host's memory at any time.
     pub host_peak_tokens: u64,
     /// Attempts that engines preempted.
     pub preemptions: u64,
     /// Programs that had ended while an engine still held something for them, at the end.
     pub still_held: u64,
-    /// Engines looked at, over all decisions.
+    /// Engines examined, over all decisions.
     pub engines_examined: u64,
-    /// Times an engine was looked for.
+    /// Decisions that searched for an engine.
     pub decisions: u64,
 }
 
@@ -122,17 +122,18 @@
         }
     }
 
-    /// Programs of an outcome, among those measured.
+    /// Counts the measured programs with an outcome.
     pub fn count_programs(&self, outcome: Outcome) -> u64 {
         self.programs.iter().filter(|program| program.outcome == outcome).count() as u64
     }
 
-    /// Programs completed a second between the warm-up and the last arrival, whenever they began.
+    /// Returns the programs completed a second between the warm-up and the last arrival, whenever
+    /// they began.
     pub fn goodput(&self) -> f64 {
         self.completed_in_time as f64 / self.arrivals_end.since(self.warm_up).as_secs_f64()
     }
 
-    /// Whether a program or call of this moment is measured.
+    /// Returns whether a program or call that starts at this time is measured.
     pub(crate) fn is_measured(&self, at: Timestamp) -> bool {
         at >= self.warm_up
     }
@@ -146,7 +147,7 @@
         }
     }
 
-    /// Adds held cache, as far as it lies in the measured part of the arrivals.
+    /// Adds the part of a cache span that lies between the warm-up and the last arrival.
     pub(crate) fn add_span(&mut self, span: CacheSpan) {
         let (first, last) = (self.warm_up.0, self.arrivals_end.0);
         let from = span.from.0.clamp(first, last);
@@ -163,30 +164,30 @@
         }
     }
 
-    /// Share of held token-seconds that were wasted.
+    /// Returns the fraction of held token-seconds that were wasted.
     pub fn wasted_fraction(&self) -> f64 {
         self.cache.wasted_fraction()
     }
 
-    /// Share of prompt tokens that were found in a cache.
+    /// Returns the fraction of prompt tokens that were found in a cache.
     pub fn prefix_hit_fraction(&self) -> f64 {
         let prompt: u64 = self.calls.iter().map(|call| call.prompt).sum();
         let cached: u64 = self.calls.iter().map(|call| call.cached).sum();
         if prompt == 0 { 0.0 } else { cached as f64 / prompt as f64 }
     }
 
-    /// Latencies of completed programs in milliseconds, tool pauses included.
+    /// Returns the latencies of completed programs in milliseconds, tool pauses included.
     pub fn latencies_ms(&self) -> Vec<f64> {
         self.completed().map(|program| to_millis(program.latency)).collect()
     }
 
-    /// Latencies of completed programs in milliseconds, without tool pauses.
+    /// Returns the latencies of completed programs in milliseconds, without tool pauses.
     pub fn latencies_without_pauses_ms(&self) -> Vec<f64> {
         let completed = self.completed();
         completed.map(|program| to_millis(program.latency) - to_millis(program.paused)).collect()
     }
 
-    /// Times to the first token, in milliseconds.
+    /// Returns the times to the first token in milliseconds.
     pub fn times_to_first_token_ms(&self) -> Vec<f64> {
         self.calls.iter().map(|call| to_millis(call.first_token)).collect()
     }
--- a/crates/experiment/src/oracle.rs
+++ b/crates/experiment/src/oracle.rs
@@ -1,11 +1,11 @@
-//! The lower bound: no queue, every prefix warm, a batch of one.
+//! Computes the latency lower bound: no queueing, every prefix cached and a batch size of one.
 
 use dahlia_types::Duration;
 
 use crate::metrics::{CallRecord, Outcome, ProgramRecord, RunResult};
 use crate::workload::{ChainScript, NextStep, ProgramScript, Workload};
 
-/// How a chain ends and how long it takes without any contention.
+/// The outcome and duration of a chain without contention.
 struct ChainEstimate {
     total: Duration,
     paused: Duration,
@@ -79,7 +79,7 @@
     ChainEstimate { total, paused, outcome: Outcome::Completed }
 }
 
-/// Time to the first token: links there and back, and the prefill of what is new.
+/// Returns the time to the first token: the network round trip and the prefill of new tokens.
 fn time_to_first_token(workload: &Workload, new_tokens: u64, context: u64) -> Duration {
     let links = 2.0 * workload.deployment.client_latency_ms * 1000.0;
     let engine = &workload.engine;
--- a/crates/experiment/src/plots.rs
+++ b/crates/experiment/src/plots.rs
@@ -19,13 +19,13 @@
     RGBColor(255, 127, 14),
 ];
 
-/// A line of a plot.
+/// A labelled line of a plot.
 struct Line {
     name: String,
     points: Vec<(f64, f64)>,
 }
 
-/// What stands around the lines.
+/// The title, axis labels and scale of a plot.
 struct PlotLabels<'a> {
     title: &'a str,
     x_label: &'a str,
--- a/crates/experiment/src/report.rs
+++ b/crates/experiment/src/report.rs
@@ -1,4 +1,4 @@
-//! Results of a comparison: figures with their spread over seeds, as JSON and as a table.
+//! Results of a comparison with their spread over seeds, as JSON and as a table.
 
 mod table;
 
@@ -13,7 +13,7 @@
 use crate::error::{EncodeReportSnafu, WriteFileSnafu};
 use crate::metrics::{Outcome, RunResult, TIME_BIN_COUNT};
 
-/// Points of a distribution curve.
+/// The number of intervals in a distribution curve.
 const CURVE_POINT_COUNT: usize = 200;
 
 /// Quantiles and mean of a quantity, in its unit.
@@ -27,7 +27,7 @@
 }
 
 impl Quantiles {
-    /// Exact quantiles (nearest rank); zeros for no values.
+    /// Computes exact quantiles by nearest rank. Returns zeros if there are no values.
     fn of(mut values: Vec<f64>) -> Self {
         if values.is_empty() {
             return Self::default();
@@ -40,7 +40,7 @@
     }
 }
 
-/// How a figure differs between seeds.
+/// The variation of a figure between seeds.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize)]
 #[allow(missing_docs)]
 pub struct Spread {
@@ -83,7 +83,7 @@
 /// Results of one policy over all seeds. Quantiles are over the programs of all seeds together.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct PolicyReport {
-    /// First call issued to last answer received, tool pauses included; completed programs.
+    /// The time from the first call to the last answer of completed programs, with tool pauses.
     pub program_latency_ms: Quantiles,
     /// The same without tool pauses.
     pub program_latency_without_pauses_ms: Quantiles,
@@ -91,23 +91,23 @@
     pub wasted_cache_fraction: f64,
     /// Share of prompt tokens found in a cache.
     pub prefix_hit_fraction: f64,
-    /// Call issued to first token received.
+    /// The time from a call's issue to its first token.
     pub time_to_first_token_ms: Quantiles,
     /// Programs completed.
     pub completed: u64,
     /// Programs whose first call was refused for good.
     pub refused: u64,
-    /// Programs that failed or were refused later on, or had not ended with the run.
+    /// Programs that failed, were refused at a later call, or had not ended when the run did.
     pub failed: u64,
-    /// Programs whose caller or tool never came back.
+    /// Programs whose caller or tool never returned.
     pub abandoned: u64,
-    /// Of the failed ones, those that had not ended with the run.
+    /// The failed programs that had not ended when the run did.
     pub unfinished: u64,
     /// The longest wait of any call for its first token.
     pub longest_wait_ms: f64,
-    /// Refusals sent, and the longest time between a call's arrival at its scheduler and one.
+    /// Refusals sent.
     pub refusals: u64,
-    /// See [`Self::refusals`].
+    /// The longest time from a call's arrival at its scheduler to its refusal.
     pub longest_refusal_ms: f64,
     /// Programs completed a second while programs arrived.
     pub goodput_per_second: f64,
@@ -117,15 +117,15 @@
     pub fetches: u64,
     /// Pauses during which KV went to a host's memory.
     pub offloads: u64,
-    /// Most tokens in one host's memory at once.
+    /// The maximum number of tokens in one host's memory at any time.
     pub host_peak_tokens: u64,
     /// Attempts that engines preempted.
     pub preemptions: u64,
     /// Programs that had ended while an engine still held something for them at the end.
     pub still_held: u64,
-    /// Engines looked at for each decision.
+    /// Engines examined per decision.
     pub engines_per_decision: f64,
-    /// How the main figures differ between seeds.
+    /// The variation of the main figures between seeds.
     pub spread: Spreads,
     /// Latency in milliseconds at evenly spaced quantiles, for the plot.
     #[serde(skip)]
@@ -136,7 +136,7 @@
 }
 
 impl PolicyReport {
-    /// Joins the runs of all seeds.
+    /// Aggregates the runs of all seeds.
     pub(crate) fn of(runs: &[RunResult]) -> Self {
         let pooled = |values: fn(&RunResult) -> Vec<f64>| -> Vec<f64> {
             runs.iter().flat_map(values).collect()
@@ -254,15 +254,16 @@
         }
     }
 
-    /// The report as a table for people.
+    /// Formats the report as a text table.
     pub fn table(&self) -> String {
         table::render(self)
     }
 
-    /// The report as JSON.
+    /// Encodes the report as JSON.
     ///
     /// # Errors
-    /// [`ExperimentError::EncodeReport`]; not for finite figures.
+    /// [`ExperimentError::EncodeReport`] if encoding fails, which does not happen for finite
+    /// figures.
     pub fn json(&self) -> Result<String, ExperimentError> {
         serde_json::to_string_pretty(self).context(EncodeReportSnafu)
     }
@@ -307,7 +308,7 @@
     bins.collect()
 }
 
-/// The value at a quantile of sorted values, by nearest rank.
+/// Returns the value at a quantile of sorted values, by nearest rank.
 fn nearest_rank(sorted: &[f64], quantile: f64) -> f64 {
     let rank = (quantile * sorted.len() as f64).ceil() as usize;
     sorted[rank.clamp(1, sorted.len()) - 1]
--- a/crates/experiment/src/report/table.rs
+++ b/crates/experiment/src/report/table.rs
@@ -1,10 +1,10 @@
-//! The report as a table for people.
+//! Formats the report as a text table.
 
 use std::fmt::Write;
 
 use super::{CompareReport, LoadPoint, PolicyReport};
 
-/// Renders both parts: policies at the main load, then the sweep.
+/// Renders the policies at the main load, followed by the sweep.
 pub(super) fn render(report: &CompareReport) -> String {
     let mut text = String::new();
     let seeds = report.seeds.len();
--- a/crates/experiment/src/workload/distribution.rs
+++ b/crates/experiment/src/workload/distribution.rs
@@ -1,4 +1,4 @@
-//! Distributions whose parameters stand in workload files.
+//! Distributions that are configured in workload files.
 
 use rand::Rng;
 use rand_distr::{Distribution as _, Exp, LogNormal, Pareto};
@@ -8,7 +8,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "kebab-case", deny_unknown_fields)]
 pub enum Distribution {
-    /// Always the same.
+    /// A constant value.
     Constant {
         /// The value.
         value: f64,
@@ -35,7 +35,7 @@
     Pareto {
         /// Smallest value.
         scale: f64,
-        /// Tail index; the smaller, the heavier.
+        /// The tail index. A smaller index gives a heavier tail.
         shape: f64,
         /// Largest value.
         max: f64,
@@ -43,7 +43,7 @@
 }
 
 impl Distribution {
-    /// Draws a value. Parameters that the library refuses give the smallest value.
+    /// Draws a value. Returns the smallest value if the library rejects the parameters.
     pub fn sample(&self, random: &mut impl Rng) -> f64 {
         match *self {
             Self::Constant { value } => value,
--- a/crates/experiment/src/workload/script.rs
+++ b/crates/experiment/src/workload/script.rs
@@ -1,4 +1,4 @@
-//! What each program will do, drawn before the run and told to nobody.
+//! Generates the behaviour of each program before the run. Schedulers do not see it.
 
 use dahlia_engine_model::Segment;
 use dahlia_types::{Duration, TenantId, Timestamp, Tokens};
@@ -9,25 +9,25 @@
 
 use super::{ProgramShape, Workload};
 
-/// What follows an answer.
+/// The step that follows an answer.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum NextStep {
     /// The chain ends.
     End,
-    /// A tool or a person answers after a while.
+    /// A tool or a person responds after a delay.
     Pause { tool: usize, length: Duration },
     /// A tool never returns.
     Hang { tool: usize },
-    /// The caller never comes back.
+    /// The caller never returns.
     Abandon,
-    /// Sub-agents run, and the chain goes on when all have ended.
+    /// Sub-agents run, and the chain continues when all have ended.
     SubAgents(Vec<ChainScript>),
 }
 
-/// One call of a chain.
+/// One call of a chain and the step that follows it.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct Turn {
-    /// What is new in the history.
+    /// The message that the turn adds to the history.
     pub message: Segment,
     /// Tokens that the model will generate.
     pub generated: Tokens,
@@ -41,12 +41,12 @@
 pub(crate) struct ChainScript {
     /// History before the first call; for an inheriting sub-agent, before its own first message.
     pub prefix: Vec<Segment>,
-    /// Whether the parent's history comes before everything.
+    /// Whether the chain starts with its parent's history.
     pub inherits: bool,
     pub turns: Vec<Turn>,
 }
 
-/// A program.
+/// The behaviour of a program.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct ProgramScript {
     pub arrives: Timestamp,
@@ -62,7 +62,7 @@
     let arrivals = generate_arrivals(workload, load, &mut random);
     let tenants = TenantDistribution::generate(&workload.program, seed);
     let programs = arrivals.into_iter().map(|arrives| {
-        // Each program has its own stream, so that one's shape does not move the next one's.
+        // Each program has its own random stream, so that its draws do not affect the next program.
         let mut program_random = ChaCha8Rng::seed_from_u64(random.random());
         ScriptGenerator { workload, random: &mut program_random }
             .generate_program(arrives, &tenants)
@@ -70,7 +70,7 @@
     programs.collect()
 }
 
-/// A Poisson process with the rate of the phase.
+/// Generates a Poisson process with the rate of each phase.
 fn generate_arrivals(workload: &Workload, load: f64, random: &mut ChaCha8Rng) -> Vec<Timestamp> {
     let run = &workload.run;
     let max_factor = run.phases.iter().map(|phase| phase.factor).fold(1.0, f64::max);
--- a/crates/experiment/tests/runs.rs
+++ b/crates/experiment/tests/runs.rs
@@ -1,4 +1,5 @@
-//! Runs in virtual time: determinism, conservation, release, refusal at once, no starvation.
+//! Tests runs in virtual time: determinism, conservation of calls, cache release, immediate refusal
+//! and the absence of starvation.
 
 use dahlia_experiment::workload::{Distribution, Workload};
 use dahlia_experiment::{
@@ -14,7 +15,7 @@
     root.join(format!("{name}.toml"))
 }
 
-/// A workload that is cut down to a few seconds of work.
+/// Loads a workload and reduces it to a minute of arrivals on three engines.
 fn short_workload(name: &str) -> Workload {
     let mut workload = Workload::load(&workload_path(name)).expect("the workload is valid");
     workload.run.seconds = 60.0;
