--- a/crates/experiment/examples/compare.rs
+++ b/crates/experiment/examples/compare.rs
@@ -2,7 +2,8 @@
 //!
 //! `compare WORKLOAD POLICIES FIRST_SEED COUNT LOAD LOADS [DIRECTORY] [no-host]`
 //!
-//! `LOADS` is a list for the sweep or `-`; report and plots go to `DIRECTORY`, if there is one.
+//! `LOADS` is a comma-separated list for the sweep or `-`. The report and plots are written to
+//! `DIRECTORY` if it is given.
 
 use std::path::PathBuf;
 
@@ -17,8 +18,8 @@
 
 fn run() -> Result<(), ExperimentError> {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
-    let argument = |place: usize, default: &str| {
-        arguments.get(place).cloned().unwrap_or_else(|| default.to_owned())
+    let argument = |index: usize, default: &str| {
+        arguments.get(index).cloned().unwrap_or_else(|| default.to_owned())
     };
     let path = argument(0, "traces/workloads/bayou-roof.toml");
     let mut options = CompareOptions::new(PathBuf::from(path));
--- a/crates/experiment/src/driver/agenda.rs
+++ b/crates/experiment/src/driver/event_queue.rs
@@ -1,4 +1,4 @@
-//! What will happen, in order of time.
+//! The queue of simulation events, in order of virtual time.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
@@ -7,14 +7,14 @@
 use dahlia_placement::Event;
 use dahlia_types::{AttemptId, Duration, Incarnation, Timestamp, Usage};
 
-use super::copies::Purpose;
+use super::copies::TransferPurpose;
 
-/// Something that will happen.
+/// An event that the driver handles at a point in virtual time.
 #[derive(Debug, Clone)]
-pub(super) enum Happening {
+pub(super) enum SimulationEvent {
     /// A program begins.
     Arrive { program: usize },
-    /// A caller issues the chain's next call, or the same again after a refusal.
+    /// A caller issues the chain's next call or retries a refused call.
     Issue { program: usize, chain: usize },
     /// The call reaches the scheduler that owns the program.
     Ready { program: usize, chain: usize },
@@ -24,38 +24,38 @@
         incarnation: Incarnation,
         command: Box<EngineCommand>,
         from: usize,
-        purpose: Purpose,
+        purpose: TransferPurpose,
     },
-    /// An engine has something to do.
+    /// An engine reaches the wake-up time that it requested.
     Wake { engine: usize },
     /// An engine reports its load.
     Report { engine: usize },
-    /// An engine's inventory was asked for.
+    /// A scheduler's request for the inventory reaches an engine.
     Inventory { engine: usize, scheduler: usize },
     /// An event reaches a scheduler.
-    Tell { scheduler: usize, event: Box<Event> },
+    Notify { scheduler: usize, event: Box<Event> },
     /// The first token reaches the caller.
     FirstToken { attempt: AttemptId },
     /// The whole answer reaches the caller.
     Answer { attempt: AttemptId, usage: Usage },
     /// A refusal reaches the caller.
     Refused { program: usize, chain: usize, retry_after: Duration },
-    /// A program has been idle for too long.
+    /// A program reaches its idle timeout.
     Expire { program: usize },
-    /// A fault of the workload.
+    /// A fault of the workload takes effect.
     Fault { index: usize },
-    /// An engine that left is switched off.
-    SwitchOff { engine: usize, incarnation: Incarnation },
-    /// Time passes for the schedulers.
+    /// An engine that was drained is stopped.
+    StopDrainedEngine { engine: usize, incarnation: Incarnation },
+    /// All schedulers receive a tick.
     Tick,
 }
 
 #[derive(Debug)]
 struct Entry {
     at: Timestamp,
-    /// Ties go by order of insertion, so that a run repeats exactly.
+    /// Events at the same time are handled in insertion order, so that runs are deterministic.
     number: u64,
-    happening: Happening,
+    event: SimulationEvent,
 }
 
 impl PartialEq for Entry {
@@ -73,26 +73,27 @@
 }
 
 impl Ord for Entry {
-    /// Reversed: the heap gives its greatest entry first, and the earliest is wanted.
+    /// Reverses the order, because the heap returns its greatest entry first and the queue must
+    /// return the earliest.
     fn cmp(&self, other: &Self) -> Ordering {
         (other.at, other.number).cmp(&(self.at, self.number))
     }
 }
 
-/// The queue of happenings.
+/// A priority queue of simulation events.
 #[derive(Debug, Default)]
-pub(super) struct Agenda {
+pub(super) struct EventQueue {
     heap: BinaryHeap<Entry>,
     inserted: u64,
 }
 
-impl Agenda {
-    pub(super) fn add(&mut self, at: Timestamp, happening: Happening) {
+impl EventQueue {
+    pub(super) fn add(&mut self, at: Timestamp, event: SimulationEvent) {
         self.inserted += 1;
-        self.heap.push(Entry { at, number: self.inserted, happening });
+        self.heap.push(Entry { at, number: self.inserted, event });
     }
 
-    pub(super) fn next(&mut self) -> Option<(Timestamp, Happening)> {
-        self.heap.pop().map(|entry| (entry.at, entry.happening))
+    pub(super) fn next(&mut self) -> Option<(Timestamp, SimulationEvent)> {
+        self.heap.pop().map(|entry| (entry.at, entry.event))
     }
 }
--- a/crates/experiment/src/report.rs
+++ b/crates/experiment/src/report.rs
@@ -1,4 +1,4 @@
-//! Results of a comparison: figures with their spread over seeds, as JSON and as a table.
+//! Results of a comparison with their spread over seeds, as JSON and as a table.
 
 mod table;
 
@@ -11,10 +11,10 @@
 use crate::ExperimentError;
 use crate::compare::CompareOptions;
 use crate::error::{EncodeReportSnafu, WriteFileSnafu};
-use crate::metrics::{Outcome, RunResult, TIME_BINS};
+use crate::metrics::{Outcome, RunResult, TIME_BIN_COUNT};
 
-/// Points of a distribution curve.
-const CURVE_POINTS: usize = 200;
+/// The number of intervals in a distribution curve.
+const CURVE_POINT_COUNT: usize = 200;
 
 /// Quantiles and mean of a quantity, in its unit.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize)]
@@ -27,19 +27,20 @@
 }
 
 impl Quantiles {
-    /// Exact quantiles (nearest rank); zeros for no values.
+    /// Computes exact quantiles by nearest rank. Returns zeros if there are no values.
     fn of(mut values: Vec<f64>) -> Self {
         if values.is_empty() {
             return Self::default();
         }
         values.sort_by(f64::total_cmp);
         let mean = values.iter().sum::<f64>() / values.len() as f64;
-        let (p50, p95, p99) = (rank(&values, 0.5), rank(&values, 0.95), rank(&values, 0.99));
+        let (p50, p95, p99) =
+            (nearest_rank(&values, 0.5), nearest_rank(&values, 0.95), nearest_rank(&values, 0.99));
         Self { p50, p95, p99, mean }
     }
 }
 
-/// How a figure differs between seeds.
+/// The variation of a figure between seeds.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize)]
 #[allow(missing_docs)]
 pub struct Spread {
@@ -60,7 +61,7 @@
         let variance = values.iter().map(|value| (value - mean).powi(2)).sum::<f64>() / count;
         Self {
             min: values[0],
-            median: rank(&values, 0.5),
+            median: nearest_rank(&values, 0.5),
             max: values[values.len() - 1],
             standard_deviation: variance.sqrt(),
         }
@@ -82,7 +83,7 @@
 /// Results of one policy over all seeds. Quantiles are over the programs of all seeds together.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct PolicyReport {
-    /// First call issued to last answer received, tool pauses included; completed programs.
+    /// The time from the first call to the last answer of completed programs, with tool pauses.
     pub program_latency_ms: Quantiles,
     /// The same without tool pauses.
     pub program_latency_without_pauses_ms: Quantiles,
@@ -90,23 +91,23 @@
     pub wasted_cache_fraction: f64,
     /// Share of prompt tokens found in a cache.
     pub prefix_hit_fraction: f64,
-    /// Call issued to first token received.
+    /// The time from a call's issue to its first token.
     pub time_to_first_token_ms: Quantiles,
     /// Programs completed.
     pub completed: u64,
     /// Programs whose first call was refused for good.
     pub refused: u64,
-    /// Programs that failed or were refused later on, or had not ended with the run.
+    /// Programs that failed, were refused at a later call, or had not ended when the run did.
     pub failed: u64,
-    /// Programs whose caller or tool never came back.
+    /// Programs whose caller or tool never returned.
     pub abandoned: u64,
-    /// Of the failed ones, those that had not ended with the run.
+    /// The failed programs that had not ended when the run did.
     pub unfinished: u64,
     /// The longest wait of any call for its first token.
     pub longest_wait_ms: f64,
-    /// Refusals sent, and the longest time between a call's arrival at its scheduler and one.
+    /// Refusals sent.
     pub refusals: u64,
-    /// See [`Self::refusals`].
+    /// The longest time from a call's arrival at its scheduler to its refusal.
     pub longest_refusal_ms: f64,
     /// Programs completed a second while programs arrived.
     pub goodput_per_second: f64,
@@ -116,15 +117,15 @@
     pub fetches: u64,
     /// Pauses during which KV went to a host's memory.
     pub offloads: u64,
-    /// Most tokens in one host's memory at once.
+    /// The maximum number of tokens in one host's memory at any time.
     pub host_peak_tokens: u64,
     /// Attempts that engines preempted.
     pub preemptions: u64,
     /// Programs that had ended while an engine still held something for them at the end.
     pub still_held: u64,
-    /// Engines looked at for each decision.
+    /// Engines examined per decision.
     pub engines_per_decision: f64,
-    /// How the main figures differ between seeds.
+    /// The variation of the main figures between seeds.
     pub spread: Spreads,
     /// Latency in milliseconds at evenly spaced quantiles, for the plot.
     #[serde(skip)]
@@ -135,7 +136,7 @@
 }
 
 impl PolicyReport {
-    /// Joins the runs of all seeds.
+    /// Aggregates the runs of all seeds.
     pub(crate) fn of(runs: &[RunResult]) -> Self {
         let pooled = |values: fn(&RunResult) -> Vec<f64>| -> Vec<f64> {
             runs.iter().flat_map(values).collect()
@@ -151,17 +152,19 @@
         let wasted: f64 = runs.iter().map(|run| run.cache.wasted).sum();
         let prompt = runs.iter().flat_map(|run| &run.calls).map(|call| call.prompt).sum();
         let cached = runs.iter().flat_map(|run| &run.calls).map(|call| call.cached).sum();
-        let unfinished = total(|run| run.count(Outcome::Unfinished));
+        let unfinished = total(|run| run.count_programs(Outcome::Unfinished));
         Self {
             program_latency_ms: Quantiles::of(pooled(RunResult::latencies_ms)),
-            program_latency_without_pauses_ms: Quantiles::of(pooled(RunResult::service_ms)),
+            program_latency_without_pauses_ms: Quantiles::of(pooled(
+                RunResult::latencies_without_pauses_ms,
+            )),
             wasted_cache_fraction: ratio(wasted, held),
             prefix_hit_fraction: fraction(cached, prompt),
-            time_to_first_token_ms: Quantiles::of(pooled(RunResult::first_tokens_ms)),
-            completed: total(|run| run.count(Outcome::Completed)),
-            refused: total(|run| run.count(Outcome::Refused)),
-            failed: total(|run| run.count(Outcome::Failed)) + unfinished,
-            abandoned: total(|run| run.count(Outcome::Abandoned)),
+            time_to_first_token_ms: Quantiles::of(pooled(RunResult::times_to_first_token_ms)),
+            completed: total(|run| run.count_programs(Outcome::Completed)),
+            refused: total(|run| run.count_programs(Outcome::Refused)),
+            failed: total(|run| run.count_programs(Outcome::Failed)) + unfinished,
+            abandoned: total(|run| run.count_programs(Outcome::Abandoned)),
             unfinished,
             longest_wait_ms: longest(|run| run.longest_wait.as_micros()),
             refusals: total(|run| run.refusals),
@@ -178,8 +181,8 @@
                 total(|run| run.decisions),
             ),
             spread: spreads(runs),
-            latency_curve: curve(pooled(RunResult::latencies_ms)),
-            wasted_course: wasted_course(runs),
+            latency_curve: quantile_curve(pooled(RunResult::latencies_ms)),
+            wasted_course: wasted_fraction_over_time(runs),
         }
     }
 }
@@ -251,15 +254,16 @@
         }
     }
 
-    /// The report as a table for people.
+    /// Formats the report as a text table.
     pub fn table(&self) -> String {
         table::render(self)
     }
 
-    /// The report as JSON.
+    /// Encodes the report as JSON.
     ///
     /// # Errors
-    /// [`ExperimentError::EncodeReport`]; not for finite figures.
+    /// [`ExperimentError::EncodeReport`] if encoding fails, which does not happen for finite
+    /// figures.
     pub fn json(&self) -> Result<String, ExperimentError> {
         serde_json::to_string_pretty(self).context(EncodeReportSnafu)
     }
@@ -278,35 +282,36 @@
     Spreads {
         program_latency_p95_ms: spread(|run| Quantiles::of(run.latencies_ms()).p95),
         program_latency_mean_ms: spread(|run| Quantiles::of(run.latencies_ms()).mean),
-        without_pauses_p95_ms: spread(|run| Quantiles::of(run.service_ms()).p95),
+        without_pauses_p95_ms: spread(|run| Quantiles::of(run.latencies_without_pauses_ms()).p95),
         wasted_cache_fraction: spread(RunResult::wasted_fraction),
-        prefix_hit_fraction: spread(RunResult::hit_fraction),
+        prefix_hit_fraction: spread(RunResult::prefix_hit_fraction),
         goodput_per_second: spread(RunResult::goodput),
     }
 }
 
-fn curve(mut values: Vec<f64>) -> Vec<f64> {
+fn quantile_curve(mut values: Vec<f64>) -> Vec<f64> {
     values.sort_by(f64::total_cmp);
     if values.is_empty() {
         return values;
     }
-    let points = (0..=CURVE_POINTS).map(|point| rank(&values, point as f64 / CURVE_POINTS as f64));
+    let points = (0..=CURVE_POINT_COUNT)
+        .map(|point| nearest_rank(&values, point as f64 / CURVE_POINT_COUNT as f64));
     points.collect()
 }
 
-fn wasted_course(runs: &[RunResult]) -> Vec<f64> {
-    let bins = (0..TIME_BINS).map(|bin| {
-        let held: f64 = runs.iter().map(|run| run.cache_course[bin].held).sum();
-        let wasted: f64 = runs.iter().map(|run| run.cache_course[bin].wasted).sum();
+fn wasted_fraction_over_time(runs: &[RunResult]) -> Vec<f64> {
+    let bins = (0..TIME_BIN_COUNT).map(|bin| {
+        let held: f64 = runs.iter().map(|run| run.cache_over_time[bin].held).sum();
+        let wasted: f64 = runs.iter().map(|run| run.cache_over_time[bin].wasted).sum();
         ratio(wasted, held)
     });
     bins.collect()
 }
 
-/// The value at a quantile of sorted values, by nearest rank.
-fn rank(sorted: &[f64], quantile: f64) -> f64 {
-    let place = (quantile * sorted.len() as f64).ceil() as usize;
-    sorted[place.clamp(1, sorted.len()) - 1]
+/// Returns the value at a quantile of sorted values, by nearest rank.
+fn nearest_rank(sorted: &[f64], quantile: f64) -> f64 {
+    let rank = (quantile * sorted.len() as f64).ceil() as usize;
+    sorted[rank.clamp(1, sorted.len()) - 1]
 }
 
 fn ratio(part: f64, whole: f64) -> f64 {
