--- a/crates/rehearsal/src/caller.rs
+++ b/crates/rehearsal/src/caller.rs
@@ -23,9 +23,9 @@
     /// The text, put together from all pieces.
     pub text: String,
     /// From the request to the first piece.
-    pub first_piece: Duration,
+    pub first_text_latency: Duration,
     /// From the request to the end.
-    pub whole: Duration,
+    pub total_latency: Duration,
     /// Gateways that the caller had to leave on the way.
     pub gateways_lost: u32,
     /// Tokens of prompt and answer, by the usage in the last event.
@@ -62,7 +62,7 @@
     text: String,
     last_event: Option<String>,
     started: Instant,
-    first_piece: Option<Duration>,
+    first_text_latency: Option<Duration>,
     tokens: u64,
 }
 
@@ -88,14 +88,14 @@
     ///
     /// # Errors
     /// [`RehearsalError::Caller`] when the answer is an error or does not come.
-    pub async fn ask(&self, turn: &Turn) -> Result<Answer, RehearsalError> {
+    pub async fn send_turn(&self, turn: &Turn) -> Result<Answer, RehearsalError> {
         let mut progress = Progress {
             gateway: 0,
             lost: 0,
             text: String::new(),
             last_event: None,
             started: Instant::now(),
-            first_piece: None,
+            first_text_latency: None,
             tokens: 0,
         };
         loop {
@@ -152,11 +152,11 @@
 
 impl Progress {
     fn finish(self) -> Answer {
-        let whole = self.started.elapsed();
+        let total_latency = self.started.elapsed();
         Answer {
             text: self.text,
-            first_piece: self.first_piece.unwrap_or(whole),
-            whole,
+            first_text_latency: self.first_text_latency.unwrap_or(total_latency),
+            total_latency,
             gateways_lost: self.lost,
             tokens: self.tokens,
         }
@@ -192,7 +192,7 @@
         }
         for choice in chunk.choices {
             if let Some(text) = choice.delta.content {
-                self.first_piece.get_or_insert_with(|| self.started.elapsed());
+                self.first_text_latency.get_or_insert_with(|| self.started.elapsed());
                 self.text.push_str(&text);
             }
         }
--- a/crates/rehearsal/src/cluster.rs
+++ b/crates/rehearsal/src/cluster.rs
@@ -67,7 +67,7 @@
     /// Level of the daemons' logs.
     pub log_level: String,
     /// How many daemons, the first ones, have a data folder.
-    pub stores: usize,
+    pub data_folders: usize,
     /// Bulk history.
     pub history: HistorySettings,
 }
@@ -88,7 +88,7 @@
             key_value_rate: 200,
             policy: PolicyKind::ProgramAware,
             log_level: "info".to_owned(),
-            stores: 3,
+            data_folders: 3,
             history: HistorySettings { inline_bytes: 256, ..HistorySettings::default() },
         }
     }
@@ -114,11 +114,11 @@
     /// Its zone.
     pub zone: String,
     /// Where callers connect.
-    pub gateway: SocketAddr,
+    pub gateway_address: SocketAddr,
     /// Where operators connect.
-    pub operators: SocketAddr,
+    pub operators_address: SocketAddr,
     /// Where other daemons connect.
-    pub peers: SocketAddr,
+    pub peer_address: SocketAddr,
 }
 
 /// An engine's process and address.
@@ -197,8 +197,8 @@
         let zone = self.plan.daemon_zones[index].clone();
         let path = self.folder.join(format!("{name}.toml"));
         let settings = self.settings_of(index, &zone);
-        let text = toml::to_string(&settings).map_err(|error| RehearsalError::Broken {
-            what: format!("writing settings as TOML: {error}"),
+        let text = toml::to_string(&settings).map_err(|error| RehearsalError::Failed {
+            message: format!("writing settings as TOML: {error}"),
         })?;
         std::fs::write(&path, text).context(FileSnafu { path: &path })?;
         let arguments =
@@ -207,9 +207,9 @@
         Ok(DaemonProcess {
             process: Some(process),
             zone,
-            gateway: address_of(&name, &line, "gateway=")?,
-            operators: address_of(&name, &line, "operators=")?,
-            peers: address_of(&name, &line, "peers=")?,
+            gateway_address: address_of(&name, &line, "gateway=")?,
+            operators_address: address_of(&name, &line, "operators=")?,
+            peer_address: address_of(&name, &line, "peers=")?,
             name,
         })
     }
@@ -221,7 +221,7 @@
             zone: Zone::new(&engine.zone),
             models: vec![ModelId::new(&self.plan.model)],
         });
-        let plan = SettingsPlan {
+        let plan = CommonSettings {
             key_value: Some(self.key_value_address),
             engines: engines.collect(),
             groups: self.plan.groups,
@@ -230,11 +230,11 @@
             policy: self.plan.policy,
             log_level: self.plan.log_level.clone(),
             history: self.plan.history.clone(),
-            data_folder: (index < self.plan.stores)
+            data_folder: (index < self.plan.data_folders)
                 .then(|| self.folder.join(format!("data-d{}", index + 1))),
         };
-        let seeds = self.daemons.iter().map(|daemon| daemon.peers).collect();
-        daemon_settings(&plan, index as u32 + 1, &self.plan.region, zone, seeds)
+        let seeds = self.daemons.iter().map(|daemon| daemon.peer_address).collect();
+        build_daemon_settings(&plan, index as u32 + 1, &self.plan.region, zone, seeds)
     }
 
     /// Where the key-value service listens.
@@ -253,7 +253,7 @@
             let mut led = 0;
             let mut ready = 0;
             for daemon in &self.daemons {
-                let status = read_status(&client, daemon.gateway).await;
+                let status = read_status(&client, daemon.gateway_address).await;
                 led += status["groups_led"].as_u64().unwrap_or(0);
                 let engines = status["live_engines"].as_u64().unwrap_or(0);
                 let is_ready = status["ready"].as_bool().unwrap_or(false);
@@ -280,41 +280,41 @@
         match process {
             Some(mut process) => process.kill().await,
             None => {
-                let what = format!("there is no running daemon {name}");
-                Err(RehearsalError::Broken { what })
+                let message = format!("there is no running daemon {name}");
+                Err(RehearsalError::Failed { message })
             }
         }
     }
 
     /// Gateways of all daemons, killed ones included: a caller does not know better.
-    pub fn gateways(&self) -> Vec<SocketAddr> {
-        self.daemons.iter().map(|daemon| daemon.gateway).collect()
+    pub fn gateway_addresses(&self) -> Vec<SocketAddr> {
+        self.daemons.iter().map(|daemon| daemon.gateway_address).collect()
     }
 
     /// Operators' addresses of the daemons that run.
-    pub fn operators(&self) -> Vec<SocketAddr> {
+    pub fn operator_addresses(&self) -> Vec<SocketAddr> {
         let running = self.daemons.iter().filter(|daemon| daemon.process.is_some());
-        running.map(|daemon| daemon.operators).collect()
+        running.map(|daemon| daemon.operators_address).collect()
     }
 
     /// The credential of a tenant.
-    pub fn credential(&self, tenant: &str) -> String {
+    pub fn issue_credential(&self, tenant: &str) -> String {
         TenantKey::new(TENANT_KEY.as_bytes()).issue(&TenantId::new(tenant))
     }
 
     /// Tokens that engines hold for a program, by the engines' own inventories.
     ///
     /// # Errors
-    /// [`RehearsalError::Broken`] when an engine does not answer.
-    pub async fn tokens_held(&self, program: ProgramId) -> Result<u64, RehearsalError> {
+    /// [`RehearsalError::Failed`] when an engine does not answer.
+    pub async fn read_held_tokens(&self, program: ProgramId) -> Result<u64, RehearsalError> {
         let mut tokens = 0;
         for engine in &self.engines {
             let endpoint =
                 EngineEndpoint { engine: engine.id.clone(), address: engine.address.to_string() };
             let client = EngineClient::new(endpoint, ClientSettings::default());
             let inventory = client.inventory().await;
-            let inventory = inventory.map_err(|error| RehearsalError::Broken {
-                what: format!("reading the inventory of {}: {error}", engine.id),
+            let inventory = inventory.map_err(|error| RehearsalError::Failed {
+                message: format!("reading the inventory of {}: {error}", engine.id),
             })?;
             let entries = inventory.entries.iter().filter(|entry| entry.program == program);
             tokens += entries.map(|entry| entry.tokens.0).sum::<u64>();
@@ -325,7 +325,7 @@
 
 /// What the settings of all daemons of a rehearsal have in common.
 #[derive(Debug, Clone)]
-pub struct SettingsPlan {
+pub struct CommonSettings {
     /// The key-value service.
     pub key_value: Option<SocketAddr>,
     /// The engines.
@@ -346,7 +346,7 @@
     pub data_folder: Option<PathBuf>,
 }
 
-impl Default for SettingsPlan {
+impl Default for CommonSettings {
     fn default() -> Self {
         Self {
             key_value: None,
@@ -363,8 +363,8 @@
 }
 
 /// The settings of one daemon of a rehearsal; its ports come from the operating system.
-pub fn daemon_settings(
-    plan: &SettingsPlan,
+pub fn build_daemon_settings(
+    plan: &CommonSettings,
     id: u32,
     region: &str,
     zone: &str,
--- a/crates/rehearsal/src/demo.rs
+++ b/crates/rehearsal/src/demo.rs
@@ -14,7 +14,7 @@
 use crate::caller::{Answer, Caller, Turn};
 use crate::cluster::{Cluster, ClusterPlan};
 use crate::error::FileSnafu;
-use crate::operator::Operator;
+use crate::operator::OperatorClient;
 
 const PROGRAMS: usize = 4;
 const TURNS: u32 = 5;
@@ -79,22 +79,22 @@
     let kill_now = Arc::new(Notify::new());
     let (progress, lines) = mpsc::unbounded_channel();
     let callers = tokio::spawn(run_callers(
-        cluster.gateways(),
+        cluster.gateway_addresses(),
         programs.clone(),
-        cluster.credential("bayou-current"),
+        cluster.issue_credential("bayou-current"),
         kill_now.clone(),
         progress,
     ));
     let printing = tokio::spawn(print_lines(lines, started));
 
     kill_now.notified().await;
-    let mut operator = Operator::connect(&cluster.operators()).await?;
-    let owner = operator.show(&programs[0]).await?.owner;
+    let mut operator = OperatorClient::connect(&cluster.operator_addresses()).await?;
+    let owner = operator.show_program(&programs[0]).await?.owner;
     cluster.kill_daemon(&owner).await?;
     say(started, &format!("killed {owner}, the owner of {}, in turn {KILL_TURN}", programs[0]));
 
-    let seen = callers.await.map_err(|error| RehearsalError::Broken {
-        what: format!("a caller's task failed: {error}"),
+    let seen = callers.await.map_err(|error| RehearsalError::Failed {
+        message: format!("a caller's task failed: {error}"),
     })??;
     let _ = printing.await;
     let summaries = close_programs(&cluster, seen).await?;
@@ -104,12 +104,12 @@
 
 async fn create_programs(cluster: &Cluster) -> Result<Vec<String>, RehearsalError> {
     let mut programs = Vec::new();
-    let operators = cluster.operators();
+    let operators = cluster.operator_addresses();
     for index in 0..PROGRAMS {
         let mut order = operators.clone();
         order.rotate_left(index % operators.len());
-        let mut operator = Operator::connect(&order).await?;
-        let created = operator.create("bayou-current", &cluster.plan.model, BUDGET).await?;
+        let mut operator = OperatorClient::connect(&order).await?;
+        let created = operator.create_program("bayou-current", &cluster.plan.model, BUDGET).await?;
         programs.push(created.program);
     }
     Ok(programs)
@@ -130,8 +130,8 @@
     }
     let mut seen = Vec::new();
     for task in tasks {
-        let result = task.await.map_err(|error| RehearsalError::Broken {
-            what: format!("a caller's task failed: {error}"),
+        let result = task.await.map_err(|error| RehearsalError::Failed {
+            message: format!("a caller's task failed: {error}"),
         })?;
         seen.push(result?);
     }
@@ -149,7 +149,7 @@
     let mut answers = Vec::new();
     for number in 1..=TURNS {
         let turn = turn(&program, 0, number, QUESTIONS[number as usize - 1]);
-        let asked = caller.ask(&turn);
+        let asked = caller.send_turn(&turn);
         if number == KILL_TURN
             && let Some(kill_now) = &kill_now
         {
@@ -160,7 +160,7 @@
         answers.push(answer);
         if number == 2 {
             let look_up = "Look up the warranty terms of this serial number. [[tokens=30]]";
-            let answer = caller.ask(&self::turn(&program, 1, 1, look_up)).await?;
+            let answer = caller.send_turn(&self::turn(&program, 1, 1, look_up)).await?;
             report(&progress, &program, "sub-agent call", 1, &answer);
             answers.push(answer);
         }
@@ -197,8 +197,8 @@
     };
     let line = format!(
         "{program} {what} {number}: first text after {} ms, whole after {} ms{lost}",
-        answer.first_piece.as_millis(),
-        answer.whole.as_millis()
+        answer.first_text_latency.as_millis(),
+        answer.total_latency.as_millis()
     );
     // Nobody reading means that the demo is over.
     let _ = progress.send(line);
@@ -214,13 +214,13 @@
     cluster: &Cluster,
     seen: Vec<Seen>,
 ) -> Result<Vec<Summary>, RehearsalError> {
-    let mut operator = Operator::connect(&cluster.operators()).await?;
+    let mut operator = OperatorClient::connect(&cluster.operator_addresses()).await?;
     let mut summaries = Vec::new();
     for seen in seen {
-        let before = operator.show(&seen.program).await?;
+        let before = operator.show_program(&seen.program).await?;
         let mut engines: Vec<String> = before.held.iter().map(|held| held.engine.clone()).collect();
         engines.sort();
-        operator.close(&seen.program).await?;
+        operator.close_program(&seen.program).await?;
         let held = wait_for_release(cluster, &mut operator, &seen.program).await?;
         let budget = before.budget.unwrap_or_default();
         summaries.push(Summary {
@@ -237,15 +237,15 @@
 /// Waits until nobody holds or owes anything for the program. Returns what is still held.
 async fn wait_for_release(
     cluster: &Cluster,
-    operator: &mut Operator,
+    operator: &mut OperatorClient,
     program: &str,
 ) -> Result<u64, RehearsalError> {
     let id =
-        program.parse().map_err(|error| RehearsalError::Broken { what: format!("{error}") })?;
+        program.parse().map_err(|error| RehearsalError::Failed { message: format!("{error}") })?;
     let started = Instant::now();
     loop {
-        let held = cluster.tokens_held(id).await?;
-        let owed = operator.show(program).await?.held.len();
+        let held = cluster.read_held_tokens(id).await?;
+        let owed = operator.show_program(program).await?.held.len();
         if (held == 0 && owed == 0) || started.elapsed() > RELEASE_LIMIT {
             return Ok(held);
         }
@@ -295,8 +295,8 @@
     Ok(())
 }
 
-fn broken(what: String) -> Result<(), RehearsalError> {
-    Err(RehearsalError::Broken { what })
+fn broken(message: String) -> Result<(), RehearsalError> {
+    Err(RehearsalError::Failed { message })
 }
 
 fn say(started: Instant, line: &str) {
--- a/crates/rehearsal/src/direct.rs
+++ b/crates/rehearsal/src/direct.rs
@@ -28,7 +28,11 @@
     ///
     /// # Errors
     /// [`RehearsalError::Caller`] when the engine refuses or the stream breaks.
-    pub async fn ask(&mut self, text: &str, max_tokens: u64) -> Result<Answer, RehearsalError> {
+    pub async fn send_turn(
+        &mut self,
+        text: &str,
+        max_tokens: u64,
+    ) -> Result<Answer, RehearsalError> {
         self.messages.push(json!({"role": "user", "content": text}));
         let body = json!({
             "model": self.model,
@@ -60,8 +64,8 @@
                 answer.text.push_str(&piece);
             }
         }
-        answer.whole = started.elapsed();
-        answer.first_piece = first.unwrap_or(answer.whole);
+        answer.total_latency = started.elapsed();
+        answer.first_text_latency = first.unwrap_or(answer.total_latency);
         self.messages.push(json!({"role": "assistant", "content": answer.text}));
         Ok(answer)
     }
--- a/crates/rehearsal/src/error.rs
+++ b/crates/rehearsal/src/error.rs
@@ -61,10 +61,10 @@
         source: tonic::transport::Error,
     },
     /// What was seen is not what was promised.
-    #[snafu(display("{what}"))]
-    Broken {
-        /// What was seen.
-        what: String,
+    #[snafu(display("{message}"))]
+    Failed {
+        /// What was observed.
+        message: String,
     },
     /// The user ended the rehearsal.
     #[snafu(display("interrupted"))]
--- a/crates/rehearsal/src/latency.rs
+++ b/crates/rehearsal/src/latency.rs
@@ -1,4 +1,4 @@
-//! Latencies collected over a run.
+//! Histograms of the latencies of a run.
 
 use std::time::Duration;
 
@@ -10,8 +10,8 @@
 const SIGNIFICANT_DIGITS: u8 = 3;
 const MICROS_PER_MILLI: f64 = 1_000.0;
 
-/// Latencies of one kind.
-pub struct Latencies {
+/// A histogram of latencies of one kind.
+pub struct LatencyHistogram {
     histogram: Histogram<u64>,
 }
 
@@ -32,16 +32,16 @@
     pub max: f64,
 }
 
-impl Default for Latencies {
+impl Default for LatencyHistogram {
     fn default() -> Self {
         let histogram = Histogram::new_with_bounds(1, LONGEST_MICROS, SIGNIFICANT_DIGITS);
         Self { histogram: histogram.expect("the bounds are constants that fit") }
     }
 }
 
-impl Latencies {
+impl LatencyHistogram {
     /// Adds one; longer ones count as the longest.
-    pub fn add(&mut self, latency: Duration) {
+    pub fn record(&mut self, latency: Duration) {
         self.histogram.saturating_record(latency.as_micros() as u64);
     }
 
--- a/crates/rehearsal/src/load.rs
+++ b/crates/rehearsal/src/load.rs
@@ -15,8 +15,8 @@
 use crate::cluster::{Cluster, ClusterPlan};
 use crate::direct::DirectCaller;
 use crate::error::FileSnafu;
-use crate::latency::{Latencies, LatencySummary};
-use crate::operator::Operator;
+use crate::latency::{LatencyHistogram, LatencySummary};
+use crate::operator::OperatorClient;
 use crate::process_usage::{ProcessUsage, read_usage};
 
 /// Budget of a program of the load: as much as a tenant may give without a limit of its own.
@@ -95,8 +95,8 @@
     let Some(path) = &options.report else {
         return Ok(());
     };
-    let text = serde_json::to_string_pretty(report).map_err(|error| RehearsalError::Broken {
-        what: format!("writing the report as JSON: {error}"),
+    let text = serde_json::to_string_pretty(report).map_err(|error| RehearsalError::Failed {
+        message: format!("writing the report as JSON: {error}"),
     })?;
     std::fs::write(path, text).context(FileSnafu { path })
 }
@@ -136,15 +136,15 @@
 /// Latencies of one way of calling.
 #[derive(Default)]
 struct Taken {
-    first: Latencies,
-    whole: Latencies,
+    first: LatencyHistogram,
+    whole: LatencyHistogram,
     failed: u64,
 }
 
 impl Taken {
     fn add(&mut self, answer: &Answer) {
-        self.first.add(answer.first_piece);
-        self.whole.add(answer.whole);
+        self.first.record(answer.first_text_latency);
+        self.whole.record(answer.total_latency);
     }
 
     fn merge(&mut self, other: &Self) {
@@ -159,23 +159,24 @@
     options: &LoadOptions,
 ) -> Result<Taken, RehearsalError> {
     let mut programs = Vec::new();
-    let operators = cluster.operators();
+    let operators = cluster.operator_addresses();
     for index in 0..options.programs {
         let mut order = operators.clone();
         order.rotate_left(index % operators.len());
-        let mut operator = Operator::connect(&order).await?;
-        programs.push(operator.create(TENANT, &cluster.plan.model, BUDGET).await?.program);
+        let mut operator = OperatorClient::connect(&order).await?;
+        programs.push(operator.create_program(TENANT, &cluster.plan.model, BUDGET).await?.program);
     }
     let mut tasks = Vec::new();
     for (index, program) in programs.into_iter().enumerate() {
-        let caller = Caller::new(cluster.gateways(), index, cluster.credential(TENANT));
+        let caller =
+            Caller::new(cluster.gateway_addresses(), index, cluster.issue_credential(TENANT));
         let (turns, tokens) = (options.turns, options.tokens);
         tasks.push(tokio::spawn(call_program(caller, program, turns, tokens)));
     }
     let mut taken = Taken::default();
     for task in tasks {
-        let one = task.await.map_err(|error| RehearsalError::Broken {
-            what: format!("a caller's task failed: {error}"),
+        let one = task.await.map_err(|error| RehearsalError::Failed {
+            message: format!("a caller's task failed: {error}"),
         })?;
         taken.merge(&one);
     }
@@ -192,7 +193,7 @@
             text: question(number, tokens),
             max_tokens: tokens,
         };
-        match caller.ask(&turn).await {
+        match caller.send_turn(&turn).await {
             Ok(answer) => taken.add(&answer),
             Err(_) => taken.failed += 1,
         }
@@ -210,8 +211,8 @@
     }
     let mut taken = Taken::default();
     for task in tasks {
-        let one = task.await.map_err(|error| RehearsalError::Broken {
-            what: format!("a caller's task failed: {error}"),
+        let one = task.await.map_err(|error| RehearsalError::Failed {
+            message: format!("a caller's task failed: {error}"),
         })?;
         taken.merge(&one?);
     }
@@ -225,7 +226,7 @@
 ) -> Result<Taken, RehearsalError> {
     let mut taken = Taken::default();
     for number in 1..=turns {
-        taken.add(&caller.ask(&question(number, tokens), tokens).await?);
+        taken.add(&caller.send_turn(&question(number, tokens), tokens).await?);
     }
     Ok(taken)
 }
--- a/crates/rehearsal/src/logs/line.rs
+++ b/crates/rehearsal/src/logs/line.rs
@@ -7,11 +7,11 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct LogLine {
     /// Seconds since 1970 by the clock of the process that wrote it.
-    pub at: f64,
+    pub timestamp: f64,
     /// The part of the program.
     pub part: String,
     /// The sentence, with its full stop.
-    pub sentence: String,
+    pub message: String,
     fields: Vec<(String, String)>,
 }
 
@@ -20,7 +20,7 @@
     /// name, is passed over. None when it is no such line, or a torn one.
     pub fn parse(text: &str) -> Option<Self> {
         let mut words = text.split_whitespace().peekable();
-        let at = loop {
+        let timestamp = loop {
             let word = words.next()?;
             if is_time(word) && words.peek().is_some_and(|next| is_level(next)) {
                 break word;
@@ -30,9 +30,9 @@
         let (_, message) = text.split_once(&format!(" {part}: "))?;
         let (sentence, fields) = split_fields(message);
         Some(Self {
-            at: at.parse().ok()?,
+            timestamp: timestamp.parse().ok()?,
             part: part.to_owned(),
-            sentence: sentence.trim_end().to_owned(),
+            message: sentence.trim_end().to_owned(),
             fields,
         })
     }
--- a/crates/rehearsal/src/logs/mod.rs
+++ b/crates/rehearsal/src/logs/mod.rs
@@ -19,8 +19,8 @@
 use snafu::{ResultExt, Snafu};
 
 pub use line::LogLine;
-pub use report::report;
-pub use requests::{LoggedRequest, LoggedRequests, RequestEnd};
+pub use report::format_report;
+pub use requests::{LoggedRequest, LoggedRequests, RequestOutcome};
 
 /// Flags of the command.
 #[derive(Debug, Options)]
@@ -74,8 +74,8 @@
     }
     let lines = texts.iter().flat_map(|text| text.lines());
     let shown = match &flags.request {
-        Some(request) => lines_of(lines, request),
-        None => table(lines, flags.window),
+        Some(request) => filter_request_lines(lines, request),
+        None => request_table(lines, flags.window),
     };
     // Whoever reads may close the pipe: that is no failure of this command.
     match io::stdout().write_all(shown.as_bytes()) {
@@ -85,13 +85,13 @@
 }
 
 /// The lines of one request, in order of time.
-pub fn lines_of<'a>(lines: impl Iterator<Item = &'a str>, request: &str) -> String {
+pub fn filter_request_lines<'a>(lines: impl Iterator<Item = &'a str>, request: &str) -> String {
     let mut found: Vec<(f64, &str)> = Vec::new();
     for text in lines {
         if let Some(line) =
             LogLine::parse(text).filter(|line| line.field("request") == Some(request))
         {
-            found.push((line.at, text));
+            found.push((line.timestamp, text));
         }
     }
     found.sort_by(|(left, _), (right, _)| left.total_cmp(right));
@@ -99,10 +99,10 @@
 }
 
 /// The table of all requests.
-pub fn table<'a>(lines: impl Iterator<Item = &'a str>, window_s: f64) -> String {
+pub fn request_table<'a>(lines: impl Iterator<Item = &'a str>, window_s: f64) -> String {
     let mut lines: Vec<LogLine> = lines.filter_map(LogLine::parse).collect();
-    lines.sort_by(|left, right| left.at.total_cmp(&right.at));
+    lines.sort_by(|left, right| left.timestamp.total_cmp(&right.timestamp));
     let mut requests = LoggedRequests::default();
-    lines.iter().for_each(|line| requests.add(line));
-    report(&requests, window_s)
+    lines.iter().for_each(|line| requests.add_line(line));
+    format_report(&requests, window_s)
 }
--- a/crates/rehearsal/src/logs/requests.rs
+++ b/crates/rehearsal/src/logs/requests.rs
@@ -11,40 +11,40 @@
 
 /// How a request ended, as far as its gateway knows.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum RequestEnd {
+pub enum RequestOutcome {
     /// Handed on whole.
-    Whole,
+    Completed,
     /// Ended by the gateway itself, for this cause.
     Refused(String),
     /// Its stream broke off, for this cause.
-    Broken(String),
+    Interrupted(String),
     /// Its caller left before its end.
-    Left,
+    CallerLeft,
 }
 
 /// One request at one gateway.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LoggedRequest {
     /// When it was taken, in seconds since 1970.
-    pub taken: f64,
+    pub accepted_at: f64,
     /// When its caller stops waiting for it.
     pub deadline: f64,
     /// The server that it was sent to last.
     pub server: Option<String>,
     /// When it was first sent to a server.
-    pub sent: Option<f64>,
+    pub sent_at: Option<f64>,
     /// When its answer began.
-    pub began: Option<f64>,
+    pub answer_began_at: Option<f64>,
     /// When and how it ended; none while it goes on.
-    pub end: Option<(f64, RequestEnd)>,
+    pub outcome: Option<(f64, RequestOutcome)>,
 }
 
 impl LoggedRequest {
     /// Whether it is at a server at a moment. Of one whose process ended nothing more is heard: it is
     /// over at its deadline at the latest.
-    pub fn is_sent_at(&self, at: f64) -> bool {
-        let is_sent = self.sent.is_some_and(|sent| sent <= at);
-        let end = self.end.as_ref().map_or(self.deadline, |(end, _)| *end);
+    pub fn is_at_server(&self, at: f64) -> bool {
+        let is_sent = self.sent_at.is_some_and(|sent| sent <= at);
+        let end = self.outcome.as_ref().map_or(self.deadline, |(end, _)| *end);
         is_sent && at < end
     }
 }
@@ -59,15 +59,22 @@
 
 impl LoggedRequests {
     /// Takes a line in; lines that belong to no request are passed over.
-    pub fn add(&mut self, line: &LogLine) {
+    pub fn add_line(&mut self, line: &LogLine) {
         let Some(name) = line.field(REQUEST).filter(|name| *name != NOT_NAMED) else { return };
-        if line.sentence == "Taken." {
+        if line.message == "Taken." {
             self.open.insert(name.to_owned(), self.requests.len());
             let deadline_ms = line.field("deadline_ms").and_then(|text| text.parse::<f64>().ok());
-            let deadline = line.at + deadline_ms.unwrap_or_default() / 1_000.0;
-            let (server, sent, began, end) = (None, None, None, None);
-            let taken = line.at;
-            self.requests.push(LoggedRequest { taken, deadline, server, sent, began, end });
+            let deadline = line.timestamp + deadline_ms.unwrap_or_default() / 1_000.0;
+            let (server, sent_at, answer_began_at, outcome) = (None, None, None, None);
+            let accepted_at = line.timestamp;
+            self.requests.push(LoggedRequest {
+                accepted_at,
+                deadline,
+                server,
+                sent_at,
+                answer_began_at,
+                outcome,
+            });
             return;
         }
         let Some(request) = self.open.get(name).and_then(|place| self.requests.get_mut(*place))
@@ -75,20 +82,28 @@
             return;
         };
         let cause = || line.field("cause").unwrap_or("unknown").to_owned();
-        match line.sentence.as_str() {
+        match line.message.as_str() {
             "Server chosen." => {
                 request.server = line.field("server").map(str::to_owned);
-                request.sent.get_or_insert(line.at);
+                request.sent_at.get_or_insert(line.timestamp);
             }
-            "Stream began." => request.began = Some(line.at),
+            "Stream began." => request.answer_began_at = Some(line.timestamp),
             "Answered." => {
-                request.began.get_or_insert(line.at);
-                request.end = Some((line.at, RequestEnd::Whole));
+                request.answer_began_at.get_or_insert(line.timestamp);
+                request.outcome = Some((line.timestamp, RequestOutcome::Completed));
+            }
+            "Stream ended whole." => {
+                request.outcome = Some((line.timestamp, RequestOutcome::Completed))
+            }
+            "Refused." => {
+                request.outcome = Some((line.timestamp, RequestOutcome::Refused(cause())))
+            }
+            "Stream broken off." => {
+                request.outcome = Some((line.timestamp, RequestOutcome::Interrupted(cause())))
+            }
+            "The caller left." => {
+                request.outcome = Some((line.timestamp, RequestOutcome::CallerLeft))
             }
-            "Stream ended whole." => request.end = Some((line.at, RequestEnd::Whole)),
-            "Refused." => request.end = Some((line.at, RequestEnd::Refused(cause()))),
-            "Stream broken off." => request.end = Some((line.at, RequestEnd::Broken(cause()))),
-            "The caller left." => request.end = Some((line.at, RequestEnd::Left)),
             _ => {}
         }
     }
@@ -99,9 +114,9 @@
     }
 
     /// Requests at each server at a moment.
-    pub fn at_servers(&self, at: f64) -> BTreeMap<&str, u32> {
+    pub fn count_by_server(&self, at: f64) -> BTreeMap<&str, u32> {
         let mut counts = BTreeMap::new();
-        for request in self.requests.iter().filter(|request| request.is_sent_at(at)) {
+        for request in self.requests.iter().filter(|request| request.is_at_server(at)) {
             if let Some(server) = &request.server {
                 *counts.entry(server.as_str()).or_default() += 1;
             }
--- a/crates/rehearsal/src/operator.rs
+++ b/crates/rehearsal/src/operator.rs
@@ -16,11 +16,11 @@
 use crate::error::{ConnectSnafu, OperatorSnafu};
 
 /// An operator at one daemon.
-pub struct Operator {
+pub struct OperatorClient {
     programs: ProgramsClient<Channel>,
 }
 
-impl Operator {
+impl OperatorClient {
     /// Connects to the first daemon that answers.
     ///
     /// # Errors
@@ -36,15 +36,15 @@
                 Err(error) => last = Some(error),
             }
         }
-        let what = "no daemon runs".to_owned();
-        Err(last.unwrap_or(RehearsalError::Broken { what }))
+        let message = "no daemon runs".to_owned();
+        Err(last.unwrap_or(RehearsalError::Failed { message }))
     }
 
     /// Creates a program.
     ///
     /// # Errors
     /// [`RehearsalError::Operator`] when the daemon refuses.
-    pub async fn create(
+    pub async fn create_program(
         &mut self,
         tenant: &str,
         model: &str,
@@ -64,7 +64,7 @@
     ///
     /// # Errors
     /// [`RehearsalError::Operator`] when the daemon refuses.
-    pub async fn show(&mut self, program: &str) -> Result<Program, RehearsalError> {
+    pub async fn show_program(&mut self, program: &str) -> Result<Program, RehearsalError> {
         let request = ShowProgramRequest { program: program.to_owned(), with_calls: true };
         let answer = self.programs.show(with_token(request)).await;
         taken(answer, "showing a program")
@@ -74,7 +74,7 @@
     ///
     /// # Errors
     /// [`RehearsalError::Operator`] when the daemon refuses.
-    pub async fn close(&mut self, program: &str) -> Result<Program, RehearsalError> {
+    pub async fn close_program(&mut self, program: &str) -> Result<Program, RehearsalError> {
         let request = CloseProgramRequest { program: program.to_owned() };
         let answer = self.programs.close(with_token(request)).await;
         taken(answer, "closing a program")
--- a/crates/rehearsal/src/processes.rs
+++ b/crates/rehearsal/src/processes.rs
@@ -41,7 +41,7 @@
 
 /// Makes children run the binary at `path`. For tests, whose own program is not `rehearse`.
 /// Only the first call in a process counts.
-pub fn run_children_from(path: impl Into<PathBuf>) {
+pub fn set_child_program(path: impl Into<PathBuf>) {
     PROGRAM.get_or_init(|| path.into());
 }
 
@@ -157,7 +157,7 @@
     ///
     /// # Errors
     /// [`RehearsalError`] when it does not end in time.
-    pub async fn ended(&mut self, limit: Duration) -> Result<ExitStatus, RehearsalError> {
+    pub async fn wait_for_exit(&mut self, limit: Duration) -> Result<ExitStatus, RehearsalError> {
         let name = self.name.clone();
         match timeout(limit, self.child.wait()).await {
             Ok(status) => status.context(ProcessSnafu { step: "waiting for", name }),
--- a/crates/rehearsal/tests/logs.rs
+++ b/crates/rehearsal/tests/logs.rs
@@ -1,6 +1,8 @@
 //! From lines of logs to requests and their causes.
 
-use dahlia_rehearsal::logs::{LogLine, LoggedRequests, RequestEnd, lines_of, table};
+use dahlia_rehearsal::logs::{
+    LogLine, LoggedRequests, RequestOutcome, filter_request_lines, request_table,
+};
 
 /// Lines of one gateway, but for the last two: another process wrote one, and one is torn.
 const LINES: &str = r#"
@@ -24,15 +26,15 @@
 fn a_line_is_taken_apart_as_it_was_put_together() {
     let text = LINES.lines().find(|line| line.contains("request=b2 status")).expect("it is there");
     let line = LogLine::parse(text).expect("a line of a log");
-    assert_eq!((line.part.as_str(), line.sentence.as_str()), ("relay", "Refused."));
-    assert_eq!(line.at, 1_785_492_901.4);
+    assert_eq!((line.part.as_str(), line.message.as_str()), ("relay", "Refused."));
+    assert_eq!(line.timestamp, 1_785_492_901.4);
     assert_eq!(line.field("cause"), Some(r#"the answer was "lost" = gone"#));
     assert_eq!(line.field("status"), Some("502"));
     assert_eq!(line.field("age_ms"), Some("1300"));
     assert_eq!(line.field("server"), None);
     let sentence = "1785492903.200 ERROR store: This daemon stops. The disk = full.";
     let line = LogLine::parse(sentence).expect("a line without fields");
-    assert_eq!(line.sentence, "This daemon stops. The disk = full.");
+    assert_eq!(line.message, "This daemon stops. The disk = full.");
 }
 
 #[test]
@@ -50,27 +52,30 @@
 
 fn requests() -> LoggedRequests {
     let mut requests = LoggedRequests::default();
-    LINES.lines().filter_map(LogLine::parse).for_each(|line| requests.add(&line));
+    LINES.lines().filter_map(LogLine::parse).for_each(|line| requests.add_line(&line));
     requests
 }
 
 #[test]
 fn lines_become_requests_with_their_ends() {
     let requests = requests();
-    let ends: Vec<Option<RequestEnd>> =
-        requests.iter().map(|request| request.end.clone().map(|(_, end)| end)).collect();
-    let lost = RequestEnd::Refused(r#"the answer was "lost" = gone"#.to_owned());
-    assert_eq!(ends, [Some(RequestEnd::Whole), Some(lost), Some(RequestEnd::Left), None]);
-    let servers = requests.at_servers(1_785_492_901.0);
+    let ends: Vec<Option<RequestOutcome>> =
+        requests.iter().map(|request| request.outcome.clone().map(|(_, end)| end)).collect();
+    let lost = RequestOutcome::Refused(r#"the answer was "lost" = gone"#.to_owned());
+    assert_eq!(
+        ends,
+        [Some(RequestOutcome::Completed), Some(lost), Some(RequestOutcome::CallerLeft), None]
+    );
+    let servers = requests.count_by_server(1_785_492_901.0);
     assert_eq!(servers.into_iter().collect::<Vec<_>>(), [("i-1", 1), ("i-2", 1)]);
-    assert!(requests.at_servers(1_785_492_902.0).is_empty());
-    assert_eq!(requests.at_servers(1_785_492_903.5).len(), 1, "its caller still waits");
-    assert!(requests.at_servers(1_785_492_905.0).is_empty(), "its process ended unheard");
+    assert!(requests.count_by_server(1_785_492_902.0).is_empty());
+    assert_eq!(requests.count_by_server(1_785_492_903.5).len(), 1, "its caller still waits");
+    assert!(requests.count_by_server(1_785_492_905.0).is_empty(), "its process ended unheard");
 }
 
 #[test]
 fn the_table_counts_each_request_once_and_names_each_cause() {
-    let text = table(LINES.lines(), 2.0);
+    let text = request_table(LINES.lines(), 2.0);
     let rows: Vec<Vec<&str>> =
         text.lines().skip(1).take(2).map(|row| row.split_whitespace().collect()).collect();
     // From, taken, whole, refused, broken off, left, open, and the waits for the first piece.
@@ -87,14 +92,14 @@
 
 #[test]
 fn logs_without_requests_say_so() {
-    assert_eq!(table(["nothing"].into_iter(), 2.0), "no requests in these logs\n");
+    assert_eq!(request_table(["nothing"].into_iter(), 2.0), "no requests in these logs\n");
 }
 
 #[test]
 fn the_lines_of_one_request_come_in_order_of_time() {
     let reversed: Vec<&str> = LINES.lines().rev().collect();
-    let shown = lines_of(reversed.into_iter(), "a1");
+    let shown = filter_request_lines(reversed.into_iter(), "a1");
     let sentences: Vec<String> =
-        shown.lines().filter_map(LogLine::parse).map(|line| line.sentence).collect();
+        shown.lines().filter_map(LogLine::parse).map(|line| line.message).collect();
     assert_eq!(sentences, ["Taken.", "Server chosen.", "Stream began.", "Stream ended whole."]);
 }
--- a/crates/rehearsal/tests/processes.rs
+++ b/crates/rehearsal/tests/processes.rs
@@ -8,7 +8,7 @@
 use dahlia_rehearsal::RehearsalError;
 use dahlia_rehearsal::caller::{Answer, Caller, Turn};
 use dahlia_rehearsal::cluster::{Cluster, ClusterPlan};
-use dahlia_rehearsal::operator::Operator;
+use dahlia_rehearsal::operator::OperatorClient;
 use dahlia_rehearsal::processes::{self, ChildProcess};
 use dahlia_standins::ControlClient;
 use dahlia_standins::engine::EngineObservation;
@@ -34,25 +34,27 @@
 
 struct Rehearsal {
     cluster: Cluster,
-    operator: Operator,
+    operator: OperatorClient,
     _folder: TempDir,
 }
 
 impl Rehearsal {
     async fn start() -> Self {
-        processes::run_children_from(REHEARSE);
+        processes::set_child_program(REHEARSE);
         let folder = TempDir::new().expect("a folder");
         let plan = ClusterPlan { speed: 1.0, ..ClusterPlan::bayou_current() };
         let cluster = Cluster::start(plan, folder.path()).await.expect("the cluster starts");
         cluster.wait_until_ready().await.expect("the cluster is ready");
-        let operator = Operator::connect(&cluster.operators()).await.expect("a daemon answers");
+        let operator =
+            OperatorClient::connect(&cluster.operator_addresses()).await.expect("a daemon answers");
         Self { cluster, operator, _folder: folder }
     }
 
     /// A program, and the position of the daemon that owns it.
     async fn program(&mut self) -> (String, usize) {
         let model = self.cluster.plan.model.clone();
-        let created = self.operator.create(TENANT, &model, 100_000).await.expect("is created");
+        let created =
+            self.operator.create_program(TENANT, &model, 100_000).await.expect("is created");
         let owns = |name: &String| *name == created.owner;
         let names: Vec<String> =
             self.cluster.daemons.iter().map(|daemon| daemon.name.clone()).collect();
@@ -66,7 +68,11 @@
     }
 
     fn ask_for(&self, program: &str, number: u32, first: usize, max_tokens: u64) -> Asked {
-        let caller = Caller::new(self.cluster.gateways(), first, self.cluster.credential(TENANT));
+        let caller = Caller::new(
+            self.cluster.gateway_addresses(),
+            first,
+            self.cluster.issue_credential(TENANT),
+        );
         let turn = Turn {
             program: program.to_owned(),
             chain: 0,
@@ -74,14 +80,14 @@
             text: "Fault code 31 on the roof".to_owned(),
             max_tokens,
         };
-        tokio::spawn(async move { caller.ask(&turn).await })
+        tokio::spawn(async move { caller.send_turn(&turn).await })
     }
 
     /// Asks a daemon to stop, and waits until it has begun to.
     async fn begin_stop(&mut self, position: usize) -> ChildProcess {
         let process = self.cluster.daemons[position].process.take().expect("it runs");
         process.terminate().expect("is signalled");
-        let gateway = self.cluster.daemons[position].gateway;
+        let gateway = self.cluster.daemons[position].gateway_address;
         let since = Instant::now();
         while is_ready(gateway).await {
             assert!(since.elapsed() < PATIENCE, "the planned stop does not begin");
@@ -92,11 +98,14 @@
 
     /// The error that a new request gets from a daemon.
     async fn refusal(&self, program: &str, position: usize) -> [Option<String>; 3] {
-        let url = format!("http://{}/v1/chat/completions", self.cluster.daemons[position].gateway);
+        let url = format!(
+            "http://{}/v1/chat/completions",
+            self.cluster.daemons[position].gateway_address
+        );
         let body = serde_json::json!({"messages": [{"role": "user", "content": "x"}]});
         let request = reqwest::Client::new().post(url).json(&body);
         let request = request.header("x-program-id", program);
-        let request = request.bearer_auth(self.cluster.credential(TENANT)).timeout(PATIENCE);
+        let request = request.bearer_auth(self.cluster.issue_credential(TENANT)).timeout(PATIENCE);
         let answer = request.send().await.expect("is answered");
         ["x-error", "x-should-retry", "retry-after"].map(|name| {
             let value = answer.headers().get(name)?;
@@ -173,8 +182,8 @@
     let mut rehearsal = Rehearsal::start().await;
     // One stream whose owner and gateway is the daemon that stops, and one that only passes it.
     let (owned, stopping) = rehearsal.program().await;
-    let other = rehearsal.cluster.daemons[(stopping + 1) % 4].operators;
-    rehearsal.operator = Operator::connect(&[other]).await.expect("a daemon answers");
+    let other = rehearsal.cluster.daemons[(stopping + 1) % 4].operators_address;
+    rehearsal.operator = OperatorClient::connect(&[other]).await.expect("a daemon answers");
     let (passing, owner) = rehearsal.program().await;
     assert_ne!(owner, stopping, "a daemon takes new programs itself");
     let ask = |program| rehearsal.ask_for(program, 1, stopping, MANY_TOKENS);
@@ -189,7 +198,7 @@
         let answer = finished(asked).await;
         assert_eq!(answer.gateways_lost, 0, "its stream was cut");
     }
-    let status = process.ended(STOP_LIMIT).await.expect("ends within its bound");
+    let status = process.wait_for_exit(STOP_LIMIT).await.expect("ends within its bound");
     assert_eq!(status.code(), Some(0));
     assert_eq!(rehearsal.started(&owned).await, 1);
     assert_eq!(rehearsal.started(&passing).await, 1);
@@ -206,7 +215,7 @@
     let mut process = rehearsal.begin_stop(stopping).await;
     assert!(!asked.is_finished(), "the stream is still under way");
     process.terminate().expect("is signalled");
-    process.ended(PATIENCE).await.expect("ends");
+    process.wait_for_exit(PATIENCE).await.expect("ends");
     // It ended before the stream that it was waiting for; the caller goes on elsewhere.
     assert!(!asked.is_finished(), "it did not wait for the stream");
     let answer = finished(asked).await;
