--- a/crates/rehearsal/src/caller.rs
+++ b/crates/rehearsal/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller: sends turns, and goes on at another gateway when its own is lost.
+//! A caller that sends turns and fails over to another gateway when its own is lost.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,27 +12,27 @@
 
 use crate::RehearsalError;
 
-/// Pause before the next gateway is tried.
-const FAILOVER_PAUSE: Duration = Duration::from_millis(100);
-/// A turn that has no answer after this time is given up.
-const TURN_LIMIT: Duration = Duration::from_secs(40);
+/// Delay before a retry at the next gateway.
+const FAILOVER_DELAY: Duration = Duration::from_millis(100);
+/// A turn without an answer fails after this time.
+const TURN_TIMEOUT: Duration = Duration::from_secs(40);
 
-/// One answer as the caller saw it.
+/// The answer to one turn, as the caller received it.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Answer {
-    /// The text, put together from all pieces.
+    /// The concatenated text of all chunks.
     pub text: String,
-    /// From the request to the first piece.
+    /// Time from the request to the first text.
     pub first_text_latency: Duration,
-    /// From the request to the end.
+    /// Time from the request to the end of the answer.
     pub total_latency: Duration,
-    /// Gateways that the caller had to leave on the way.
+    /// Number of failovers to another gateway.
     pub gateways_lost: u32,
-    /// Tokens of prompt and answer, by the usage in the last event.
+    /// Tokens of prompt and answer, from the usage in the last event.
     pub tokens: u64,
 }
 
-/// What a turn asks.
+/// A request for one turn.
 #[derive(Debug, Clone)]
 pub struct Turn {
     /// The program.
@@ -43,7 +43,7 @@
     pub number: u32,
     /// The new message.
     pub text: String,
-    /// Most tokens to generate.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u64,
 }
 
@@ -55,8 +55,8 @@
     credential: String,
 }
 
-/// A turn under way.
-struct Progress {
+/// The state of a turn in progress.
+struct TurnProgress {
     gateway: usize,
     lost: u32,
     text: String,
@@ -68,28 +68,28 @@
 
 /// How reading a stream ended.
 enum StreamEnd {
-    /// With the last event.
-    Whole,
-    /// The connection broke.
-    Broken,
-    /// With an error event.
+    /// The last event was read.
+    Complete,
+    /// The connection was lost, or the gateway asked for a retry.
+    Interrupted,
+    /// The answer is an error.
     Failed(String),
 }
 
 impl Caller {
-    /// A caller that knows these gateways and starts at the one of position `first`.
+    /// Creates a caller of these gateways that starts with the one at index `first`.
     pub fn new(mut gateways: Vec<SocketAddr>, first: usize, credential: String) -> Self {
         let count = gateways.len().max(1);
         gateways.rotate_left(first % count);
         Self { client: Client::new(), gateways, credential }
     }
 
-    /// Sends a turn and reads its whole answer, across gateways.
+    /// Sends a turn and reads its whole answer, failing over between gateways.
     ///
     /// # Errors
     /// [`RehearsalError::Caller`] when the answer is an error or does not come.
     pub async fn send_turn(&self, turn: &Turn) -> Result<Answer, RehearsalError> {
-        let mut progress = Progress {
+        let mut progress = TurnProgress {
             gateway: 0,
             lost: 0,
             text: String::new(),
@@ -99,36 +99,36 @@
             tokens: 0,
         };
         loop {
-            if progress.started.elapsed() > TURN_LIMIT {
-                return Err(failed(turn, "no answer in time"));
+            if progress.started.elapsed() > TURN_TIMEOUT {
+                return Err(caller_error(turn, "no answer in time"));
             }
-            match self.try_once(turn, &mut progress).await {
-                Some(StreamEnd::Whole) => return Ok(progress.finish()),
-                Some(StreamEnd::Failed(message)) => return Err(failed(turn, &message)),
-                Some(StreamEnd::Broken) | None => {
+            match self.try_gateway(turn, &mut progress).await {
+                Some(StreamEnd::Complete) => return Ok(progress.finish()),
+                Some(StreamEnd::Failed(message)) => return Err(caller_error(turn, &message)),
+                Some(StreamEnd::Interrupted) | None => {
                     progress.lost += 1;
                     progress.gateway = (progress.gateway + 1) % self.gateways.len();
-                    sleep(FAILOVER_PAUSE).await;
+                    sleep(FAILOVER_DELAY).await;
                 }
             }
         }
     }
 
-    /// One request at the present gateway; `None` when it cannot be reached.
-    async fn try_once(&self, turn: &Turn, progress: &mut Progress) -> Option<StreamEnd> {
+    /// Sends one request to the current gateway; `None` when it cannot be reached.
+    async fn try_gateway(&self, turn: &Turn, progress: &mut TurnProgress) -> Option<StreamEnd> {
         let gateway = self.gateways[progress.gateway];
         let request = match &progress.last_event {
-            Some(event) => self.read_on(gateway, turn, event),
-            None => self.send(gateway, turn),
+            Some(event) => self.build_resume_request(gateway, turn, event),
+            None => self.build_turn_request(gateway, turn),
         };
         let response = request.bearer_auth(&self.credential).send().await.ok()?;
         if !response.status().is_success() {
-            return Some(refusal(response).await);
+            return Some(classify_refusal(response).await);
         }
         Some(read_stream(response, progress).await)
     }
 
-    fn send(&self, gateway: SocketAddr, turn: &Turn) -> RequestBuilder {
+    fn build_turn_request(&self, gateway: SocketAddr, turn: &Turn) -> RequestBuilder {
         let body = json!({
             "model": "",
             "stream": true,
@@ -143,14 +143,19 @@
             .json(&body)
     }
 
-    fn read_on(&self, gateway: SocketAddr, turn: &Turn, event: &str) -> RequestBuilder {
+    fn build_resume_request(
+        &self,
+        gateway: SocketAddr,
+        turn: &Turn,
+        event: &str,
+    ) -> RequestBuilder {
         let Turn { program, chain, number, .. } = turn;
         let path = format!("v1/programs/{program}/chains/{chain}/calls/{number}/answer");
         self.client.get(format!("http://{gateway}/{path}")).header("last-event-id", event)
     }
 }
 
-impl Progress {
+impl TurnProgress {
     fn finish(self) -> Answer {
         let total_latency = self.started.elapsed();
         Answer {
@@ -162,8 +167,8 @@
         }
     }
 
-    /// Takes one event of a stream. Returns how the stream ended, if this was its end.
-    fn take(&mut self, event: &str) -> Option<StreamEnd> {
+    /// Applies one event of a stream. Returns how the stream ended if this is its last event.
+    fn apply_event(&mut self, event: &str) -> Option<StreamEnd> {
         let mut is_error = false;
         for line in event.lines() {
             if let Some(id) = line.strip_prefix("id: ") {
@@ -175,15 +180,15 @@
                     return Some(StreamEnd::Failed(data.to_owned()));
                 }
                 if data == "[DONE]" {
-                    return Some(StreamEnd::Whole);
+                    return Some(StreamEnd::Complete);
                 }
-                self.take_chunk(data);
+                self.apply_chunk(data);
             }
         }
         None
     }
 
-    fn take_chunk(&mut self, data: &str) {
+    fn apply_chunk(&mut self, data: &str) {
         let Ok(chunk) = serde_json::from_str::<ChatChunk>(data) else {
             return;
         };
@@ -199,32 +204,32 @@
     }
 }
 
-async fn read_stream(response: Response, progress: &mut Progress) -> StreamEnd {
+async fn read_stream(response: Response, progress: &mut TurnProgress) -> StreamEnd {
     let mut body = response.bytes_stream();
     let mut buffered = String::new();
     while let Some(Ok(bytes)) = body.next().await {
         buffered.push_str(&String::from_utf8_lossy(&bytes));
         while let Some(end) = buffered.find("\n\n") {
             let event: String = buffered.drain(..end + 2).collect();
-            if let Some(ended) = progress.take(&event) {
+            if let Some(ended) = progress.apply_event(&event) {
                 return ended;
             }
         }
     }
-    StreamEnd::Broken
+    StreamEnd::Interrupted
 }
 
-/// An error answer: one that says to come back is treated like a lost gateway.
-async fn refusal(response: Response) -> StreamEnd {
-    let again = response
+/// Classifies an error answer. One that asks for a retry is treated like a lost gateway.
+async fn classify_refusal(response: Response) -> StreamEnd {
+    let should_retry = response
         .headers()
         .get(headers::SHOULD_RETRY)
         .is_some_and(|value| value.as_bytes() == b"true");
     let text = response.text().await.unwrap_or_default();
-    if again { StreamEnd::Broken } else { StreamEnd::Failed(text) }
+    if should_retry { StreamEnd::Interrupted } else { StreamEnd::Failed(text) }
 }
 
-fn failed(turn: &Turn, message: &str) -> RehearsalError {
+fn caller_error(turn: &Turn, message: &str) -> RehearsalError {
     let step = format!("call {}/{} of {}", turn.chain, turn.number, turn.program);
     RehearsalError::Caller { step, message: message.to_owned() }
 }
--- a/crates/rehearsal/src/cluster.rs
+++ b/crates/rehearsal/src/cluster.rs
@@ -1,4 +1,4 @@
-//! Stand-ins and daemons of one rehearsal, as processes of this program.
+//! Starts the stand-ins and daemons of one rehearsal as child processes.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -34,14 +34,14 @@
 pub const OPERATOR_TOKEN: &str = "rehearsal-operator-token";
 const PEER_KEY: &str = "rehearsal-peer-key";
 const DRAIN_MS: u64 = 20_000;
-/// Up to so many daemons tell each other of a generation within [`SPREAD_AMONG_FEW`].
-const FEW_DAEMONS: u32 = 16;
-const SPREAD_AMONG_FEW: dahlia_types::Duration = dahlia_types::Duration::from_secs(1);
-/// How long a cluster may take to be ready.
-const READY_LIMIT: Duration = Duration::from_secs(30);
-const READY_POLL: Duration = Duration::from_millis(50);
+/// Up to this number of daemons, a generation spreads within [`SMALL_CLUSTER_SPREAD_TIME`].
+const SMALL_CLUSTER_DAEMONS: u32 = 16;
+const SMALL_CLUSTER_SPREAD_TIME: dahlia_types::Duration = dahlia_types::Duration::from_secs(1);
+/// Timeout for a cluster to become ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What to start.
+/// The processes of a cluster and their settings.
 #[derive(Debug, Clone)]
 pub struct ClusterPlan {
     /// Region of all zones.
@@ -66,7 +66,7 @@
     pub policy: PolicyKind,
     /// Level of the daemons' logs.
     pub log_level: String,
-    /// How many daemons, the first ones, have a data folder.
+    /// The number of daemons that have a data folder, counted from the first.
     pub data_folders: usize,
     /// Bulk history.
     pub history: HistorySettings,
@@ -95,7 +95,7 @@
 }
 
 impl ClusterPlan {
-    /// The same with at least `count` daemons, more of them in the first zones.
+    /// Returns the plan with at least `count` daemons, more of them in the first zones.
     pub fn with_daemons(mut self, count: usize) -> Self {
         let zones = self.daemon_zones.clone();
         let missing = count.saturating_sub(zones.len());
@@ -107,7 +107,7 @@
 
 /// A daemon's process and addresses.
 pub struct DaemonProcess {
-    /// The process; none after it was killed.
+    /// The process; `None` after it was killed.
     pub process: Option<ChildProcess>,
     /// `d1`, `d2` …
     pub name: String,
@@ -133,7 +133,7 @@
     pub address: SocketAddr,
 }
 
-/// Everything that a rehearsal started.
+/// The running processes of a rehearsal.
 pub struct Cluster {
     /// The daemons.
     pub daemons: Vec<DaemonProcess>,
@@ -154,9 +154,9 @@
     /// [`RehearsalError`] when a process does not start.
     pub async fn start(plan: ClusterPlan, folder: &Path) -> Result<Self, RehearsalError> {
         let text = format!("standin kv --control --requests-per-second {}", plan.key_value_rate);
-        let arguments = words(&text);
+        let arguments = split_arguments(&text);
         let (key_value, line) = ChildProcess::start("kv", &arguments, folder).await?;
-        let key_value_address = address_of("kv", &line, "listening ")?;
+        let key_value_address = parse_address("kv", &line, "listening ")?;
         let mut engines = Vec::new();
         for (index, zone) in plan.engine_zones.iter().enumerate() {
             let id = format!("engine-{}", index + 1);
@@ -164,8 +164,8 @@
                 "standin engine --control --engine {id} --model {} --speed {}",
                 plan.model, plan.speed
             );
-            let (process, line) = ChildProcess::start(&id, &words(&text), folder).await?;
-            let address = address_of(&id, &line, "listening ")?;
+            let (process, line) = ChildProcess::start(&id, &split_arguments(&text), folder).await?;
+            let address = parse_address(&id, &line, "listening ")?;
             engines.push(EngineProcess {
                 process,
                 id: EngineId::new(id),
@@ -188,7 +188,7 @@
         Ok(cluster)
     }
 
-    /// Starts the daemon of this position, e.g. again after it was killed.
+    /// Starts the daemon with this index; also restarts it after it was killed.
     ///
     /// # Errors
     /// [`RehearsalError`] when it does not start.
@@ -196,7 +196,7 @@
         let name = format!("d{}", index + 1);
         let zone = self.plan.daemon_zones[index].clone();
         let path = self.folder.join(format!("{name}.toml"));
-        let settings = self.settings_of(index, &zone);
+        let settings = self.build_settings(index, &zone);
         let text = toml::to_string(&settings).map_err(|error| RehearsalError::Failed {
             message: format!("writing settings as TOML: {error}"),
         })?;
@@ -207,14 +207,14 @@
         Ok(DaemonProcess {
             process: Some(process),
             zone,
-            gateway_address: address_of(&name, &line, "gateway=")?,
-            operators_address: address_of(&name, &line, "operators=")?,
-            peer_address: address_of(&name, &line, "peers=")?,
+            gateway_address: parse_address(&name, &line, "gateway=")?,
+            operators_address: parse_address(&name, &line, "operators=")?,
+            peer_address: parse_address(&name, &line, "peers=")?,
             name,
         })
     }
 
-    fn settings_of(&self, index: usize, zone: &str) -> Settings {
+    fn build_settings(&self, index: usize, zone: &str) -> Settings {
         let engines = self.engines.iter().map(|engine| EngineSettings {
             id: engine.id.clone(),
             address: engine.address,
@@ -245,28 +245,28 @@
     /// Waits until every daemon that runs can route calls, and every group has an owner.
     ///
     /// # Errors
-    /// [`RehearsalError::NotReady`] after a limit.
+    /// [`RehearsalError::NotReady`] after [`READY_TIMEOUT`].
     pub async fn wait_until_ready(&self) -> Result<(), RehearsalError> {
         let client = Client::new();
         let started = Instant::now();
         loop {
-            let mut led = 0;
+            let mut led_groups = 0;
             let mut ready = 0;
             for daemon in &self.daemons {
                 let status = read_status(&client, daemon.gateway_address).await;
-                led += status["groups_led"].as_u64().unwrap_or(0);
+                led_groups += status["groups_led"].as_u64().unwrap_or(0);
                 let engines = status["live_engines"].as_u64().unwrap_or(0);
                 let is_ready = status["ready"].as_bool().unwrap_or(false);
                 ready += usize::from(is_ready && engines == self.engines.len() as u64);
             }
-            if ready == self.daemons.len() && led == u64::from(self.plan.groups) {
+            if ready == self.daemons.len() && led_groups == u64::from(self.plan.groups) {
                 return Ok(());
             }
-            if started.elapsed() > READY_LIMIT {
-                let reason = format!("{ready} daemons ready, {led} groups with an owner");
+            if started.elapsed() > READY_TIMEOUT {
+                let reason = format!("{ready} daemons ready, {led_groups} groups with an owner");
                 return Err(RehearsalError::NotReady { name: "the cluster".to_owned(), reason });
             }
-            sleep(READY_POLL).await;
+            sleep(READY_POLL_INTERVAL).await;
         }
     }
 
@@ -286,23 +286,24 @@
         }
     }
 
-    /// Gateways of all daemons, killed ones included: a caller does not know better.
+    /// Gateway addresses of all daemons. Killed ones are included, since callers do not know which
+    /// daemons run.
     pub fn gateway_addresses(&self) -> Vec<SocketAddr> {
         self.daemons.iter().map(|daemon| daemon.gateway_address).collect()
     }
 
-    /// Operators' addresses of the daemons that run.
+    /// Operator API addresses of the running daemons.
     pub fn operator_addresses(&self) -> Vec<SocketAddr> {
         let running = self.daemons.iter().filter(|daemon| daemon.process.is_some());
         running.map(|daemon| daemon.operators_address).collect()
     }
 
-    /// The credential of a tenant.
+    /// Issues the credential of a tenant.
     pub fn issue_credential(&self, tenant: &str) -> String {
         TenantKey::new(TENANT_KEY.as_bytes()).issue(&TenantId::new(tenant))
     }
 
-    /// Tokens that engines hold for a program, by the engines' own inventories.
+    /// Reads from the engines' inventories how many tokens they hold for a program.
     ///
     /// # Errors
     /// [`RehearsalError::Failed`] when an engine does not answer.
@@ -323,7 +324,7 @@
     }
 }
 
-/// What the settings of all daemons of a rehearsal have in common.
+/// The settings that all daemons of a rehearsal share.
 #[derive(Debug, Clone)]
 pub struct CommonSettings {
     /// The key-value service.
@@ -362,7 +363,7 @@
     }
 }
 
-/// The settings of one daemon of a rehearsal; its ports come from the operating system.
+/// Builds the settings of one daemon; the operating system assigns its ports.
 pub fn build_daemon_settings(
     plan: &CommonSettings,
     id: u32,
@@ -394,7 +395,7 @@
             engines: plan.engines.clone(),
             ..PlatformSettings::default()
         },
-        configuration: configuration_settings(plan.bootstrap_daemons),
+        configuration: build_configuration_settings(plan.bootstrap_daemons),
         limits: RequestLimits::default(),
         zone_liveness: None,
         ledger_breaker: Default::default(),
@@ -420,16 +421,16 @@
     }
 }
 
-/// A few daemons tell each other of a generation in one round; many need the default time.
-fn configuration_settings(daemons: u32) -> dahlia_configuration::ConfigurationSettings {
+/// A generation spreads among a few daemons in one round; many daemons need the default time.
+fn build_configuration_settings(daemons: u32) -> dahlia_configuration::ConfigurationSettings {
     let mut settings = dahlia_configuration::ConfigurationSettings::default();
-    if daemons <= FEW_DAEMONS {
-        settings.spread_within = SPREAD_AMONG_FEW;
+    if daemons <= SMALL_CLUSTER_DAEMONS {
+        settings.spread_within = SMALL_CLUSTER_SPREAD_TIME;
     }
     settings
 }
 
-/// What a daemon says of itself; null when it does not answer.
+/// Reads the status that a daemon reports; null when it does not answer.
 pub(crate) async fn read_status(client: &Client, gateway: SocketAddr) -> serde_json::Value {
     let answer = client.get(format!("http://{gateway}/readyz")).send().await;
     match answer {
@@ -438,12 +439,12 @@
     }
 }
 
-fn words(text: &str) -> Vec<String> {
+fn split_arguments(text: &str) -> Vec<String> {
     text.split_whitespace().map(str::to_owned).collect()
 }
 
-/// The address behind `label` in a process's first line.
-fn address_of(name: &str, line: &str, label: &str) -> Result<SocketAddr, RehearsalError> {
+/// Parses the address after `label` in the first line that a process prints.
+fn parse_address(name: &str, line: &str, label: &str) -> Result<SocketAddr, RehearsalError> {
     let found =
         line.split_once(label).and_then(|(_, rest)| rest.split_whitespace().next()?.parse().ok());
     found.ok_or_else(|| RehearsalError::NotReady {
--- a/crates/rehearsal/src/compare.rs
+++ b/crates/rehearsal/src/compare.rs
@@ -5,7 +5,7 @@
 use dahlia_experiment::{CompareOptions, ExperimentError, ExperimentPolicy, compare};
 use gumdrop::Options;
 
-/// The first seed to report on; smaller ones are for tuning.
+/// First seed of reported runs; smaller seeds are for tuning.
 const FIRST_SEED: u64 = 101;
 
 /// Flags of `rehearse compare`.
--- a/crates/rehearsal/src/demo.rs
+++ b/crates/rehearsal/src/demo.rs
@@ -1,4 +1,4 @@
-//! `rehearse demo`: several diagnoses through real daemons, one of which is killed on the way.
+//! `rehearse demo`: runs several programs through real daemons and kills one daemon meanwhile.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -18,14 +18,14 @@
 
 const PROGRAMS: usize = 4;
 const TURNS: u32 = 5;
-/// The turn of the first program in which its owner is killed.
+/// The owner of the first program is killed during this turn.
 const KILL_TURN: u32 = 3;
 /// Budget of each program in tokens.
-const BUDGET: u64 = 20_000;
+const BUDGET_TOKENS: u64 = 20_000;
 const ANSWER_TOKENS: u64 = 60;
-/// How long the engines may take to confirm that a closed program's memory is free.
-const RELEASE_LIMIT: Duration = Duration::from_secs(15);
-const RELEASE_POLL: Duration = Duration::from_millis(100);
+/// Timeout for the engines to confirm that a closed program's memory is free.
+const RELEASE_TIMEOUT: Duration = Duration::from_secs(15);
+const RELEASE_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 const QUESTIONS: [&str; TURNS as usize] = [
     "The inverter shows fault 0x31 after the roof unit was rewired. [[tokens=60]]",
@@ -35,16 +35,16 @@
     "It feeds in now. Write the service note. [[tokens=60]]",
 ];
 
-/// What one program's callers saw.
-struct Seen {
+/// The answers to one program and the time that it took.
+struct ProgramResult {
     program: String,
     answers: Vec<Answer>,
     latency: Duration,
 }
 
-/// One line of the summary.
-struct Summary {
-    seen: Seen,
+/// One row of the printed summary.
+struct ProgramSummary {
+    result: ProgramResult,
     spent: u64,
     total: u64,
     engines: Vec<String>,
@@ -54,28 +54,28 @@
 /// Runs the demo and prints its progress and summary.
 ///
 /// # Errors
-/// [`RehearsalError`] when a promise was seen broken, a process failed or the user interrupted.
+/// [`RehearsalError`] when a promise is broken, a process failed or the user interrupts.
 pub async fn run(folder: Option<&Path>) -> Result<(), RehearsalError> {
     let scratch = TempDir::new()
         .map_err(|source| RehearsalError::File { path: std::env::temp_dir(), source })?;
     let folder = folder.unwrap_or(scratch.path());
     std::fs::create_dir_all(folder).context(FileSnafu { path: folder })?;
     tokio::select! {
-        result = play(folder) => result,
+        result = run_programs(folder) => result,
         _ = tokio::signal::ctrl_c() => Err(RehearsalError::Interrupted),
     }
 }
 
-async fn play(folder: &Path) -> Result<(), RehearsalError> {
+async fn run_programs(folder: &Path) -> Result<(), RehearsalError> {
     let started = Instant::now();
     let plan = ClusterPlan::bayou_current();
-    say(started, "starting the key-value service, 8 engines and 4 daemons in 4 zones");
+    print_progress(started, "starting the key-value service, 8 engines and 4 daemons in 4 zones");
     let mut cluster = Cluster::start(plan, folder).await?;
     cluster.wait_until_ready().await?;
-    say(started, "every replica group has an owner");
+    print_progress(started, "every replica group has an owner");
 
     let programs = create_programs(&cluster).await?;
-    say(started, &format!("{PROGRAMS} programs created"));
+    print_progress(started, &format!("{PROGRAMS} programs created"));
     let kill_now = Arc::new(Notify::new());
     let (progress, lines) = mpsc::unbounded_channel();
     let callers = tokio::spawn(run_callers(
@@ -91,7 +91,10 @@
     let mut operator = OperatorClient::connect(&cluster.operator_addresses()).await?;
     let owner = operator.show_program(&programs[0]).await?.owner;
     cluster.kill_daemon(&owner).await?;
-    say(started, &format!("killed {owner}, the owner of {}, in turn {KILL_TURN}", programs[0]));
+    print_progress(
+        started,
+        &format!("killed {owner}, the owner of {}, in turn {KILL_TURN}", programs[0]),
+    );
 
     let seen = callers.await.map_err(|error| RehearsalError::Failed {
         message: format!("a caller's task failed: {error}"),
@@ -99,7 +102,7 @@
     let _ = printing.await;
     let summaries = close_programs(&cluster, seen).await?;
     print_summary(&summaries, started);
-    judge(&summaries)
+    check_results(&summaries)
 }
 
 async fn create_programs(cluster: &Cluster) -> Result<Vec<String>, RehearsalError> {
@@ -109,7 +112,8 @@
         let mut order = operators.clone();
         order.rotate_left(index % operators.len());
         let mut operator = OperatorClient::connect(&order).await?;
-        let created = operator.create_program("bayou-current", &cluster.plan.model, BUDGET).await?;
+        let created =
+            operator.create_program("bayou-current", &cluster.plan.model, BUDGET_TOKENS).await?;
         programs.push(created.program);
     }
     Ok(programs)
@@ -121,12 +125,12 @@
     credential: String,
     kill_now: Arc<Notify>,
     progress: mpsc::UnboundedSender<String>,
-) -> Result<Vec<Seen>, RehearsalError> {
+) -> Result<Vec<ProgramResult>, RehearsalError> {
     let mut tasks = Vec::new();
     for (index, program) in programs.into_iter().enumerate() {
         let caller = Caller::new(gateways.clone(), index, credential.clone());
         let kill_now = (index == 0).then(|| kill_now.clone());
-        tasks.push(tokio::spawn(diagnose(caller, program, kill_now, progress.clone())));
+        tasks.push(tokio::spawn(run_program(caller, program, kill_now, progress.clone())));
     }
     let mut seen = Vec::new();
     for task in tasks {
@@ -138,17 +142,17 @@
     Ok(seen)
 }
 
-/// One diagnosis: turns with tool pauses, and a sub-agent in the middle.
-async fn diagnose(
+/// Runs one program: turns with pauses for tool calls, and one call of a sub-agent.
+async fn run_program(
     caller: Caller,
     program: String,
     kill_now: Option<Arc<Notify>>,
     progress: mpsc::UnboundedSender<String>,
-) -> Result<Seen, RehearsalError> {
+) -> Result<ProgramResult, RehearsalError> {
     let started = Instant::now();
     let mut answers = Vec::new();
     for number in 1..=TURNS {
-        let turn = turn(&program, 0, number, QUESTIONS[number as usize - 1]);
+        let turn = build_turn(&program, 0, number, QUESTIONS[number as usize - 1]);
         let asked = caller.send_turn(&turn);
         if number == KILL_TURN
             && let Some(kill_now) = &kill_now
@@ -156,25 +160,25 @@
             kill_now.notify_one();
         }
         let answer = asked.await?;
-        report(&progress, &program, "turn", number, &answer);
+        send_progress(&progress, &program, "turn", number, &answer);
         answers.push(answer);
         if number == 2 {
             let look_up = "Look up the warranty terms of this serial number. [[tokens=30]]";
-            let answer = caller.send_turn(&self::turn(&program, 1, 1, look_up)).await?;
-            report(&progress, &program, "sub-agent call", 1, &answer);
+            let answer = caller.send_turn(&build_turn(&program, 1, 1, look_up)).await?;
+            send_progress(&progress, &program, "sub-agent call", 1, &answer);
             answers.push(answer);
         }
-        tool_pause(number).await;
+        wait_for_tool(number).await;
     }
-    Ok(Seen { program, answers, latency: started.elapsed() })
+    Ok(ProgramResult { program, answers, latency: started.elapsed() })
 }
 
-/// The caller's tool works for a while; the turn's engine may keep the context meanwhile.
-async fn tool_pause(number: u32) {
+/// Simulates a tool call; the engine may keep the context of the turn meanwhile.
+async fn wait_for_tool(number: u32) {
     sleep(Duration::from_millis(100 + 150 * u64::from(number))).await;
 }
 
-fn turn(program: &str, chain: u32, number: u32, text: &str) -> Turn {
+fn build_turn(program: &str, chain: u32, number: u32, text: &str) -> Turn {
     Turn {
         program: program.to_owned(),
         chain,
@@ -184,7 +188,7 @@
     }
 }
 
-fn report(
+fn send_progress(
     progress: &mpsc::UnboundedSender<String>,
     program: &str,
     what: &str,
@@ -200,20 +204,20 @@
         answer.first_text_latency.as_millis(),
         answer.total_latency.as_millis()
     );
-    // Nobody reading means that the demo is over.
+    // The receiver is closed only when the demo is over.
     let _ = progress.send(line);
 }
 
 async fn print_lines(mut lines: mpsc::UnboundedReceiver<String>, started: Instant) {
     while let Some(line) = lines.recv().await {
-        say(started, &line);
+        print_progress(started, &line);
     }
 }
 
 async fn close_programs(
     cluster: &Cluster,
-    seen: Vec<Seen>,
-) -> Result<Vec<Summary>, RehearsalError> {
+    seen: Vec<ProgramResult>,
+) -> Result<Vec<ProgramSummary>, RehearsalError> {
     let mut operator = OperatorClient::connect(&cluster.operator_addresses()).await?;
     let mut summaries = Vec::new();
     for seen in seen {
@@ -223,8 +227,8 @@
         operator.close_program(&seen.program).await?;
         let held = wait_for_release(cluster, &mut operator, &seen.program).await?;
         let budget = before.budget.unwrap_or_default();
-        summaries.push(Summary {
-            seen,
+        summaries.push(ProgramSummary {
+            result: seen,
             spent: budget.spent_tokens,
             total: budget.total_tokens,
             engines,
@@ -234,7 +238,8 @@
     Ok(summaries)
 }
 
-/// Waits until nobody holds or owes anything for the program. Returns what is still held.
+/// Waits until no engine holds tokens of the program and no release is pending, or until the
+/// timeout. Returns the tokens still held.
 async fn wait_for_release(
     cluster: &Cluster,
     operator: &mut OperatorClient,
@@ -245,15 +250,15 @@
     let started = Instant::now();
     loop {
         let held = cluster.read_held_tokens(id).await?;
-        let owed = operator.show_program(program).await?.held.len();
-        if (held == 0 && owed == 0) || started.elapsed() > RELEASE_LIMIT {
+        let pending_releases = operator.show_program(program).await?.held.len();
+        if (held == 0 && pending_releases == 0) || started.elapsed() > RELEASE_TIMEOUT {
             return Ok(held);
         }
-        sleep(RELEASE_POLL).await;
+        sleep(RELEASE_POLL_INTERVAL).await;
     }
 }
 
-fn print_summary(summaries: &[Summary], started: Instant) {
+fn print_summary(summaries: &[ProgramSummary], started: Instant) {
     println!();
     println!(
         "{:<28} {:>6} {:>11} {:>15} {:>11}  engines",
@@ -262,9 +267,9 @@
     for summary in summaries {
         println!(
             "{:<28} {:>6} {:>11} {:>15} {:>11}  {}",
-            summary.seen.program,
-            summary.seen.answers.len(),
-            summary.seen.latency.as_millis(),
+            summary.result.program,
+            summary.result.answers.len(),
+            summary.result.latency.as_millis(),
             format!("{}/{}", summary.spent, summary.total),
             summary.held,
             summary.engines.join(",")
@@ -273,32 +278,32 @@
     println!("done after {:.1} s", started.elapsed().as_secs_f64());
 }
 
-/// Checks what the callers saw against what is promised.
-fn judge(summaries: &[Summary]) -> Result<(), RehearsalError> {
+/// Checks the answers, budgets and held tokens against the promises.
+fn check_results(summaries: &[ProgramSummary]) -> Result<(), RehearsalError> {
     for summary in summaries {
-        let Seen { program, answers, .. } = &summary.seen;
+        let ProgramResult { program, answers, .. } = &summary.result;
         let expected = TURNS as usize + 1;
         if answers.len() != expected {
-            return broken(format!("{program} got {} of {expected} answers", answers.len()));
+            return failure(format!("{program} got {} of {expected} answers", answers.len()));
         }
-        // The stand-in engine names the program in each answer, so a mix-up shows.
+        // The stand-in engine names the program in each answer, so an exchanged answer is detected.
         if let Some(other) = answers.iter().find(|answer| !answer.text.contains(program)) {
-            return broken(format!("{program} got another's answer: {:.60}", other.text));
+            return failure(format!("{program} got another's answer: {:.60}", other.text));
         }
         if summary.spent > summary.total {
-            return broken(format!("{program} spent {} of {}", summary.spent, summary.total));
+            return failure(format!("{program} spent {} of {}", summary.spent, summary.total));
         }
         if summary.held > 0 {
-            return broken(format!("{program} is closed and still holds {} tokens", summary.held));
+            return failure(format!("{program} is closed and still holds {} tokens", summary.held));
         }
     }
     Ok(())
 }
 
-fn broken(message: String) -> Result<(), RehearsalError> {
+fn failure(message: String) -> Result<(), RehearsalError> {
     Err(RehearsalError::Failed { message })
 }
 
-fn say(started: Instant, line: &str) {
+fn print_progress(started: Instant, line: &str) {
     println!("{:6.2} s  {line}", started.elapsed().as_secs_f64());
 }
--- a/crates/rehearsal/src/direct.rs
+++ b/crates/rehearsal/src/direct.rs
@@ -1,4 +1,5 @@
-//! A caller that talks to an engine directly, to measure what the path through a daemon adds.
+//! A caller that sends requests to an engine directly. The difference to calls through a daemon
+//! is the latency that the daemon adds.
 
 use std::net::SocketAddr;
 
@@ -10,7 +11,7 @@
 use crate::RehearsalError;
 use crate::caller::Answer;
 
-/// Keeps its own conversation, as such callers do, and sends it whole each time.
+/// A caller of one engine. It keeps the conversation and sends all of it with each turn.
 pub struct DirectCaller {
     client: Client,
     engine: SocketAddr,
@@ -19,7 +20,7 @@
 }
 
 impl DirectCaller {
-    /// A caller of one engine.
+    /// Creates a caller of one engine.
     pub fn new(engine: SocketAddr, model: &str) -> Self {
         Self { client: Client::new(), engine, model: model.to_owned(), messages: Vec::new() }
     }
@@ -43,21 +44,21 @@
         let started = Instant::now();
         let url = format!("http://{}/v1/chat/completions", self.engine);
         let sent = self.client.post(url).json(&body).send().await;
-        let response = sent.map_err(|error| self.failed(&error.to_string()))?;
+        let response = sent.map_err(|error| self.caller_error(&error.to_string()))?;
         if !response.status().is_success() {
             let text = response.text().await.unwrap_or_default();
-            return Err(self.failed(&text));
+            return Err(self.caller_error(&text));
         }
         let mut answer = Answer::default();
         let mut first = None;
         let mut stream = response.bytes_stream();
         let mut buffered = String::new();
         while let Some(bytes) = stream.next().await {
-            let bytes = bytes.map_err(|error| self.failed(&error.to_string()))?;
+            let bytes = bytes.map_err(|error| self.caller_error(&error.to_string()))?;
             buffered.push_str(&String::from_utf8_lossy(&bytes));
             while let Some(end) = buffered.find("\n\n") {
                 let event: String = buffered.drain(..end + 2).collect();
-                let piece = text_of(&event);
+                let piece = parse_event_text(&event);
                 if !piece.is_empty() {
                     first.get_or_insert_with(|| started.elapsed());
                 }
@@ -70,13 +71,13 @@
         Ok(answer)
     }
 
-    fn failed(&self, message: &str) -> RehearsalError {
+    fn caller_error(&self, message: &str) -> RehearsalError {
         let step = format!("calling the engine at {} directly", self.engine);
         RehearsalError::Caller { step, message: message.to_owned() }
     }
 }
 
-fn text_of(event: &str) -> String {
+fn parse_event_text(event: &str) -> String {
     let data = event.lines().find_map(|line| line.strip_prefix("data: ")).unwrap_or_default();
     let chunk: Value = serde_json::from_str(data).unwrap_or_default();
     chunk["choices"][0]["delta"]["content"].as_str().unwrap_or_default().to_owned()
--- a/crates/rehearsal/src/error.rs
+++ b/crates/rehearsal/src/error.rs
@@ -1,30 +1,30 @@
-//! Why a rehearsal could not go on.
+//! Errors that end a rehearsal.
 
 use std::io;
 use std::path::PathBuf;
 
 use snafu::Snafu;
 
-/// A failure of a rehearsal, with the step and the peer.
+/// An error of a rehearsal, with the failed step and the peer.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum RehearsalError {
-    /// A process could not be started or talked to.
+    /// Starting, signalling or reading a process failed.
     #[snafu(display("{step} {name}: {source}"))]
     Process {
-        /// What was done.
+        /// The operation.
         step: &'static str,
         /// The process.
         name: String,
         /// Cause.
         source: io::Error,
     },
-    /// A process did not say that it was ready.
+    /// A process did not report that it is ready, or did not end in time.
     #[snafu(display("{name} did not become ready: {reason}"))]
     NotReady {
         /// The process.
         name: String,
-        /// What it said instead.
+        /// What happened instead.
         reason: String,
     },
     /// A file could not be written.
@@ -35,38 +35,38 @@
         /// Cause.
         source: io::Error,
     },
-    /// A caller's request failed for good.
+    /// A caller's request failed and is not retried.
     #[snafu(display("{step}: {message}"))]
     Caller {
-        /// What was asked.
+        /// The request.
         step: String,
-        /// What came back.
+        /// The error that was returned.
         message: String,
     },
     /// An operator's request failed.
     #[snafu(display("{step}: {source}"))]
     Operator {
-        /// What was asked.
+        /// The request.
         step: &'static str,
-        /// The status.
+        /// The gRPC status.
         #[snafu(source(from(tonic::Status, Box::new)))]
         source: Box<tonic::Status>,
     },
-    /// A daemon's operators' side could not be reached.
-    #[snafu(display("connecting to the operators' side of {address}: {source}"))]
+    /// The operator API of a daemon could not be reached.
+    #[snafu(display("connecting to the operator API at {address}: {source}"))]
     Connect {
         /// The address.
         address: String,
         /// Cause.
         source: tonic::transport::Error,
     },
-    /// What was seen is not what was promised.
+    /// A result differs from what is promised, or a step without an error of its own failed.
     #[snafu(display("{message}"))]
     Failed {
-        /// What was observed.
+        /// What failed.
         message: String,
     },
-    /// The user ended the rehearsal.
+    /// The user interrupted the rehearsal.
     #[snafu(display("interrupted"))]
     Interrupted,
 }
--- a/crates/rehearsal/src/latency.rs
+++ b/crates/rehearsal/src/latency.rs
@@ -5,8 +5,8 @@
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-/// Longest latency that is told apart: ten minutes.
-const LONGEST_MICROS: u64 = 600_000_000;
+/// Longest latency that the histogram resolves: ten minutes.
+const MAX_LATENCY_MICROS: u64 = 600_000_000;
 const SIGNIFICANT_DIGITS: u8 = 3;
 const MICROS_PER_MILLI: f64 = 1_000.0;
 
@@ -15,42 +15,42 @@
     histogram: Histogram<u64>,
 }
 
-/// Figures of one kind of latency, in milliseconds.
+/// Summary statistics of a latency histogram, in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct LatencySummary {
-    /// How many were taken.
+    /// Number of samples.
     pub count: u64,
-    /// Half are at most this long.
+    /// Median.
     pub p50: f64,
-    /// 95 in 100 are at most this long.
+    /// 95th percentile.
     pub p95: f64,
-    /// 99 in 100 are at most this long.
+    /// 99th percentile.
     pub p99: f64,
     /// Arithmetic mean.
     pub mean: f64,
-    /// The longest.
+    /// Maximum.
     pub max: f64,
 }
 
 impl Default for LatencyHistogram {
     fn default() -> Self {
-        let histogram = Histogram::new_with_bounds(1, LONGEST_MICROS, SIGNIFICANT_DIGITS);
+        let histogram = Histogram::new_with_bounds(1, MAX_LATENCY_MICROS, SIGNIFICANT_DIGITS);
         Self { histogram: histogram.expect("the bounds are constants that fit") }
     }
 }
 
 impl LatencyHistogram {
-    /// Adds one; longer ones count as the longest.
+    /// Records a latency; values above the maximum count as the maximum.
     pub fn record(&mut self, latency: Duration) {
         self.histogram.saturating_record(latency.as_micros() as u64);
     }
 
-    /// Adds all of another collection.
+    /// Adds all samples of another histogram.
     pub fn merge(&mut self, other: &Self) {
         self.histogram.add(&other.histogram).expect("both have the same bounds");
     }
 
-    /// The figures.
+    /// Returns the summary statistics.
     pub fn summary(&self) -> LatencySummary {
         let millis =
             |quantile: f64| self.histogram.value_at_quantile(quantile) as f64 / MICROS_PER_MILLI;
--- a/crates/rehearsal/src/load.rs
+++ b/crates/rehearsal/src/load.rs
@@ -1,5 +1,5 @@
-//! `rehearse load`: callers in a closed loop through real daemons, beside the same calls put to
-//! the engines directly. Gives the latency that the path adds and calls per second and core.
+//! `rehearse load`: callers in a closed loop through real daemons, and the same calls sent to the
+//! engines directly. Reports the latency that the daemons add, and calls per second and core.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -19,8 +19,8 @@
 use crate::operator::OperatorClient;
 use crate::process_usage::{ProcessUsage, read_usage};
 
-/// Budget of a program of the load: as much as a tenant may give without a limit of its own.
-const BUDGET: u64 = 10_000_000;
+/// Budget of each program: the largest that a tenant without a limit of its own may give.
+const BUDGET_TOKENS: u64 = 10_000_000;
 const TENANT: &str = "load";
 
 /// Flags of `rehearse load`.
@@ -49,7 +49,7 @@
     pub report: Option<PathBuf>,
 }
 
-/// Figures of a run.
+/// The results of a run.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct LoadReport {
     /// Programs at a time.
@@ -85,13 +85,13 @@
 pub async fn run(options: LoadOptions) -> Result<(), RehearsalError> {
     let scratch = TempDir::new().context(FileSnafu { path: std::env::temp_dir() })?;
     tokio::select! {
-        report = measure(&options, scratch.path()) => finish(&options, &report?),
+        report = measure(&options, scratch.path()) => output_report(&options, &report?),
         _ = tokio::signal::ctrl_c() => Err(RehearsalError::Interrupted),
     }
 }
 
-fn finish(options: &LoadOptions, report: &LoadReport) -> Result<(), RehearsalError> {
-    print(report);
+fn output_report(options: &LoadOptions, report: &LoadReport) -> Result<(), RehearsalError> {
+    print_report(report);
     let Some(path) = &options.report else {
         return Ok(());
     };
@@ -111,37 +111,37 @@
     let cluster = Cluster::start(plan, folder).await?;
     cluster.wait_until_ready().await?;
     let direct = measure_direct(&cluster, options).await?;
-    let before = daemons_usage(&cluster);
+    let before = read_daemons_usage(&cluster);
     let started = Instant::now();
-    let through = measure_through(&cluster, options).await?;
+    let through_daemons = measure_through_daemons(&cluster, options).await?;
     let elapsed = started.elapsed();
-    let used = daemons_usage(&cluster).processor_seconds - before.processor_seconds;
-    let answered = through.whole.summary().count as f64;
+    let used = read_daemons_usage(&cluster).processor_seconds - before.processor_seconds;
+    let answered = through_daemons.whole.summary().count as f64;
     Ok(LoadReport {
         programs: options.programs,
         turns: options.turns,
         tokens: options.tokens,
         replicas: options.replicas,
-        first_text_ms: through.first.summary(),
-        whole_ms: through.whole.summary(),
+        first_text_ms: through_daemons.first.summary(),
+        whole_ms: through_daemons.whole.summary(),
         direct_first_text_ms: direct.first.summary(),
         direct_whole_ms: direct.whole.summary(),
         calls_per_second: answered / elapsed.as_secs_f64(),
         daemon_processor_seconds: used,
         calls_per_processor_second: answered / used.max(f64::MIN_POSITIVE),
-        failed: through.failed,
+        failed: through_daemons.failed,
     })
 }
 
-/// Latencies of one way of calling.
+/// Latencies and failures of the calls through daemons, or of the direct calls.
 #[derive(Default)]
-struct Taken {
+struct LoadMeasurements {
     first: LatencyHistogram,
     whole: LatencyHistogram,
     failed: u64,
 }
 
-impl Taken {
+impl LoadMeasurements {
     fn add(&mut self, answer: &Answer) {
         self.first.record(answer.first_text_latency);
         self.whole.record(answer.total_latency);
@@ -154,17 +154,19 @@
     }
 }
 
-async fn measure_through(
+async fn measure_through_daemons(
     cluster: &Cluster,
     options: &LoadOptions,
-) -> Result<Taken, RehearsalError> {
+) -> Result<LoadMeasurements, RehearsalError> {
     let mut programs = Vec::new();
     let operators = cluster.operator_addresses();
     for index in 0..options.programs {
         let mut order = operators.clone();
         order.rotate_left(index % operators.len());
         let mut operator = OperatorClient::connect(&order).await?;
-        programs.push(operator.create_program(TENANT, &cluster.plan.model, BUDGET).await?.program);
+        programs.push(
+            operator.create_program(TENANT, &cluster.plan.model, BUDGET_TOKENS).await?.program,
+        );
     }
     let mut tasks = Vec::new();
     for (index, program) in programs.into_iter().enumerate() {
@@ -173,35 +175,43 @@
         let (turns, tokens) = (options.turns, options.tokens);
         tasks.push(tokio::spawn(call_program(caller, program, turns, tokens)));
     }
-    let mut taken = Taken::default();
+    let mut measurements = LoadMeasurements::default();
     for task in tasks {
         let one = task.await.map_err(|error| RehearsalError::Failed {
             message: format!("a caller's task failed: {error}"),
         })?;
-        taken.merge(&one);
+        measurements.merge(&one);
     }
-    Ok(taken)
+    Ok(measurements)
 }
 
-async fn call_program(caller: Caller, program: String, turns: u32, tokens: u64) -> Taken {
-    let mut taken = Taken::default();
+async fn call_program(
+    caller: Caller,
+    program: String,
+    turns: u32,
+    tokens: u64,
+) -> LoadMeasurements {
+    let mut measurements = LoadMeasurements::default();
     for number in 1..=turns {
         let turn = Turn {
             program: program.clone(),
             chain: 0,
             number,
-            text: question(number, tokens),
+            text: build_prompt(number, tokens),
             max_tokens: tokens,
         };
         match caller.send_turn(&turn).await {
-            Ok(answer) => taken.add(&answer),
-            Err(_) => taken.failed += 1,
+            Ok(answer) => measurements.add(&answer),
+            Err(_) => measurements.failed += 1,
         }
     }
-    taken
+    measurements
 }
 
-async fn measure_direct(cluster: &Cluster, options: &LoadOptions) -> Result<Taken, RehearsalError> {
+async fn measure_direct(
+    cluster: &Cluster,
+    options: &LoadOptions,
+) -> Result<LoadMeasurements, RehearsalError> {
     let mut tasks = Vec::new();
     let engines: Vec<SocketAddr> = cluster.engines.iter().map(|engine| engine.address).collect();
     for index in 0..options.programs {
@@ -209,34 +219,34 @@
         let (turns, tokens) = (options.turns, options.tokens);
         tasks.push(tokio::spawn(call_directly(caller, turns, tokens)));
     }
-    let mut taken = Taken::default();
+    let mut measurements = LoadMeasurements::default();
     for task in tasks {
         let one = task.await.map_err(|error| RehearsalError::Failed {
             message: format!("a caller's task failed: {error}"),
         })?;
-        taken.merge(&one?);
+        measurements.merge(&one?);
     }
-    Ok(taken)
+    Ok(measurements)
 }
 
 async fn call_directly(
     mut caller: DirectCaller,
     turns: u32,
     tokens: u64,
-) -> Result<Taken, RehearsalError> {
-    let mut taken = Taken::default();
+) -> Result<LoadMeasurements, RehearsalError> {
+    let mut measurements = LoadMeasurements::default();
     for number in 1..=turns {
-        taken.add(&caller.send_turn(&question(number, tokens), tokens).await?);
+        measurements.add(&caller.send_turn(&build_prompt(number, tokens), tokens).await?);
     }
-    Ok(taken)
+    Ok(measurements)
 }
 
-/// The stand-in engine reads from the prompt how long its answer is to be.
-fn question(number: u32, tokens: u64) -> String {
+/// Builds a prompt; the stand-in engine reads the length of its answer from it.
+fn build_prompt(number: u32, tokens: u64) -> String {
     format!("Reading {number} of the string voltage is 612 V, as before. [[tokens={tokens}]]")
 }
 
-fn daemons_usage(cluster: &Cluster) -> ProcessUsage {
+fn read_daemons_usage(cluster: &Cluster) -> ProcessUsage {
     let processes = cluster.daemons.iter().filter_map(|daemon| daemon.process.as_ref());
     let usages = processes.filter_map(|process| read_usage(process.id()?));
     usages.fold(ProcessUsage::default(), |sum, one| ProcessUsage {
@@ -245,7 +255,7 @@
     })
 }
 
-fn print(report: &LoadReport) {
+fn print_report(report: &LoadReport) {
     println!(
         "{:<24} {:>7} {:>9} {:>9} {:>9} {:>9}",
         "latency ms", "calls", "p50", "p95", "p99", "max"
--- a/crates/rehearsal/src/logs/line.rs
+++ b/crates/rehearsal/src/logs/line.rs
@@ -1,23 +1,24 @@
-//! One line of a log, taken apart again.
+//! Parses one line of a log.
 
-/// Digits of seconds since 1970, from 1973 to the year 5138. Torn lines may have other numbers.
+/// Digits of seconds since 1970, from 1973 to the year 5138. Torn lines may contain other
+/// numbers.
 const SECONDS_DIGITS: std::ops::RangeInclusive<usize> = 9..=11;
 
-/// What is known of a line.
+/// A parsed log line.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LogLine {
     /// Seconds since 1970 by the clock of the process that wrote it.
     pub timestamp: f64,
-    /// The part of the program.
+    /// The log part (`target`).
     pub part: String,
-    /// The sentence, with its full stop.
+    /// The sentence that precedes the fields, with its full stop.
     pub message: String,
     fields: Vec<(String, String)>,
 }
 
 impl LogLine {
-    /// Reads a line as crate `logging` writes it. What stands before its time, such as a machine's
-    /// name, is passed over. None when it is no such line, or a torn one.
+    /// Parses a line as crate `logging` writes it. Text before the time, such as a machine's name,
+    /// is ignored. Returns `None` for other text and for torn lines.
     pub fn parse(text: &str) -> Option<Self> {
         let mut words = text.split_whitespace().peekable();
         let timestamp = loop {
@@ -37,7 +38,7 @@
         })
     }
 
-    /// The value of a field.
+    /// Returns the value of a field.
     pub fn field(&self, name: &str) -> Option<&str> {
         let found = self.fields.iter().find(|(key, _)| key == name);
         found.map(|(_, value)| value.as_str())
@@ -58,12 +59,12 @@
     ["ERROR", "WARN", "INFO", "DEBUG", "TRACE"].contains(&word)
 }
 
-/// Splits the sentence from the fields behind it. Values with blanks stand in quotes.
+/// Splits the sentence from the fields after it. Values with spaces are quoted.
 fn split_fields(text: &str) -> (&str, Vec<(String, String)>) {
     let mut fields = Vec::new();
     let mut end = text.len();
     let mut rest = text.trim_end();
-    while let Some((before, key, value)) = last_field(rest) {
+    while let Some((before, key, value)) = split_last_field(rest) {
         fields.insert(0, (key.to_owned(), value));
         end = before.len();
         rest = before.trim_end();
@@ -71,8 +72,8 @@
     (&text[..end], fields)
 }
 
-/// The last field of a text, and what stands before it.
-fn last_field(text: &str) -> Option<(&str, &str, String)> {
+/// Splits off the last field. Returns the text before it, its name and its value.
+fn split_last_field(text: &str) -> Option<(&str, &str, String)> {
     let equals = match text.strip_suffix('"') {
         Some(unclosed) => unclosed.rfind("=\"")?,
         None => text.rfind('=')?,
@@ -88,11 +89,11 @@
         return None;
     }
     let plain = if is_quoted { &value[1..value.len() - 1] } else { value };
-    Some((&text[..begin], key, unescaped(plain)))
+    Some((&text[..begin], key, unescape(plain)))
 }
 
-/// A quoted value as it was before it was written with Rust's escapes for quotes and backslashes.
-fn unescaped(value: &str) -> String {
+/// Undoes Rust's escapes of quotes and backslashes in a quoted value.
+fn unescape(value: &str) -> String {
     let mut plain = String::with_capacity(value.len());
     let mut chars = value.chars();
     while let Some(c) = chars.next() {
--- a/crates/rehearsal/src/logs/mod.rs
+++ b/crates/rehearsal/src/logs/mod.rs
@@ -1,10 +1,10 @@
-//! The command `rehearse logs`: from many processes' logs to what became of requests.
+//! The command `rehearse logs`: reads the logs of many processes and reports the outcomes of requests.
 //!
 //! | module | job |
 //! |---|---|
-//! | `line` | one line taken apart |
-//! | `requests` | lines put together to requests |
-//! | `report` | a table over time, and causes |
+//! | `line` | parses one line |
+//! | `requests` | builds requests from lines |
+//! | `report` | a table of outcomes over time, and causes |
 
 mod line;
 mod report;
@@ -22,7 +22,7 @@
 pub use report::format_report;
 pub use requests::{LoggedRequest, LoggedRequests, RequestOutcome};
 
-/// Flags of the command.
+/// Flags of `rehearse logs`.
 #[derive(Debug, Options)]
 pub struct LogFlags {
     #[options(help = "print this help")]
@@ -35,7 +35,7 @@
     window: f64,
 }
 
-/// Why logs could not be shown.
+/// An error of `rehearse logs`.
 #[derive(Debug, Snafu)]
 pub enum LogsError {
     /// A file could not be read.
@@ -60,7 +60,7 @@
     },
 }
 
-/// Reads the logs and prints what was asked for.
+/// Reads the logs and prints the table, or the lines of one request.
 ///
 /// # Errors
 /// [`LogsError`]
@@ -69,7 +69,7 @@
     let mut texts = Vec::new();
     for path in &flags.files {
         let bytes = fs::read(path).context(ReadSnafu { path })?;
-        // Logs of several processes in one file may have torn lines.
+        // A file that several processes write to may have torn lines.
         texts.push(String::from_utf8_lossy(&bytes).into_owned());
     }
     let lines = texts.iter().flat_map(|text| text.lines());
@@ -77,14 +77,14 @@
         Some(request) => filter_request_lines(lines, request),
         None => request_table(lines, flags.window),
     };
-    // Whoever reads may close the pipe: that is no failure of this command.
+    // The reader may close the pipe; that is not an error.
     match io::stdout().write_all(shown.as_bytes()) {
         Err(error) if error.kind() == io::ErrorKind::BrokenPipe => Ok(()),
         written => written.context(WriteSnafu),
     }
 }
 
-/// The lines of one request, in order of time.
+/// Returns the lines of one request, ordered by time.
 pub fn filter_request_lines<'a>(lines: impl Iterator<Item = &'a str>, request: &str) -> String {
     let mut found: Vec<(f64, &str)> = Vec::new();
     for text in lines {
@@ -98,7 +98,7 @@
     found.into_iter().map(|(_, text)| format!("{}\n", text.trim())).collect()
 }
 
-/// The table of all requests.
+/// Returns the table of all requests.
 pub fn request_table<'a>(lines: impl Iterator<Item = &'a str>, window_s: f64) -> String {
     let mut lines: Vec<LogLine> = lines.filter_map(LogLine::parse).collect();
     lines.sort_by(|left, right| left.timestamp.total_cmp(&right.timestamp));
--- a/crates/rehearsal/src/logs/report.rs
+++ b/crates/rehearsal/src/logs/report.rs
@@ -1,14 +1,14 @@
-//! A table over time of what became of requests, and where they waited.
+//! A table over time of the outcomes of requests, their latency and the load of servers.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
 use super::{LoggedRequest, LoggedRequests, RequestOutcome};
 
-/// The share of requests whose time to the first piece is below the second figure shown.
+/// The upper quantile of the time to the first text that the table shows.
 const HIGH_QUANTILE: f64 = 0.9;
 
-/// One row: requests taken within a stretch of time.
+/// One row: the requests accepted within a time window.
 #[derive(Debug, Default)]
 struct Window<'a> {
     requests: Vec<&'a LoggedRequest>,
@@ -20,8 +20,8 @@
         ends.filter(|(_, end)| is_counted(end)).count()
     }
 
-    /// Milliseconds from the taking to the beginning of the answer, in rising order.
-    fn waits(&self) -> Vec<f64> {
+    /// Milliseconds from acceptance to the beginning of the answer, in ascending order.
+    fn first_text_millis(&self) -> Vec<f64> {
         let waits = self
             .requests
             .iter()
@@ -32,7 +32,8 @@
     }
 }
 
-/// Writes the table, with windows of so many seconds, and the causes of what was not answered whole.
+/// Formats the table, with windows of `window_s` seconds, and counts the causes of requests
+/// without a complete answer.
 pub fn format_report(requests: &LoggedRequests, window_s: f64) -> String {
     let Some(first) = requests.iter().map(|request| request.accepted_at).reduce(f64::min) else {
         return "no requests in these logs\n".to_owned();
@@ -57,7 +58,7 @@
         let broken = is(|end| matches!(end, RequestOutcome::Interrupted(_)));
         let left = is(|end| *end == RequestOutcome::CallerLeft);
         let open = window.requests.iter().filter(|request| request.outcome.is_none()).count();
-        let waits = window.waits();
+        let waits = window.first_text_millis();
         let (middle, high) = (quantile(&waits, 0.5), quantile(&waits, HIGH_QUANTILE));
         let loads = requests.count_by_server(first + from + window_s / 2.0);
         let mut loads: Vec<u32> = loads.into_values().collect();
@@ -72,18 +73,18 @@
             window.requests.len(),
             load(loads.len() / 2),
         );
-        row.expect("a string takes all");
+        row.expect("writing to a string does not fail");
     }
     if !causes.is_empty() {
         text.push_str("\nnot answered whole, by cause:\n");
     }
     for (cause, count) in causes {
-        writeln!(text, "{count:7}  {cause}").expect("a string takes all");
+        writeln!(text, "{count:7}  {cause}").expect("writing to a string does not fail");
     }
     text
 }
 
-/// Why a request was not answered whole; none when it was.
+/// The cause why a request has no complete answer; `None` when it has one.
 fn cause(request: &LoggedRequest) -> Option<String> {
     match &request.outcome {
         Some((_, RequestOutcome::Completed)) => None,
@@ -102,7 +103,7 @@
     }
 }
 
-/// The value below which a share of sorted values lies; 0 for none.
+/// The quantile `share` of sorted values; 0 when there are none.
 fn quantile(sorted: &[f64], share: f64) -> f64 {
     let place = (sorted.len() as f64 * share) as usize;
     sorted.get(place.min(sorted.len().saturating_sub(1))).copied().unwrap_or(0.0)
--- a/crates/rehearsal/src/logs/requests.rs
+++ b/crates/rehearsal/src/logs/requests.rs
@@ -1,31 +1,31 @@
-//! Routed requests, put together from the lines that name them.
+//! Routed requests, built from the log lines that name them.
 
 use std::collections::{BTreeMap, HashMap};
 
 use super::LogLine;
 
-/// The field that names a request.
-const REQUEST: &str = "request";
-/// Stands where a line belongs to no request.
-const NOT_NAMED: &str = "-";
+/// The log field with the id of a request.
+const REQUEST_FIELD: &str = "request";
+/// The id in lines that belong to no request.
+const NO_REQUEST: &str = "-";
 
-/// How a request ended, as far as its gateway knows.
+/// The outcome of a request at its gateway.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// Handed on whole.
+    /// The whole answer was forwarded.
     Completed,
-    /// Ended by the gateway itself, for this cause.
+    /// The gateway refused it, with this cause.
     Refused(String),
-    /// Its stream broke off, for this cause.
+    /// Its stream broke off, with this cause.
     Interrupted(String),
-    /// Its caller left before its end.
+    /// Its caller left before the answer ended.
     CallerLeft,
 }
 
 /// One request at one gateway.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LoggedRequest {
-    /// When it was taken, in seconds since 1970.
+    /// When the gateway accepted it, in seconds since 1970.
     pub accepted_at: f64,
     /// When its caller stops waiting for it.
     pub deadline: f64,
@@ -35,13 +35,13 @@
     pub sent_at: Option<f64>,
     /// When its answer began.
     pub answer_began_at: Option<f64>,
-    /// When and how it ended; none while it goes on.
+    /// When and how it ended; `None` while it is open.
     pub outcome: Option<(f64, RequestOutcome)>,
 }
 
 impl LoggedRequest {
-    /// Whether it is at a server at a moment. Of one whose process ended nothing more is heard: it is
-    /// over at its deadline at the latest.
+    /// Whether a server processes it at the time `at`. When its gateway process has ended, the logs
+    /// have no outcome, so it counts until its deadline.
     pub fn is_at_server(&self, at: f64) -> bool {
         let is_sent = self.sent_at.is_some_and(|sent| sent <= at);
         let end = self.outcome.as_ref().map_or(self.deadline, |(end, _)| *end);
@@ -49,20 +49,22 @@
     }
 }
 
-/// All requests of some logs, in the order in which they were taken.
+/// All requests of the logs, in the order in which they were accepted.
 #[derive(Debug, Clone, Default)]
 pub struct LoggedRequests {
     requests: Vec<LoggedRequest>,
-    /// The present one of each name: a caller may use a name again.
-    open: HashMap<String, usize>,
+    /// Index of the latest request of each id: a caller may reuse an id.
+    latest_by_id: HashMap<String, usize>,
 }
 
 impl LoggedRequests {
-    /// Takes a line in; lines that belong to no request are passed over.
+    /// Applies a line; lines that belong to no request are ignored.
     pub fn add_line(&mut self, line: &LogLine) {
-        let Some(name) = line.field(REQUEST).filter(|name| *name != NOT_NAMED) else { return };
+        let Some(name) = line.field(REQUEST_FIELD).filter(|name| *name != NO_REQUEST) else {
+            return;
+        };
         if line.message == "Taken." {
-            self.open.insert(name.to_owned(), self.requests.len());
+            self.latest_by_id.insert(name.to_owned(), self.requests.len());
             let deadline_ms = line.field("deadline_ms").and_then(|text| text.parse::<f64>().ok());
             let deadline = line.timestamp + deadline_ms.unwrap_or_default() / 1_000.0;
             let (server, sent_at, answer_began_at, outcome) = (None, None, None, None);
@@ -77,7 +79,8 @@
             });
             return;
         }
-        let Some(request) = self.open.get(name).and_then(|place| self.requests.get_mut(*place))
+        let Some(request) =
+            self.latest_by_id.get(name).and_then(|place| self.requests.get_mut(*place))
         else {
             return;
         };
@@ -108,12 +111,12 @@
         }
     }
 
-    /// All of them.
+    /// Iterates over all requests.
     pub fn iter(&self) -> impl Iterator<Item = &LoggedRequest> {
         self.requests.iter()
     }
 
-    /// Requests at each server at a moment.
+    /// Counts the requests at each server at the time `at`.
     pub fn count_by_server(&self, at: f64) -> BTreeMap<&str, u32> {
         let mut counts = BTreeMap::new();
         for request in self.requests.iter().filter(|request| request.is_at_server(at)) {
--- a/crates/rehearsal/src/operator.rs
+++ b/crates/rehearsal/src/operator.rs
@@ -1,4 +1,4 @@
-//! An operator's requests, to whichever daemon answers.
+//! A client of the operator API, connected to the first daemon that answers.
 
 use std::net::SocketAddr;
 
@@ -15,7 +15,7 @@
 use crate::cluster::OPERATOR_TOKEN;
 use crate::error::{ConnectSnafu, OperatorSnafu};
 
-/// An operator at one daemon.
+/// A client of the operator API of one daemon.
 pub struct OperatorClient {
     programs: ProgramsClient<Channel>,
 }
@@ -56,39 +56,39 @@
             budget_tokens: budget,
             ..CreateProgramRequest::default()
         };
-        let answer = self.programs.create(with_token(request)).await;
-        taken(answer, "creating a program")
+        let answer = self.programs.create(add_token(request)).await;
+        into_message(answer, "creating a program")
     }
 
-    /// Shows a program with its calls.
+    /// Reads a program with its calls.
     ///
     /// # Errors
     /// [`RehearsalError::Operator`] when the daemon refuses.
     pub async fn show_program(&mut self, program: &str) -> Result<Program, RehearsalError> {
         let request = ShowProgramRequest { program: program.to_owned(), with_calls: true };
-        let answer = self.programs.show(with_token(request)).await;
-        taken(answer, "showing a program")
+        let answer = self.programs.show(add_token(request)).await;
+        into_message(answer, "showing a program")
     }
 
-    /// Ends a program.
+    /// Closes a program.
     ///
     /// # Errors
     /// [`RehearsalError::Operator`] when the daemon refuses.
     pub async fn close_program(&mut self, program: &str) -> Result<Program, RehearsalError> {
         let request = CloseProgramRequest { program: program.to_owned() };
-        let answer = self.programs.close(with_token(request)).await;
-        taken(answer, "closing a program")
+        let answer = self.programs.close(add_token(request)).await;
+        into_message(answer, "closing a program")
     }
 }
 
-fn taken<T>(
+fn into_message<T>(
     answer: Result<tonic::Response<T>, Status>,
     step: &'static str,
 ) -> Result<T, RehearsalError> {
     answer.map(tonic::Response::into_inner).context(OperatorSnafu { step })
 }
 
-fn with_token<T>(message: T) -> Request<T> {
+fn add_token<T>(message: T) -> Request<T> {
     let mut request = Request::new(message);
     let header = MetadataValue::try_from(format!("Bearer {OPERATOR_TOKEN}"));
     let header = header.expect("the token has only plain characters");
--- a/crates/rehearsal/src/process_usage.rs
+++ b/crates/rehearsal/src/process_usage.rs
@@ -1,13 +1,13 @@
-//! What a process has used, from the Linux `/proc` file system (proc(5)).
+//! Processor time and memory of a process, from the Linux `/proc` file system (proc(5)).
 
 use std::fs;
 
 /// Clock ticks in a second of `/proc/<pid>/stat`. 100 on every Linux that Rust supports
 /// (`USER_HZ`, proc(5)).
 const TICKS_PER_SECOND: f64 = 100.0;
-/// Position of `utime` behind the command's closing parenthesis.
+/// Position of `utime` after the command's closing parenthesis.
 const USER_TIME_FIELD: usize = 11;
-const KIB: u64 = 1_024;
+const BYTES_PER_KIB: u64 = 1_024;
 
 /// Processor time and memory of a process.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
@@ -18,10 +18,10 @@
     pub resident_bytes: u64,
 }
 
-/// Reads the usage of process `id`; none when it has ended.
+/// Reads the usage of process `id`; `None` when it has ended.
 pub fn read_usage(id: u32) -> Option<ProcessUsage> {
     let stat = fs::read_to_string(format!("/proc/{id}/stat")).ok()?;
-    // The command may contain blanks, so fields are counted from its closing parenthesis.
+    // The command name may contain spaces, so fields are counted from its closing parenthesis.
     let (_, fields) = stat.rsplit_once(") ")?;
     let mut fields = fields.split_whitespace().skip(USER_TIME_FIELD);
     let user: f64 = fields.next()?.parse().ok()?;
@@ -31,6 +31,6 @@
     let resident: u64 = resident.trim().trim_end_matches(" kB").trim().parse().ok()?;
     Some(ProcessUsage {
         processor_seconds: (user + system) / TICKS_PER_SECOND,
-        resident_bytes: resident * KIB,
+        resident_bytes: resident * BYTES_PER_KIB,
     })
 }
--- a/crates/rehearsal/src/processes.rs
+++ b/crates/rehearsal/src/processes.rs
@@ -1,4 +1,4 @@
-//! Child processes that never outlive the tool.
+//! Child processes that end with the tool.
 
 use std::fs::File;
 use std::io;
@@ -18,49 +18,50 @@
 use crate::error::{FileSnafu, ProcessSnafu};
 
 /// How long a process may take to print its first line.
-const READY_TIMEOUT: Duration = Duration::from_secs(20);
+const FIRST_LINE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Set for processes started by this tool: they end when their standard input closes.
-const GUARD: &str = "DAHLIA_END_WITH_STDIN";
+/// Environment variable of processes started by this tool: they exit when their standard input
+/// closes.
+const END_WITH_STDIN_VARIABLE: &str = "DAHLIA_END_WITH_STDIN";
 
-/// In a process started by this tool: ends it when the tool is gone, however that came about.
+/// In a process started by this tool: exits when the tool has ended for whatever reason.
 pub fn end_with_parent() {
-    if std::env::var_os(GUARD).is_none() {
+    if std::env::var_os(END_WITH_STDIN_VARIABLE).is_none() {
         return;
     }
     std::thread::spawn(|| {
         let mut input = std::io::stdin();
-        // Nothing is ever written; the read returns when the other end closes.
+        // The tool writes nothing, so the read returns only when the other end closes.
         let _ = std::io::copy(&mut input, &mut std::io::sink());
         std::process::exit(0);
     });
 }
 
-/// The program that children run, where it is not this very program.
-static PROGRAM: OnceLock<PathBuf> = OnceLock::new();
+/// The binary that children run, if it is not the running one.
+static PROGRAM_PATH: OnceLock<PathBuf> = OnceLock::new();
 
-/// Makes children run the binary at `path`. For tests, whose own program is not `rehearse`.
-/// Only the first call in a process counts.
+/// Makes children run the binary at `path`. Tests need this, as their
+/// own binary is not `rehearse`. Only the first call in a process has an effect.
 pub fn set_child_program(path: impl Into<PathBuf>) {
-    PROGRAM.get_or_init(|| path.into());
+    PROGRAM_PATH.get_or_init(|| path.into());
 }
 
-fn program() -> io::Result<PathBuf> {
-    PROGRAM.get().cloned().map_or_else(std::env::current_exe, Ok)
+fn program_path() -> io::Result<PathBuf> {
+    PROGRAM_PATH.get().cloned().map_or_else(std::env::current_exe, Ok)
 }
 
 /// A process started by this tool, killed when it is dropped.
 pub struct ChildProcess {
     name: String,
     child: Child,
-    /// Closes when this tool ends; see [`end_with_parent`].
+    /// Pipe that closes when this tool ends; see [`end_with_parent`].
     #[allow(dead_code)]
-    guard: Option<ChildStdin>,
+    stdin_pipe: Option<ChildStdin>,
     lines: mpsc::UnboundedReceiver<String>,
 }
 
 impl ChildProcess {
-    /// Starts this very program with `arguments` and waits for the first line it prints.
+    /// Starts the child binary with `arguments` and waits for the first line it prints.
     /// Its log goes to `<folder>/<name>.log`.
     ///
     /// # Errors
@@ -72,10 +73,10 @@
     ) -> Result<(Self, String), RehearsalError> {
         let path = folder.join(format!("{name}.log"));
         let log = File::create(&path).context(FileSnafu { path: &path })?;
-        let program = program().context(ProcessSnafu { step: "finding", name })?;
+        let program = program_path().context(ProcessSnafu { step: "finding", name })?;
         let mut child = Command::new(program)
             .args(arguments)
-            .env(GUARD, "1")
+            .env(END_WITH_STDIN_VARIABLE, "1")
             .stdin(Stdio::piped())
             .stdout(Stdio::piped())
             .stderr(Stdio::from(log))
@@ -83,16 +84,16 @@
             .spawn()
             .context(ProcessSnafu { step: "starting", name })?;
         let output = child.stdout.take();
-        let guard = child.stdin.take();
+        let stdin_pipe = child.stdin.take();
         let (sender, printed) = mpsc::unbounded_channel();
-        let mut process = Self { name: name.to_owned(), child, guard, lines: printed };
+        let mut process = Self { name: name.to_owned(), child, stdin_pipe, lines: printed };
         let Some(output) = output else {
             return Err(process.not_ready("its output is not readable"));
         };
         let mut lines = BufReader::new(output).lines();
-        match timeout(READY_TIMEOUT, lines.next_line()).await {
+        match timeout(FIRST_LINE_TIMEOUT, lines.next_line()).await {
             Ok(Ok(Some(line))) => {
-                // Whatever it prints later must not block it, also when nobody wants it.
+                // Later output is always read, so that the process does not block on a full pipe.
                 tokio::spawn(async move {
                     while let Ok(Some(line)) = lines.next_line().await {
                         let _ = sender.send(line);
@@ -110,7 +111,7 @@
         }
     }
 
-    /// The next line that it prints.
+    /// Waits for the next line that the process prints.
     ///
     /// # Errors
     /// [`RehearsalError::NotReady`] when it prints none in time, or has ended.
@@ -122,7 +123,7 @@
         }
     }
 
-    /// The process's name.
+    /// The name of the process and its log file.
     pub fn name(&self) -> &str {
         &self.name
     }
@@ -132,7 +133,7 @@
         self.child.id()
     }
 
-    /// Kills it at once (SIGKILL) and waits for its end.
+    /// Kills the process (SIGKILL) and waits until it has exited.
     ///
     /// # Errors
     /// [`RehearsalError`] when it cannot be signalled.
@@ -141,7 +142,7 @@
         self.child.kill().await.context(ProcessSnafu { step: "killing", name })
     }
 
-    /// Asks it to stop as planned (SIGTERM).
+    /// Requests a planned stop (SIGTERM).
     ///
     /// # Errors
     /// [`RehearsalError`] when it has ended or cannot be signalled.
@@ -153,7 +154,7 @@
         sent.context(ProcessSnafu { step: "stopping", name })
     }
 
-    /// Waits for its end.
+    /// Waits until the process has exited.
     ///
     /// # Errors
     /// [`RehearsalError`] when it does not end in time.
--- a/crates/rehearsal/tests/logs.rs
+++ b/crates/rehearsal/tests/logs.rs
@@ -1,10 +1,10 @@
-//! From lines of logs to requests and their causes.
+//! Parsing log lines into requests, outcomes and causes.
 
 use dahlia_rehearsal::logs::{
     LogLine, LoggedRequests, RequestOutcome, filter_request_lines, request_table,
 };
 
-/// Lines of one gateway, but for the last two: another process wrote one, and one is torn.
+/// Lines of one gateway, except for the last two: one is of another process, and one is torn.
 const LINES: &str = r#"
 1785492900.000 INFO  relay: Taken. request=a1 program=p route=r service=s generation=3 deadline_ms=4000
 1785492900.010 INFO  relay: Server chosen. request=a1 server=i-1 way=preferred in_flight=0
@@ -23,7 +23,7 @@
 "#;
 
 #[test]
-fn a_line_is_taken_apart_as_it_was_put_together() {
+fn parse_returns_message_and_fields() {
     let text = LINES.lines().find(|line| line.contains("request=b2 status")).expect("it is there");
     let line = LogLine::parse(text).expect("a line of a log");
     assert_eq!((line.part.as_str(), line.message.as_str()), ("relay", "Refused."));
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn what_is_no_line_of_a_log_is_passed_over() {
+fn parse_rejects_other_text() {
     for text in [
         "",
         "running 3 tests",
@@ -50,15 +50,15 @@
     }
 }
 
-fn requests() -> LoggedRequests {
+fn parse_requests() -> LoggedRequests {
     let mut requests = LoggedRequests::default();
     LINES.lines().filter_map(LogLine::parse).for_each(|line| requests.add_line(&line));
     requests
 }
 
 #[test]
-fn lines_become_requests_with_their_ends() {
-    let requests = requests();
+fn lines_yield_requests_with_outcomes() {
+    let requests = parse_requests();
     let ends: Vec<Option<RequestOutcome>> =
         requests.iter().map(|request| request.outcome.clone().map(|(_, end)| end)).collect();
     let lost = RequestOutcome::Refused(r#"the answer was "lost" = gone"#.to_owned());
@@ -70,15 +70,18 @@
     assert_eq!(servers.into_iter().collect::<Vec<_>>(), [("i-1", 1), ("i-2", 1)]);
     assert!(requests.count_by_server(1_785_492_902.0).is_empty());
     assert_eq!(requests.count_by_server(1_785_492_903.5).len(), 1, "its caller still waits");
-    assert!(requests.count_by_server(1_785_492_905.0).is_empty(), "its process ended unheard");
+    assert!(
+        requests.count_by_server(1_785_492_905.0).is_empty(),
+        "the deadline passed after its process ended"
+    );
 }
 
 #[test]
-fn the_table_counts_each_request_once_and_names_each_cause() {
+fn table_counts_each_request_once_and_names_each_cause() {
     let text = request_table(LINES.lines(), 2.0);
     let rows: Vec<Vec<&str>> =
         text.lines().skip(1).take(2).map(|row| row.split_whitespace().collect()).collect();
-    // From, taken, whole, refused, broken off, left, open, and the waits for the first piece.
+    // From, taken, whole, refused, broken off, left, open, and the times to the first text.
     assert_eq!(rows[0][..9], ["0.0", "2", "1", "1", "0", "0", "0", "30", "30"]);
     assert_eq!(rows[1][..9], ["2.0", "2", "0", "0", "0", "1", "1", "0", "0"]);
     for cause in [
@@ -91,12 +94,12 @@
 }
 
 #[test]
-fn logs_without_requests_say_so() {
+fn table_of_logs_without_requests_is_a_message() {
     assert_eq!(request_table(["nothing"].into_iter(), 2.0), "no requests in these logs\n");
 }
 
 #[test]
-fn the_lines_of_one_request_come_in_order_of_time() {
+fn lines_of_one_request_are_ordered_by_time() {
     let reversed: Vec<&str> = LINES.lines().rev().collect();
     let shown = filter_request_lines(reversed.into_iter(), "a1");
     let sentences: Vec<String> =
--- a/crates/rehearsal/tests/processes.rs
+++ b/crates/rehearsal/tests/processes.rs
@@ -1,4 +1,4 @@
-//! Whole clusters of real processes: deaths and planned stops while answers are streamed.
+//! Clusters of real processes: kills and planned stops of daemons while answers are streamed.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -20,17 +20,17 @@
 
 const REHEARSE: &str = env!("CARGO_BIN_EXE_rehearse");
 const TENANT: &str = "bayou-current";
-/// Tokens of an answer whose stream is disturbed: at real speed it lasts some seconds.
-const TOKENS: u64 = 120;
-/// Tokens of an answer that is still under way when a planned stop has begun.
-const MANY_TOKENS: u64 = 600;
-/// Longest wait for something that must come about.
-const PATIENCE: Duration = Duration::from_secs(30);
-const POLL: Duration = Duration::from_millis(20);
-/// The cluster's `daemon.drain_ms`, and time to exit.
-const STOP_LIMIT: Duration = Duration::from_secs(25);
+/// Tokens of an answer whose daemon is killed: at real speed the stream lasts some seconds.
+const ANSWER_TOKENS: u64 = 120;
+/// Tokens of an answer that is still streamed when a planned stop has begun.
+const LONG_ANSWER_TOKENS: u64 = 600;
+/// Timeout for any expected event.
+const EVENT_TIMEOUT: Duration = Duration::from_secs(30);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// The cluster's `daemon.drain_ms` plus time to exit.
+const STOP_TIMEOUT: Duration = Duration::from_secs(25);
 
-type Asked = JoinHandle<Result<Answer, RehearsalError>>;
+type AnswerTask = JoinHandle<Result<Answer, RehearsalError>>;
 
 struct Rehearsal {
     cluster: Cluster,
@@ -50,8 +50,8 @@
         Self { cluster, operator, _folder: folder }
     }
 
-    /// A program, and the position of the daemon that owns it.
-    async fn program(&mut self) -> (String, usize) {
+    /// Creates a program. Returns it and the index of the daemon that owns it.
+    async fn create_program(&mut self) -> (String, usize) {
         let model = self.cluster.plan.model.clone();
         let created =
             self.operator.create_program(TENANT, &model, 100_000).await.expect("is created");
@@ -62,12 +62,18 @@
         (created.program, owner)
     }
 
-    /// Puts a turn to the gateway of position `first`, in a task of its own.
-    fn ask(&self, program: &str, number: u32, first: usize) -> Asked {
-        self.ask_for(program, number, first, TOKENS)
+    /// Sends a turn to the gateway with index `first`, in a task of its own.
+    fn send_turn(&self, program: &str, number: u32, first: usize) -> AnswerTask {
+        self.send_turn_of_length(program, number, first, ANSWER_TOKENS)
     }
 
-    fn ask_for(&self, program: &str, number: u32, first: usize, max_tokens: u64) -> Asked {
+    fn send_turn_of_length(
+        &self,
+        program: &str,
+        number: u32,
+        first: usize,
+        max_tokens: u64,
+    ) -> AnswerTask {
         let caller = Caller::new(
             self.cluster.gateway_addresses(),
             first,
@@ -83,21 +89,21 @@
         tokio::spawn(async move { caller.send_turn(&turn).await })
     }
 
-    /// Asks a daemon to stop, and waits until it has begun to.
-    async fn begin_stop(&mut self, position: usize) -> ChildProcess {
+    /// Requests a planned stop of a daemon and waits until it has begun.
+    async fn begin_planned_stop(&mut self, position: usize) -> ChildProcess {
         let process = self.cluster.daemons[position].process.take().expect("it runs");
         process.terminate().expect("is signalled");
         let gateway = self.cluster.daemons[position].gateway_address;
         let since = Instant::now();
         while is_ready(gateway).await {
-            assert!(since.elapsed() < PATIENCE, "the planned stop does not begin");
-            sleep(POLL).await;
+            assert!(since.elapsed() < EVENT_TIMEOUT, "the planned stop does not begin");
+            sleep(POLL_INTERVAL).await;
         }
         process
     }
 
-    /// The error that a new request gets from a daemon.
-    async fn refusal(&self, program: &str, position: usize) -> [Option<String>; 3] {
+    /// Sends a new request to a stopping daemon. Returns the headers of its refusal.
+    async fn read_refusal(&self, program: &str, position: usize) -> [Option<String>; 3] {
         let url = format!(
             "http://{}/v1/chat/completions",
             self.cluster.daemons[position].gateway_address
@@ -105,7 +111,8 @@
         let body = serde_json::json!({"messages": [{"role": "user", "content": "x"}]});
         let request = reqwest::Client::new().post(url).json(&body);
         let request = request.header("x-program-id", program);
-        let request = request.bearer_auth(self.cluster.issue_credential(TENANT)).timeout(PATIENCE);
+        let request =
+            request.bearer_auth(self.cluster.issue_credential(TENANT)).timeout(EVENT_TIMEOUT);
         let answer = request.send().await.expect("is answered");
         ["x-error", "x-should-retry", "retry-after"].map(|name| {
             let value = answer.headers().get(name)?;
@@ -113,8 +120,8 @@
         })
     }
 
-    /// Attempts of a program that engines started.
-    async fn started(&self, program: &str) -> usize {
+    /// Counts the attempts of a program that engines have started.
+    async fn count_started(&self, program: &str) -> usize {
         let program: ProgramId = program.parse().expect("a program");
         let mut started = 0;
         for engine in &self.cluster.engines {
@@ -131,99 +138,99 @@
 
     async fn wait_until_started(&self, program: &str, count: usize) {
         let since = Instant::now();
-        while self.started(program).await < count {
-            assert!(since.elapsed() < PATIENCE, "no engine started the call");
-            sleep(POLL).await;
+        while self.count_started(program).await < count {
+            assert!(since.elapsed() < EVENT_TIMEOUT, "no engine started the call");
+            sleep(POLL_INTERVAL).await;
         }
     }
 }
 
-async fn finished(asked: Asked) -> Answer {
+async fn wait_for_answer(asked: AnswerTask) -> Answer {
     asked.await.expect("no panic").expect("a whole answer")
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn death_of_the_owner_leaves_the_answer_whole_and_run_once() {
+async fn kill_of_the_owner_leaves_the_answer_whole_and_run_once() {
     let mut rehearsal = Rehearsal::start().await;
-    let (program, owner) = rehearsal.program().await;
+    let (program, owner) = rehearsal.create_program().await;
     let gateway = (owner + 1) % 4;
-    let asked = rehearsal.ask(&program, 1, gateway);
+    let asked = rehearsal.send_turn(&program, 1, gateway);
     rehearsal.wait_until_started(&program, 1).await;
     let name = rehearsal.cluster.daemons[owner].name.clone();
     rehearsal.cluster.kill_daemon(&name).await.expect("is killed");
-    let answer = finished(asked).await;
+    let answer = wait_for_answer(asked).await;
     assert_eq!(answer.gateways_lost, 0, "its own gateway followed the new owner");
     assert!(answer.text.starts_with(&format!("[{program}/0/1 ")), "{}", answer.text);
-    let again = finished(rehearsal.ask(&program, 1, gateway)).await;
+    let again = wait_for_answer(rehearsal.send_turn(&program, 1, gateway)).await;
     assert_eq!(answer.text, again.text);
-    assert_eq!(rehearsal.started(&program).await, 1);
-    let next = finished(rehearsal.ask(&program, 2, gateway)).await;
+    assert_eq!(rehearsal.count_started(&program).await, 1);
+    let next = wait_for_answer(rehearsal.send_turn(&program, 2, gateway)).await;
     assert!(next.text.starts_with(&format!("[{program}/0/2 ")), "{}", next.text);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn death_of_the_gateway_leaves_the_answer_whole_and_run_once() {
+async fn kill_of_the_gateway_leaves_the_answer_whole_and_run_once() {
     let mut rehearsal = Rehearsal::start().await;
-    let (program, owner) = rehearsal.program().await;
+    let (program, owner) = rehearsal.create_program().await;
     let gateway = (owner + 1) % 4;
-    let asked = rehearsal.ask(&program, 1, gateway);
+    let asked = rehearsal.send_turn(&program, 1, gateway);
     rehearsal.wait_until_started(&program, 1).await;
     let name = rehearsal.cluster.daemons[gateway].name.clone();
     rehearsal.cluster.kill_daemon(&name).await.expect("is killed");
-    let answer = finished(asked).await;
+    let answer = wait_for_answer(asked).await;
     assert!(answer.gateways_lost >= 1, "the caller had to go elsewhere");
-    let again = finished(rehearsal.ask(&program, 1, owner)).await;
+    let again = wait_for_answer(rehearsal.send_turn(&program, 1, owner)).await;
     assert_eq!(answer.text, again.text);
-    assert_eq!(rehearsal.started(&program).await, 1);
+    assert_eq!(rehearsal.count_started(&program).await, 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn planned_stop_cuts_no_request() {
     let mut rehearsal = Rehearsal::start().await;
-    // One stream whose owner and gateway is the daemon that stops, and one that only passes it.
-    let (owned, stopping) = rehearsal.program().await;
+    // The stopping daemon is owner and gateway of one stream, and only gateway of the other.
+    let (owned, stopping) = rehearsal.create_program().await;
     let other = rehearsal.cluster.daemons[(stopping + 1) % 4].operators_address;
     rehearsal.operator = OperatorClient::connect(&[other]).await.expect("a daemon answers");
-    let (passing, owner) = rehearsal.program().await;
+    let (passing, owner) = rehearsal.create_program().await;
     assert_ne!(owner, stopping, "a daemon takes new programs itself");
-    let ask = |program| rehearsal.ask_for(program, 1, stopping, MANY_TOKENS);
+    let ask = |program| rehearsal.send_turn_of_length(program, 1, stopping, LONG_ANSWER_TOKENS);
     let asked = [ask(&owned), ask(&passing)];
     rehearsal.wait_until_started(&owned, 1).await;
     rehearsal.wait_until_started(&passing, 1).await;
-    let mut process = rehearsal.begin_stop(stopping).await;
-    let refused = rehearsal.refusal(&passing, stopping).await;
+    let mut process = rehearsal.begin_planned_stop(stopping).await;
+    let refused = rehearsal.read_refusal(&passing, stopping).await;
     assert_eq!(refused, ["unavailable", "true", "1"].map(|text| Some(text.to_owned())));
     assert!(!asked[0].is_finished(), "new work was refused at once");
     for asked in asked {
-        let answer = finished(asked).await;
+        let answer = wait_for_answer(asked).await;
         assert_eq!(answer.gateways_lost, 0, "its stream was cut");
     }
-    let status = process.wait_for_exit(STOP_LIMIT).await.expect("ends within its bound");
+    let status = process.wait_for_exit(STOP_TIMEOUT).await.expect("ends within its bound");
     assert_eq!(status.code(), Some(0));
-    assert_eq!(rehearsal.started(&owned).await, 1);
-    assert_eq!(rehearsal.started(&passing).await, 1);
-    let next = finished(rehearsal.ask(&owned, 2, (stopping + 1) % 4)).await;
+    assert_eq!(rehearsal.count_started(&owned).await, 1);
+    assert_eq!(rehearsal.count_started(&passing).await, 1);
+    let next = wait_for_answer(rehearsal.send_turn(&owned, 2, (stopping + 1) % 4)).await;
     assert!(next.text.starts_with(&format!("[{owned}/0/2 ")), "{}", next.text);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn second_signal_ends_a_planned_stop_at_once() {
     let mut rehearsal = Rehearsal::start().await;
-    let (program, stopping) = rehearsal.program().await;
-    let asked = rehearsal.ask_for(&program, 1, stopping, MANY_TOKENS);
+    let (program, stopping) = rehearsal.create_program().await;
+    let asked = rehearsal.send_turn_of_length(&program, 1, stopping, LONG_ANSWER_TOKENS);
     rehearsal.wait_until_started(&program, 1).await;
-    let mut process = rehearsal.begin_stop(stopping).await;
+    let mut process = rehearsal.begin_planned_stop(stopping).await;
     assert!(!asked.is_finished(), "the stream is still under way");
     process.terminate().expect("is signalled");
-    process.wait_for_exit(PATIENCE).await.expect("ends");
-    // It ended before the stream that it was waiting for; the caller goes on elsewhere.
+    process.wait_for_exit(EVENT_TIMEOUT).await.expect("ends");
+    // The process exits before the stream ends; the caller continues at another gateway.
     assert!(!asked.is_finished(), "it did not wait for the stream");
-    let answer = finished(asked).await;
+    let answer = wait_for_answer(asked).await;
     assert!(answer.gateways_lost >= 1);
-    assert_eq!(rehearsal.started(&program).await, 1);
+    assert_eq!(rehearsal.count_started(&program).await, 1);
 }
 
-/// Whether the daemon says that it takes work. One that no longer answers does not.
+/// Whether the daemon reports that it is ready. One that does not answer is not ready.
 async fn is_ready(gateway: std::net::SocketAddr) -> bool {
     let answer = reqwest::get(format!("http://{gateway}/readyz")).await;
     answer.is_ok_and(|answer| answer.status().is_success())
@@ -242,15 +249,15 @@
     // A key-value service, eight engines and four daemons.
     let since = Instant::now();
     while children_of(id).len() < 13 {
-        assert!(since.elapsed() < PATIENCE, "the tool does not start its processes");
-        sleep(POLL).await;
+        assert!(since.elapsed() < EVENT_TIMEOUT, "the tool does not start its processes");
+        sleep(POLL_INTERVAL).await;
     }
     let children = children_of(id);
     tool.kill().await.expect("is killed");
     let since = Instant::now();
     while children.iter().any(|child| is_rehearse(*child)) {
-        assert!(since.elapsed() < PATIENCE, "processes are left");
-        sleep(POLL).await;
+        assert!(since.elapsed() < EVENT_TIMEOUT, "processes are left");
+        sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -263,12 +270,12 @@
 
 fn parent_of(process: u32) -> Option<u32> {
     let status = fs::read_to_string(format!("/proc/{process}/stat")).ok()?;
-    // The name in brackets may contain blanks; state and parent follow it.
+    // The name in parentheses may contain spaces; state and parent follow it.
     let (_, rest) = status.rsplit_once(") ")?;
     rest.split_whitespace().nth(1)?.parse().ok()
 }
 
-/// Whether a process of this identifier runs the tool; a later process may have its number.
+/// Whether the process with this id runs the tool; the system may reuse the id of an ended process.
 fn is_rehearse(process: u32) -> bool {
     let line = fs::read(format!("/proc/{process}/cmdline")).unwrap_or_default();
     line.starts_with(REHEARSE.as_bytes())
