--- a/crates/rehearsal/src/logs/requests.rs
+++ b/crates/rehearsal/src/logs/requests.rs
@@ -1,107 +1,125 @@
-//! Routed requests, put together from the lines that name them.
+//! Routed requests, built from the log lines that name them.
 
 use std::collections::{BTreeMap, HashMap};
 
 use super::LogLine;
 
-/// The field that names a request.
-const REQUEST: &str = "request";
-/// Stands where a line belongs to no request.
-const NOT_NAMED: &str = "-";
+/// The log field with the id of a request.
+const REQUEST_FIELD: &str = "request";
+/// The id in lines that belong to no request.
+const NO_REQUEST: &str = "-";
 
-/// How a request ended, as far as its gateway knows.
+/// The outcome of a request at its gateway.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum RequestEnd {
-    /// Handed on whole.
-    Whole,
-    /// Ended by the gateway itself, for this cause.
+pub enum RequestOutcome {
+    /// The whole answer was forwarded.
+    Completed,
+    /// The gateway refused it, with this cause.
     Refused(String),
-    /// Its stream broke off, for this cause.
-    Broken(String),
-    /// Its caller left before its end.
-    Left,
+    /// Its stream broke off, with this cause.
+    Interrupted(String),
+    /// Its caller left before the answer ended.
+    CallerLeft,
 }
 
 /// One request at one gateway.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LoggedRequest {
-    /// When it was taken, in seconds since 1970.
-    pub taken: f64,
+    /// When the gateway accepted it, in seconds since 1970.
+    pub accepted_at: f64,
     /// When its caller stops waiting for it.
     pub deadline: f64,
     /// The server that it was sent to last.
     pub server: Option<String>,
     /// When it was first sent to a server.
-    pub sent: Option<f64>,
+    pub sent_at: Option<f64>,
     /// When its answer began.
-    pub began: Option<f64>,
-    /// When and how it ended; none while it goes on.
-    pub end: Option<(f64, RequestEnd)>,
+    pub answer_began_at: Option<f64>,
+    /// When and how it ended; `None` while it is open.
+    pub outcome: Option<(f64, RequestOutcome)>,
 }
 
 impl LoggedRequest {
-    /// Whether it is at a server at a moment. Of one whose process ended nothing more is heard: it is
-    /// over at its deadline at the latest.
-    pub fn is_sent_at(&self, at: f64) -> bool {
-        let is_sent = self.sent.is_some_and(|sent| sent <= at);
-        let end = self.end.as_ref().map_or(self.deadline, |(end, _)| *end);
+    /// Whether a server processes it at the time `at`. When its gateway process has ended, the logs
+    /// have no outcome, so it counts until its deadline.
+    pub fn is_at_server(&self, at: f64) -> bool {
+        let is_sent = self.sent_at.is_some_and(|sent| sent <= at);
+        let end = self.outcome.as_ref().map_or(self.deadline, |(end, _)| *end);
         is_sent && at < end
     }
 }
 
-/// All requests of some logs, in the order in which they were taken.
+/// All requests of the logs, in the order in which they were accepted.
 #[derive(Debug, Clone, Default)]
 pub struct LoggedRequests {
     requests: Vec<LoggedRequest>,
-    /// The present one of each name: a caller may use a name again.
-    open: HashMap<String, usize>,
+    /// Index of the latest request of each id: a caller may reuse an id.
+    latest_by_id: HashMap<String, usize>,
 }
 
 impl LoggedRequests {
-    /// Takes a line in; lines that belong to no request are passed over.
-    pub fn add(&mut self, line: &LogLine) {
-        let Some(name) = line.field(REQUEST).filter(|name| *name != NOT_NAMED) else { return };
-        if line.sentence == "Taken." {
-            self.open.insert(name.to_owned(), self.requests.len());
+    /// Applies a line; lines that belong to no request are ignored.
+    pub fn add_line(&mut self, line: &LogLine) {
+        let Some(name) = line.field(REQUEST_FIELD).filter(|name| *name != NO_REQUEST) else {
+            return;
+        };
+        if line.message == "Taken." {
+            self.latest_by_id.insert(name.to_owned(), self.requests.len());
             let deadline_ms = line.field("deadline_ms").and_then(|text| text.parse::<f64>().ok());
-            let deadline = line.at + deadline_ms.unwrap_or_default() / 1_000.0;
-            let (server, sent, began, end) = (None, None, None, None);
-            let taken = line.at;
-            self.requests.push(LoggedRequest { taken, deadline, server, sent, began, end });
+            let deadline = line.timestamp + deadline_ms.unwrap_or_default() / 1_000.0;
+            let (server, sent_at, answer_began_at, outcome) = (None, None, None, None);
+            let accepted_at = line.timestamp;
+            self.requests.push(LoggedRequest {
+                accepted_at,
+                deadline,
+                server,
+                sent_at,
+                answer_began_at,
+                outcome,
+            });
             return;
         }
-        let Some(request) = self.open.get(name).and_then(|place| self.requests.get_mut(*place))
+        let Some(request) =
+            self.latest_by_id.get(name).and_then(|place| self.requests.get_mut(*place))
         else {
             return;
         };
         let cause = || line.field("cause").unwrap_or("unknown").to_owned();
-        match line.sentence.as_str() {
+        match line.message.as_str() {
             "Server chosen." => {
                 request.server = line.field("server").map(str::to_owned);
-                request.sent.get_or_insert(line.at);
+                request.sent_at.get_or_insert(line.timestamp);
             }
-            "Stream began." => request.began = Some(line.at),
+            "Stream began." => request.answer_began_at = Some(line.timestamp),
             "Answered." => {
-                request.began.get_or_insert(line.at);
-                request.end = Some((line.at, RequestEnd::Whole));
+                request.answer_began_at.get_or_insert(line.timestamp);
+                request.outcome = Some((line.timestamp, RequestOutcome::Completed));
+            }
+            "Stream ended whole." => {
+                request.outcome = Some((line.timestamp, RequestOutcome::Completed))
+            }
+            "Refused." => {
+                request.outcome = Some((line.timestamp, RequestOutcome::Refused(cause())))
+            }
+            "Stream broken off." => {
+                request.outcome = Some((line.timestamp, RequestOutcome::Interrupted(cause())))
+            }
+            "The caller left." => {
+                request.outcome = Some((line.timestamp, RequestOutcome::CallerLeft))
             }
-            "Stream ended whole." => request.end = Some((line.at, RequestEnd::Whole)),
-            "Refused." => request.end = Some((line.at, RequestEnd::Refused(cause()))),
-            "Stream broken off." => request.end = Some((line.at, RequestEnd::Broken(cause()))),
-            "The caller left." => request.end = Some((line.at, RequestEnd::Left)),
             _ => {}
         }
     }
 
-    /// All of them.
+    /// Iterates over all requests.
     pub fn iter(&self) -> impl Iterator<Item = &LoggedRequest> {
         self.requests.iter()
     }
 
-    /// Requests at each server at a moment.
-    pub fn at_servers(&self, at: f64) -> BTreeMap<&str, u32> {
+    /// Counts the requests at each server at the time `at`.
+    pub fn count_by_server(&self, at: f64) -> BTreeMap<&str, u32> {
         let mut counts = BTreeMap::new();
-        for request in self.requests.iter().filter(|request| request.is_sent_at(at)) {
+        for request in self.requests.iter().filter(|request| request.is_at_server(at)) {
             if let Some(server) = &request.server {
                 *counts.entry(server.as_str()).or_default() += 1;
             }
