--- a/crates/engine-model/src/cache/eviction.rs
+++ b/crates/engine-model/src/cache/eviction.rs
@@ -6,7 +6,8 @@
 use crate::{CacheChange, SpanKind};
 
 impl PrefixCache {
-    /// Removes an idle node that has no memory or no users. Otherwise updates its eviction key.
+    /// Removes an idle node that has no memory, or that has no users and was never shared. Otherwise updates
+    /// its eviction key.
     pub(super) fn remove_or_update(&mut self, id: NodeId, now: Timestamp) {
         let node = self.node(id);
         let idle = node.pin_count == 0 && node.child_count == 0;
@@ -18,6 +19,7 @@
         }
     }
 
+    /// Shrinks idle leaves until `needed` more tokens fit, or until there is no idle leaf left.
     pub(super) fn make_room(&mut self, needed: u64, now: Timestamp) {
         loop {
             let shortage = (self.used + needed).saturating_sub(self.capacity);
@@ -71,8 +73,8 @@
     /// Updates the node's eviction key. Only idle leaves have one.
     pub(super) fn update_eviction_key(&mut self, id: NodeId) {
         let node = self.nodes[id].as_mut().expect("node is live");
-        let leaf = node.pin_count == 0 && node.child_count == 0 && node.resident > 0;
-        let key = leaf.then_some((node.hold_count > 0, node.last_use, id));
+        let is_idle_leaf = node.pin_count == 0 && node.child_count == 0 && node.resident > 0;
+        let key = is_idle_leaf.then_some((node.hold_count > 0, node.last_use, id));
         if key == node.eviction_key {
             return;
         }
--- a/crates/node/src/feed.rs
+++ b/crates/node/src/feed.rs
@@ -1,12 +1,12 @@
 //! Lets many daemons follow an outside source whose calls are expensive. One daemon of a zone, or a few of a
 //! large zone, reads the source and reports what it read to the others of its zone.
 //!
-//! Safety rests on the time as of which a report holds. A report says that nothing else has changed up to a
-//! revision, and how long ago the call that found this began. A daemon without a fresh enough report reads the
-//! source by itself until it has one again. A reader that died, hangs, was cut off or gets old answers
-//! therefore delays the others by no more than the freshness bound. A daemon sends on only what it has read
-//! itself, so that no report circulates. It keeps reports of others for daemons that subscribe when it becomes
-//! a reader.
+//! Each report carries the time as of which it holds, so that no daemon relies on an outdated one. A report
+//! says that nothing else has changed up to a revision, and how long ago the call that found this began. A
+//! daemon without a fresh enough report reads the source by itself until it has one again. A reader that died,
+//! hangs, was cut off or gets old answers therefore delays the others by no more than the freshness bound. A
+//! daemon sends on only what it has read itself, so that no report circulates. It keeps reports of others for
+//! daemons that subscribe when it becomes a reader.
 //!
 //! Reports are ordered by revision, never by arrival. A report that begins after the last revision known here
 //! leaves a gap; then the source is read.
@@ -25,7 +25,7 @@
 /// Bytes of earlier reports kept for daemons that missed one or are new: about seven seconds of 230 changes
 /// a second, the rate when a third of 10,000 servers is released.
 const MAX_KEPT_BYTES: usize = 512 * 1024;
-/// Number of renewals that a subscriber may miss.
+/// Number of renewal intervals after which a subscription expires, unless it is renewed.
 const MISSED_RENEWALS: u64 = 3;
 /// How long a reader without fresh reports is passed over.
 const PASS_OVER_TIME: Duration = Duration::from_secs(10);
@@ -107,7 +107,8 @@
     ForOthers,
 }
 
-/// An order to the driver about the source.
+/// An order about the source to the driver, the code outside the node that reads the source and applies the
+/// changes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FeedOrder {
     /// Read the source in this way from now on.
--- a/crates/node/src/group.rs
+++ b/crates/node/src/group.rs
@@ -46,11 +46,11 @@
 pub(crate) struct LiveAttempt {
     /// The epoch under which it runs.
     pub(crate) epoch: Term,
-    /// When it is next cancelled.
+    /// When to cancel it, or to cancel it again if it has not ended since.
     pub(crate) cancel_at: Timestamp,
 }
 
-/// A release that is in progress or due.
+/// A release of a program's memory at an engine that is in progress or due.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct PendingRelease {
     /// When to send the next request.
@@ -124,7 +124,8 @@
         self.serving_term == Some(self.replica.term()) && self.replica.is_leader_ready()
     }
 
-    /// Proposes a command for the log. Returns the purpose if this replica does not lead.
+    /// Proposes a command for the log, now or later. Gives the purpose back if this replica does not lead or
+    /// the command is too large.
     pub(crate) fn propose(
         &mut self,
         command: Command,
@@ -201,7 +202,7 @@
     }
 }
 
-/// The fate of proposals when an entry was committed.
+/// What the commit of an entry decides about proposals.
 #[derive(Debug, Default)]
 pub(crate) struct ResolvedProposals {
     /// The purpose of the committed entry, if this node proposed it.
--- a/crates/node/src/limits.rs
+++ b/crates/node/src/limits.rs
@@ -1,5 +1,5 @@
-//! Connects the keepers of rate limits to the node. The owner of a replica group is the keeper for the tenants
-//! that belong to the group.
+//! Connects the keepers of rate limits to the node. A keeper counts the requests of its tenants over the whole
+//! system. The owner of a replica group is the keeper for the tenants that belong to the group.
 //!
 //! A keeper counts in memory only: a log entry for each request would cost more than a limit that is exact
 //! across a fail-over is worth.
@@ -48,8 +48,8 @@
         }
     }
 
-    /// Tells keepers the share of gateways that are out of reach. These go on without a keeper, so keepers
-    /// reserve their part of the permits for them.
+    /// Tells keepers the share of gateways, the members without groups, that are out of reach. These go
+    /// on without a keeper, so keepers reserve their part of the permits for them.
     fn update_unreachable_share(&mut self, now: Timestamp) {
         let members = self.membership.members();
         let is_gateway = |member: &&Member| {
--- a/crates/rehearsal/src/demo.rs
+++ b/crates/rehearsal/src/demo.rs
@@ -16,8 +16,8 @@
 use crate::error::FileSnafu;
 use crate::operator::OperatorClient;
 
-const PROGRAMS: usize = 4;
-const TURNS: u32 = 5;
+const PROGRAM_COUNT: usize = 4;
+const TURN_COUNT: u32 = 5;
 /// The owner of the first program is killed during this turn.
 const KILL_TURN: u32 = 3;
 /// Budget of each program in tokens.
@@ -27,7 +27,7 @@
 const RELEASE_TIMEOUT: Duration = Duration::from_secs(15);
 const RELEASE_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-const QUESTIONS: [&str; TURNS as usize] = [
+const QUESTIONS: [&str; TURN_COUNT as usize] = [
     "The inverter shows fault 0x31 after the roof unit was rewired. [[tokens=60]]",
     "The string voltage reads 612 V on input two. What should I check? [[tokens=60]]",
     "The isolation test gives 0.9 megaohm. Is that within the limit? [[tokens=60]]",
@@ -54,7 +54,8 @@
 /// Runs the demo and prints its progress and summary.
 ///
 /// # Errors
-/// [`RehearsalError`] when a promise is broken, a process failed or the user interrupts.
+/// [`RehearsalError`] when a result differs from what is promised, a process failed or the user
+/// interrupts.
 pub async fn run(folder: Option<&Path>) -> Result<(), RehearsalError> {
     let scratch = TempDir::new()
         .map_err(|source| RehearsalError::File { path: std::env::temp_dir(), source })?;
@@ -75,7 +76,7 @@
     print_progress(started, "every replica group has an owner");
 
     let programs = create_programs(&cluster).await?;
-    print_progress(started, &format!("{PROGRAMS} programs created"));
+    print_progress(started, &format!("{PROGRAM_COUNT} programs created"));
     let kill_now = Arc::new(Notify::new());
     let (progress, lines) = mpsc::unbounded_channel();
     let callers = tokio::spawn(run_callers(
@@ -96,11 +97,11 @@
         &format!("killed {owner}, the owner of {}, in turn {KILL_TURN}", programs[0]),
     );
 
-    let seen = callers.await.map_err(|error| RehearsalError::Failed {
+    let results = callers.await.map_err(|error| RehearsalError::Failed {
         message: format!("a caller's task failed: {error}"),
     })??;
     let _ = printing.await;
-    let summaries = close_programs(&cluster, seen).await?;
+    let summaries = close_programs(&cluster, results).await?;
     print_summary(&summaries, started);
     check_results(&summaries)
 }
@@ -108,7 +109,7 @@
 async fn create_programs(cluster: &Cluster) -> Result<Vec<String>, RehearsalError> {
     let mut programs = Vec::new();
     let operators = cluster.operator_addresses();
-    for index in 0..PROGRAMS {
+    for index in 0..PROGRAM_COUNT {
         let mut order = operators.clone();
         order.rotate_left(index % operators.len());
         let mut operator = OperatorClient::connect(&order).await?;
@@ -132,14 +133,14 @@
         let kill_now = (index == 0).then(|| kill_now.clone());
         tasks.push(tokio::spawn(run_program(caller, program, kill_now, progress.clone())));
     }
-    let mut seen = Vec::new();
+    let mut results = Vec::new();
     for task in tasks {
         let result = task.await.map_err(|error| RehearsalError::Failed {
             message: format!("a caller's task failed: {error}"),
         })?;
-        seen.push(result?);
+        results.push(result?);
     }
-    Ok(seen)
+    Ok(results)
 }
 
 /// Runs one program: turns with pauses for tool calls, and one call of a sub-agent.
@@ -151,15 +152,15 @@
 ) -> Result<ProgramResult, RehearsalError> {
     let started = Instant::now();
     let mut answers = Vec::new();
-    for number in 1..=TURNS {
+    for number in 1..=TURN_COUNT {
         let turn = build_turn(&program, 0, number, QUESTIONS[number as usize - 1]);
-        let asked = caller.send_turn(&turn);
+        let pending_answer = caller.send_turn(&turn);
         if number == KILL_TURN
             && let Some(kill_now) = &kill_now
         {
             kill_now.notify_one();
         }
-        let answer = asked.await?;
+        let answer = pending_answer.await?;
         send_progress(&progress, &program, "turn", number, &answer);
         answers.push(answer);
         if number == 2 {
@@ -216,19 +217,19 @@
 
 async fn close_programs(
     cluster: &Cluster,
-    seen: Vec<ProgramResult>,
+    results: Vec<ProgramResult>,
 ) -> Result<Vec<ProgramSummary>, RehearsalError> {
     let mut operator = OperatorClient::connect(&cluster.operator_addresses()).await?;
     let mut summaries = Vec::new();
-    for seen in seen {
-        let before = operator.show_program(&seen.program).await?;
+    for result in results {
+        let before = operator.show_program(&result.program).await?;
         let mut engines: Vec<String> = before.held.iter().map(|held| held.engine.clone()).collect();
         engines.sort();
-        operator.close_program(&seen.program).await?;
-        let held = wait_for_release(cluster, &mut operator, &seen.program).await?;
+        operator.close_program(&result.program).await?;
+        let held = wait_for_release(cluster, &mut operator, &result.program).await?;
         let budget = before.budget.unwrap_or_default();
         summaries.push(ProgramSummary {
-            result: seen,
+            result,
             spent: budget.spent_tokens,
             total: budget.total_tokens,
             engines,
@@ -278,11 +279,11 @@
     println!("done after {:.1} s", started.elapsed().as_secs_f64());
 }
 
-/// Checks the answers, budgets and held tokens against the promises.
+/// Checks the answers, budgets and held tokens against what is promised.
 fn check_results(summaries: &[ProgramSummary]) -> Result<(), RehearsalError> {
     for summary in summaries {
         let ProgramResult { program, answers, .. } = &summary.result;
-        let expected = TURNS as usize + 1;
+        let expected = TURN_COUNT as usize + 1;
         if answers.len() != expected {
             return failure(format!("{program} got {} of {expected} answers", answers.len()));
         }
--- a/crates/relay/src/caller.rs
+++ b/crates/relay/src/caller.rs
@@ -39,7 +39,7 @@
     requests_served: u64,
     /// When the caller must have taken the current answer.
     answer_deadline: Option<Instant>,
-    /// How long the caller may take no byte of the current stream.
+    /// How long the caller may go without taking a byte of the current stream.
     max_stall: Option<Duration>,
 }
 
@@ -63,7 +63,7 @@
     }
 
     /// Marks the connection as busy until the guard is dropped.
-    pub(crate) fn busy(&self) -> BusyGuard {
+    pub(crate) fn mark_busy(&self) -> BusyGuard {
         self.lock().phase = Phase::Busy;
         BusyGuard(self.clone())
     }
@@ -95,7 +95,7 @@
 
     /// Whether the connection can be closed to new requests without losing one. A connection that
     /// never had a request may have one on the way. A connection whose head is arriving is answered
-    /// and then closed.
+    /// and then closed. A busy connection finishes its answer first.
     pub(crate) fn is_safe_to_close(&self) -> bool {
         let state = self.lock();
         match state.phase {
--- a/crates/relay/src/server.rs
+++ b/crates/relay/src/server.rs
@@ -128,7 +128,7 @@
     caller: &CallerQuota,
     request: Request<Incoming>,
 ) -> Result<Response<AnswerBody>, Infallible> {
-    let busy = state.busy();
+    let busy = state.mark_busy();
     count(&shared.counters.requests);
     let gauge = GaugeGuard::new(&shared.counters, Gauge::InProgress);
     let mut log = RequestLog::new(Arc::clone(&shared.metrics), Instant::now());
--- a/crates/relay/tests/tenants.rs
+++ b/crates/relay/tests/tenants.rs
@@ -1,4 +1,4 @@
-//! Tenants of requests: reserved headers, keys, ranks, names within a tenant, and rate limits.
+//! Tenants of requests: reserved headers, keys, priorities, names within a tenant, and rate limits.
 
 mod common;
 
@@ -288,7 +288,7 @@
 }
 
 #[tokio::test]
-async fn before_any_configuration_no_key_is_rejected_as_unknown() {
+async fn before_any_configuration_a_request_with_a_key_gets_503_not_401() {
     let gateway = TestGateway::new(None, &[]).await;
     assert_eq!(call(gateway.address, &post("t-1", KEY_HEADER, "")).await.status, 503);
 }
@@ -320,13 +320,13 @@
 }
 
 #[tokio::test]
-async fn a_tenants_rank_takes_precedence_over_its_routes() {
+async fn a_tenants_priority_takes_precedence_over_that_of_the_route() {
     let server = ScriptedServer::new("s-1", answer_ok).await;
-    let ranked = |tenant: Tenant, priority| Tenant { priority: Some(priority), ..tenant };
+    let with_priority = |tenant: Tenant, priority| Tenant { priority: Some(priority), ..tenant };
     let urgent = Route { path_prefix: "/u/".into(), priority: 0, ..repeatable_route() };
     let table = table_with_tenants(
         vec![urgent, repeatable_route()],
-        vec![ranked(oak(), 0), ranked(elm(), 1)],
+        vec![with_priority(oak(), 0), with_priority(elm(), 1)],
     );
     let gateway = TestGateway::new(Some(table), &[&server]).await;
     let mut levels = Vec::new();
@@ -427,7 +427,7 @@
 
 #[tokio::test]
 async fn an_active_program_of_one_tenant_gives_no_precedence_to_another_tenant() {
-    const UPLOADED: usize = 110 * 1_024;
+    const UPLOADED_BYTES: usize = 110 * 1_024;
     let server = ScriptedServer::new("s-1", |request| {
         vec![stream_head(request), chunk(&event(1, "a")), last_chunk()]
     });
@@ -441,13 +441,13 @@
     for _ in 0..3 {
         let mut caller = Caller::new(gateway.address).await;
         let head = post("t", KEY_HEADER, "");
-        let length = format!("Content-Length: {}", UPLOADED + 1);
+        let length = format!("Content-Length: {}", UPLOADED_BYTES + 1);
         let head = head.replace("Content-Length: 0", &length);
-        caller.send(&(head + &"x".repeat(UPLOADED))).await;
+        caller.send(&(head + &"x".repeat(UPLOADED_BYTES))).await;
         slow.push(caller);
     }
     let held = || gateway.relay.counters().held_bytes;
-    wait_until("the uploads are buffered", || held() >= 3 * UPLOADED as u64).await;
+    wait_until("the uploads are buffered", || held() >= 3 * UPLOADED_BYTES as u64).await;
     let elm_key = "Authorization: Key secret-of-elm\r\n";
     assert_eq!(call(gateway.address, &turn("t-2", elm_key)).await.status, 503);
     assert_eq!(call(gateway.address, &turn("t-3", KEY_HEADER)).await.status, 200);
