--- a/crates/node/src/feed.rs
+++ b/crates/node/src/feed.rs
@@ -107,8 +107,8 @@
     ForOthers,
 }
 
-/// An order about the source to the driver, the code outside the node that reads the source and applies the
-/// changes.
+/// An order about the source to the driver, the code outside the node that does its I/O, such as reads of the
+/// source.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FeedOrder {
     /// Read the source in this way from now on.
